--- a/spurdeal/benchlink/host.py
+++ b/spurdeal/benchlink/host.py
@@ -24,8 +24,8 @@
     SETTLED,
     UPDATE,
     WAKEUP,
+    AttemptResult,
     Notice,
-    TripResult,
 )
 
 DELTA, FULL, CACHED, FAILED = range(4)
@@ -51,7 +51,7 @@
         self.records: list[bytes] = []
         self.numbers: dict[int, int] = {}
         self.names: dict[int, int] = {}
-        self.trips_out: dict[int, int] = {}
+        self.attempts_out: dict[int, int] = {}
         self.over: set[int] = set()
         self.taken = 0
         self.engines: dict[bytes, int] = {}
@@ -110,25 +110,25 @@
         Raises:
             BadInputError: That number came before and is open.
         """
-        kind, customer, key, expiry, cost, memory, group, bits = fields
+        kind, tenant, key, deadline, cost, memory, group, bits = fields
         if tid in self.numbers:
             raise BadInputError(f"instance {self.who}: submission {tid} came twice")
         number = self.taken
         self.taken += 1
-        self.numbers[tid], self.names[number], self.trips_out[number] = number, tid, 0
+        self.numbers[tid], self.names[number], self.attempts_out[number] = number, tid, 0
         cost = cost if bits & ESTIMATED else 0.0
-        self.rules.submitted(now, number, kind, customer, key, expiry, cost, memory, int(group))
+        self.rules.submitted(now, number, kind, tenant, key, deadline, cost, memory, int(group))
 
-    def settled(self, now: float, tid: int, result: TripResult) -> None:
+    def settled(self, now: float, tid: int, result: AttemptResult) -> None:
         """A trip has ended; late ones, of submissions that are over, are passed over."""
         number = self.numbers.get(tid)
         if number is None:
             return
-        self.trips_out[number] -= 1
+        self.attempts_out[number] -= 1
         self.rules.ended(
             now,
             number,
-            result.trip,
+            result.attempt,
             result.engine,
             Ending(result.ending),
             result.took,
@@ -148,8 +148,8 @@
 
     def noted(self, now: float, number: int, notice: Notice) -> None:
         """An engine has said something of a trip under way."""
-        trip, engine, word, level = notice
-        self.rules.noted(now, number, trip, engine, Word(word), level)
+        attempt, engine, word, level = notice
+        self.rules.noted(now, number, attempt, engine, Word(word), level)
 
     def closed(self, number: int) -> None:
         """The submission is over."""
@@ -158,15 +158,15 @@
 
     def forget(self, number: int) -> None:
         """An id is dropped once the submission is over and none of its trips is out."""
-        if number in self.over and self.trips_out[number] <= 0:
-            del self.numbers[self.names.pop(number)], self.trips_out[number]
+        if number in self.over and self.attempts_out[number] <= 0:
+            del self.numbers[self.names.pop(number)], self.attempts_out[number]
             self.over.discard(number)
 
     # What the rules ask for.
 
     def send(self, number: int, engine: int, time_limit: float) -> None:
         """Send a submission to an engine; the limit is in ms, 0 for none."""
-        self.trips_out[number] += 1
+        self.attempts_out[number] += 1
         address = self.addresses[engine]
         self.records.append(struct.pack("<BHQ6sd", 0, self.who, self.names[number], address, time_limit))
 
@@ -184,9 +184,9 @@
         self.records.append(struct.pack("<BHQ", 2, self.who, self.names[number]))
         self.closed(number)
 
-    def call_off(self, number: int, trip: int) -> None:
+    def call_off(self, number: int, attempt: int) -> None:
         """Ask for the end of a trip."""
-        self.records.append(struct.pack("<BHQB", 3, self.who, self.names[number], trip))
+        self.records.append(struct.pack("<BHQB", 3, self.who, self.names[number], attempt))
 
     def wake(self, delay: float, token: int) -> None:
         """Ask to be woken after so many ms; LONGEST_SLEEP at most."""
@@ -334,13 +334,13 @@
 
     def settled(self, now: float, reader: Reader) -> None:
         """A trip has ended."""
-        who, tid, trip, address, ending, took, final, bill, count = reader.take(SETTLED)
+        who, tid, attempt, address, ending, took, final, bill, count = reader.take(SETTLED)
         report = reader.take(struct.Struct(f"<{count}f"))
         instance = self.instance(who)
         engine = instance.engine(address)
         if ending > max(Ending):
             raise BadInputError(f"ending {ending} is out of range")
-        result = TripResult(trip, engine, ending, took, final, bill, report)
+        result = AttemptResult(attempt, engine, ending, took, final, bill, report)
         self.guarded(instance, instance.settled, now, tid, result)
 
     def aborted(self, now: float, reader: Reader) -> None:
@@ -373,9 +373,9 @@
 
     def update(self, now: float, reader: Reader) -> None:
         """What an engine says of a trip under way; unknown words are passed over."""
-        who, tid, word, address, trip, level = reader.take(UPDATE)
+        who, tid, word, address, attempt, level = reader.take(UPDATE)
         instance = self.instance(who)
         engine = instance.engine(address)
         if tid in instance.numbers and 1 <= word <= max(Word):
-            notice = Notice(trip, engine, word, level)
+            notice = Notice(attempt, engine, word, level)
             self.guarded(instance, instance.noted, now, instance.numbers[tid], notice)
--- a/spurdeal/benchlink/records.py
+++ b/spurdeal/benchlink/records.py
@@ -19,7 +19,7 @@
 ENTRY = struct.Struct("<6sBHHBfd")
 
 
-class TripResult(NamedTuple):
+class AttemptResult(NamedTuple):
     """How a trip has ended, as a frame tells it.
 
     Attributes:
@@ -32,7 +32,7 @@
         report: What the engine tells of itself.
     """
 
-    trip: int
+    attempt: int
     engine: int
     ending: int
     took: float
@@ -44,7 +44,7 @@
 class Notice(NamedTuple):
     """What an engine says of a trip: its number, our index of the engine, the value of a Word, a level."""
 
-    trip: int
+    attempt: int
     engine: int
     word: int
     level: float
--- a/spurdeal/cli/running.py
+++ b/spurdeal/cli/running.py
@@ -120,7 +120,7 @@
         """The durable record, recovered from its disk."""
         from ..store.ledger import Ledger, LedgerSettings
 
-        longest = part.keep + max(workload.expiry for workload in self.service.configuration.site.workloads)
+        longest = part.keep + max(workload.deadline for workload in self.service.configuration.site.workloads)
         settings = LedgerSettings(part.flush, part.ids, part.bytes, longest)
         try:
             return Ledger(Path(part.path), self.service.clock, settings)
@@ -161,7 +161,7 @@
             message=part.message,
             idle=part.idle,
         )
-        longest = max(workload.expiry for workload in site.workloads)
+        longest = max(workload.deadline for workload in site.workloads)
         return Server(
             self.link,
             self.service.engines,
--- a/spurdeal/deployment.py
+++ b/spurdeal/deployment.py
@@ -5,8 +5,8 @@
 
 from .interface import Deployment, Effect, Reach, Workload
 
-EFFECTS = {"repeatable": Effect.REDOABLE, "by_key": Effect.LABELLED, "once": Effect.IRREVERSIBLE}
-REACHES = {"all": Reach.ALL, "zone": Reach.LOCATION, "cell": Reach.CELL}
+EFFECTS = {"repeatable": Effect.IDEMPOTENT, "by_key": Effect.IDEMPOTENT_BY_KEY, "once": Effect.NON_IDEMPOTENT}
+REACHES = {"all": Reach.ALL, "zone": Reach.ZONE, "cell": Reach.CELL}
 IN_HAND = "rif"
 
 
@@ -60,16 +60,16 @@
     fields = reported(options)
     workloads = tuple(
         Workload(
-            agreed=float(grade["aim"]),
+            objective=float(grade["aim"]),
             stretch=float(grade.get("aim_stretch", 0.0)),
-            expiry=float(grade["deadline"]),
-            utility=float(grade.get("worth", 1.0)),
-            late_utility=float(grade.get("late_worth", 0.0)),
+            deadline=float(grade["deadline"]),
+            value=float(grade.get("worth", 1.0)),
+            late_value=float(grade.get("late_worth", 0.0)),
             effect=EFFECTS[grade.get("effect", "repeatable")],
             reach=REACHES[grade.get("group", "all")],
             known_for=float(grade.get("window", 0.0)),
             in_order=bool(grade.get("serial_by_key", False)),
-            locations=indices(grade.get("zones_open"), zones),
+            zones=indices(grade.get("zones_open"), zones),
             kinds=indices(grade.get("models_allowed"), models),
             threads=max(1, int(threads[place] or 1)),
             holds_tables=bool(holds[place]),
@@ -82,10 +82,10 @@
     return Deployment(
         index=int(options.get("index", 0)),
         dispatchers=max(1, int(options.get("balancers", 1))),
-        location=int(options.get("zone", 0)),
+        zone=int(options.get("zone", 0)),
         workloads=workloads,
         quotas=tuple(float(tenant.get("quota_per_s", 0.0)) for tenant in options.get("tenants", [])),
-        over_share_utility=float(options.get("over_share_worth", 1.0)),
+        over_share_value=float(options.get("over_share_worth", 1.0)),
         cores=tuple(max(1, int(cores or 1)) for cores in extra.get("cpu_of_kind", [])),
         memory_mb=tuple(float(memory) for memory in extra.get("memory_by_kind_mb", [])),
         in_hand=fields.index(IN_HAND) if IN_HAND in fields else None,
@@ -94,7 +94,7 @@
         may_probe=bool(limits.get("may_probe", False)),
         may_tell=bool(limits.get("may_tell", False)),
         second_copies=bool(limits.get("second_copies", False)),
-        most_trips=max(1, int(limits.get("send_cap", 1))),
+        max_attempts=max(1, int(limits.get("send_cap", 1))),
         most_come_back=float(limits.get("max_retry_after", 0.0)) if limits.get("retry_after") else 0.0,
         grants=bool(extra.get("grants_count", False)),
         pages=extra.get("memory_short") == "swap",
--- a/spurdeal/extproc/granter.py
+++ b/spurdeal/extproc/granter.py
@@ -48,7 +48,7 @@
         ident: bytes,
         workload: bytes,
         statement: bytes,
-        expiry: float,
+        deadline: float,
         at_most_once: bool,
         at_send: Callable[[], SendTerms | None],
     ) -> Lease:
@@ -62,26 +62,26 @@
     def granted(self, lease: Lease, engine: int, at_send: Callable[[], SendTerms | None]) -> bool:
         """Tell the caller the place; False where it, its engine or what is to be told is gone by now."""
         call = lease.call
-        seat = self.engines.engines[engine].seat if engine in self.engines.engines else None
-        if call is None or seat is None:
+        endpoint = self.engines.engines[engine].endpoint if engine in self.engines.engines else None
+        if call is None or endpoint is None:
             return False
         now, told = self.clock(), at_send()
         if told is None or not self.grants.say(now, call.number, engine, now + told.wait):
             return False
         self.leases[lease.number] = lease
         self.counters.add("grants")
-        call.say(seat.host, seat.port, told.wait, told.rank)
+        call.say(endpoint.host, endpoint.port, told.wait, told.rank)
         return True
 
-    def weigh(self, trip: Lease, rank: int) -> None:
+    def weigh(self, attempt: Lease, rank: int) -> None:
         """A caller is told a rank once, with its grant."""
 
-    def give_up(self, trip: Lease, ending: Ending) -> None:
+    def give_up(self, attempt: Lease, ending: Ending) -> None:
         """The link waits no more for that trip's outcome."""
         seen = Seen.SILENT if ending == Ending.TIME_OUT else Seen.CALLED_OFF
-        if trip.call is not None:
-            trip.call.forget()
-        self.end(trip.number, self.grants.happens(trip.number, seen))
+        if attempt.call is not None:
+            attempt.call.forget()
+        self.end(attempt.number, self.grants.happens(attempt.number, seen))
 
     def end(self, number: int, ending: Ending | None) -> None:
         """A trip is over with this ending; None where it was over already."""
--- a/spurdeal/extproc/stream.py
+++ b/spurdeal/extproc/stream.py
@@ -8,7 +8,7 @@
 from twisted.internet.defer import CancelledError, Deferred
 from twisted.python.failure import Failure
 
-from ..net.link import Answer, BrokenOff, Granted, Shed
+from ..net.link import Answer, Failed, Granted, Shed
 from . import answers
 from . import processor_pb2 as pb
 from .calls import Ask, BadCallError, header_map, outcome, read_ask, times
@@ -149,7 +149,7 @@
             case Shed(come_back):
                 self.let_go(Seen.CANCELLED)
                 self.immediate(503, "TryLater", come_back)
-            case BrokenOff():
+            case Failed():
                 self.let_go(Seen.CANCELLED)
                 self.immediate(500, "Aborted", 0.0)
 
--- a/spurdeal/fleet/asking.py
+++ b/spurdeal/fleet/asking.py
@@ -50,12 +50,12 @@
         if record.engine:
             found |= {
                 "engine": record.engine,
-                "trip": record.trip,
+                "trip": record.attempt,
                 "cold": bool(record.flags & COLD),
                 "doubtful": bool(record.flags & DOUBTFUL),
             }
         if record.kind is Kind.CALLED_OFF:
-            found["trip"] = record.trip
+            found["trip"] = record.attempt
         found |= {key: value for key, value in record.told.items() if key != "engines"}
         return found | {"versions": {line: self.versions[line] for line in LINES if line in self.versions}}
 
@@ -162,7 +162,7 @@
 class Asked(NamedTuple):
     """What entries to give; what is None or empty asks for nothing."""
 
-    submission: str = ""
+    request: str = ""
     engine: str = ""
     dispatcher: str = ""
     version: str = ""
@@ -178,7 +178,7 @@
             continue
         if not asked.since <= record.stamp.ms <= asked.until:
             continue
-        if asked.submission and record.ident.lower() != asked.submission.lower():
+        if asked.request and record.ident.lower() != asked.request.lower():
             continue
         if asked.engine and asked.engine != record.engine and asked.engine not in record.told.get("says", ""):
             continue
--- a/spurdeal/fleet/audit.py
+++ b/spurdeal/fleet/audit.py
@@ -76,7 +76,7 @@
     kind: Kind
     ident: str = ""
     engine: str = ""
-    trip: int = 0
+    attempt: int = 0
     flags: int = 0
     told: Mapping[str, Any] = NOTHING_TOLD
 
@@ -130,19 +130,19 @@
 
     # Records, kept until the turn's frame is asked for.
 
-    def sent(self, ident: bytes, trip: int, engine: str, flags: int) -> None:
+    def sent(self, ident: bytes, attempt: int, engine: str, flags: int) -> None:
         """A trip was sent to an engine; flags are COLD and DOUBTFUL."""
         place = self.engines.get(engine)
         if place is None:
             place = self.engines[engine] = len(self.engines)
             self.tell(Kind.ENGINE, {"place": place, "engine": engine})
         self.records.append(
-            SENT.pack(Kind.SENT, min(trip, 255), flags, len(ident)) + ident + place.to_bytes(4, "big")
+            SENT.pack(Kind.SENT, min(attempt, 255), flags, len(ident)) + ident + place.to_bytes(4, "big")
         )
 
-    def short(self, kind: Kind, ident: bytes, trip: int = 0) -> None:
+    def short(self, kind: Kind, ident: bytes, attempt: int = 0) -> None:
         """Something happened to a submission; the kind is one of SHORT."""
-        self.records.append(SENT.pack(kind, min(trip, 255), 0, len(ident)) + ident)
+        self.records.append(SENT.pack(kind, min(attempt, 255), 0, len(ident)) + ident)
 
     def tell(self, kind: Kind, told: dict[str, Any]) -> None:
         """A record with figures, as JSON; one that is larger than 64 KiB packed is dropped."""
@@ -304,7 +304,7 @@
         while at < len(body):
             kind = Kind(body[at])
             if kind is Kind.SENT or kind in SHORT:
-                _, trip, flags, size = SENT.unpack_from(body, at)
+                _, attempt, flags, size = SENT.unpack_from(body, at)
                 at += SENT.size
                 ident = body[at : at + size].decode("ascii")
                 at += size
@@ -312,7 +312,7 @@
                 if kind is Kind.SENT:
                     engine = engines[int.from_bytes(body[at : at + 4], "big")]
                     at += 4
-                yield Record(stamp, index, kind, ident, engine, trip, flags)
+                yield Record(stamp, index, kind, ident, engine, attempt, flags)
             elif kind is Kind.SEAL:
                 _, page, count = SEAL.unpack_from(body, at)
                 at += SEAL.size
--- a/spurdeal/fleet/standing.py
+++ b/spurdeal/fleet/standing.py
@@ -37,7 +37,7 @@
 class Allowed(NamedTuple):
     """What may be sent; out is what is sent for something taken before."""
 
-    redoable: bool
+    idempotent: bool
     doubtful: bool  # irreversible, or to a cold engine
     lowers: bool  # of VRRP: the priority is lowered
 
--- a/spurdeal/fleet/station.py
+++ b/spurdeal/fleet/station.py
@@ -19,8 +19,8 @@
 from ..eventloop import DatagramLoop
 from ..interface import Life
 from ..net.datagram_reading import TolerantReading
-from ..net.engine_list import KnownList, Seat
-from ..net.link import Answer, BrokenOff, Delivered, Granted, Guard, Shed, Taken, at_most_once
+from ..net.engine_list import Endpoint, KnownList
+from ..net.link import Answer, Delivered, Failed, Granted, Guard, OpenRequest, Shed, at_most_once
 from ..net.service import Service
 from ..vrrp.sealed import Keys
 from .audit import COLD, DOUBTFUL, Kind
@@ -34,7 +34,7 @@
 
 LARGEST = 65_535
 KINDS = {"standing": Kind.STANDING, "member": Kind.MEMBER, "page": Kind.WITNESS, "clash": Kind.CLASH}
-ANSWERS = {Shed: Kind.SHED, BrokenOff: Kind.BROKEN_OFF, Granted: Kind.GRANTED}
+ANSWERS = {Shed: Kind.SHED, Failed: Kind.BROKEN_OFF, Granted: Kind.GRANTED}
 COUNT_EVERY = 500.0  # ms
 QUIET = ("page",)  # told too often for the log lines
 
@@ -136,7 +136,7 @@
         self.service.names.on_unchanged = self.same
         self.service.names.numbers_shared = True
         self.service.clients.fleet = lambda: self.fleet.status(self.monotonic())
-        self.act_on(self.service.names.number, self.service.seats, "start")
+        self.act_on(self.service.names.number, self.service.endpoints, "start")
         host, port = self.plan.fleet.listen
         opened = self.reactor.listenUDP(port, self.datagrams, interface=str(host), maxPacketSize=LARGEST)
         TolerantReading(opened, self.reactor, self.counters, self.log, most_errors=None)
@@ -169,27 +169,27 @@
 
     # Versions.
 
-    def listed(self, seats: dict[str, Seat]) -> None:
+    def listed(self, endpoints: dict[str, Endpoint]) -> None:
         """The name service has told a newer list."""
-        self.act_on(self.service.names.number, seats, "names")
-        self.link.listed(seats)
+        self.act_on(self.service.names.number, endpoints, "names")
+        self.link.listed(endpoints)
 
-    def same(self, seats: dict[str, Seat]) -> None:
+    def same(self, endpoints: dict[str, Endpoint]) -> None:
         """The name service has told the number that is in force."""
-        rows = rows_of(seats.values())
+        rows = rows_of(endpoints.values())
         if rows != self.fleet.rows:
             self.fleet.source_says(Version(0, self.service.names.number, list_digest(rows)))
 
-    def act_on(self, number: int, seats: Mapping[str, Seat], by: str) -> None:
+    def act_on(self, number: int, endpoints: Mapping[str, Endpoint], by: str) -> None:
         """Put a list of the name service in force, and note it in the audit."""
-        rows = rows_of(seats.values())
+        rows = rows_of(endpoints.values())
         self.fleet.in_force(Line.LIST, Version(0, number, list_digest(rows)), rows)
         self.acted_on(by)
 
     def bring(self, version: Version, rows: Mapping[str, Row]) -> None:
         """A peer has handed over a newer list; it was checked."""
-        seats = {
-            ident: Seat(
+        endpoints = {
+            ident: Endpoint(
                 ident,
                 str(row[1]),
                 int(row[2]),
@@ -203,11 +203,11 @@
             for ident, row in rows.items()
         }
         names = self.service.names
-        names.take_known(KnownList(max(names.number, version.number), seats))
+        names.take_known(KnownList(max(names.number, version.number), endpoints))
         names.is_brought = True
         self.counters.add("lists_from_peers")
         self.acted_on("peer")
-        self.link.listed(seats)
+        self.link.listed(endpoints)
 
     def acted_on(self, by: str) -> None:
         """Note in the audit which versions are in force, and by whose word."""
@@ -297,40 +297,40 @@
     def door(self, kind: int, ident: bytes) -> Answer | None:
         """Shed what may not be taken in our standing."""
         allowed = self.fleet.allowed(self.monotonic())
-        if not allowed.redoable or (self.guarded[kind] and not allowed.doubtful):
+        if not allowed.idempotent or (self.guarded[kind] and not allowed.doubtful):
             self.counters.add("fleet_shed")
             self.short(Kind.SHED, ident)
             return Shed(self.come_back)
         return self.inner.door(kind, ident) if self.inner is not None else None
 
-    def before(self, taken: Taken, trip: int, go: Callable[[bool | None], None]) -> bool:
+    def before(self, request: OpenRequest, attempt: int, go: Callable[[bool | None], None]) -> bool:
         """See Guard."""
-        return self.inner.before(taken, trip, go) if self.inner is not None else True
+        return self.inner.before(request, attempt, go) if self.inner is not None else True
 
-    def given_up(self, number: int, trip: int) -> None:
+    def given_up(self, number: int, attempt: int) -> None:
         """See Guard."""
         if self.inner is not None:
-            self.inner.given_up(number, trip)
+            self.inner.given_up(number, attempt)
 
-    def answered(self, taken: Taken, answer: Answer | None) -> None:
+    def answered(self, request: OpenRequest, answer: Answer | None) -> None:
         """Note the answer in the audit, unless a trip brought it."""
         if not isinstance(answer, Delivered):
-            self.short(ANSWERS[type(answer)] if answer is not None else Kind.WITHDRAWN, taken.ident)
+            self.short(ANSWERS[type(answer)] if answer is not None else Kind.WITHDRAWN, request.ident)
         if self.inner is not None:
-            self.inner.answered(taken, answer)
+            self.inner.answered(request, answer)
 
-    def never_ran(self, taken: Taken) -> None:
+    def never_ran(self, request: OpenRequest) -> None:
         """See Guard."""
         if self.inner is not None:
-            self.inner.never_ran(taken)
+            self.inner.never_ran(request)
 
-    def departs(self, taken: Taken, trip: int, engine: int) -> bool:
+    def departs(self, request: OpenRequest, attempt: int, engine: int) -> bool:
         """The last look before a send: the lease may have run out since the rules chose, also in a pause."""
         found = self.link.rules.engines.get(engine)
         cold = found is not None and found.warm_at > self.link.clock()
-        doubtful = cold or self.guarded[taken.kind]
+        doubtful = cold or self.guarded[request.kind]
         allowed = self.fleet.allowed(self.monotonic())
-        if not allowed.redoable or (doubtful and not allowed.doubtful):
+        if not allowed.idempotent or (doubtful and not allowed.doubtful):
             self.counters.add("fleet_withheld")
             return False
         ident = self.ident_of(engine)
@@ -338,11 +338,13 @@
         if row is None or row[6] != READY:  # a newer list came between the choice and this, in one turn
             self.counters.add("fleet_overtaken")
             return False
-        if self.inner is not None and not self.inner.departs(taken, trip, engine):  # last: it counts as used
+        if self.inner is not None and not self.inner.departs(
+            request, attempt, engine
+        ):  # last: it counts as used
             return False
         if self.journal is not None:
-            flags = COLD * cold | DOUBTFUL * self.guarded[taken.kind]
-            self.journal.pages.sent(taken.ident, trip, ident, flags)
+            flags = COLD * cold | DOUBTFUL * self.guarded[request.kind]
+            self.journal.pages.sent(request.ident, attempt, ident, flags)
             if not self.link.in_turn:
                 self.journal.flush()
         return True
@@ -353,11 +355,11 @@
             self.idents = {place: ident for ident, place in self.link.index.places.items()}
         return self.idents.get(engine, str(engine))
 
-    def called_off(self, taken: Taken, trip: int) -> None:
+    def called_off(self, request: OpenRequest, attempt: int) -> None:
         """Note it in the audit."""
-        self.short(Kind.CALLED_OFF, taken.ident, trip)
+        self.short(Kind.CALLED_OFF, request.ident, attempt)
         if self.inner is not None:
-            self.inner.called_off(taken, trip)
+            self.inner.called_off(request, attempt)
 
     def said(self, line: str) -> None:
         """Note it in the audit."""
@@ -373,13 +375,13 @@
         if self.inner is not None:
             self.inner.turned()
 
-    def seat(self, seat: Seat) -> Seat:
+    def endpoint(self, endpoint: Endpoint) -> Endpoint:
         """See Guard."""
-        return self.inner.seat(seat) if self.inner is not None else seat
+        return self.inner.endpoint(endpoint) if self.inner is not None else endpoint
 
-    def short(self, kind: Kind, ident: bytes, trip: int = 0) -> None:
+    def short(self, kind: Kind, ident: bytes, attempt: int = 0) -> None:
         """Note in the audit what happened to a submission, at once when no turn is under way."""
         if self.journal is not None:
-            self.journal.pages.short(kind, ident, trip)
+            self.journal.pages.short(kind, ident, attempt)
             if not self.link.in_turn:
                 self.journal.flush()
--- a/spurdeal/fleet/versions.py
+++ b/spurdeal/fleet/versions.py
@@ -79,21 +79,21 @@
 Row = tuple[Any, ...]
 
 
-def rows_of(seats: Iterable[Any]) -> dict[str, Row]:
+def rows_of(endpoints: Iterable[Any]) -> dict[str, Row]:
     """Seats, as net.engine_list has them, in one form whoever told them; by id."""
     return {
-        seat.ident: (
-            seat.ident,
-            seat.host,
-            seat.port,
-            seat.location,
-            seat.kind,
-            seat.cell,
-            int(seat.life),
-            round(float(seat.weight), 3),
-            int(seat.started),
+        endpoint.ident: (
+            endpoint.ident,
+            endpoint.host,
+            endpoint.port,
+            endpoint.zone,
+            endpoint.kind,
+            endpoint.cell,
+            int(endpoint.life),
+            round(float(endpoint.weight), 3),
+            int(endpoint.started),
         )
-        for seat in seats
+        for endpoint in endpoints
     }
 
 
--- a/spurdeal/interface.py
+++ b/spurdeal/interface.py
@@ -9,16 +9,16 @@
 class Effect(IntEnum):
     """What a repeat does: nothing, nothing where its mark is known, or harm."""
 
-    REDOABLE = 0
-    LABELLED = 1
-    IRREVERSIBLE = 2
+    IDEMPOTENT = 0
+    IDEMPOTENT_BY_KEY = 1
+    NON_IDEMPOTENT = 2
 
 
 class Reach(IntEnum):
     """Which engines know a labelled submission's mark: all, those of one location, or those of one cell."""
 
     ALL = 0
-    LOCATION = 1
+    ZONE = 1
     CELL = 2
 
 
@@ -83,16 +83,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Workload:
-    agreed: float
+    objective: float
     stretch: float
-    expiry: float
-    utility: float
-    late_utility: float
-    effect: Effect = Effect.REDOABLE
+    deadline: float
+    value: float
+    late_value: float
+    effect: Effect = Effect.IDEMPOTENT
     reach: Reach = Reach.ALL
     known_for: float = 0.0
     in_order: bool = False
-    locations: tuple[int, ...] | None = None
+    zones: tuple[int, ...] | None = None
     kinds: tuple[int, ...] | None = None
     threads: int = 1
     holds_tables: bool = False
@@ -108,10 +108,10 @@
 
     index: int
     dispatchers: int
-    location: int
+    zone: int
     workloads: tuple[Workload, ...]
     quotas: tuple[float, ...]
-    over_share_utility: float
+    over_share_value: float
     cores: tuple[int, ...]
     memory_mb: tuple[float, ...]
     in_hand: int | None
@@ -120,7 +120,7 @@
     may_probe: bool
     may_tell: bool
     second_copies: bool
-    most_trips: int
+    max_attempts: int
     most_come_back: float
     grants: bool
     pages: bool
@@ -143,7 +143,7 @@
     """One line of the list of engines; started is 0 for long ago."""
 
     engine: int
-    location: int
+    zone: int
     kind: int
     cell: int
     life: Life
@@ -176,19 +176,19 @@
         now: float,
         number: int,
         kind: int,
-        customer: int,
+        tenant: int,
         key: int,
-        expiry: float,
+        deadline: float,
         cost: float,
         memory: float,
         group: int,
     ) -> None: ...
-    def noted(self, now: float, number: int, trip: int, engine: int, word: Word, level: float) -> None: ...
+    def noted(self, now: float, number: int, attempt: int, engine: int, word: Word, level: float) -> None: ...
     def ended(
         self,
         now: float,
         number: int,
-        trip: int,
+        attempt: int,
         engine: int,
         ending: Ending,
         took: float,
@@ -200,7 +200,7 @@
     def withdrawn(self, now: float, number: int) -> None: ...
     def woken(self, now: float, token: int) -> None: ...
     def stopping(self, now: float, until: float) -> None: ...
-    def may_send(self, now: float, number: int, trip: int, engine: int) -> bool: ...
+    def may_send(self, now: float, number: int, attempt: int, engine: int) -> bool: ...
     def turn(self, now: float) -> None: ...
 
 
@@ -211,7 +211,7 @@
     def terms(self, number: int, memory: float, priority: int) -> None: ...
     def shed(self, number: int, come_back: float, reason: EndReason) -> None: ...
     def break_off(self, number: int, reason: EndReason) -> None: ...
-    def call_off(self, number: int, trip: int) -> None: ...
+    def call_off(self, number: int, attempt: int) -> None: ...
     def wake(self, delay: float, token: int) -> None: ...
     def watch(self) -> None: ...
     def log(self, line: str) -> None: ...
--- a/spurdeal/lab/asking.py
+++ b/spurdeal/lab/asking.py
@@ -24,7 +24,7 @@
 
 from .engines import Fleet
 from .loopback import Network
-from .names import Names, Seat
+from .names import Endpoint, Names
 from .platform_settings import Platform
 from .processes import Outages, cpu_seconds, run_module, start_dispatcher
 from .proxy import Asked, Proxy
@@ -56,10 +56,10 @@
         """The host of the name service."""
         return self.network.host(DISPATCHER_SUBNET, 9)
 
-    def seats(self) -> list[Seat]:
+    def endpoints(self) -> list[Endpoint]:
         """The engines, all warm."""
         hosts = [self.network.host(ENGINES_SUBNET, number + 1) for number in range(ENGINES)]
-        return [Seat(f"s-{number}", host, PORT) for number, host in enumerate(hosts)]
+        return [Endpoint(f"s-{number}", host, PORT) for number, host in enumerate(hosts)]
 
 
 def settings(addresses: Addresses, folder: Path, ledger: bool) -> str:
@@ -154,10 +154,10 @@
     from twisted.internet import reactor
 
     loop: Any = reactor
-    seats = addresses.seats()
-    fleet, names = Fleet(loop, CORES, 8000, 0.3, 2.0, 1500), Names(seats)
-    for seat in seats:
-        fleet.start(seat.ident, seat.host, seat.port, cold=False)
+    endpoints = addresses.endpoints()
+    fleet, names = Fleet(loop, CORES, 8000, 0.3, 2.0, 1500), Names(endpoints)
+    for endpoint in endpoints:
+        fleet.start(endpoint.ident, endpoint.host, endpoint.port, cold=False)
     loop.listenUDP(NAMES_PORT, names, interface=addresses.names)
     loop.callWhenRunning(lambda: print("ready", flush=True))
     loop.run()
@@ -167,7 +167,7 @@
 async def by_http(host: str, asked: Asked, wait: float) -> int:
     """The HTTP front, on a connection of its own; as Proxy.go."""
     asked.ways.append("http")
-    workload, body = "load" if asked.irreversible else "lookup", f"SELECT 1 /* cost={asked.cost:.2f} */"
+    workload, body = "load" if asked.non_idempotent else "lookup", f"SELECT 1 /* cost={asked.cost:.2f} */"
     try:
         reader, writer = await asyncio.open_connection(host, PORT)
     except OSError:
@@ -198,7 +198,7 @@
         )
         assert self.engines.stdout is not None
         self.engines.stdout.readline()  # they listen
-        self.dispatcher = Dispatcher(self.addresses, folder, Names(self.addresses.seats()).known())
+        self.dispatcher = Dispatcher(self.addresses, folder, Names(self.addresses.endpoints()).known())
         self.runs: Counter[str] = Counter()
         self.proxies: list[Proxy] = []
         self.asked: list[Asked] = []
@@ -324,7 +324,7 @@
         counts: Counter[str] = Counter()
         for proxy in plain + self.proxies:
             counts.update(proxy.counts)
-        loads = [asked for asked in self.asked if asked.irreversible]
+        loads = [asked for asked in self.asked if asked.non_idempotent]
         statuses = Counter(answer for asked in self.asked for answer in asked.answers)
         decided = sorted(ms for proxy in plain for ms in proxy.decided)
         return {
--- a/spurdeal/lab/audited/faults.py
+++ b/spurdeal/lab/audited/faults.py
@@ -294,7 +294,7 @@
         targets += self.some(1)
         names = self.rig.names[targets[0]]
         self.rig.follow(targets, False)
-        names.seats, names.serial = list(self.rig.list.seats[:-1]), self.rig.list.serial + 1
+        names.endpoints, names.serial = list(self.rig.list.endpoints[:-1]), self.rig.list.serial + 1
         yield 0.4
         self.change()
         self.clashes += 1
--- a/spurdeal/lab/audited/judging.py
+++ b/spurdeal/lab/audited/judging.py
@@ -46,7 +46,7 @@
         "seed": rig.seed,
         **counts,
         "irreversible_run_twice": sum(
-            runs[asked.ident.encode()] > 1 for asked in run.crowd.asked if asked.irreversible
+            runs[asked.ident.encode()] > 1 for asked in run.crowd.asked if asked.non_idempotent
         ),
         "cold_budget_used_max": round(rig.engines.budget_used_most(), 3),
         "sent_to_drained": sent_to_drained(rig),
--- a/spurdeal/lab/capacity/dispatcher.py
+++ b/spurdeal/lab/capacity/dispatcher.py
@@ -12,7 +12,7 @@
 
 from ..engines import Fleet
 from ..loopback import Network
-from ..names import Names, Seat
+from ..names import Endpoint, Names
 from . import design
 from .request_path import CORES, SETTINGS
 
@@ -44,10 +44,10 @@
 
     def __init__(self, reactor: Any, place: Place, engines: int) -> None:
         self.fleet = Fleet(reactor, CORES, 0.0, 1.0, 1.0, 1.0)
-        seats = [Seat(f"s-{number}", place.engine(number), PORT) for number in range(engines)]
-        for seat in seats:
-            self.fleet.start(seat.ident, seat.host, seat.port, cold=False)
-        self.names = Names(seats)
+        endpoints = [Endpoint(f"s-{number}", place.engine(number), PORT) for number in range(engines)]
+        for endpoint in endpoints:
+            self.fleet.start(endpoint.ident, endpoint.host, endpoint.port, cold=False)
+        self.names = Names(endpoints)
         self.listening = reactor.listenUDP(
             NAMES_PORT, self.names, interface=place.dispatcher, maxPacketSize=65_535
         )
--- a/spurdeal/lab/capacity/engine_list.py
+++ b/spurdeal/lab/capacity/engine_list.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable, Sequence
 
 from ...net import dns
-from ...net.engine_list import answered_seats
+from ...net.engine_list import answered_endpoints
 from ...net.names import ASK_EVERY, SERVICE
-from ..names import Seat, answer
+from ..names import Endpoint, answer
 from . import design
 from .fit import Form
 from .measure import TRIES, Refused, cpu_us, sample
@@ -25,16 +25,17 @@
 def datagram(engines: int) -> bytes:
     """The name service's answer with so many engines."""
     listed = [
-        Seat(f"s-{number}", f"127.9.{number // 250}.{number % 250 + 1}", 7001) for number in range(engines)
+        Endpoint(f"s-{number}", f"127.9.{number // 250}.{number % 250 + 1}", 7001)
+        for number in range(engines)
     ]
-    return answer(dns.question(IDENT, SERVICE, dns.SRV), 1, *(seat.record() for seat in listed))
+    return answer(dns.question(IDENT, SERVICE, dns.SRV), 1, *(endpoint.record() for endpoint in listed))
 
 
 def read(message: bytes) -> int:
     """How many engines the dispatcher's reader finds; raises dns.BadDatagram as the reader does."""
     found = dns.read_answer(message, IDENT, SERVICE, dns.SRV)
     assert found is not None
-    return len(answered_seats(*found[1:]))
+    return len(answered_endpoints(*found[1:]))
 
 
 def most_in_a_datagram() -> int:
--- a/spurdeal/lab/capacity/links_process.py
+++ b/spurdeal/lab/capacity/links_process.py
@@ -15,7 +15,7 @@
 
 from ...interface import Life
 from ...net.counters import Counters
-from ...net.engine_list import Seat
+from ...net.engine_list import Endpoint
 from ...net.engines import Engines
 from ...net.logs import logger
 from ...net.start import SWEEP_EVERY
@@ -61,8 +61,8 @@
             reactor.stop()
             return
         for number in range(self.dialled, min(self.count, self.up() + DIALS_AT_ONCE)):
-            seat = Seat(f"s-{number}", "127.0.0.1", self.port, "east", "std", 0, Life.READY, 1.0, 0.0)
-            self.engines.listed(number, seat)
+            endpoint = Endpoint(f"s-{number}", "127.0.0.1", self.port, "east", "std", 0, Life.READY, 1.0, 0.0)
+            self.engines.listed(number, endpoint)
             # The connection comes up for a trip that is withdrawn before its first byte.
             self.engines.send(number, b"%016x" % number, b"lookup", b"", FAR, False, lambda: None)
             self.dialled += 1
--- a/spurdeal/lab/capacity/request_path.py
+++ b/spurdeal/lab/capacity/request_path.py
@@ -15,7 +15,7 @@
 from ...deployment import deployment
 from ...interface import Deployment, Ending, EndReason, Life, Listed
 from ...net.counters import Counters
-from ...net.engine_list import Seat
+from ...net.engine_list import Endpoint
 from ...net.engines import Engines
 from ...net.link import SocketLink
 from ...net.logs import logger
@@ -27,7 +27,7 @@
 SIZES = (36, 150, 500, 1_000, 2_000, 3_000, 4_300)
 QUICK_SIZES = (36, 60, 100, 150, 250)
 CORES, CELLS = 4, 4
-COST_MS, EXPIRY_MS = 12.0, 2_500.0
+COST_MS, DEADLINE_MS = 12.0, 2_500.0
 CHOICES_PER_TRY = 12
 IN_FLIGHT = 40
 TICKS_PER_S = int(1000 / TICK)
@@ -37,7 +37,7 @@
     "balancers": design.DISPATCHERS,
     "zones": ["east"],
     "models": ["std"],
-    "grades": [{"name": "lookup", "aim": 800, "deadline": EXPIRY_MS, "late_worth": 0.5}],
+    "grades": [{"name": "lookup", "aim": 800, "deadline": DEADLINE_MS, "late_worth": 0.5}],
     "extra": {"cpu_of_kind": [CORES]},
     "limits": {"cancelling": True, "dial_timeout": 250, "send_cap": 3, "streams_per_conn": 4},
 }
@@ -55,7 +55,7 @@
     def terms(self, number: int, memory: float, priority: int) -> None: ...
     def shed(self, number: int, come_back: float, reason: EndReason) -> None: ...
     def break_off(self, number: int, reason: EndReason) -> None: ...
-    def call_off(self, number: int, trip: int) -> None: ...
+    def call_off(self, number: int, attempt: int) -> None: ...
     def wake(self, delay: float, token: int) -> None: ...
     def watch(self) -> None: ...
     def log(self, line: str) -> None: ...
@@ -78,7 +78,7 @@
     def submit(self) -> None:
         """One submission; it is sent, or held where the module finds no engine."""
         self.number += 1
-        self.rules.submitted(self.now, self.number, 0, 0, 0, self.now + EXPIRY_MS, COST_MS, 0.0, 0)
+        self.rules.submitted(self.now, self.number, 0, 0, 0, self.now + DEADLINE_MS, COST_MS, 0.0, 0)
 
     def submit_many(self, count: int) -> None:
         """As `submit`, so many times."""
@@ -127,10 +127,10 @@
     return sample(tries)
 
 
-def seats(count: int, changed: int = -1) -> dict[str, Seat]:
+def endpoints(count: int, changed: int = -1) -> dict[str, Endpoint]:
     """A list of engines; one of them may be draining."""
     return {
-        f"s-{number}": Seat(
+        f"s-{number}": Endpoint(
             f"s-{number}",
             f"127.9.{number // 250}.{number % 250 + 1}",
             7001,
@@ -162,7 +162,7 @@
     return SocketLink(site(), 1, ["east"], ["std"], engines, clock, now, counters, log), clock
 
 
-def apply_list(link: SocketLink, clock: Clock, listed: dict[str, Seat]) -> None:
+def apply_list(link: SocketLink, clock: Clock, listed: dict[str, Endpoint]) -> None:
     """A whole list through the link, the connections' table and the decision module."""
     link.listed(listed)
     clock.advance(0)
@@ -171,10 +171,10 @@
 def list_us(engines: int) -> Sample:
     """Processor time of applying a whole list in which one engine has changed."""
     link, clock = empty_link()
-    apply_list(link, clock, seats(engines))
+    apply_list(link, clock, endpoints(engines))
     tries = []
     for changed in range(TRIES):
-        told = seats(engines, changed)
+        told = endpoints(engines, changed)
         gc.collect()
         tries.append(cpu_us(partial(apply_list, link, clock, told)))
     return sample(tries)
@@ -182,7 +182,7 @@
 
 def first_list_us(engines: int) -> Sample:
     """Processor time of the first list, in which all engines are new."""
-    told, tries = seats(engines), []
+    told, tries = endpoints(engines), []
     for _ in range(TRIES):
         link, clock = empty_link()
         gc.collect()
@@ -196,7 +196,7 @@
     tracemalloc.start()
     link, clock = empty_link()
     before = tracemalloc.get_traced_memory()[0]
-    apply_list(link, clock, seats(engines))
+    apply_list(link, clock, endpoints(engines))
     gc.collect()
     kept = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
--- a/spurdeal/lab/cold_ramp.py
+++ b/spurdeal/lab/cold_ramp.py
@@ -19,7 +19,7 @@
 from ..rules import Dispatcher
 from .model_engine import Engine, Kind
 from .planted import site
-from .virtual import Failure, Load, Taken, VirtualLink, World
+from .virtual import Failure, Load, OpenRequest, VirtualLink, World
 
 RulesFactory = Callable[[Deployment, int, Link, float], Rules]
 
@@ -285,12 +285,14 @@
         late = index % 2 == 1 and self.now < self.untold_until
         return self.old_lines if late else list(self.lines.values())
 
-    def arrive(self, link: VirtualLink, life: int, taken: Taken, trip: int, number: int, job: int) -> None:
+    def arrive(
+        self, link: VirtualLink, life: int, request: OpenRequest, attempt: int, number: int, job: int
+    ) -> None:
         if number == self.metered:
             assert isinstance(link, ToldLink)
             told = link.told.get(number) == self.started_at
-            self.meter.reached(Attempt(self.now, taken.work, told))
-        super().arrive(link, life, taken, trip, number, job)
+            self.meter.reached(Attempt(self.now, request.work, told))
+        super().arrive(link, life, request, attempt, number, job)
 
     def mean_use(self) -> float:
         """Work sent to the cold engine since its start, as a share of N in each window."""
--- a/spurdeal/lab/crowd.py
+++ b/spurdeal/lab/crowd.py
@@ -20,7 +20,7 @@
 class Crowd(Front):
     """Clients of all dispatchers together."""
 
-    def __init__(self, rig: Rig, seed: int, rate: float, irreversible: float) -> None:
+    def __init__(self, rig: Rig, seed: int, rate: float, non_idempotent: float) -> None:
         super().__init__(
             rig.reactor,
             lambda: time.time() * 1000,
@@ -29,7 +29,7 @@
             seed,
             rate,
             WAIT,
-            irreversible,
+            non_idempotent,
             COST,
         )
         self.rig = rig
@@ -37,7 +37,7 @@
     def send(self, asked: Asked) -> None:
         """To one of the dispatchers that are up and have not had it; later, where there is none."""
         now = self.clock()
-        if asked.over or now >= asked.expiry - 1 or len(asked.ways) >= MOST_WAYS:
+        if asked.over or now >= asked.deadline - 1 or len(asked.ways) >= MOST_WAYS:
             asked.over = True
             return
         places = [each.place for each in self.rig.front_knows() if each.place not in asked.ways]
@@ -51,7 +51,7 @@
         """The connection was refused or ended: again, where the submission may go again."""
         if sent:
             asked.unanswered.append(place)
-            if asked.irreversible:  # it may have run: a client that cares does not ask again
+            if asked.non_idempotent:  # it may have run: a client that cares does not ask again
                 asked.over = True
                 return
         self.reactor.callLater(AGAIN / 1000, self.send, asked)
--- a/spurdeal/lab/demo_cluster.py
+++ b/spurdeal/lab/demo_cluster.py
@@ -18,7 +18,7 @@
 from .demo_load import RequestClass
 from .demo_reactor import Reactor
 from .engines import Engine, Fleet
-from .names import Names, Seat
+from .names import Endpoint, Names
 
 CORES = 2
 ENGINES = 8
@@ -52,8 +52,8 @@
 class RecordingNames(Names):
     """A name service that notes when each version of its list was first told."""
 
-    def __init__(self, seats: Sequence[Seat], clock: Callable[[], float]) -> None:
-        super().__init__(seats)
+    def __init__(self, endpoints: Sequence[Endpoint], clock: Callable[[], float]) -> None:
+        super().__init__(endpoints)
         self.clock = clock
         self.first_told: dict[int, float] = {}
 
@@ -74,11 +74,11 @@
         port = reactor.listenUDP(0, self.names, interface=self.host, maxPacketSize=65_535)
         self.name_server = f"{self.host}:{port.getHost().port}"
 
-    def start_engine(self, cold: bool) -> Seat:
+    def start_engine(self, cold: bool) -> Endpoint:
         """One more engine; the name service does not tell of it yet."""
         engine = self.fleet.start(f"engine-{len(self.fleet.engines) + 1}", self.host, 0, cold)
         engine.port = engine.listening.getHost().port
-        return Seat(engine.ident, self.host, engine.port, started=int(time.time() * 1000) if cold else 0)
+        return Endpoint(engine.ident, self.host, engine.port, started=int(time.time() * 1000) if cold else 0)
 
     def kill(self, ident: str) -> None:
         """Its connections are reset and new ones refused; the name service goes on naming it."""
@@ -86,14 +86,16 @@
 
     def drain(self, ident: str) -> int:
         """The name service says so from now on; returns the version of the list that does."""
-        self.names.change([seat._replace(draining=seat.ident == ident) for seat in self.names.seats])
+        self.names.change(
+            [endpoint._replace(draining=endpoint.ident == ident) for endpoint in self.names.endpoints]
+        )
         return self.names.serial
 
     def join(self) -> str:
         """A new engine, cold, which the name service tells of; returns its name."""
-        seat = self.start_engine(cold=True)
-        self.names.change([*self.names.seats, seat])
-        return seat.ident
+        endpoint = self.start_engine(cold=True)
+        self.names.change([*self.names.endpoints, endpoint])
+        return endpoint.ident
 
     def engine(self, ident: str) -> Engine:
         """By its name."""
--- a/spurdeal/lab/front.py
+++ b/spurdeal/lab/front.py
@@ -33,10 +33,10 @@
     """One submission, from its first byte to the end of its time."""
 
     ident: str
-    irreversible: bool
+    non_idempotent: bool
     cost: float
     began: float
-    expiry: float
+    deadline: float
     ways: list[Place] = field(default_factory=list)  # who had it whole, in order
     answers: list[int] = field(default_factory=list)
     unanswered: list[Place] = field(default_factory=list)  # whose connection ended, or time ran out, first
@@ -55,12 +55,12 @@
         seed: int,
         rate: float,
         wait: float,
-        irreversible: float,
+        non_idempotent: float,
         cost: float,
     ) -> None:
         self.reactor, self.clock, self.switch, self.address = reactor, clock, switch, address
         self.chance, self.rate, self.wait = random.Random(seed), rate, wait
-        self.irreversible, self.cost, self.running = irreversible, cost, False
+        self.non_idempotent, self.cost, self.running = non_idempotent, cost, False
         self.asked: list[Asked] = []
         self.connections: set[Way] = set()
 
@@ -71,7 +71,7 @@
     def next(self) -> None:
         if self.running:
             self.reactor.callLater(self.chance.expovariate(self.rate), self.next)
-            heavy = self.chance.random() < self.irreversible
+            heavy = self.chance.random() < self.non_idempotent
             cost = self.cost * (4.0 if heavy else 1.0) * self.chance.uniform(0.5, 1.5)
             now = self.clock()
             asked = Asked(f"{self.chance.getrandbits(64):016x}", heavy, cost, now, now + self.wait)
@@ -82,7 +82,7 @@
         now = self.clock()
         if asked.over:
             return
-        if now >= asked.expiry - 1 or len(asked.ways) >= MOST_WAYS:
+        if now >= asked.deadline - 1 or len(asked.ways) >= MOST_WAYS:
             asked.over = True
             return
         place = self.switch.table.get(self.address)
@@ -107,7 +107,7 @@
             counts["delivered"] += 200 in statuses
             counts["shed"] += 503 in statuses
             counts["broken_off"] += 500 in statuses
-            counts["irreversible_sent"] += asked.irreversible
+            counts["irreversible_sent"] += asked.non_idempotent
             counts["never_answered"] += not statuses
         return dict(counts)
 
@@ -137,8 +137,8 @@
 
     def connectionMade(self) -> None:
         front, asked = self.front, self.asked
-        left = asked.expiry - front.clock()
-        workload = "load" if asked.irreversible else "lookup"
+        left = asked.deadline - front.clock()
+        workload = "load" if asked.non_idempotent else "lookup"
         body = f"SELECT a FROM s_1.t /* cost={asked.cost:.2f} */"
         self.transport.setTcpNoDelay(True)
         self.transport.write(
--- a/spurdeal/lab/handover_walk.py
+++ b/spurdeal/lab/handover_walk.py
@@ -160,8 +160,8 @@
 class SendsAtOnce(Handover):
     """Tells ahead, and does not wait for the answer."""
 
-    def before(self, now: float, ident: bytes, expiry: float, token: object) -> Any:
-        verdict = super().before(now, ident, expiry, token)
+    def before(self, now: float, ident: bytes, deadline: float, token: object) -> Any:
+        verdict = super().before(now, ident, deadline, token)
         if verdict is None:
             self.waiting.pop(token, None)
         return Verdict(token, True)
--- a/spurdeal/lab/names.py
+++ b/spurdeal/lab/names.py
@@ -13,7 +13,7 @@
 SERVICE = "_api._tcp.svc.local"
 
 
-class Seat(NamedTuple):
+class Endpoint(NamedTuple):
     """What the list tells of one engine; started is Unix ms, 0 for long ago."""
 
     ident: str
@@ -21,7 +21,7 @@
     port: int
     draining: bool = False
     started: int = 0
-    location: str = "east"
+    zone: str = "east"
     kind: str = "std"
     cell: int = 0
 
@@ -30,7 +30,7 @@
         return {
             "instanceId": self.ident,
             "hostPort": f"{self.host}:{self.port}",
-            "zone": self.location,
+            "zone": self.zone,
             "machineType": self.kind,
             "cell": self.cell,
             "weight": 1,
@@ -40,7 +40,7 @@
 
     def record(self) -> tuple[str, str, int, str]:
         return (
-            f"{self.ident}.{self.location}.hosts",
+            f"{self.ident}.{self.zone}.hosts",
             f"{self.host}:{self.port}",
             int(self.draining),
             f"kind={self.kind} cell={self.cell} started={self.started}",
@@ -50,13 +50,13 @@
 def answer(
     question: bytes,
     serial: int,
-    *seats: tuple[str, str, int, str],
+    *endpoints: tuple[str, str, int, str],
     compressed: bool = True,
     flags: int = 0x8400,
 ) -> bytes:
     """Seats are target, address, priority and text; names are compressed or not at all. A dot within a label
     of a target is written as `\\.`."""
-    message = bytearray(struct.pack("!2s5H", question[:2], flags, 1, len(seats), 1, 2 * len(seats)))
+    message = bytearray(struct.pack("!2s5H", question[:2], flags, 1, len(endpoints), 1, 2 * len(endpoints)))
     known: dict[str, int] = {}
 
     def name(text: str) -> bytes:
@@ -78,7 +78,7 @@
         message[at - 2 : at] = struct.pack("!H", len(message) - at)
 
     message.extend(name(SERVICE) + struct.pack("!HH", dns.SRV, 1))
-    for target, address, priority, _ in seats:
+    for target, address, priority, _ in endpoints:
         port = int(address.partition(":")[2])
         message_head = struct.pack("!3H", priority, 40, port)
 
@@ -90,7 +90,7 @@
 
         record(SERVICE, dns.SRV, service_data)
     record("svc.local", dns.SOA, lambda: b"\0\0" + struct.pack("!5I", serial, 1, 1, 1, 1))
-    for target, address, _, text in seats:
+    for target, address, _, text in endpoints:
         numbers = bytes(int(part) for part in address.partition(":")[0].split("."))
         record(target, dns.A, lambda numbers=numbers: numbers)  # type: ignore[misc]
         words = b"".join(bytes([len(word)]) + word.encode() for word in text.split())
@@ -103,11 +103,11 @@
 
     transport: Any
 
-    def __init__(self, seats: Sequence[Seat]) -> None:
-        self.seats, self.serial, self.silent, self.answered = list(seats), 1, False, 0
+    def __init__(self, endpoints: Sequence[Endpoint]) -> None:
+        self.endpoints, self.serial, self.silent, self.answered = list(endpoints), 1, False, 0
 
-    def change(self, seats: Sequence[Seat]) -> None:
-        self.seats, self.serial = list(seats), self.serial + 1
+    def change(self, endpoints: Sequence[Endpoint]) -> None:
+        self.endpoints, self.serial = list(endpoints), self.serial + 1
 
     def known(self) -> dict[str, Any]:
         """The list as a configuration tells it at a start."""
@@ -119,7 +119,7 @@
                     "roster": {
                         "generation": 1,
                         "reset": True,
-                        "instances": [seat.told() for seat in self.seats],
+                        "instances": [endpoint.told() for endpoint in self.endpoints],
                     },
                 }
             ],
@@ -129,5 +129,5 @@
         if not self.silent:
             self.answered += 1
             self.transport.write(
-                answer(datagram, self.serial, *(seat.record() for seat in self.seats)), address
+                answer(datagram, self.serial, *(endpoint.record() for endpoint in self.endpoints)), address
             )
--- a/spurdeal/lab/observer.py
+++ b/spurdeal/lab/observer.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True)
-class Trip:
+class Attempt:
     engine: int
     sent: float
     ending: Ending | None = None
@@ -31,8 +31,8 @@
     kind: int
     key: int
     taken: float
-    expiry: float
-    trips: dict[int, Trip] = field(default_factory=dict)
+    deadline: float
+    attempts: dict[int, Attempt] = field(default_factory=dict)
     answers: int = 0
 
 
@@ -85,9 +85,9 @@
     def started(self, engine: int, until: float) -> None:
         self.cold_until[engine] = until
 
-    def taken(self, now: float, dispatcher: int, number: int, kind: int, key: int, expiry: float) -> None:
+    def taken(self, now: float, dispatcher: int, number: int, kind: int, key: int, deadline: float) -> None:
         ordered = key if self.site.workloads[kind].in_order else 0
-        self.open[dispatcher, number] = Seen(kind, ordered, now, expiry)
+        self.open[dispatcher, number] = Seen(kind, ordered, now, deadline)
         self.taken_at.setdefault(dispatcher, deque()).append(now)
         if ordered:
             self.lines.setdefault((dispatcher, ordered), []).append(number)
@@ -98,8 +98,8 @@
             seen.answers += 1
             self.settled(dispatcher, number, seen)
 
-    def sent(self, now: float, dispatcher: int, number: int, trip: int, engine: int) -> None:
-        what = f"dispatcher {dispatcher} submission {number} trip {trip} engine {engine}"
+    def sent(self, now: float, dispatcher: int, number: int, attempt: int, engine: int) -> None:
+        what = f"dispatcher {dispatcher} submission {number} trip {attempt} engine {engine}"
         seen = self.open.get((dispatcher, number))
         if seen is None or seen.answers:
             self.breaks(1, now, f"{what}: sent after its answer")
@@ -111,25 +111,25 @@
         if line is None or (told is not None and now > told + self.site.drain_grace + SLACK):
             self.breaks(3, now, f"{what}: told {told} that it drains or is gone")
         if line is not None and (
-            (w.locations is not None and line.location not in w.locations)
+            (w.zones is not None and line.zone not in w.zones)
             or (w.kinds is not None and line.kind not in w.kinds)
         ):
             self.breaks(6, now, f"{what}: not among its places")
         if seen.key:
             self.ordered(now, what, dispatcher, number, seen)
-        if seen.trips:
+        if seen.attempts:
             self.further(now, what, dispatcher)
-        seen.trips[trip] = Trip(engine, now)
+        seen.attempts[attempt] = Attempt(engine, now)
 
     def repeated(self, now: float, what: str, dispatcher: int, seen: Seen, engine: int) -> None:
         """Rule 2, before a further send."""
         w = self.site.workloads[seen.kind]
-        if not self.site.second_copies and any(trip.ending is None for trip in seen.trips.values()):
+        if not self.site.second_copies and any(attempt.ending is None for attempt in seen.attempts.values()):
             self.breaks(2, now, f"{what}: a second copy")
-        ran = [trip for trip in seen.trips.values() if trip.ending not in NEVER_RAN]
-        if not ran or w.effect == Effect.REDOABLE:
+        ran = [attempt for attempt in seen.attempts.values() if attempt.ending not in NEVER_RAN]
+        if not ran or w.effect == Effect.IDEMPOTENT:
             return
-        if w.effect == Effect.IRREVERSIBLE:
+        if w.effect == Effect.NON_IDEMPOTENT:
             self.breaks(2, now, f"{what}: irreversible, and it may have run")
             return
         first = ran[0]
@@ -137,9 +137,7 @@
         same = w.reach == Reach.ALL or (
             before is not None
             and after is not None
-            and (
-                before.location == after.location if w.reach == Reach.LOCATION else before.cell == after.cell
-            )
+            and (before.zone == after.zone if w.reach == Reach.ZONE else before.cell == after.cell)
         )
         if not same or now > first.sent + w.known_for + SLACK:
             self.breaks(2, now, f"{what}: labelled, and its mark is not known there")
@@ -148,7 +146,7 @@
         line = self.lines.get((dispatcher, seen.key), [])
         if line and line[0] != number:
             self.breaks(5, now, f"{what}: {line[0]} of its key is not over")
-        elif now < self.rests.get((dispatcher, seen.key), 0.0) - SLACK and not seen.trips:
+        elif now < self.rests.get((dispatcher, seen.key), 0.0) - SLACK and not seen.attempts:
             self.breaks(5, now, f"{what}: its key rests")
 
     def further(self, now: float, what: str, dispatcher: int) -> None:
@@ -164,12 +162,12 @@
         if len(times) > most:
             self.breaks(7, now, f"{what}: {len(times)} further trips of {most:.1f}")
 
-    def ended(self, now: float, dispatcher: int, number: int, trip: int, ending: Ending) -> None:
+    def ended(self, now: float, dispatcher: int, number: int, attempt: int, ending: Ending) -> None:
         seen = self.open.get((dispatcher, number))
-        if seen is None or trip not in seen.trips:
+        if seen is None or attempt not in seen.attempts:
             return
-        seen.trips[trip].ending = ending
-        if ending == Ending.MOOT and self.further_at.get(dispatcher) and trip:
+        seen.attempts[attempt].ending = ending
+        if ending == Ending.MOOT and self.further_at.get(dispatcher) and attempt:
             self.further_at[dispatcher].pop()  # it was never sent, and does not count
         if seen.key and ending in UNSURE:
             self.rests[dispatcher, seen.key] = now + (self.site.order_rest or 0.0)
@@ -182,18 +180,20 @@
             self.breaks(1, now, f"{what}: a second answer")
             return
         seen.answers += 1
-        if now > seen.expiry + SLACK:
-            self.breaks(1, now, f"{what}: answered {now - seen.expiry:.0f} ms after its expiry")
+        if now > seen.deadline + SLACK:
+            self.breaks(1, now, f"{what}: answered {now - seen.deadline:.0f} ms after its expiry")
         w = self.site.workloads[seen.kind]
-        ran = any(trip.ending not in NEVER_RAN for trip in seen.trips.values())
-        harmless = w.effect == Effect.REDOABLE or (w.effect == Effect.LABELLED and w.reach == Reach.ALL)
+        ran = any(attempt.ending not in NEVER_RAN for attempt in seen.attempts.values())
+        harmless = w.effect == Effect.IDEMPOTENT or (
+            w.effect == Effect.IDEMPOTENT_BY_KEY and w.reach == Reach.ALL
+        )
         if shed and ran and not harmless:
             self.breaks(2, now, f"{what}: shed, and it may have run")
         self.settled(dispatcher, number, seen)
 
     def settled(self, dispatcher: int, number: int, seen: Seen) -> None:
         """Over and without a trip that is out: nothing is kept of it."""
-        if not seen.answers or any(trip.ending is None for trip in seen.trips.values()):
+        if not seen.answers or any(attempt.ending is None for attempt in seen.attempts.values()):
             return
         self.open.pop((dispatcher, number), None)
         line = self.lines.get((dispatcher, seen.key))
@@ -218,5 +218,5 @@
     def overdue(self, now: float) -> None:
         """At the end of a run: what should have been answered by now."""
         for (dispatcher, number), seen in self.open.items():
-            if not seen.answers and now > seen.expiry + SLACK:
+            if not seen.answers and now > seen.deadline + SLACK:
                 self.breaks(1, now, f"dispatcher {dispatcher} submission {number}: never answered")
--- a/spurdeal/lab/planted.py
+++ b/spurdeal/lab/planted.py
@@ -6,9 +6,9 @@
 from typing import Any
 
 from ..interface import Deployment, Effect, Ending, Life, Link, Listed, Reach, Workload
-from ..rules import Dispatcher, Engine, Submission
+from ..rules import Dispatcher, Engine, Request
 from .model_engine import Kind
-from .virtual import Failure, Load, Taken, VirtualLink, World
+from .virtual import Failure, Load, OpenRequest, VirtualLink, World
 
 
 def site(dispatchers: int) -> Deployment:
@@ -16,16 +16,18 @@
     return Deployment(
         index=0,
         dispatchers=dispatchers,
-        location=0,
+        zone=0,
         workloads=(
             Workload(800, 0, 3000, 1.0, 0.5),
-            Workload(2000, 0, 6000, 2.0, 0.5, effect=Effect.IRREVERSIBLE),
-            Workload(1500, 0, 5000, 1.0, 0.5, effect=Effect.LABELLED, reach=Reach.CELL, known_for=3000.0),
+            Workload(2000, 0, 6000, 2.0, 0.5, effect=Effect.NON_IDEMPOTENT),
+            Workload(
+                1500, 0, 5000, 1.0, 0.5, effect=Effect.IDEMPOTENT_BY_KEY, reach=Reach.CELL, known_for=3000.0
+            ),
             Workload(1500, 0, 5000, 1.0, 0.5, in_order=True),
-            Workload(1500, 0, 5000, 1.0, 0.5, locations=(0,)),
+            Workload(1500, 0, 5000, 1.0, 0.5, zones=(0,)),
         ),
         quotas=(),
-        over_share_utility=1.0,
+        over_share_value=1.0,
         cores=(8,),
         memory_mb=(),
         in_hand=None,
@@ -34,7 +36,7 @@
         may_probe=False,
         may_tell=False,
         second_copies=True,
-        most_trips=4,
+        max_attempts=4,
         most_come_back=500.0,
         grants=False,
         pages=False,
@@ -85,10 +87,10 @@
 class AnswersTwice(VirtualLink):
     """Rule 1: a refusal is written twice."""
 
-    def write(self, taken: Taken, what: str) -> None:
-        super().write(taken, what)
+    def write(self, request: OpenRequest, what: str) -> None:
+        super().write(request, what)
         if what == "shed":
-            super().write(taken, what)
+            super().write(request, what)
 
 
 class RunsTwice(Dispatcher):
@@ -98,7 +100,7 @@
         super().__init__(told, seed, link, now)
         from dataclasses import replace
 
-        self.workloads = tuple(replace(w, effect=Effect.REDOABLE) for w in self.workloads)
+        self.workloads = tuple(replace(w, effect=Effect.IDEMPOTENT) for w in self.workloads)
 
 
 class ForgetsDrains(Dispatcher):
@@ -118,7 +120,7 @@
 class ForgetsOrder(Dispatcher):
     """Rule 5: keys wait for nobody."""
 
-    def in_turn(self, s: Submission) -> bool:
+    def in_turn(self, s: Request) -> bool:
         return True
 
 
@@ -129,7 +131,7 @@
         super().__init__(told, seed, link, now)
         from dataclasses import replace
 
-        self.workloads = tuple(replace(w, locations=None) for w in self.workloads)
+        self.workloads = tuple(replace(w, zones=None) for w in self.workloads)
 
 
 class ForgetsBudget(Dispatcher):
@@ -142,7 +144,7 @@
         self,
         now: float,
         number: int,
-        trip: int,
+        attempt: int,
         engine: int,
         ending: Ending,
         took: float,
@@ -152,7 +154,7 @@
         report: Sequence[float],
     ) -> None:
         self.further_credit = 30.0
-        super().ended(now, number, trip, engine, ending, took, final, work, memory, report)
+        super().ended(now, number, attempt, engine, ending, took, final, work, memory, report)
 
 
 PLANTED: dict[int, type[Dispatcher]] = {
--- a/spurdeal/lab/proxy.py
+++ b/spurdeal/lab/proxy.py
@@ -24,7 +24,7 @@
     """One submission: what its client was told at last, and each way that it went."""
 
     ident: str
-    irreversible: bool
+    non_idempotent: bool
     cost: float
     ways: list[str] = field(default_factory=list)
     answers: list[int] = field(default_factory=list)
@@ -32,7 +32,7 @@
 
 def request(asked: Asked, wait: float) -> Any:
     told = pb.ProcessingRequest()
-    workload = "load" if asked.irreversible else "lookup"
+    workload = "load" if asked.non_idempotent else "lookup"
     for key, value in (
         (":method", "POST"),
         (":path", f"/ops/{workload}"),
@@ -66,7 +66,7 @@
             reader, writer = await asyncio.wait_for(asyncio.open_connection(host, int(port)), 0.25)
         except (OSError, TimeoutError):
             return 503, True  # refused, or never up: not a byte has left
-        parser, workload = ArrayParser(), b"load" if asked.irreversible else b"lookup"
+        parser, workload = ArrayParser(), b"load" if asked.non_idempotent else b"lookup"
         try:
             writer.write(
                 command(
--- a/spurdeal/lab/rig.py
+++ b/spurdeal/lab/rig.py
@@ -22,7 +22,7 @@
 from .front import Asked
 from .loopback import Network
 from .mesh import CABLE, FLEET, Cables
-from .names import Names, Seat
+from .names import Endpoint, Names
 from .platform_settings import Platform
 from .rig_process import AFTER, PORT, WAIT, Process
 
@@ -76,12 +76,12 @@
 
     # Around the dispatchers.
 
-    def new_engine(self, cold: bool) -> Seat:
+    def new_engine(self, cold: bool) -> Endpoint:
         """Start another engine; its entry for the list."""
         number, self.next_engine = self.next_engine, self.next_engine + 1
         host = self.network.host(self.subnet + 1, number % 250 + 1)
         self.engines.start(f"s-{number}", host, PORT, cold)
-        return Seat(f"s-{number}", host, PORT, started=int(time.time() * 1000) if cold else 0)
+        return Endpoint(f"s-{number}", host, PORT, started=int(time.time() * 1000) if cold else 0)
 
     def engine(self, ident: str) -> Engine:
         """The engine of that name."""
@@ -92,7 +92,7 @@
         name, host = f"d{number}", self.network.host(self.subnet, number + 1)
         process = self.processes[name] = Process(name, host, self.folder, number)
         self.cables.add(name, host)
-        self.names[name], self.follows[name] = Names(self.list.seats), True
+        self.names[name], self.follows[name] = Names(self.list.endpoints), True
         self.names[name].serial = self.list.serial
         self.reactor.listenUDP(NAMES, self.names[name], interface=host, maxPacketSize=65_535)
         return process
@@ -100,17 +100,21 @@
     def release(self, change: str) -> str:
         """The list changes: an engine drains, or goes and a cold one comes. Whose name service follows is
         told."""
-        seats = list(self.list.seats)
-        ready = [seat for seat in seats if not seat.draining]
+        endpoints = list(self.list.endpoints)
+        ready = [endpoint for endpoint in endpoints if not endpoint.draining]
         whom = ready[0]
         if change == "drain":
-            seats = [seat._replace(draining=seat.draining or seat is whom) for seat in seats]
+            endpoints = [
+                endpoint._replace(draining=endpoint.draining or endpoint is whom) for endpoint in endpoints
+            ]
         else:
-            drained = next((seat for seat in seats if seat.draining), whom)
+            drained = next((endpoint for endpoint in endpoints if endpoint.draining), whom)
             whom = drained
-            seats = [seat for seat in seats if seat is not drained] + [self.new_engine(cold=True)]
+            endpoints = [endpoint for endpoint in endpoints if endpoint is not drained] + [
+                self.new_engine(cold=True)
+            ]
             self.reactor.callLater(2.0, self.engine(drained.ident).stop)
-        self.list.change(seats)
+        self.list.change(endpoints)
         self.released.append((time.time(), self.list.serial, whom.ident))
         for name in self.names:
             if self.follows[name]:
@@ -119,7 +123,7 @@
 
     def tell(self, name: str) -> None:
         """The dispatcher's name service tells the list of now."""
-        self.names[name].seats, self.names[name].serial = list(self.list.seats), self.list.serial
+        self.names[name].endpoints, self.names[name].serial = list(self.list.endpoints), self.list.serial
 
     def follow(self, names: Sequence[str], follows: bool) -> None:
         """Whether the name service tells these what is new; those that it does are told at once."""
@@ -227,7 +231,7 @@
     def excused(self, place: Place, asked: Asked) -> bool:
         """Whether that dispatcher was not to be counted on while the submission was open."""
         process = next(each for each in self.processes.values() if each.place == place)
-        return process.outages.overlap(asked.began / 1000 - 0.05, asked.expiry / 1000 + 0.05)
+        return process.outages.overlap(asked.began / 1000 - 0.05, asked.deadline / 1000 + 0.05)
 
     def lines(self, name: str, event: str) -> list[tuple[float, dict[str, str]]]:
         """Log lines of an event: Unix s, and their pairs."""
--- a/spurdeal/lab/takeover.py
+++ b/spurdeal/lab/takeover.py
@@ -29,7 +29,7 @@
 from .front import Asked, Front
 from .loopback import Network
 from .model import figures as models
-from .names import Names, Seat
+from .names import Endpoint, Names
 from .processes import run_module
 from .scripted import ScriptRunner
 from .spread import spread
@@ -91,17 +91,17 @@
         self.missed: list[str] = []
         self.bad, self.tried, self.refused = 1000 if guarded else 0, 0, 0
 
-    def new_engine(self, cold: bool) -> Seat:
+    def new_engine(self, cold: bool) -> Endpoint:
         """Start another engine; its entry for the list."""
         number, self.next_engine = self.next_engine, self.next_engine + 1
         host = self.net.engine(number)
         self.fleet.start(f"s-{number}", host, PORT, cold)
-        return Seat(f"s-{number}", host, PORT, started=int(time.time() * 1000) if cold else 0)
+        return Endpoint(f"s-{number}", host, PORT, started=int(time.time() * 1000) if cold else 0)
 
     def replace_engine(self) -> None:
         """One leaves the list and ends a little later; a cold one comes in its place."""
-        gone = self.names.seats[0]
-        self.names.change([*self.names.seats[1:], self.new_engine(cold=True)])
+        gone = self.names.endpoints[0]
+        self.names.change([*self.names.endpoints[1:], self.new_engine(cold=True)])
         engine = next(each for each in self.fleet.engines if each.ident == gone.ident)
         self.reactor.callLater(3.0, engine.stop)
 
@@ -223,11 +223,11 @@
         by_place = {process.place: process for process in self.processes.values()}
 
         def excused(place: tuple[str, int], asked: Asked) -> bool:
-            return by_place[place].outages.overlap(asked.began / 1000 - 0.05, asked.expiry / 1000 + 0.05)
+            return by_place[place].outages.overlap(asked.began / 1000 - 0.05, asked.deadline / 1000 + 0.05)
 
         counts = self.front.counts(excused)
         twice = sum(
-            self.fleet.runs[asked.ident.encode()] > 1 for asked in self.front.asked if asked.irreversible
+            self.fleet.runs[asked.ident.encode()] > 1 for asked in self.front.asked if asked.non_idempotent
         )
         one, two = (list(self.processes[name].held()) for name in self.net.hosts)
         both = [min(a[1], b[1]) - max(a[0], b[0]) for a in one for b in two]
--- a/spurdeal/lab/virtual.py
+++ b/spurdeal/lab/virtual.py
@@ -43,10 +43,10 @@
 
 
 @dataclass(slots=True, eq=False)
-class Taken:
+class OpenRequest:
     number: int
     kind: int
-    expiry: float
+    deadline: float
     work: float
     group: int
     answered: bool = False
@@ -63,7 +63,7 @@
 
     def start(self) -> None:
         """Also a new start: nothing is known of the last."""
-        self.taken: dict[int, Taken] = {}
+        self.open_requests: dict[int, OpenRequest] = {}
         self.life = self.world.next()
         self.numbers = 0
         self.turning = False
@@ -97,105 +97,109 @@
 
     def submit(self, kind: int, work: float, group: int) -> None:
         world, w = self.world, self.world.site.workloads[kind]
-        number, expiry = self.numbers, world.now + w.expiry
+        number, deadline = self.numbers, world.now + w.deadline
         self.numbers += 1
-        taken = self.taken[number] = Taken(number, kind, expiry, work, group)
+        request = self.open_requests[number] = OpenRequest(number, kind, deadline, work, group)
         key = group + 1 if w.in_order else 0
         world.counts["submissions"] += 1
-        world.observer.taken(world.now, self.index, number, kind, key, expiry)
-        self.later(w.expiry, self.expire, number)
-        self.rules.submitted(world.now, number, kind, 0, key, expiry, self.estimate(work), 0.0, group)
-        world.note("in", self.index, number, taken.kind)
+        world.observer.taken(world.now, self.index, number, kind, key, deadline)
+        self.later(w.deadline, self.expire, number)
+        self.rules.submitted(world.now, number, kind, 0, key, deadline, self.estimate(work), 0.0, group)
+        world.note("in", self.index, number, request.kind)
 
     def estimate(self, work: float) -> float:
         """Estimates are wrong (the brief)."""
         return work * self.world.chance.choice((0.5, 0.8, 1.0, 1.25, 2.0))
 
     def expire(self, number: int) -> None:
-        taken = self.taken.get(number)
-        if taken is None:
+        request = self.open_requests.get(number)
+        if request is None:
             return
-        for trip in list(taken.out):
-            self.finish(taken, trip, Ending.TIME_OUT)
-        if not taken.answered:
+        for attempt in list(request.out):
+            self.finish(request, attempt, Ending.TIME_OUT)
+        if not request.answered:
             self.world.at(self.world.now, self.overdue, self.life, number)
 
     def overdue(self, life: int, number: int) -> None:
-        if life == self.life and (taken := self.taken.get(number)) is not None and not taken.answered:
+        if (
+            life == self.life
+            and (request := self.open_requests.get(number)) is not None
+            and not request.answered
+        ):
             self.world.counts["not_answered_in_time"] += 1
-            self.answer(taken, "broken_off")
+            self.answer(request, "broken_off")
 
-    def finish(self, taken: Taken, trip: int, ending: Ending) -> None:
-        found = taken.out.pop(trip, None)
+    def finish(self, request: OpenRequest, attempt: int, ending: Ending) -> None:
+        found = request.out.pop(attempt, None)
         if found is None:
             return
         world, (engine, sent, job) = self.world, found
         if ending in (Ending.TIME_OUT, Ending.CALLED_OFF):
             world.at(world.now + world.way(), world.cancel, engine, job)
-        world.observer.ended(world.now, self.index, taken.number, trip, ending)
-        delivered = ending == Ending.DELIVERED and not taken.answered
+        world.observer.ended(world.now, self.index, request.number, attempt, ending)
+        delivered = ending == Ending.DELIVERED and not request.answered
         if delivered:
-            self.answer(taken, "delivered")
-            took = world.now - (taken.expiry - world.site.workloads[taken.kind].expiry)
-            world.took[taken.kind].append(took)
-            world.counts["in_time"] += took <= world.site.workloads[taken.kind].agreed
+            self.answer(request, "delivered")
+            took = world.now - (request.deadline - world.site.workloads[request.kind].deadline)
+            world.took[request.kind].append(took)
+            world.counts["in_time"] += took <= world.site.workloads[request.kind].objective
         self.rules.ended(
             world.now,
-            taken.number,
-            trip,
+            request.number,
+            attempt,
             engine,
             ending,
             world.now - sent,
-            delivered or taken.answered,
+            delivered or request.answered,
             0.0,
             0.0,
             (),
         )
-        self.drop(taken)
+        self.drop(request)
 
-    def came_back(self, number: int, trip: int, ending: Ending) -> None:
-        if (taken := self.taken.get(number)) is not None:
-            self.finish(taken, trip, ending)
+    def came_back(self, number: int, attempt: int, ending: Ending) -> None:
+        if (request := self.open_requests.get(number)) is not None:
+            self.finish(request, attempt, ending)
 
     # What the rules ask for.
 
     def send(self, number: int, engine: int, time_limit: float) -> None:
-        world, taken = self.world, self.taken[number]
-        trip, taken.made = taken.made, taken.made + 1
+        world, request = self.world, self.open_requests[number]
+        attempt, request.made = request.made, request.made + 1
         job = world.next()
-        taken.out[trip] = (engine, world.now, job)
-        world.observer.sent(world.now, self.index, number, trip, engine)
-        world.note("send", self.index, number, trip, engine)
-        world.at(world.now + world.way(), world.arrive, self, self.life, taken, trip, engine, job)
+        request.out[attempt] = (engine, world.now, job)
+        world.observer.sent(world.now, self.index, number, attempt, engine)
+        world.note("send", self.index, number, attempt, engine)
+        world.at(world.now + world.way(), world.arrive, self, self.life, request, attempt, engine, job)
 
     def terms(self, number: int, memory: float, priority: int) -> None:
         """Weights are not carried here."""
 
     def shed(self, number: int, come_back: float, reason: EndReason) -> None:
-        self.answer(self.taken[number], "shed")
+        self.answer(self.open_requests[number], "shed")
 
     def break_off(self, number: int, reason: EndReason) -> None:
-        self.answer(self.taken[number], "broken_off")
+        self.answer(self.open_requests[number], "broken_off")
 
-    def answer(self, taken: Taken, what: str) -> None:
-        if not taken.answered:
-            taken.answered = True
+    def answer(self, request: OpenRequest, what: str) -> None:
+        if not request.answered:
+            request.answered = True
             self.world.counts[what] += 1
-            self.write(taken, what)
-            self.drop(taken)
+            self.write(request, what)
+            self.drop(request)
 
-    def write(self, taken: Taken, what: str) -> None:
+    def write(self, request: OpenRequest, what: str) -> None:
         """The answer leaves for the client."""
-        self.world.observer.answered(self.world.now, self.index, taken.number, what == "shed")
-        self.world.note(what, self.index, taken.number)
+        self.world.observer.answered(self.world.now, self.index, request.number, what == "shed")
+        self.world.note(what, self.index, request.number)
 
-    def drop(self, taken: Taken) -> None:
-        if taken.answered and not taken.out:
-            self.taken.pop(taken.number, None)
+    def drop(self, request: OpenRequest) -> None:
+        if request.answered and not request.out:
+            self.open_requests.pop(request.number, None)
 
-    def call_off(self, number: int, trip: int) -> None:
-        if (taken := self.taken.get(number)) is not None and trip in taken.out:
-            self.later(0.0, self.came_back, number, trip, Ending.CALLED_OFF)
+    def call_off(self, number: int, attempt: int) -> None:
+        if (request := self.open_requests.get(number)) is not None and attempt in request.out:
+            self.later(0.0, self.came_back, number, attempt, Ending.CALLED_OFF)
 
     def wake(self, delay: float, token: int) -> None:
         self.later(delay, self.woken, token)
@@ -235,7 +239,7 @@
         self.observer = Observer(site, kind.multiple * kind.cores * kind.cold_share * kind.window)
         self.engines: dict[int, Engine] = {}
         self.lines: dict[int, Listed] = {}
-        self.running: dict[int, tuple[VirtualLink, int, Taken, int]] = {}
+        self.running: dict[int, tuple[VirtualLink, int, OpenRequest, int]] = {}
         self.versions: dict[int, int] = {}
         for number in range(engines):
             self.add_engine(number, cold=False)
@@ -291,34 +295,44 @@
         if cold:
             self.observer.started(number, self.now + self.kind.cold_for)
 
-    def arrive(self, link: VirtualLink, life: int, taken: Taken, trip: int, number: int, job: int) -> None:
+    def arrive(
+        self, link: VirtualLink, life: int, request: OpenRequest, attempt: int, number: int, job: int
+    ) -> None:
         """A trip reaches its engine."""
         engine = self.engines[number]
         if engine.down:
             self.at(
-                self.now + self.way(), link.event, life, link.came_back, taken.number, trip, Ending.UNREACHED
+                self.now + self.way(),
+                link.event,
+                life,
+                link.came_back,
+                request.number,
+                attempt,
+                Ending.UNREACHED,
             )
             return
         if engine.hung:
             return  # it says nothing; the trip's time will be up
         self.progress(number)
-        self.observer.reached(self.now, number, taken.work)
-        w = self.site.workloads[taken.kind]
+        self.observer.reached(self.now, number, request.work)
+        w = self.site.workloads[request.kind]
         made = Job(
             job,
-            max(0.01, taken.work),
+            max(0.01, request.work),
             w.threads,
             1.0,
             0.0,
-            taken.group if w.holds_tables or w.waits_for_loads else -1,
+            request.group if w.holds_tables or w.waits_for_loads else -1,
             w.holds_tables,
         )
         if not engine.start(self.now, made):
-            self.at(self.now + self.way(), link.event, life, link.came_back, taken.number, trip, Ending.FULL)
+            self.at(
+                self.now + self.way(), link.event, life, link.came_back, request.number, attempt, Ending.FULL
+            )
         else:
-            self.running[job] = (link, life, taken, trip)
+            self.running[job] = (link, life, request, attempt)
             self.counts["runs"] += 1
-            if w.effect == Effect.IRREVERSIBLE:
+            if w.effect == Effect.NON_IDEMPOTENT:
                 self.counts["irreversible_runs"] += 1
         self.plan(number)
 
@@ -329,8 +343,8 @@
     def reply(self, job: int, ending: Ending) -> None:
         found = self.running.pop(job, None)
         if found is not None:
-            link, life, taken, trip = found
-            self.at(self.now + self.way(), link.event, life, link.came_back, taken.number, trip, ending)
+            link, life, request, attempt = found
+            self.at(self.now + self.way(), link.event, life, link.came_back, request.number, attempt, ending)
 
     def plan(self, number: int) -> None:
         """When its next job ends; what was planned before counts no more."""
@@ -359,7 +373,9 @@
         if failure.what == "restart":
             link = self.dispatchers[failure.whom % len(self.dispatchers)]
             self.observer.restarted(link.index)
-            self.counts["held_by_killed"] += sum(not taken.answered for taken in link.taken.values())
+            self.counts["held_by_killed"] += sum(
+                not request.answered for request in link.open_requests.values()
+            )
             link.start()
         elif engine is not None and failure.what in ("crash", "replace"):
             self.progress(failure.whom)
--- a/spurdeal/list_agreement.py
+++ b/spurdeal/list_agreement.py
@@ -43,11 +43,11 @@
     def _replace(self, *, life: Life) -> Self: ...
 
 
-Seat = TypeVar("Seat", bound=Entry)
+Endpoint = TypeVar("Endpoint", bound=Entry)
 
 
 @dataclass(frozen=True)
-class Agreement(Generic[Seat]):
+class Agreement(Generic[Endpoint]):
     """The list in force, and what is known for and against it.
 
     Attributes:
@@ -61,20 +61,20 @@
     """
 
     number: int
-    told: Mapping[str, Seat]
-    in_force: Mapping[str, Seat]
+    told: Mapping[str, Endpoint]
+    in_force: Mapping[str, Endpoint]
     confirmed_at: float = float("-inf")
     withheld: Mapping[str, float] = field(default_factory=dict)
     contradictions: int = 0
 
     @classmethod
-    def of(cls, number: int, seats: Mapping[str, Seat]) -> Agreement[Seat]:
+    def of(cls, number: int, endpoints: Mapping[str, Endpoint]) -> Agreement[Endpoint]:
         """That of a list which is in force as a whole."""
-        return cls(number, seats, seats)
+        return cls(number, endpoints, endpoints)
 
 
 @dataclass(frozen=True)
-class Judged(Generic[Seat]):
+class Judged(Generic[Endpoint]):
     """What an answer leads to.
 
     Attributes:
@@ -83,114 +83,122 @@
     """
 
     verdict: Verdict
-    agreement: Agreement[Seat]
+    agreement: Agreement[Endpoint]
     is_settled: bool = True
     ask_again: bool = False
 
 
 def judged(
-    before: Agreement[Seat], number: int, seats: Mapping[str, Seat], asked_at: float, now: float
-) -> Judged[Seat]:
+    before: Agreement[Endpoint], number: int, endpoints: Mapping[str, Endpoint], asked_at: float, now: float
+) -> Judged[Endpoint]:
     """What the answer to the question that left at `asked_at` leads to. Times are in ms."""
-    is_same = number == before.number and alike(seats, before.told)
+    is_same = number == before.number and alike(endpoints, before.told)
     if is_same:
-        return confirmed(before, seats, asked_at)
+        return confirmed(before, endpoints, asked_at)
     if number > before.number or (number == before.number and asked_at >= before.confirmed_at):
-        return newer(before, number, seats, asked_at, now)
-    return older(before, number, seats, asked_at, now)
+        return newer(before, number, endpoints, asked_at, now)
+    return older(before, number, endpoints, asked_at, now)
 
 
-def confirmed(before: Agreement[Seat], seats: Mapping[str, Seat], asked_at: float) -> Judged[Seat]:
+def confirmed(
+    before: Agreement[Endpoint], endpoints: Mapping[str, Endpoint], asked_at: float
+) -> Judged[Endpoint]:
     """The list in force was told again: engines that have waited for that are withheld no more."""
     in_force, withheld = before.in_force, before.withheld
     if released := [ident for ident, since in withheld.items() if asked_at > since]:
         in_force = dict(in_force)
         for ident in released:
             in_force.pop(ident, None)
-            if ident in seats:
-                in_force[ident] = seats[ident]
+            if ident in endpoints:
+                in_force[ident] = endpoints[ident]
         withheld = {ident: since for ident, since in withheld.items() if ident not in released}
     confirmed_at = max(asked_at, before.confirmed_at)
-    return Judged(Verdict.CONFIRMED, Agreement(before.number, seats, in_force, confirmed_at, withheld))
+    return Judged(Verdict.CONFIRMED, Agreement(before.number, endpoints, in_force, confirmed_at, withheld))
 
 
 def newer(
-    before: Agreement[Seat], number: int, seats: Mapping[str, Seat], asked_at: float, now: float
-) -> Judged[Seat]:
+    before: Agreement[Endpoint], number: int, endpoints: Mapping[str, Endpoint], asked_at: float, now: float
+) -> Judged[Endpoint]:
     """Another list was told: what it takes away is in force at once."""
-    in_force, withheld = dict[str, Seat](), dict[str, float]()
-    for ident, seat in seats.items():
-        is_proven = gets_requests(before, ident) or is_told_again(before, ident, seat, asked_at)
-        if is_proven or seat.life != Life.READY:
-            in_force[ident] = seat
+    in_force, withheld = dict[str, Endpoint](), dict[str, float]()
+    for ident, endpoint in endpoints.items():
+        is_proven = gets_requests(before, ident) or is_told_again(before, ident, endpoint, asked_at)
+        if is_proven or endpoint.life != Life.READY:
+            in_force[ident] = endpoint
             continue
         known = before.in_force.get(ident)
         withheld[ident] = before.withheld.get(ident, asked_at if known is None else now + RETURN_HOLD)
         if known is not None:
-            in_force[ident] = draining(seat)
-    after = Agreement(number, seats, in_force, max(asked_at, before.confirmed_at), withheld)
+            in_force[ident] = draining(endpoint)
+    after = Agreement(number, endpoints, in_force, max(asked_at, before.confirmed_at), withheld)
     return Judged(Verdict.NEWER, after, ask_again=any(since <= now for since in withheld.values()))
 
 
 def older(
-    before: Agreement[Seat], number: int, seats: Mapping[str, Seat], asked_at: float, now: float
-) -> Judged[Seat]:
+    before: Agreement[Endpoint], number: int, endpoints: Mapping[str, Endpoint], asked_at: float, now: float
+) -> Judged[Endpoint]:
     """An older list was told, or the number in force is wrong: what drains there gets no more requests."""
     serving = [ident for ident in before.in_force if gets_requests(before, ident)]
-    ended = [ident for ident in serving if ident in seats and seats[ident].life != Life.READY]
+    ended = [ident for ident in serving if ident in endpoints and endpoints[ident].life != Life.READY]
     after = before
     if ended:
         in_force = {**before.in_force, **{ident: draining(before.in_force[ident]) for ident in ended}}
         withheld = {**before.withheld, **dict.fromkeys(ended, now + RETURN_HOLD)}
         after = replace(before, in_force=in_force, withheld=withheld)
-    is_settled = all(ident in seats for ident in serving)
+    is_settled = all(ident in endpoints for ident in serving)
     if asked_at < before.confirmed_at:
         return Judged(Verdict.OLDER, after, is_settled)
     after = replace(after, contradictions=before.contradictions + 1)
     if after.contradictions < RENUMBERED_AFTER:
         return Judged(Verdict.OLDER, after, is_settled, ask_again=True)
-    return renumbered(after, number, seats, asked_at, now)
+    return renumbered(after, number, endpoints, asked_at, now)
 
 
 def renumbered(
-    before: Agreement[Seat], number: int, seats: Mapping[str, Seat], asked_at: float, now: float
-) -> Judged[Seat]:
+    before: Agreement[Endpoint], number: int, endpoints: Mapping[str, Endpoint], asked_at: float, now: float
+) -> Judged[Endpoint]:
     """The number in force was wrong: what a list of a lower number adds or lacks waits for RETURN_HOLD."""
-    lacking = {ident: draining(seat) for ident, seat in before.in_force.items() if ident not in seats}
+    lacking = {
+        ident: draining(endpoint) for ident, endpoint in before.in_force.items() if ident not in endpoints
+    }
     joining = [
-        ident for ident, seat in seats.items() if seat.life == Life.READY and not gets_requests(before, ident)
+        ident
+        for ident, endpoint in endpoints.items()
+        if endpoint.life == Life.READY and not gets_requests(before, ident)
     ]
     in_force = lacking | {
-        ident: draining(seat) if ident in joining else seat
-        for ident, seat in seats.items()
+        ident: draining(endpoint) if ident in joining else endpoint
+        for ident, endpoint in endpoints.items()
         if ident not in joining or ident in before.in_force
     }
     withheld = dict.fromkeys([*joining, *lacking], now + RETURN_HOLD)
-    return Judged(Verdict.NEWER, Agreement(number, seats, in_force, before.confirmed_at, withheld))
+    return Judged(Verdict.NEWER, Agreement(number, endpoints, in_force, before.confirmed_at, withheld))
 
 
-def gets_requests(agreement: Agreement[Seat], ident: str) -> bool:
+def gets_requests(agreement: Agreement[Endpoint], ident: str) -> bool:
     """Whether an engine gets requests by the list in force."""
     known = agreement.in_force.get(ident)
     return known is not None and known.life == Life.READY
 
 
-def is_told_again(before: Agreement[Seat], ident: str, seat: Seat, asked_at: float) -> bool:
+def is_told_again(before: Agreement[Endpoint], ident: str, endpoint: Endpoint, asked_at: float) -> bool:
     """Whether an engine that waits for requests was told alike to an earlier question."""
     since, told = before.withheld.get(ident), before.told.get(ident)
-    return since is not None and asked_at > since and told is not None and same_use(told, seat)
+    return since is not None and asked_at > since and told is not None and same_use(told, endpoint)
 
 
-def draining(seat: Seat) -> Seat:
+def draining(endpoint: Endpoint) -> Endpoint:
     """The same engine, which gets no requests any more."""
-    return seat._replace(life=Life.DRAINING)
+    return endpoint._replace(life=Life.DRAINING)
 
 
-def alike(one: Mapping[str, Seat], other: Mapping[str, Seat]) -> bool:
+def alike(one: Mapping[str, Endpoint], other: Mapping[str, Endpoint]) -> bool:
     """Whether two lists tell the same of where to send requests; weights may differ."""
     if one is other:
         return True
-    return one.keys() == other.keys() and all(same_use(seat, other[ident]) for ident, seat in one.items())
+    return one.keys() == other.keys() and all(
+        same_use(endpoint, other[ident]) for ident, endpoint in one.items()
+    )
 
 
 def same_use(one: Entry, other: Entry) -> bool:
--- a/spurdeal/net/answers.py
+++ b/spurdeal/net/answers.py
@@ -13,7 +13,7 @@
     come_back: float
 
 
-class BrokenOff(NamedTuple):
+class Failed(NamedTuple):
     pass
 
 
@@ -21,5 +21,5 @@
     """A caller carries it from here on; its trip's outcome comes later, or never."""
 
 
-Answer = Delivered | Shed | BrokenOff | Granted
-COUNTED = {Delivered: "delivered", Shed: "shed", BrokenOff: "broken_off", Granted: "granted"}
+Answer = Delivered | Shed | Failed | Granted
+COUNTED = {Delivered: "delivered", Shed: "shed", Failed: "broken_off", Granted: "granted"}
--- a/spurdeal/net/trips.py
+++ b/spurdeal/net/attempts.py
@@ -32,19 +32,19 @@
 
     wait: float
     rank: int | None
-    mark: bytes = b""
+    idempotency_key: bytes = b""
     at_once: bool = True
     taken: Callable[[], object] = lambda: None
 
 
-class Trip:
+class Attempt:
     """One trip from its sending to its outcome, which its Deferred brings exactly once."""
 
     __slots__ = (
         "at_send",
         "connection",
+        "deadline",
         "done",
-        "expiry",
         "ident",
         "pages",
         "parts",
@@ -61,11 +61,11 @@
         ident: bytes,
         workload: bytes,
         statement: bytes,
-        expiry: float,
+        deadline: float,
         at_send: Callable[[], SendTerms | None],
     ) -> None:
         self.ident, self.workload, self.statement = ident, workload, statement
-        self.expiry, self.at_send, self.written = expiry, at_send, False
+        self.deadline, self.at_send, self.written = deadline, at_send, False
         self.done: Deferred[Outcome] = Deferred()
         self.connection: Connection | None = None
         self.parts, self.size, self.sent, self.pages = 0, 0, 0.0, dict[int, bytes]()
--- a/spurdeal/net/client.py
+++ b/spurdeal/net/client.py
@@ -15,9 +15,9 @@
 
 from . import immediate
 from .arrival_times import ArrivalTimes
-from .fields import IDENT, MARK, key_of, last_part, number_field, rows_of
+from .fields import IDEMPOTENCY_KEY, IDENT, key_of, last_part, number_field, rows_of
 from .http import BadMessage, RequestParser, response
-from .link import Answer, BrokenOff, Delivered, Shed
+from .link import Answer, Delivered, Failed, Shed
 from .patient_socket import make_patient
 from .pending import may_have_come
 from .statement import group_of
@@ -267,8 +267,8 @@
         if not IDENT.fullmatch(ident) or wait <= 0:
             raise BadMessage(400, "req-id or req-wait-ms cannot be used")
         statement = bytes(body)  # outlives the buffer: further trips may need it
-        owner, mark = bytes(fields.get(b"req-owner", b"")), bytes(fields.get(b"req-token", b""))
-        if mark and not MARK.fullmatch(mark):
+        owner, idempotency_key = bytes(fields.get(b"req-owner", b"")), bytes(fields.get(b"req-token", b""))
+        if idempotency_key and not IDEMPOTENCY_KEY.fullmatch(idempotency_key):
             raise BadMessage(400, "req-token cannot be used")
         call = self.clients.link.take(
             ident,
@@ -280,9 +280,9 @@
             group_of(statement),
             statement,
             here=self.is_here,
-            customer=self.clients.customers.get(owner),
+            tenant=self.clients.tenants.get(owner),
             key=key_of(fields.get(b"req-key", b"")),
-            mark=mark,
+            idempotency_key=idempotency_key,
         )
         if call is None:
             raise BadMessage(400, "a submission with this id is open")
@@ -305,7 +305,7 @@
             case Shed(come_back):
                 wait = (("Srv-Wait-Ms", f"{come_back:.0f}"),) if come_back > 0 else ()
                 self.answer(503, {"fault": "TryLater"}, keep, wait)
-            case BrokenOff():
+            case Failed():
                 self.answer(500, {"fault": "Aborted"}, keep)
         if self.parser.left() or self.cancelled_ahead:
             self.advance()
--- a/spurdeal/net/clients.py
+++ b/spurdeal/net/clients.py
@@ -49,7 +49,7 @@
         self,
         link: SocketLink,
         workloads: Mapping[bytes, int],
-        customers: Mapping[bytes, int],
+        tenants: Mapping[bytes, int],
         clock: Callable[[], float],
         counters: Counters,
         log: logging.Logger,
@@ -57,7 +57,7 @@
         self.link, self.workloads = link, workloads
         self.most, self.accepts, self.ahead = 0, 1, MOST_AHEAD
         self.names = {kind: name for name, kind in workloads.items()}
-        self.customers, self.slashes = customers, max(name.count(b"/") for name in workloads)
+        self.tenants, self.slashes = tenants, max(name.count(b"/") for name in workloads)
         self.clock, self.counters, self.log = clock, counters, log
         self.connections: dict[Client, None] = {}
         self.port: Any = None
--- a/spurdeal/net/configuration.py
+++ b/spurdeal/net/configuration.py
@@ -66,13 +66,13 @@
     known: KnownList
     site: Deployment
     workloads: dict[bytes, int]
-    customers: dict[bytes, int]
-    locations: list[str]
+    tenants: dict[bytes, int]
+    zones: list[str]
     kinds: list[str]
     report_fields: list[str]
     connect_within: float
     idle_after: float
-    trips_a_connection: int
+    attempts_per_connection: int
 
     def rest_differs(self, other: Configuration) -> bool:
         """Whether they differ in what is only read at a start."""
@@ -113,13 +113,13 @@
         known=known_list(given["known"]),
         site=replace(deployment(settings), most_open=sockets * OPEN_CALLS_PART),
         workloads=indices_of(str(grade["name"]) for grade in settings["grades"]),
-        customers=indices_of(str(tenant.get("name", "")) for tenant in settings.get("tenants", [])),
-        locations=[str(name) for name in settings.get("zones", [])],
+        tenants=indices_of(str(tenant.get("name", "")) for tenant in settings.get("tenants", [])),
+        zones=[str(name) for name in settings.get("zones", [])],
         kinds=[str(name) for name in settings.get("models", [])],
         report_fields=reported(settings),
         connect_within=float(limits.get("dial_timeout", DEFAULT_CONNECT_TIMEOUT)),
         idle_after=float(limits.get("conn_idle", DEFAULT_ENGINE_IDLE)),
-        trips_a_connection=int(limits.get("streams_per_conn", 1)),
+        attempts_per_connection=int(limits.get("streams_per_conn", 1)),
     )
 
 
--- a/spurdeal/net/connection.py
+++ b/spurdeal/net/connection.py
@@ -17,10 +17,10 @@
 
 from ..interface import Ending
 from . import engine_answers, immediate
+from .attempts import Attempt, Outcome, SendTerms
 from .patient_socket import make_patient
 from .pending import pending
 from .resp import ArrayParser, BadAnswer, command
-from .trips import Outcome, SendTerms, Trip
 
 if TYPE_CHECKING:
     from .engines import Engine
@@ -42,11 +42,11 @@
 
     def __init__(self, engine: Engine) -> None:
         self.engine, self.engines, self.parser = engine, engine.engines, ArrayParser()
-        self.trips: dict[bytes | memoryview, Trip] = {}
+        self.attempts: dict[bytes | memoryview, Attempt] = {}
         self.past: dict[bytes, bool] = {}  # ids that were out here, and whether they were given up
-        self.write_queue = deque[bytes | Trip]()
+        self.write_queue = deque[bytes | Attempt]()
         self.bounding: Any = None
-        self.leaving: Trip | None = None  # whose bytes the transport may still hold
+        self.leaving: Attempt | None = None  # whose bytes the transport may still hold
         self.ahead_of_leaving = b""  # messages that go before it in the same write
         self.leaving_terms: SendTerms | None = None
         self.held = b""  # messages that leave with `Engines.write_held`
@@ -83,7 +83,7 @@
     def cut(self, why: str) -> None:
         """Spoilt: what is out here has run or runs, and nothing more can be read of it."""
         self.engines.counters.add("engine_bad_answers")
-        self.engine.say("bad_answer", why=why, trips=len(self.trips))
+        self.engine.say("bad_answer", why=why, trips=len(self.attempts))
         self.transport.abortConnection()
         self.lost()
 
@@ -93,11 +93,11 @@
         Half of what its own trip still had bounds it too, or that could not go again elsewhere. Other trips'
         time does not: a cut ends them all. Until its id has come it may be the one with most time."""
         begun = self.parser.first_part()
-        own = self.trips.get(begun) if begun is not None else None
-        trips = (own,) if own is not None else self.trips.values()
-        expiry = max((trip.expiry for trip in trips), default=float("inf"))
+        own = self.attempts.get(begun) if begun is not None else None
+        attempts = (own,) if own is not None else self.attempts.values()
+        deadline = max((attempt.deadline for attempt in attempts), default=float("inf"))
         longest = max(STALL_LEAST, STALL * self.engines.connect_within)
-        longest = min(longest, STALL_PART * (expiry - self.begun))
+        longest = min(longest, STALL_PART * (deadline - self.begun))
         return max(0.0, self.begun + longest - self.engines.clock())
 
     def bound_answer(self) -> None:
@@ -117,7 +117,7 @@
             self.cut("an answer stopped short")
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        if self.up and not self.closing and not self.trips and isinstance(reason.value, ConnectionDone):
+        if self.up and not self.closing and not self.attempts and isinstance(reason.value, ConnectionDone):
             self.engines.closed_idle(self.engines.clock() - max(self.used, self.heard))
         self.lost()
         self.transport = None
@@ -129,9 +129,9 @@
             self.write_queue.append(command(*parts))
             self.flush()
 
-    def carry(self, trip: Trip) -> None:
-        self.trips[trip.ident], trip.connection = trip, self
-        self.write_queue.append(trip)
+    def carry(self, attempt: Attempt) -> None:
+        self.attempts[attempt.ident], attempt.connection = attempt, self
+        self.write_queue.append(attempt)
         self.flush()
 
     def flush(self) -> None:
@@ -169,12 +169,12 @@
             self.transport.write(ready)
         return not ready
 
-    def put_back(self, trip: Trip, ahead: bytes) -> None:
+    def put_back(self, attempt: Attempt, ahead: bytes) -> None:
         """No byte of a trip has left: its message is made anew, by what holds once the system takes some."""
         self.engines.counters.add("trips_put_back")
         self.engines.counters.add("trips_written", -1)
-        trip.written = False
-        self.write_queue.appendleft(trip)
+        attempt.written = False
+        self.write_queue.appendleft(attempt)
         self.leaving = self.leaving_terms = None
         if ahead:
             self.transport.write(ahead)
@@ -202,7 +202,7 @@
         ready = list[bytes]()
         while self.write_queue and self.leaving is None:
             message = self.write_queue.popleft()
-            if not isinstance(message, Trip):
+            if not isinstance(message, Attempt):
                 ready.append(message)
             elif (terms := message.at_send()) is None:
                 self.finish(message, Outcome(Ending.MOOT))
@@ -217,69 +217,69 @@
     def stopProducing(self) -> None:
         self.sending = False
 
-    def serve(self, trip: Trip, terms: SendTerms) -> bytes:
+    def serve(self, attempt: Attempt, terms: SendTerms) -> bytes:
         self.engines.counters.add("trips_written")
-        trip.sent, trip.written = self.engines.clock(), True
-        fields = b"class=%b,wait=%d" % (trip.workload, max(1, int(terms.wait)))
+        attempt.sent, attempt.written = self.engines.clock(), True
+        fields = b"class=%b,wait=%d" % (attempt.workload, max(1, int(terms.wait)))
         if terms.rank is not None:
             fields += b",rank=%d" % terms.rank
-        if terms.mark:
-            fields += b",once=%b" % terms.mark
-        return command(b"serve", trip.ident, fields, trip.statement)
+        if terms.idempotency_key:
+            fields += b",once=%b" % terms.idempotency_key
+        return command(b"serve", attempt.ident, fields, attempt.statement)
 
-    def give_up(self, trip: Trip, ending: Ending) -> None:
+    def give_up(self, attempt: Attempt, ending: Ending) -> None:
         """Nothing more is wanted of it: it is cancelled while it may run, and its pages let go after that."""
-        if not trip.written:
-            self.withdraw(trip)
+        if not attempt.written:
+            self.withdraw(attempt)
             return
-        self.write(b"release" if trip.parts else b"cancel", trip.ident)
-        quiet = self.engines.clock() - trip.sent > self.engines.connect_within
-        if self.up and quiet and self.heard <= trip.sent and not self.silent:
+        self.write(b"release" if attempt.parts else b"cancel", attempt.ident)
+        quiet = self.engines.clock() - attempt.sent > self.engines.connect_within
+        if self.up and quiet and self.heard <= attempt.sent and not self.silent:
             # A machine cut off leaves its connections open, and nobody knows if what goes out on one runs. A
             # new connection that never comes up proves that nothing ran. Also: a hang, packets lost for long.
             self.engines.counters.add("silent_connections")
-            if self.engine.heard <= trip.sent:
-                self.engine.say("silent_engine", trips=len(self.trips))
+            if self.engine.heard <= attempt.sent:
+                self.engine.say("silent_engine", trips=len(self.attempts))
             self.closing = self.silent = True
-        if trip is self.leaving:
-            self.engines.reactor.callLater(ABANDONED_WITHIN / 1000, self.cut_abandoned, trip)
-        self.finish(trip, Outcome(ending), given_up=True)
+        if attempt is self.leaving:
+            self.engines.reactor.callLater(ABANDONED_WITHIN / 1000, self.cut_abandoned, attempt)
+        self.finish(attempt, Outcome(ending), given_up=True)
 
-    def withdraw(self, trip: Trip) -> None:
+    def withdraw(self, attempt: Attempt) -> None:
         """It has not begun to leave: nothing of it has run, nor will."""
-        if trip in self.write_queue:
-            self.write_queue.remove(trip)
-        self.finish(trip, Outcome(Ending.MOOT))
+        if attempt in self.write_queue:
+            self.write_queue.remove(attempt)
+        self.finish(attempt, Outcome(Ending.MOOT))
 
     def withhold(self) -> None:
         """Its engine drains or is gone, is elsewhere or was started anew: what has not left stays here. What
         the system has not taken by the time of DRAIN_PART would come too late, and is cut off."""
-        for trip in [trip for trip in self.trips.values() if not trip.written]:
-            self.withdraw(trip)
+        for attempt in [attempt for attempt in self.attempts.values() if not attempt.written]:
+            self.withdraw(attempt)
         if self.leaving is not None and self.up:
             self.engines.reactor.callLater(
                 DRAIN_PART * self.engines.drain_grace / 1000, self.cut_off, self.leaving
             )
 
-    def cut_off(self, trip: Trip) -> None:
+    def cut_off(self, attempt: Attempt) -> None:
         """Covers a hang with its window full. A cut link whose bytes the system holds is not seen here."""
-        if self.up and self.leaving is trip:
+        if self.up and self.leaving is attempt:
             self.engines.counters.add("unsent_cut_off")
             self.transport.abortConnection()
             self.lost()
 
-    def cut_abandoned(self, trip: Trip) -> None:
+    def cut_abandoned(self, attempt: Attempt) -> None:
         """The rest of a trip that was given up would come late. What else runs here is not cut for that."""
-        if not any(other.written for other in self.trips.values()):
-            self.cut_off(trip)
+        if not any(other.written for other in self.attempts.values()):
+            self.cut_off(attempt)
 
-    def takes(self, trip: Trip) -> bool:
+    def takes(self, attempt: Attempt) -> bool:
         """Whether this one may carry it, as far as is known."""
         return (
             not self.closing
             and not self.ended
-            and trip.ident not in self.trips
-            and trip.ident not in self.past
+            and attempt.ident not in self.attempts
+            and attempt.ident not in self.past
         )
 
     def look(self) -> bool:
@@ -287,23 +287,27 @@
 
         Its far side's end has come, or bytes that no trip waits for: these may never become an answer, and
         spoil what follows."""
-        waiting = pending(self.transport) if self.up and not self.trips else None
+        waiting = pending(self.transport) if self.up and not self.attempts else None
         ended, unread = waiting == b"", bool(waiting)
         news = (ended and not self.ended) or (unread and not self.unread)
         self.ended |= ended  # that is to be read next
         self.unread |= unread
         return news
 
-    def finish(self, trip: Trip, outcome: Outcome, given_up: bool = False) -> None:
-        if not self.engines.counters.must(self.trips.pop(trip.ident, None) is trip, "trip_ends_once"):
+    def finish(self, attempt: Attempt, outcome: Outcome, given_up: bool = False) -> None:
+        if not self.engines.counters.must(
+            self.attempts.pop(attempt.ident, None) is attempt, "trip_ends_once"
+        ):
             return
-        if trip.written:
-            self.past[trip.ident] = given_up  # an answer may cross or come twice: the id comes here no more
+        if attempt.written:
+            self.past[attempt.ident] = (
+                given_up  # an answer may cross or come twice: the id comes here no more
+            )
         if len(self.past) > MOST_PAST:
             del self.past[next(iter(self.past))]
-        trip.connection = None
+        attempt.connection = None
         self.close_if_done()
-        trip.done.callback(outcome)
+        attempt.done.callback(outcome)
 
     def retire(self) -> None:
         """No further trips: it ends with those that are out."""
@@ -312,9 +316,9 @@
 
     def close_if_done(self) -> None:
         """A silent one is cut: the system would go on sending what it holds once a cut link heals."""
-        if self.closing and not self.trips and self.up and self.silent:
+        if self.closing and not self.attempts and self.up and self.silent:
             self.transport.abortConnection()
-        elif self.closing and not self.trips and self.up and not self.sending:
+        elif self.closing and not self.attempts and self.up and not self.sending:
             self.transport.loseConnection()
 
     def lost(self, ending: Ending = Ending.RESET) -> None:
@@ -327,50 +331,52 @@
             self.engine.connections.remove(self)
             self.engines.connections -= 1
             self.engines.forget(self.engine)
-        for trip in list(self.trips.values()):
-            self.finish(trip, Outcome(Ending.MOOT if ending == Ending.RESET and not trip.written else ending))
+        for attempt in list(self.attempts.values()):
+            self.finish(
+                attempt, Outcome(Ending.MOOT if ending == Ending.RESET and not attempt.written else ending)
+            )
 
     # What is read.
 
     def answered(self, parts: list[memoryview]) -> None:
         ident, word, fields, body = engine_answers.read(parts)
         pages = engine_answers.number_of_pages(fields) if word == b"200" else 1
-        trip = self.trips.get(ident)
-        if trip is None or (word == b"200" and trip.parts):
+        attempt = self.attempts.get(ident)
+        if attempt is None or (word == b"200" and attempt.parts):
             # It answers what was given up meanwhile, whose further pages are let go; or says 200 twice, or
             # more than was asked: good but too much.
             self.engines.counters.add("answers_crossed")
-            if trip is None and pages > 1 and self.past.get(bytes(ident)):
+            if attempt is None and pages > 1 and self.past.get(bytes(ident)):
                 self.write(b"release", ident)
         elif word == b"200":
-            trip.parts, trip.report = pages, self.engines.report(fields.get("stats", ""))
+            attempt.parts, attempt.report = pages, self.engines.report(fields.get("stats", ""))
             for page in range(1, pages):
                 self.write(b"read", ident, b"%d" % page)
-            self.page(trip, 0, body)
+            self.page(attempt, 0, body)
         elif word == b"chunk":
             number = int(fields.get("part_no", "-1"))
-            if not 0 < number < trip.parts:
+            if not 0 < number < attempt.parts:
                 raise BadAnswer("a page that was not asked for")
-            if number in trip.pages:  # a second copy: good but too much
+            if number in attempt.pages:  # a second copy: good but too much
                 self.engines.counters.add("answers_crossed")
             else:
-                self.page(trip, number, body)
+                self.page(attempt, number, body)
         else:
             # Once it was delivered, whatever else is said of it only tells that its pages are lost.
-            ending = Ending.ERROR if trip.parts else engine_answers.ENDINGS[word]
-            if trip.parts:
+            ending = Ending.ERROR if attempt.parts else engine_answers.ENDINGS[word]
+            if attempt.parts:
                 self.engines.counters.add("pages_lost")
                 self.write(b"release", ident)
-            self.finish(trip, Outcome(ending, (), self.engines.report(fields.get("stats", ""))))
+            self.finish(attempt, Outcome(ending, (), self.engines.report(fields.get("stats", ""))))
 
-    def page(self, trip: Trip, number: int, text: memoryview) -> None:
-        trip.size += len(text)
-        if trip.size > LARGEST_RESULT:
+    def page(self, attempt: Attempt, number: int, text: memoryview) -> None:
+        attempt.size += len(text)
+        if attempt.size > LARGEST_RESULT:
             raise BadAnswer("a result is too large")
         page = engine_answers.page_of(text)
-        trip.pages[number] = page
-        if len(trip.pages) == trip.parts:
-            if trip.parts > 1:
-                self.write(b"release", trip.ident)
-            pages = tuple(trip.pages[place] for place in range(trip.parts))
-            self.finish(trip, Outcome(Ending.DELIVERED, pages, trip.report))
+        attempt.pages[number] = page
+        if len(attempt.pages) == attempt.parts:
+            if attempt.parts > 1:
+                self.write(b"release", attempt.ident)
+            pages = tuple(attempt.pages[place] for place in range(attempt.parts))
+            self.finish(attempt, Outcome(Ending.DELIVERED, pages, attempt.report))
--- a/spurdeal/net/engine_index.py
+++ b/spurdeal/net/engine_index.py
@@ -6,7 +6,7 @@
 from itertools import count
 
 from ..interface import Listed
-from .engine_list import Seat
+from .engine_list import Endpoint
 
 
 class EngineIndex:
@@ -16,8 +16,8 @@
         places: By an engine's id, its number.
     """
 
-    def __init__(self, locations: Sequence[str], kinds: Sequence[str]) -> None:
-        self.locations, self.kinds = list(locations), list(kinds)
+    def __init__(self, zones: Sequence[str], kinds: Sequence[str]) -> None:
+        self.zones, self.kinds = list(zones), list(kinds)
         self.places: dict[str, int] = {}
         self.next_place = count()
 
@@ -31,16 +31,16 @@
         """An engine is gone."""
         del self.places[ident]
 
-    def line(self, ident: str, seat: Seat) -> Listed:
+    def line(self, ident: str, endpoint: Endpoint) -> Listed:
         """What the rules are told of an engine of the list."""
         return Listed(
             self.place_of(ident),
-            number_of(self.locations, seat.location),
-            number_of(self.kinds, seat.kind),
-            seat.cell,
-            seat.life,
-            seat.weight,
-            seat.started,
+            number_of(self.zones, endpoint.zone),
+            number_of(self.kinds, endpoint.kind),
+            endpoint.cell,
+            endpoint.life,
+            endpoint.weight,
+            endpoint.started,
         )
 
 
--- a/spurdeal/net/engine_list.py
+++ b/spurdeal/net/engine_list.py
@@ -20,13 +20,13 @@
     port: int
 
 
-class Seat(NamedTuple):
+class Endpoint(NamedTuple):
     """An engine as the list names it; started is 0 for long ago."""
 
     ident: str
     host: str
     port: int
-    location: str
+    zone: str
     kind: str
     cell: int
     life: Life
@@ -38,7 +38,7 @@
     """The list that a start is configured with, and the number of its last event."""
 
     number: int
-    seats: dict[str, Seat]
+    endpoints: dict[str, Endpoint]
 
 
 def read_address(text: object) -> Address:
@@ -55,23 +55,25 @@
 
 def known_list(known: Mapping[str, Any]) -> KnownList:
     """What the numbered events of the start add up to."""
-    seats: dict[str, Seat] = {}
+    endpoints: dict[str, Endpoint] = {}
     last = int(known.get("no", 0))
     for item in sorted(known.get("items", []), key=lambda item: int(item["no"])):
         roster = item["roster"]
         if roster.get("reset"):
-            seats.clear()
+            endpoints.clear()
         for entry in roster["instances"]:
-            seat = known_seat(entry)
-            seats[seat.ident] = seat
+            endpoint = known_endpoint(entry)
+            endpoints[endpoint.ident] = endpoint
         last = max(last, int(item["no"]))
-    return KnownList(last, {ident: seat for ident, seat in seats.items() if seat.life != Life.GONE})
+    return KnownList(
+        last, {ident: endpoint for ident, endpoint in endpoints.items() if endpoint.life != Life.GONE}
+    )
 
 
-def known_seat(entry: Mapping[str, Any]) -> Seat:
+def known_endpoint(entry: Mapping[str, Any]) -> Endpoint:
     """One engine of a numbered event."""
     address = read_address(entry["hostPort"])
-    return Seat(
+    return Endpoint(
         str(entry["instanceId"]),
         address.host,
         address.port,
@@ -84,17 +86,17 @@
     )
 
 
-def answered_seats(
+def answered_endpoints(
     services: Sequence[tuple[int, int, int, str]],
     addresses: Mapping[str, str],
     texts: Mapping[str, Sequence[str]],
-) -> dict[str, Seat]:
+) -> dict[str, Endpoint]:
     """The engines that an answer's records name, by id.
 
     Raises:
         dns.BadDatagram: Records of one of them are missing or cannot be used.
     """
-    seats = {}
+    endpoints = {}
     for priority, weight, port, target in services:
         labels = dns.labels_of(target)
         owner = target.lower()
@@ -102,7 +104,7 @@
             raise dns.BadDatagram(f"no address for {target}")
         told = dict(text.partition("=")[::2] for text in texts.get(owner, ()))
         try:
-            seats[labels[0]] = Seat(
+            endpoints[labels[0]] = Endpoint(
                 labels[0],
                 addresses[owner],
                 port,
@@ -115,4 +117,4 @@
             )
         except (KeyError, ValueError):
             raise dns.BadDatagram(f"no usable text for {target}") from None
-    return seats
+    return endpoints
--- a/spurdeal/net/engines.py
+++ b/spurdeal/net/engines.py
@@ -9,15 +9,15 @@
 
 from ..interface import Ending, Life
 from ..slow_start import leads_to_predecessor
+from .attempts import Attempt, Outcome, SendTerms
 from .connection import Connection
 from .counters import Counters
 from .dial import Dial
-from .engine_list import Seat
+from .engine_list import Endpoint
 from .resp import BadAnswer
-from .trips import Outcome, SendTerms, Trip
 from .watch import LoopWatch
 
-__all__ = ["Connection", "Engine", "Engines", "Outcome", "SendTerms", "Trip"]
+__all__ = ["Attempt", "Connection", "Engine", "Engines", "Outcome", "SendTerms"]
 
 IDLE_PART = 0.5  # of the time after which engines close: ours closes first, or a trip would cross their close
 RELAX = 1.001  # a sweep: an early close of idle connections that was seen once is forgotten within minutes
@@ -26,56 +26,60 @@
 class Engine:
     """One engine's seat and the connections to it."""
 
-    def __init__(self, engines: Engines, number: int, seat: Seat) -> None:
-        self.engines, self.number, self.seat = engines, number, seat
+    def __init__(self, engines: Engines, number: int, endpoint: Endpoint) -> None:
+        self.engines, self.number, self.endpoint = engines, number, endpoint
         self.connections: list[Connection] = []
         self.heard = 0.0
 
     def say(self, event: str, **figures: object) -> None:
-        self.engines.log.warning(event, extra={"figures": {"engine": self.seat.ident} | figures})
+        self.engines.log.warning(event, extra={"figures": {"engine": self.endpoint.ident} | figures})
 
-    def reseat(self, seat: Seat) -> None:
-        before, self.seat = self.seat, seat
+    def update_endpoint(self, endpoint: Endpoint) -> None:
+        before, self.endpoint = self.endpoint, endpoint
         for connection in list(self.connections):
             if (
-                seat.started != before.started
+                endpoint.started != before.started
                 and connection.up
-                and leads_to_predecessor(connection.opened, seat.started, self.engines.clock())
+                and leads_to_predecessor(connection.opened, endpoint.started, self.engines.clock())
             ):
                 connection.transport.abortConnection()  # the process that it led to is no more
                 connection.lost()
-            elif seat.life == Life.GONE or seat[1:3] != before[1:3]:
+            elif endpoint.life == Life.GONE or endpoint[1:3] != before[1:3]:
                 connection.retire()
-            if seat.life != Life.READY or seat[1:3] != before[1:3] or seat.started != before.started:
+            if (
+                endpoint.life != Life.READY
+                or endpoint[1:3] != before[1:3]
+                or endpoint.started != before.started
+            ):
                 connection.withhold()
                 if not connection.up:
                     connection.lost(Ending.MOOT)  # dialled for, at what it no longer is
 
-    def connection_for(self, trip: Trip, at_most_once: bool) -> Connection | None:
+    def connection_for(self, attempt: Attempt, at_most_once: bool) -> Connection | None:
         """An open one, or a new one. What came on the chosen one and was not read is seen on its socket."""
-        while (found := self.emptiest(trip, at_most_once)) is not None and found.look():
+        while (found := self.emptiest(attempt, at_most_once)) is not None and found.look():
             pass  # the next best
         if found is not None or self.engines.full():
             return found
         connection = Connection(self)
         self.connections.append(connection)
         self.engines.connections += 1
-        self.engines.dial(self.seat.host, self.seat.port, Dial(connection))
+        self.engines.dial(self.endpoint.host, self.endpoint.port, Dial(connection))
         return connection
 
-    def emptiest(self, trip: Trip, at_most_once: bool) -> Connection | None:
+    def emptiest(self, attempt: Attempt, at_most_once: bool) -> Connection | None:
         """The open one with fewest trips; None where a new one is better: what spoils one takes its trips
         along.
 
         While another can be had, one that rests with half an answer is not taken, nor, at_most_once, one long
         unused: where engines were seen to close idle ones early, a trip that crosses that is in doubt."""
         engines = self.engines
-        usable = [connection for connection in self.connections if connection.takes(trip)]
+        usable = [connection for connection in self.connections if connection.takes(attempt)]
         since = engines.clock() - IDLE_PART * engines.closes_after
         fresh = [
             connection
             for connection in usable
-            if connection.trips
+            if connection.attempts
             or (
                 not connection.unread and (not at_most_once or max(connection.used, connection.heard) > since)
             )
@@ -83,18 +87,18 @@
         full = engines.full()
         if fresh or not full:
             usable = fresh
-        found = min(usable, key=lambda connection: len(connection.trips), default=None)
+        found = min(usable, key=lambda connection: len(connection.attempts), default=None)
         if (
             found is not None
-            and len(found.trips) < engines.trips_a_connection
-            and (not found.trips or full or len(self.connections) >= engines.share())
+            and len(found.attempts) < engines.attempts_per_connection
+            and (not found.attempts or full or len(self.connections) >= engines.share())
         ):
             return found
         return None
 
     def sweep(self, idle_since: float) -> None:
         for connection in list(self.connections):
-            if connection.up and not connection.trips and connection.used < idle_since:
+            if connection.up and not connection.attempts and connection.used < idle_since:
                 connection.silent |= connection.sending  # it has not read for so long what it was sent last
                 connection.retire()
 
@@ -120,12 +124,15 @@
         self,
         connect_within: float,
         idle_after: float,
-        trips_a_connection: int,
+        attempts_per_connection: int,
         most_connections: int,
         drain_grace: float,
     ) -> None:
         self.connect_within, self.idle_after, self.drain_grace = connect_within, idle_after, drain_grace
-        self.trips_a_connection, self.most_connections = max(1, trips_a_connection), most_connections
+        self.attempts_per_connection, self.most_connections = (
+            max(1, attempts_per_connection),
+            most_connections,
+        )
         self.closes_after = idle_after  # as seen, where engines close idle ones earlier
 
     def closed_idle(self, idle: float) -> None:
@@ -146,16 +153,16 @@
             raise BadAnswer("a report holds no number")
         return figures
 
-    def listed(self, engine: int, seat: Seat) -> None:
+    def listed(self, engine: int, endpoint: Endpoint) -> None:
         if (known := self.engines.get(engine)) is not None:
-            known.reseat(seat)
+            known.update_endpoint(endpoint)
             self.forget(known)
-        elif seat.life != Life.GONE:
-            self.engines[engine] = Engine(self, engine, seat)
+        elif endpoint.life != Life.GONE:
+            self.engines[engine] = Engine(self, engine, endpoint)
 
     def forget(self, engine: Engine) -> None:
         """Nothing is kept of an engine that is gone once its last connection has ended."""
-        if engine.seat.life == Life.GONE and not engine.connections:
+        if engine.endpoint.life == Life.GONE and not engine.connections:
             self.engines.pop(engine.number, None)
 
     def full(self) -> bool:
@@ -168,10 +175,10 @@
 
     def name_of(self, engine: int) -> str:
         """The engine's id, for the log; that of one which is gone may not be known any more."""
-        return self.engines[engine].seat.ident if engine in self.engines else f"engine-{engine}"
+        return self.engines[engine].endpoint.ident if engine in self.engines else f"engine-{engine}"
 
     def ready(self, engine: int) -> bool:
-        return engine in self.engines and self.engines[engine].seat.life == Life.READY
+        return engine in self.engines and self.engines[engine].endpoint.life == Life.READY
 
     def send(
         self,
@@ -179,19 +186,19 @@
         ident: bytes,
         workload: bytes,
         statement: bytes,
-        expiry: float,
+        deadline: float,
         at_most_once: bool,
         at_send: Callable[[], SendTerms | None],
-    ) -> Trip:
-        trip = Trip(ident, workload, statement, expiry, at_send)
+    ) -> Attempt:
+        attempt = Attempt(ident, workload, statement, deadline, at_send)
         found = self.engines.get(engine)
-        connection = found.connection_for(trip, at_most_once) if found is not None else None
+        connection = found.connection_for(attempt, at_most_once) if found is not None else None
         if connection is None:
             self.counters.add("trips_not_sent")  # gone, or no descriptor left: no fault of the engine's
-            trip.done.callback(Outcome(Ending.MOOT))
+            attempt.done.callback(Outcome(Ending.MOOT))
         else:
-            connection.carry(trip)
-        return trip
+            connection.carry(attempt)
+        return attempt
 
     def write_held(self) -> None:
         """Hands over the trips whose terms did not let them leave at once."""
@@ -203,13 +210,13 @@
         finally:  # also after a fault at one of them
             self.held += waiting
 
-    def weigh(self, trip: Trip, rank: int) -> None:
-        if trip.connection is not None and trip.written and not trip.parts:
-            trip.connection.write(b"weigh", trip.ident, b"%d" % rank)
+    def weigh(self, attempt: Attempt, rank: int) -> None:
+        if attempt.connection is not None and attempt.written and not attempt.parts:
+            attempt.connection.write(b"weigh", attempt.ident, b"%d" % rank)
 
-    def give_up(self, trip: Trip, ending: Ending) -> None:
-        if trip.connection is not None:
-            trip.connection.give_up(trip, ending)
+    def give_up(self, attempt: Attempt, ending: Ending) -> None:
+        if attempt.connection is not None:
+            attempt.connection.give_up(attempt, ending)
 
     def sweep(self) -> None:
         self.closes_after = min(self.idle_after, self.closes_after * RELAX)
--- a/spurdeal/net/fields.py
+++ b/spurdeal/net/fields.py
@@ -7,7 +7,7 @@
 from .http import BadMessage
 
 IDENT = re.compile(rb"[0-9a-fA-F]{16}")
-MARK = re.compile(rb"[0-9a-zA-Z_.-]{1,64}")  # it goes on as it is, among fields parted by commas
+IDEMPOTENCY_KEY = re.compile(rb"[0-9a-zA-Z_.-]{1,64}")  # it goes on as it is, among fields parted by commas
 NUMBER = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,12})?")
 
 
--- a/spurdeal/net/link.py
+++ b/spurdeal/net/link.py
@@ -12,19 +12,19 @@
 from ..interface import NEVER_RAN, Deployment, Ending, EndReason, Life, Verdict
 from ..rules import Dispatcher
 from ..slow_start import StartTimes
-from .answers import COUNTED, Answer, BrokenOff, Delivered, Granted, Shed
+from .answers import COUNTED, Answer, Delivered, Failed, Granted, Shed
+from .attempts import Outcome, SendTerms
+from .batches import Turns
 from .counters import Counters
 from .engine_index import EngineIndex
-from .engine_list import Seat
+from .engine_list import Endpoint
 from .engines import Engines
 from .names import Asked
 from .ordered import OrderedArrivals
 from .request_log import RequestLog
-from .submissions import Carrier, EarlyWithdrawals, Guard, Taken, at_most_once
-from .trips import Outcome, SendTerms
-from .turns import Turns
+from .requests import EarlyWithdrawals, Guard, OpenRequest, Sender, at_most_once
 
-__all__ = ["Answer", "BrokenOff", "Delivered", "Granted", "Guard", "Shed", "Taken", "at_most_once"]
+__all__ = ["Answer", "Delivered", "Failed", "Granted", "Guard", "OpenRequest", "Shed", "at_most_once"]
 
 ANSWER_WAY = 40.0  # ms kept of a client's time for the answer's way back
 LEFT_LATE = 100.0  # ms after a client's leaving from which on an attempt of its counts as late
@@ -39,7 +39,7 @@
         self,
         site: Deployment,
         seed: int,
-        locations: Sequence[str],
+        zones: Sequence[str],
         kinds: Sequence[str],
         engines: Engines,
         reactor: Any,
@@ -51,15 +51,15 @@
         self.engines, engines.watch = engines, self.loop
         self.request_log = RequestLog(log, clock, counters)
         self.priorities, self.nobody = site.priorities, len(site.quotas)  # nobody: a customer without a share
-        self.taken: dict[int, Taken] = {}
-        self.by_ident: dict[bytes, Taken] = {}
-        self.still_out: dict[bytes, Taken] = {}  # answered, with a trip out: their ids are not free yet
+        self.open_requests: dict[int, OpenRequest] = {}
+        self.by_ident: dict[bytes, OpenRequest] = {}
+        self.still_out: dict[bytes, OpenRequest] = {}  # answered, with a trip out: their ids are not free yet
         self.withdrawn_early = EarlyWithdrawals()
         self.at_most_once = at_most_once(site)
         self.in_order = [workload.in_order for workload in site.workloads]
         self.ordered = OrderedArrivals(site.order_rest or 0.0)
-        self.index = EngineIndex(locations, kinds)
-        self.seats: dict[str, Seat] = {}
+        self.index = EngineIndex(zones, kinds)
+        self.endpoints: dict[str, Endpoint] = {}
         self.starts = StartTimes()
         self.numbers = count()
         self.until = float("inf")
@@ -82,18 +82,18 @@
         memory: float,
         group: int,
         statement: bytes,
-        carrier: Carrier | None = None,
+        sender: Sender | None = None,
         here: Callable[[], bool] = lambda: True,
-        customer: int | None = None,
+        tenant: int | None = None,
         key: int = 0,
-        mark: bytes = b"",
+        idempotency_key: bytes = b"",
     ) -> Deferred[Answer] | None:
         """A submission is taken; its Deferred brings the answer, and cancelling that withdraws it.
 
         None: one with this id is open, or was answered while a trip of it is still out."""
         if ident.lower() in self.by_ident or ident.lower() in self.still_out:
             return None
-        if carrier is None and self.withdrawn_early.forget(ident.lower(), self.clock()):
+        if sender is None and self.withdrawn_early.forget(ident.lower(), self.clock()):
             self.counters.add("taken")
             self.counters.add("withdrawn")
             return fail(CancelledError())
@@ -104,16 +104,25 @@
         now, number = self.clock(), next(self.numbers)
         if key and self.in_order[kind]:
             wait -= self.ordered.held_back(key, now, wait)
-        expiry = min(now + wait - ANSWER_WAY, self.until)
+        deadline = min(now + wait - ANSWER_WAY, self.until)
         answer: Deferred[Answer] = Deferred(lambda _: self.left(number))
-        taken = Taken(
-            number, kind, ident, workload, statement, expiry, answer, carrier or self.engines, here, mark
+        request = OpenRequest(
+            number,
+            kind,
+            ident,
+            workload,
+            statement,
+            deadline,
+            answer,
+            sender or self.engines,
+            here,
+            idempotency_key,
         )
-        self.taken[number] = self.by_ident[ident.lower()] = taken
+        self.open_requests[number] = self.by_ident[ident.lower()] = request
         self.counters.add("taken")
         self.counters.most("most_open", len(self.by_ident))
-        owner = self.nobody if customer is None else customer
-        self.gather(self.submit, number, kind, owner, key, now, expiry, cost, memory, group)
+        owner = self.nobody if tenant is None else tenant
+        self.gather(self.submit, number, kind, owner, key, now, deadline, cost, memory, group)
         return answer
 
     def submit(
@@ -121,59 +130,61 @@
         now: float,
         number: int,
         kind: int,
-        customer: int,
+        tenant: int,
         key: int,
         came: float,
-        expiry: float,
+        deadline: float,
         cost: float,
         memory: float,
         group: int,
     ) -> None:
         self.counters.most("longest_wait_for_a_turn_ms", now - came)
-        self.at(expiry, self.expire, number)
-        self.rules.submitted(now, number, kind, customer, key, expiry, cost, memory, group)
+        self.at(deadline, self.expire, number)
+        self.rules.submitted(now, number, kind, tenant, key, deadline, cost, memory, group)
 
     def left(self, number: int) -> None:
         """The client has gone, or has said that it waits no longer: no answer is owed."""
         self.counters.add("withdrawn")
-        taken = self.taken[number]
-        taken.client_left = True
-        self.concluded(taken)
+        request = self.open_requests[number]
+        request.client_left = True
+        self.concluded(request)
         if self.guard is not None:
-            self.guard.answered(taken, None)
-        self.gather(self.withdrawn, taken)
+            self.guard.answered(request, None)
+        self.gather(self.withdrawn, request)
 
-    def withdrawn(self, now: float, taken: Taken) -> None:
-        self.rules.withdrawn(now, taken.number)
-        self.drop(taken)
+    def withdrawn(self, now: float, request: OpenRequest) -> None:
+        self.rules.withdrawn(now, request.number)
+        self.drop(request)
 
     def withdraw(self, ident: bytes) -> bool:
         """By id. One that has not come yet (unread, or behind others) is remembered: it may still come."""
-        taken = self.by_ident.get(ident.lower())
-        if taken is not None:
-            taken.answer.cancel()
+        request = self.by_ident.get(ident.lower())
+        if request is not None:
+            request.answer.cancel()
         elif ident.lower() not in self.still_out:
             self.withdrawn_early.remember(ident.lower(), self.clock())
-        return taken is not None
+        return request is not None
 
-    def listed(self, seats: Mapping[str, Seat]) -> None:
+    def listed(self, endpoints: Mapping[str, Endpoint]) -> None:
         """The whole list. An engine's place goes with it: nothing outlives what is gone."""
-        began = self.starts.listed(self.clock(), {ident: seat.started for ident, seat in seats.items()})
-        told = {ident: seat._replace(started=began[ident]) for ident, seat in seats.items()}
+        began = self.starts.listed(
+            self.clock(), {ident: endpoint.started for ident, endpoint in endpoints.items()}
+        )
+        told = {ident: endpoint._replace(started=began[ident]) for ident, endpoint in endpoints.items()}
         if self.guard is not None:
-            told = {ident: self.guard.seat(seat) for ident, seat in told.items()}
-        lines = [self.index.line(ident, seat) for ident, seat in told.items()]
+            told = {ident: self.guard.endpoint(endpoint) for ident, endpoint in told.items()}
+        lines = [self.index.line(ident, endpoint) for ident, endpoint in told.items()]
         # Told first: what the engines' connections then give back must not be sent there again.
         self.gather(self.rules.listed, lines, True)
-        gone = {ident: seat._replace(life=Life.GONE) for ident, seat in self.seats.items()}
-        for ident, seat in (gone | dict(seats)).items():
-            self.guarded(self.engines.listed, self.index.place_of(ident), seat)
-            if seat.life == Life.GONE:
+        gone = {ident: endpoint._replace(life=Life.GONE) for ident, endpoint in self.endpoints.items()}
+        for ident, endpoint in (gone | dict(endpoints)).items():
+            self.guarded(self.engines.listed, self.index.place_of(ident), endpoint)
+            if endpoint.life == Life.GONE:
                 self.index.forget(ident)
-        self.request_log.states(self.seats, seats)
-        self.seats = dict(seats)
-        ready = sum(seat.life == Life.READY for seat in seats.values())
-        self.logger.info("listed", extra={"figures": {"engines": len(seats), "ready": ready}})
+        self.request_log.states(self.endpoints, endpoints)
+        self.endpoints = dict(endpoints)
+        ready = sum(endpoint.life == Life.READY for endpoint in endpoints.values())
+        self.logger.info("listed", extra={"figures": {"engines": len(endpoints), "ready": ready}})
 
     def list_confirmed(self) -> None:
         """The name service knows no newer list than the one in force."""
@@ -203,10 +214,10 @@
     def stop(self, until: float) -> None:
         """All that is taken, and what still comes, is answered by then."""
         self.until = until
-        for taken in self.taken.values():
-            if taken.expiry > until:
-                taken.expiry = until
-                self.at(until, self.expire, taken.number)
+        for request in self.open_requests.values():
+            if request.deadline > until:
+                request.deadline = until
+                self.at(until, self.expire, request.number)
         self.gather(self.rules.stopping, until)
 
     # The turn.
@@ -226,43 +237,43 @@
         self.engines.write_held()
 
     def expire(self, number: int) -> None:
-        taken = self.taken.get(number)
-        if taken is not None and taken.expiry <= self.clock():
-            for trip in list(taken.trips.values()):
-                taken.carrier.give_up(trip, Ending.TIME_OUT)
-            for waiting in list(taken.waiting):
-                self.never_sent(taken, waiting)
-            if not taken.answered:
+        request = self.open_requests.get(number)
+        if request is not None and request.deadline <= self.clock():
+            for attempt in list(request.attempts.values()):
+                request.sender.give_up(attempt, Ending.TIME_OUT)
+            for waiting in list(request.waiting):
+                self.never_sent(request, waiting)
+            if not request.answered:
                 self.at(self.clock() + OVERDUE, self.overdue, number)
 
     def overdue(self, number: int) -> None:
-        taken = self.taken.get(number)
-        if taken is not None and not self.counters.must(taken.answered, "answer_in_time"):
-            self.asked.append((self.conclude, (taken, BrokenOff())))
+        request = self.open_requests.get(number)
+        if request is not None and not self.counters.must(request.answered, "answer_in_time"):
+            self.asked.append((self.conclude, (request, Failed())))
             self.gather(self.rules.withdrawn, number)  # or they would go on with it
 
     # What the rules ask for: kept until their turn is over.
 
     def send(self, number: int, engine: int, time_limit: float) -> None:
-        taken = self.taken[number]
-        if taken.made:
-            self.request_log.retried(taken, taken.made, self.engines.name_of(engine))
-        self.asked.append((self.carry, (taken, taken.made, engine, time_limit)))
-        taken.made += 1
+        request = self.open_requests[number]
+        if request.made:
+            self.request_log.retried(request, request.made, self.engines.name_of(engine))
+        self.asked.append((self.carry, (request, request.made, engine, time_limit)))
+        request.made += 1
 
     def terms(self, number: int, memory: float, priority: int) -> None:
-        self.asked.append((self.weigh, (self.taken[number], priority)))
+        self.asked.append((self.weigh, (self.open_requests[number], priority)))
 
     def shed(self, number: int, come_back: float, reason: EndReason) -> None:
-        self.request_log.refused(self.taken[number], reason)
-        self.asked.append((self.conclude, (self.taken[number], Shed(come_back))))
+        self.request_log.refused(self.open_requests[number], reason)
+        self.asked.append((self.conclude, (self.open_requests[number], Shed(come_back))))
 
     def break_off(self, number: int, reason: EndReason) -> None:
-        self.request_log.aborted(self.taken[number], reason)
-        self.asked.append((self.conclude, (self.taken[number], BrokenOff())))
+        self.request_log.aborted(self.open_requests[number], reason)
+        self.asked.append((self.conclude, (self.open_requests[number], Failed())))
 
-    def call_off(self, number: int, trip: int) -> None:
-        self.asked.append((self.cancel, (number, trip)))
+    def call_off(self, number: int, attempt: int) -> None:
+        self.asked.append((self.cancel, (number, attempt)))
 
     def wake(self, delay: float, token: int) -> None:
         self.at(self.clock() + delay, self.gather, self.rules_woken, token)
@@ -281,71 +292,73 @@
 
     # Carrying out.
 
-    def carry(self, taken: Taken, trip: int, engine: int, time_limit: float) -> None:
+    def carry(self, request: OpenRequest, attempt: int, engine: int, time_limit: float) -> None:
         now = self.clock()
-        if taken.answered or not self.may_run_again(taken):
+        if request.answered or not self.may_run_again(request):
             # Its client left before this turn, or it was answered for want of time: it is not sent at all.
-            self.gather(self.ended, taken, trip, engine, now, Outcome(Ending.MOOT))
+            self.gather(self.ended, request, attempt, engine, now, Outcome(Ending.MOOT))
             return
         if self.guard is not None:
 
             def go(verdict: bool | None) -> None:
-                self.told(taken, trip, engine, time_limit, verdict)
+                self.told(request, attempt, engine, time_limit, verdict)
 
-            taken.waiting[trip] = engine
-            if not self.guard.before(taken, trip, go):
+            request.waiting[attempt] = engine
+            if not self.guard.before(request, attempt, go):
                 return
-            del taken.waiting[trip]
-        self.depart(taken, trip, engine, time_limit, now)
+            del request.waiting[attempt]
+        self.depart(request, attempt, engine, time_limit, now)
 
-    def may_run_again(self, taken: Taken) -> bool:
+    def may_run_again(self, request: OpenRequest) -> bool:
         """Whether another attempt can do no harm: what must not run twice has one out at most."""
-        alone = not self.at_most_once[taken.kind] or not (taken.trips or taken.waiting)
+        alone = not self.at_most_once[request.kind] or not (request.attempts or request.waiting)
         return self.counters.must(alone, "one_attempt_at_a_time")
 
-    def told(self, taken: Taken, trip: int, engine: int, time_limit: float, verdict: bool | None) -> None:
+    def told(
+        self, request: OpenRequest, attempt: int, engine: int, time_limit: float, verdict: bool | None
+    ) -> None:
         """The verdict on a trip that waited for one: sent, not sent, or (None) it may have run elsewhere."""
         now = self.clock()
-        if taken.waiting.pop(trip, None) is None:
+        if request.waiting.pop(attempt, None) is None:
             return
         if verdict is None:
-            self.conclude(taken, BrokenOff())
+            self.conclude(request, Failed())
         if verdict:
-            self.depart(taken, trip, engine, time_limit, now)
+            self.depart(request, attempt, engine, time_limit, now)
         else:
-            self.gather(self.ended, taken, trip, engine, now, Outcome(Ending.MOOT))
+            self.gather(self.ended, request, attempt, engine, now, Outcome(Ending.MOOT))
 
-    def depart(self, taken: Taken, trip: int, engine: int, time_limit: float, now: float) -> None:
-        if taken.carrier is self.engines and not self.engines.ready(engine):
+    def depart(self, request: OpenRequest, attempt: int, engine: int, time_limit: float, now: float) -> None:
+        if request.sender is self.engines and not self.engines.ready(engine):
             # A list came since the choice, maybe in this turn: there is no need to dial.
             self.counters.add("trips_overtaken")
-            self.gather(self.ended, taken, trip, engine, now, Outcome(Ending.MOOT))
+            self.gather(self.ended, request, attempt, engine, now, Outcome(Ending.MOOT))
             return
 
         agreed = False
 
         def at_send() -> SendTerms | None:
             nonlocal agreed
-            terms = self.send_terms(taken, trip, engine, time_limit, agreed)
+            terms = self.send_terms(request, attempt, engine, time_limit, agreed)
             agreed |= terms is not None
             return terms
 
-        out = taken.carrier.send(
+        out = request.sender.send(
             engine,
-            taken.ident,
-            taken.workload,
-            taken.statement,
-            taken.expiry,
-            self.at_most_once[taken.kind],
+            request.ident,
+            request.workload,
+            request.statement,
+            request.deadline,
+            self.at_most_once[request.kind],
             at_send,
         )
-        taken.trips[trip] = out
-        if taken.carrier is not self.engines and not out.done.called:
-            self.conclude(taken, Granted())
-        out.done.addCallback(self.came_back, taken, trip, engine, now)
+        request.attempts[attempt] = out
+        if request.sender is not self.engines and not out.done.called:
+            self.conclude(request, Granted())
+        out.done.addCallback(self.came_back, request, attempt, engine, now)
 
     def send_terms(
-        self, taken: Taken, trip: int, engine: int, time_limit: float, agreed: bool
+        self, request: OpenRequest, attempt: int, engine: int, time_limit: float, agreed: bool
     ) -> SendTerms | None:
         """The last look, as the first byte is about to leave: whatever came since the choice counts here.
 
@@ -353,109 +366,115 @@
         again (agreed) where the system took nothing of the attempt at first."""
         now = self.clock()
         if (
-            taken.answered
-            or not taken.carrier.ready(engine)
-            or not self.rules.may_send(now, taken.number, trip, engine)
+            request.answered
+            or not request.sender.ready(engine)
+            or not self.rules.may_send(now, request.number, attempt, engine)
         ):
             self.counters.add("trips_overtaken")
             return None
-        if not taken.here():
+        if not request.here():
             self.counters.add("trips_whose_client_left")
             return None
-        if self.guard is not None and not agreed and not self.guard.departs(taken, trip, engine):
+        if self.guard is not None and not agreed and not self.guard.departs(request, attempt, engine):
             return None
         if (age := now - (self.starts.current_at or now)) > UNCONFIRMED:
-            self.request_log.left_unconfirmed(taken, self.engines.name_of(engine), age)
-        wait = min(time_limit, taken.expiry - now) if time_limit else taken.expiry - now
+            self.request_log.left_unconfirmed(request, self.engines.name_of(engine), age)
+        wait = min(time_limit, request.deadline - now) if time_limit else request.deadline - now
         return SendTerms(
             wait,
-            taken.rank if self.priorities else None,
-            taken.mark,
+            request.rank if self.priorities else None,
+            request.idempotency_key,
             at_once=self.guard is None or not self.in_turn,  # a guard's records come first, see Guard.turned
-            taken=lambda: self.attempt_sent(taken, now),
+            taken=lambda: self.attempt_sent(request, now),
         )
 
-    def attempt_sent(self, taken: Taken, looked: float) -> None:
+    def attempt_sent(self, request: OpenRequest, looked: float) -> None:
         """The system has taken an attempt's last byte; the last look, at `looked`, still found its client.
 
         One whose client has left by now is counted, and as late where more than LEFT_LATE lies between: both
         are upper bounds, as it left at some time between. What has not arrived here by now is not seen."""
-        if taken.client_left or not (taken.answered or taken.here()):
+        if request.client_left or not (request.answered or request.here()):
             self.counters.add("attempts_after_client_left")
             self.counters.add("attempts_late_after_client_left", self.clock() - looked > LEFT_LATE)
 
-    def weigh(self, taken: Taken, priority: int) -> None:
-        taken.rank = priority
-        for trip in taken.trips.values():
-            taken.carrier.weigh(trip, priority)
+    def weigh(self, request: OpenRequest, priority: int) -> None:
+        request.rank = priority
+        for attempt in request.attempts.values():
+            request.sender.weigh(attempt, priority)
 
-    def cancel(self, number: int, trip: int) -> None:
-        if number in self.taken and trip in self.taken[number].trips:
+    def cancel(self, number: int, attempt: int) -> None:
+        if number in self.open_requests and attempt in self.open_requests[number].attempts:
             if self.guard is not None:
-                self.guard.called_off(self.taken[number], trip)
-            self.taken[number].carrier.give_up(self.taken[number].trips[trip], Ending.CALLED_OFF)
-        elif number in self.taken and trip in self.taken[number].waiting:
-            self.never_sent(self.taken[number], trip)
-
-    def never_sent(self, taken: Taken, trip: int) -> None:
+                self.guard.called_off(self.open_requests[number], attempt)
+            self.open_requests[number].sender.give_up(
+                self.open_requests[number].attempts[attempt], Ending.CALLED_OFF
+            )
+        elif number in self.open_requests and attempt in self.open_requests[number].waiting:
+            self.never_sent(self.open_requests[number], attempt)
+
+    def never_sent(self, request: OpenRequest, attempt: int) -> None:
         """A trip that waited for its verdict is given up: nothing ran."""
         assert self.guard is not None
-        self.guard.given_up(taken.number, trip)
-        engine = taken.waiting.pop(trip)
-        self.gather(self.ended, taken, trip, engine, self.clock(), Outcome(Ending.MOOT))
+        self.guard.given_up(request.number, attempt)
+        engine = request.waiting.pop(attempt)
+        self.gather(self.ended, request, attempt, engine, self.clock(), Outcome(Ending.MOOT))
 
-    def conclude(self, taken: Taken, answer: Answer) -> None:
-        if not taken.answered:
+    def conclude(self, request: OpenRequest, answer: Answer) -> None:
+        if not request.answered:
             self.counters.add(COUNTED[type(answer)])
-            self.concluded(taken)
+            self.concluded(request)
             if self.guard is not None:
-                self.guard.answered(taken, answer)
-            self.drop(taken)
-            taken.answer.callback(answer)
-
-    def concluded(self, taken: Taken) -> None:
-        taken.answered = True
-        del self.by_ident[taken.ident.lower()]
-        if taken.carrier is self.engines:  # what a caller carries is the door's to judge
-            self.still_out[taken.ident.lower()] = taken
-
-    def drop(self, taken: Taken) -> None:
-        if taken.answered and not taken.trips and not taken.waiting:
-            self.taken.pop(taken.number, None)
-            if self.still_out.get(taken.ident.lower()) is taken:
-                del self.still_out[taken.ident.lower()]
-
-    def came_back(self, outcome: Outcome, taken: Taken, trip: int, engine: int, sent: float) -> None:
+                self.guard.answered(request, answer)
+            self.drop(request)
+            request.answer.callback(answer)
+
+    def concluded(self, request: OpenRequest) -> None:
+        request.answered = True
+        del self.by_ident[request.ident.lower()]
+        if request.sender is self.engines:  # what a caller carries is the door's to judge
+            self.still_out[request.ident.lower()] = request
+
+    def drop(self, request: OpenRequest) -> None:
+        if request.answered and not request.attempts and not request.waiting:
+            self.open_requests.pop(request.number, None)
+            if self.still_out.get(request.ident.lower()) is request:
+                del self.still_out[request.ident.lower()]
+
+    def came_back(
+        self, outcome: Outcome, request: OpenRequest, attempt: int, engine: int, sent: float
+    ) -> None:
         self.counters.add("trips_" + outcome.ending.name.lower())
-        self.gather(self.ended, taken, trip, engine, sent, outcome)
+        self.gather(self.ended, request, attempt, engine, sent, outcome)
 
-    def ended(self, now: float, taken: Taken, trip: int, engine: int, sent: float, outcome: Outcome) -> None:
-        taken.trips.pop(trip, None)
-        taken.last_ending = outcome.ending
+    def ended(
+        self, now: float, request: OpenRequest, attempt: int, engine: int, sent: float, outcome: Outcome
+    ) -> None:
+        request.attempts.pop(attempt, None)
+        request.last_ending = outcome.ending
         delivered = outcome.ending == Ending.DELIVERED
-        if not delivered and self.at_most_once[taken.kind]:
+        if not delivered and self.at_most_once[request.kind]:
             server = self.engines.name_of(engine)
-            self.request_log.attempt_failed(taken, trip, server, outcome.ending, now - sent)
+            self.request_log.attempt_failed(request, attempt, server, outcome.ending, now - sent)
         if (
             self.guard is not None
-            and taken.answered
-            and taken.carrier is not self.engines
+            and request.answered
+            and request.sender is not self.engines
             and outcome.ending in NEVER_RAN
-            and not taken.trips
+            and not request.attempts
         ):
-            self.guard.never_ran(taken)
-        if delivered and not taken.answered:
-            self.asked.append((self.conclude, (taken, Delivered(outcome.pages))))
+            self.guard.never_ran(request)
+        if delivered and not request.answered:
+            self.asked.append((self.conclude, (request, Delivered(outcome.pages))))
         self.rules.ended(
             now,
-            taken.number,
-            trip,
+            request.number,
+            attempt,
             engine,
             outcome.ending,
             now - sent,
-            delivered or taken.answered,
+            delivered or request.answered,
             0.0,
             0.0,
             outcome.report,
         )
-        self.drop(taken)
+        self.drop(request)
--- a/spurdeal/net/names.py
+++ b/spurdeal/net/names.py
@@ -13,7 +13,7 @@
 from ..list_agreement import Agreement, judged
 from . import dns
 from .counters import Counters
-from .engine_list import Address, KnownList, Seat, answered_seats
+from .engine_list import Address, Endpoint, KnownList, answered_endpoints
 from .transient_errors import name_of
 
 SERVICE = "_api._tcp.svc.local"
@@ -86,12 +86,12 @@
         reactor: Any,
         address: Address,
         known: KnownList,
-        on_list: Callable[[dict[str, Seat]], None],
+        on_list: Callable[[dict[str, Endpoint]], None],
         counters: Counters,
         log: logging.Logger,
     ) -> None:
         self.reactor, self.address, self.on_list = reactor, address, on_list
-        self.agreement = Agreement.of(known.number, known.seats)
+        self.agreement = Agreement.of(known.number, known.endpoints)
         self.numbers_shared = self.is_brought = False
         self.last_read: ReadAnswer | None = None
         self.counters, self.log = counters, log
@@ -101,7 +101,7 @@
         self.missed = 0  # questions that have left since the one that was answered last
         self.next_question: Any = None  # the delayed call
         self.on_confirmed: Callable[[], None] = lambda: None
-        self.on_unchanged: Callable[[dict[str, Seat]], None] | None = None
+        self.on_unchanged: Callable[[dict[str, Endpoint]], None] | None = None
         self.on_closed: Callable[[], None] = lambda: None
         self.before_asking: Callable[[], None] = lambda: None
         self.on_asked: Callable[[float], Asked] = lambda _: Asked(0.0, 0.0)
@@ -231,7 +231,7 @@
         """The number of the last event that is in force."""
         return self.agreement.number
 
-    def put_in_force(self, agreement: Agreement[Seat], question: Question) -> None:
+    def put_in_force(self, agreement: Agreement[Endpoint], question: Question) -> None:
         """Passes a list on; one that could not be taken is asked for again."""
         before, self.agreement = self.agreement, agreement
         figures = {
@@ -249,7 +249,7 @@
 
     def take_known(self, known: KnownList) -> None:
         """A list from elsewhere is in force: from a configuration that was read again, or from a peer."""
-        self.agreement = Agreement.of(known.number, known.seats)
+        self.agreement = Agreement.of(known.number, known.endpoints)
 
     def note_contradiction(self, serial: int, question: Question) -> None:
         """Tells of an answer with an older list than the one in force."""
@@ -309,7 +309,9 @@
             serial, services, addresses, texts = answer
             if serial is None:
                 raise dns.BadDatagram("no serial")
-            self.last_read = ReadAnswer(body, KnownList(serial, answered_seats(services, addresses, texts)))
+            self.last_read = ReadAnswer(
+                body, KnownList(serial, answered_endpoints(services, addresses, texts))
+            )
         else:
             del self.open_questions[ident]
         return self.last_read.told
@@ -323,12 +325,12 @@
         verdict = Verdict.CONFIRMED
         if told.number > self.number:
             verdict = Verdict.NEWER
-            self.put_in_force(Agreement.of(told.number, told.seats), question)
+            self.put_in_force(Agreement.of(told.number, told.endpoints), question)
             self.is_brought = False
         elif told.number == self.number:
             self.on_confirmed()
             if self.on_unchanged is not None:
-                self.on_unchanged(told.seats)
+                self.on_unchanged(told.endpoints)
         elif not self.is_brought:
             self.note_contradiction(told.number, question)
             return
@@ -337,7 +339,7 @@
     def take_list(self, told: KnownList, question: Question) -> None:
         """Puts a list in force, or counts the answer for or against the one that is."""
         now = question.asked.at + (self.reactor.seconds() - question.left_at) * 1000
-        found = judged(self.agreement, told.number, told.seats, question.asked.at, now)
+        found = judged(self.agreement, told.number, told.endpoints, question.asked.at, now)
         self.counters.add(f"lists_{found.verdict.name.lower()}")
         if found.verdict is Verdict.OLDER:
             self.note_contradiction(told.number, question)
--- a/spurdeal/net/request_log.py
+++ b/spurdeal/net/request_log.py
@@ -7,9 +7,9 @@
 
 from ..interface import Ending, EndReason, Life
 from .counters import Counters
-from .engine_list import Seat
+from .engine_list import Endpoint
 from .limited_log import LimitedLog
-from .submissions import Taken
+from .requests import OpenRequest
 
 
 class RequestLog:
@@ -23,22 +23,26 @@
         self.lines = LimitedLog(log, clock)
         self.counters = counters
 
-    def refused(self, request: Taken, reason: EndReason) -> None:
+    def refused(self, request: OpenRequest, reason: EndReason) -> None:
         """A request is answered with a promise that a repeat is harmless."""
         self.ended("request_refused", request, reason)
 
-    def aborted(self, request: Taken, reason: EndReason) -> None:
+    def aborted(self, request: OpenRequest, reason: EndReason) -> None:
         """A request is answered as failed: it may have run."""
         self.ended("request_aborted", request, reason)
 
-    def ended(self, event: str, request: Taken, reason: EndReason) -> None:
+    def ended(self, event: str, request: OpenRequest, reason: EndReason) -> None:
         """A request that is still open ends without a result."""
         if request.answered:
             return
         self.counters.add(f"{event}_{reason}")
-        self.lines.write(event, **self.figures(request), reason=str(reason), attempts_out=len(request.trips))
+        self.lines.write(
+            event, **self.figures(request), reason=str(reason), attempts_out=len(request.attempts)
+        )
 
-    def attempt_failed(self, request: Taken, attempt: int, server: str, ending: Ending, took: float) -> None:
+    def attempt_failed(
+        self, request: OpenRequest, attempt: int, server: str, ending: Ending, took: float
+    ) -> None:
         """An attempt of a request that must not run twice ended without a result."""
         self.lines.write(
             "attempt_failed",
@@ -49,7 +53,7 @@
             took_ms=took,
         )
 
-    def retried(self, request: Taken, attempt: int, server: str) -> None:
+    def retried(self, request: OpenRequest, attempt: int, server: str) -> None:
         """A further attempt of a request is about to be sent."""
         self.counters.add("attempts_further")
         before = "none" if request.last_ending is None else request.last_ending.name.lower()
@@ -59,17 +63,17 @@
             attempt=attempt,
             server=server,
             before=before,
-            attempts_out=len(request.trips),
+            attempts_out=len(request.attempts),
         )
 
-    def left_unconfirmed(self, request: Taken, server: str, age: float) -> None:
+    def left_unconfirmed(self, request: OpenRequest, server: str, age: float) -> None:
         """An attempt leaves by a list that was not confirmed for long."""
         self.counters.add("attempts_on_unconfirmed_list")
         self.lines.write(
             "attempt_on_unconfirmed_list", **self.figures(request), server=server, list_age_ms=age
         )
 
-    def states(self, before: Mapping[str, Seat], after: Mapping[str, Seat]) -> None:
+    def states(self, before: Mapping[str, Endpoint], after: Mapping[str, Endpoint]) -> None:
         """A new list of engines is in force."""
         for ident in before.keys() | after.keys():
             old, new = state_of(before.get(ident)), state_of(after.get(ident))
@@ -78,7 +82,7 @@
                 started = started_of(after.get(ident))
                 self.lines.write("server_state", server=ident, before=old, after=new, started_unix_ms=started)
 
-    def figures(self, request: Taken) -> dict[str, object]:
+    def figures(self, request: OpenRequest) -> dict[str, object]:
         """What each line of a request tells."""
         return {
             "id": request.ident.decode("ascii", "replace"),
@@ -86,11 +90,11 @@
         }
 
 
-def state_of(seat: Seat | None) -> str:
+def state_of(endpoint: Endpoint | None) -> str:
     """The state's name; an engine that is not in the list is gone."""
-    return (Life.GONE if seat is None else seat.life).name.lower()
+    return (Life.GONE if endpoint is None else endpoint.life).name.lower()
 
 
-def started_of(seat: Seat | None) -> float:
+def started_of(endpoint: Endpoint | None) -> float:
     """The engine's start as the list tells it; 0 for long ago, or for none."""
-    return 0.0 if seat is None else seat.started
+    return 0.0 if endpoint is None else endpoint.started
--- a/spurdeal/net/submissions.py
+++ b/spurdeal/net/requests.py
@@ -10,8 +10,8 @@
 
 from ..interface import Deployment, Effect, Ending, Reach
 from .answers import Answer
-from .engine_list import Seat
-from .trips import Outcome, SendTerms
+from .attempts import Outcome, SendTerms
+from .engine_list import Endpoint
 
 MOST_EARLY, EARLY_KEPT = 256, 5000.0  # ids withdrawn before their call came, and ms for which it may come
 
@@ -19,18 +19,18 @@
 def at_most_once(site: Deployment) -> tuple[bool, ...]:
     """By workload: whether it must not run twice, also where it comes again by another way."""
     return tuple(
-        w.effect == Effect.IRREVERSIBLE or (w.effect == Effect.LABELLED and w.reach != Reach.ALL)
+        w.effect == Effect.NON_IDEMPOTENT or (w.effect == Effect.IDEMPOTENT_BY_KEY and w.reach != Reach.ALL)
         for w in site.workloads
     )
 
 
-class Carried(Protocol):
+class PendingAttempt(Protocol):
     """One trip in a carrier's hands; its Deferred brings the outcome exactly once."""
 
     done: Deferred[Outcome]
 
 
-class Carrier(Protocol):
+class Sender(Protocol):
     """Who carries trips: our own connections to the engines, or callers that are told where to send."""
 
     def ready(self, engine: int) -> bool: ...
@@ -41,15 +41,15 @@
         ident: bytes,
         workload: bytes,
         statement: bytes,
-        expiry: float,
+        deadline: float,
         at_most_once: bool,
         at_send: Callable[[], SendTerms | None],
-    ) -> Carried:
+    ) -> PendingAttempt:
         """at_most_once: a doubtful end would be final. at_send is asked as the first byte is about to leave,
         again where the system took none; with None nothing leaves, and the trip ends as MOOT."""
 
-    def weigh(self, trip: Any, rank: int) -> None: ...
-    def give_up(self, trip: Any, ending: Ending) -> None: ...
+    def weigh(self, attempt: Any, rank: int) -> None: ...
+    def give_up(self, attempt: Any, ending: Ending) -> None: ...
 
 
 class Guard(Protocol):
@@ -62,22 +62,22 @@
     def door(self, kind: int, ident: bytes) -> Answer | None:
         """An answer at once, where the submission may have run elsewhere or cannot be guarded."""
 
-    def before(self, taken: Taken, trip: int, go: Callable[[bool | None], None]) -> bool:
+    def before(self, request: OpenRequest, attempt: int, go: Callable[[bool | None], None]) -> bool:
         """A trip is about to be sent. False: go() is called with the verdict, later."""
 
-    def never_ran(self, taken: Taken) -> None:
+    def never_ran(self, request: OpenRequest) -> None:
         """It was granted, and the caller has shown that nothing ran."""
 
-    def given_up(self, number: int, trip: int) -> None:
+    def given_up(self, number: int, attempt: int) -> None:
         """A trip that waits for its verdict is not to be sent any more."""
 
-    def answered(self, taken: Taken, answer: Answer | None) -> None:
+    def answered(self, request: OpenRequest, answer: Answer | None) -> None:
         """The answer has left, or the client (None)."""
 
-    def departs(self, taken: Taken, trip: int, engine: int) -> bool:
+    def departs(self, request: OpenRequest, attempt: int, engine: int) -> bool:
         """A trip is about to be sent to an engine; False: not now, and nothing of it has run."""
 
-    def called_off(self, taken: Taken, trip: int) -> None:
+    def called_off(self, request: OpenRequest, attempt: int) -> None:
         """A trip that is out is being called off."""
 
     def said(self, line: str) -> None:
@@ -86,12 +86,12 @@
     def turned(self) -> None:
         """A turn is over; what it has sent leaves after this."""
 
-    def seat(self, seat: Seat) -> Seat:
+    def endpoint(self, endpoint: Endpoint) -> Endpoint:
         """The seat as the rules are to see it."""
 
 
 @dataclass(slots=True, eq=False)
-class Taken:
+class OpenRequest:
     """A submission as the link carries it, until it is answered and none of its trips is out."""
 
     number: int
@@ -99,16 +99,16 @@
     ident: bytes
     workload: bytes
     statement: bytes
-    expiry: float
+    deadline: float
     answer: Deferred[Answer]
-    carrier: Carrier
+    sender: Sender
     here: Callable[[], bool]  # whether its client's connection is still open, where that can be seen
-    mark: bytes  # by which engines know a repeat
+    idempotency_key: bytes  # by which engines know a repeat
     answered: bool = False
     client_left: bool = False  # it ended its connection, or withdrew the submission
     rank: int | None = None
     made: int = 0
-    trips: dict[int, Carried] = field(default_factory=dict)
+    attempts: dict[int, PendingAttempt] = field(default_factory=dict)
     waiting: dict[int, int] = field(default_factory=dict)  # trips with no verdict yet, and engines
     last_ending: Ending | None = None  # of the trip that ended last
 
--- a/spurdeal/net/service.py
+++ b/spurdeal/net/service.py
@@ -64,7 +64,7 @@
         self.link = SocketLink(
             configuration.site,
             configuration.seed,
-            configuration.locations,
+            configuration.zones,
             configuration.kinds,
             self.engines,
             reactor,
@@ -73,7 +73,7 @@
             log,
         )
         self.clients = Clients(
-            self.link, configuration.workloads, configuration.customers, clock, self.counters, log
+            self.link, configuration.workloads, configuration.tenants, clock, self.counters, log
         )
         self.clients.held_elsewhere = self.held_elsewhere
         self.bound(configuration)
@@ -89,14 +89,14 @@
         self.names.on_asked = self.link.list_asked
         self.names.on_answered = self.link.list_answered
         self.discovery = DiscoverySocket(self.names, reactor, configuration.host, self.counters, log)
-        self.seats = configuration.known.seats
+        self.endpoints = configuration.known.endpoints
         self.wall_clock = WallClockWatch(wall_clock, monotonic_ms, self.counters, log)
         self.retry: Any = None
         self.sweeping = LoopingCall(self.sweep)
         self.sweeping.clock = reactor
         self.stopped_at = 0.0
         self.may_leave = False
-        longest = min(KILL_MOST, max(workload.expiry for workload in configuration.site.workloads))
+        longest = min(KILL_MOST, max(workload.deadline for workload in configuration.site.workloads))
         self.stop_within = longest + KILL_AFTER - KILL_MARGIN
 
     def held_elsewhere(self) -> int:
@@ -109,7 +109,7 @@
         self.engines.bound(
             configuration.connect_within,
             configuration.idle_after,
-            configuration.trips_a_connection,
+            configuration.attempts_per_connection,
             self.budget.engines,
             configuration.site.drain_grace,
         )
@@ -169,7 +169,7 @@
 
     def take_list(self, known: KnownList) -> None:
         """Noted as in force once it is: else the name service's next answer tells it again."""
-        self.link.listed(known.seats)
+        self.link.listed(known.endpoints)
         self.names.take_known(known)
 
     def start(self) -> None:
@@ -186,7 +186,7 @@
         self.clients.admit()
         self.link.list_known(self.configured_at)
         self.discovery.open()
-        self.link.listed(self.seats)
+        self.link.listed(self.endpoints)
         self.clients.ready = True
         self.sweeping.start(SWEEP_EVERY, now=False)
         self.log.info(
@@ -196,7 +196,7 @@
                     "name": self.configuration.name,
                     "listen": self.configuration.host,
                     "port": self.configuration.port,
-                    "engines": len(self.seats),
+                    "engines": len(self.endpoints),
                     "list_number": self.names.number,
                     "clients_most": self.budget.clients,
                     "engine_connections_most": self.budget.engines,
