--- a/spurdeal/rules.py
+++ b/spurdeal/rules.py
@@ -47,19 +47,19 @@
 GHOST = 0.5  # where work cannot be stopped, a timed-out trip counts on, for this part of its time
 STRIKES, STRIKE_LOST, STRIKE_ERROR, STRIKE_RESET, ASIDE, ASIDE_RANDOM = 3.0, 1.5, 1.0, 0.5, 3000.0, 3000.0
 STANDS, LOST_DUE, LOST_LEAST, LOST_NOTES = 3.0, 10.0, 2500.0, 2.5  # in its due, ms, gaps between notes
-SILENCE, SILENCE_OF_DUE, SILENT_TRIPS = 2000.0, 4.0, 3
+SILENCE, SILENCE_OF_DUE, SILENT_ATTEMPTS = 2000.0, 4.0, 3
 COLD_MARGIN, CAPACITY_SHARE, SPEED_FLOOR = 0.5, 0.85, 0.8  # of our share of what a cold engine bears
 COLD_GRAIN = 0.1  # of all dispatchers' budget: work so light may go there by chance
 COLD_SAMPLES = 30  # in a workload's mean work
 FURTHER_EACH, FURTHER_SUCCESS, FURTHER_MOST = 0.05, 0.25, 30.0  # credit for further trips
 MOST_UNSENT = 3  # trips that never left and count for none: a way that stays shut is not tried for ever
 REPEAT_MARGIN = 1.0  # ms, for the way of a labelled one's repeat
-LAST_MOMENT, LATE_WORTH_IT, TOO_LATE, CROWDED = 2 * TICK, 0.25, 1.5, 0.9  # ms, utility, agreed time, ways in
+LAST_MOMENT, MIN_LATE_VALUE, TOO_LATE, CROWDED = 2 * TICK, 0.25, 1.5, 0.9  # ms, value, objective, ways in
 CHEAP_PRIORITY, HEAVY_PRIORITY, GRANT = 3, 1, 1.35  # the grant is in the estimate of memory
 
 
-Submission: TypeAlias = "state.Submission[Engine]"
-Trip: TypeAlias = "state.Trip[Engine]"
+Request: TypeAlias = "state.Request[Engine]"
+Attempt: TypeAlias = "state.Attempt[Engine]"
 
 
 def pooled(pace: Histogram, middle: float) -> float:
@@ -72,7 +72,7 @@
 
     def __init__(self, line: Listed, cores: tuple[int, ...], now: float) -> None:
         self.number, self.line, self.cores = line.engine, line, cores[line.kind % len(cores)]
-        self.out: dict[tuple[int, int], Trip] = {}
+        self.out: dict[tuple[int, int], Attempt] = {}
         self.threads, self.overdue, self.answered, self.luck = 0, 0, now, 1.0
         self.aside_until, self.struck, self.trial = 0.0, 0.0, False
         self.cold_sends, self.ghosts = deque[tuple[float, float]](), deque[tuple[float, int]]()
@@ -89,11 +89,11 @@
         self.served = self.served_before = self.work = self.work_before = self.most = self.errors = 0.0
         self.pace, self.slowness, self.strikes, self.pressed_until = Histogram(PACE_EDGES), 1.0, 0.0, 0.0
 
-    def stand(self, trip: Trip, stands: bool) -> None:
+    def stand(self, attempt: Attempt, stands: bool) -> None:
         """A trip that waits for a load holds no core: it leaves the own threads until it runs."""
-        if stands != trip.stands:
-            trip.stands = stands
-            self.threads += -trip.submission.workload.threads if stands else trip.submission.workload.threads
+        if stands != attempt.stands:
+            attempt.stands = stands
+            self.threads += -attempt.request.workload.threads if stands else attempt.request.workload.threads
 
     def room(self) -> float:
         return self.bound - self.threads - self.errors
@@ -127,24 +127,28 @@
         self.widest = float(max(workload.threads for workload in site.workloads))
         self.spare = 0.0 if site.pages else SPARE * self.widest  # what lets all in has no room for chance
         self.quotas = [quota * self.share / 1000 for quota in site.quotas]
-        self.credit, self.over_share = [quota * 1000 for quota in self.quotas], site.over_share_utility
-        self.most_trips, self.may_call_off, self.ways_in = site.most_trips, site.may_call_off, site.most_open
+        self.credit, self.over_share = [quota * 1000 for quota in self.quotas], site.over_share_value
+        self.max_attempts, self.may_call_off, self.ways_in = (
+            site.max_attempts,
+            site.may_call_off,
+            site.most_open,
+        )
         self.notes, self.pages, self.grant = site.notes_every, site.pages, GRANT if site.grants else 0.0
         self.cold_for, self.cold_window, self.come_back = site.cold_for, site.cold_window, site.most_come_back
         cold_capacity = site.cold_multiple * site.cold_share * CAPACITY_SHARE * SPEED_FLOOR
         self.cold_whole = cold_capacity * site.cold_window * COLD_MARGIN
         self.cold_budget = self.cold_whole * self.share
-        self.cold_work = [RunningMean(max(1.0, w.agreed / 4), COLD_SAMPLES) for w in site.workloads]
+        self.cold_work = [RunningMean(max(1.0, w.objective / 4), COLD_SAMPLES) for w in site.workloads]
         self.light = COLD_GRAIN * self.cold_whole
         self.heavy = COLD_GRAIN * self.cold_whole / COLD_MARGIN * min(self.cores)
         self.order_rest, self.further_window = site.order_rest or 0.0, site.further_window or 0.0
         self.further_free = site.further_free or 0.0 if site.further_window else float("inf")
         self.further_share, self.further_won = site.further_share or 0.0, Histogram((0.5, 1.5))
-        self.taken_times, self.further_times, self.held = deque[float](), deque[float](), list[Submission]()
-        self.engines, self.open, self.ready = dict[int, Engine](), dict[int, Submission](), list[Engine]()
+        self.taken_times, self.further_times, self.held = deque[float](), deque[float](), list[Request]()
+        self.engines, self.open, self.ready = dict[int, Engine](), dict[int, Request](), list[Engine]()
         self.promised: Engine | None = None
         self.freshness, self.list_followed = ListFreshness(site.drain_grace), True
-        self.lines, self.rests = dict[int, deque[Submission]](), dict[int, float]()
+        self.lines, self.rests = dict[int, deque[Request]](), dict[int, float]()
         self.usual, self.best = [0.0 for _ in site.workloads], [1.0 for _ in site.workloads]
         self.paces, self.pace = [Histogram(PACE_EDGES) for _ in site.workloads], Histogram(PACE_EDGES)
         self.middle, self.pressed_until, self.next_interval = 1.0, 0.0, now + INTERVAL
@@ -152,7 +156,7 @@
         self.calmest, self.pressing, self.demand = 0.0, PRESSURE * PRESSURE, 0.0
         self.asked, self.asked_in = 0.0, 0.0
         admission = (self.duty_stage, self.share_stage, self.order_stage)
-        self.chain = (*admission, self.line_stage, self.choice_stage, self.trip_stage)
+        self.chain = (*admission, self.line_stage, self.choice_stage, self.attempt_stage)
         link.wake(TICK, WAKE_TICK)
         if not site.list_pushed:
             link.watch()
@@ -178,7 +182,7 @@
         """A planned restart: whatever is taken, now or later, is answered by then."""
         self.now, self.until = now, until
         for s in self.open.values():
-            s.expiry = min(s.expiry, until)
+            s.deadline = min(s.deadline, until)
 
     def tenured(self, now: float, cold: float, start: float) -> None:
         """Dispatchers that stand in for one another: our parts, of all, of cold budgets and of the start of
@@ -219,9 +223,9 @@
         now: float,
         number: int,
         kind: int,
-        customer: int,
+        tenant: int,
         key: int,
-        expiry: float,
+        deadline: float,
         cost: float,
         memory: float,
         group: int,
@@ -230,14 +234,14 @@
         w, usual, estimated = self.workloads[kind], self.usual[kind], cost > 0
         charge = self.cold_work[kind].add(cost) if estimated else self.cold_work[kind].value
         charge = max(charge, cost) if cost > self.heavy else charge
-        cost = cost or usual or w.agreed / 4
+        cost = cost or usual or w.objective / 4
         self.usual[kind] = usual + (cost - usual) / 30 if usual else cost
         due = cost / w.threads * self.best[kind]
         cheap = w.threads == 1 and cost <= CHEAP_MARK * min(usual or cost for usual in self.usual)
-        key, expiry = key if w.in_order else 0, min(expiry, self.until)
-        agreed = now + w.agreed + w.stretch * due
-        s: Submission = state.Submission(
-            number, kind, customer, key, expiry, cost, memory, group, now, w, due, agreed, w.utility, cheap
+        key, deadline = key if w.in_order else 0, min(deadline, self.until)
+        objective = now + w.objective + w.stretch * due
+        s: Request = state.Request(
+            number, kind, tenant, key, deadline, cost, memory, group, now, w, due, objective, w.value, cheap
         )
         s.charge, s.estimated = charge, estimated
         self.open[number] = s
@@ -247,28 +251,28 @@
         self.further_credit = min(FURTHER_MOST, credit)
         self.pass_on(s)
 
-    def pass_on(self, s: Submission, first: int = 0) -> bool:
+    def pass_on(self, s: Request, first: int = 0) -> bool:
         return all(stage(s) for stage in self.chain[first:])
 
-    def duty_stage(self, s: Submission) -> bool:
-        if self.now >= s.expiry - LAST_MOMENT:
+    def duty_stage(self, s: Request) -> bool:
+        if self.now >= s.deadline - LAST_MOMENT:
             self.end(s, EndReason.NO_TIME)
         return not s.over
 
-    def share_stage(self, s: Submission) -> bool:
+    def share_stage(self, s: Request) -> bool:
         """A customer beyond its share is not shed for that: what it sends weighs less in the held line."""
-        if s.customer < len(self.quotas) and self.credit[s.customer] < 1.0:
-            s.utility, s.cheap = s.utility * self.over_share, False
-        elif s.customer < len(self.quotas):
-            self.credit[s.customer] -= 1.0
+        if s.tenant < len(self.quotas) and self.credit[s.tenant] < 1.0:
+            s.value, s.cheap = s.value * self.over_share, False
+        elif s.tenant < len(self.quotas):
+            self.credit[s.tenant] -= 1.0
         return True
 
-    def order_stage(self, s: Submission) -> bool:
+    def order_stage(self, s: Request) -> bool:
         if s.key:
             self.lines.setdefault(s.key, deque()).append(s)
         return True
 
-    def line_stage(self, s: Submission) -> bool:
+    def line_stage(self, s: Request) -> bool:
         """Cheap ones pass the held line; the others stand in it by aged cost per utility."""
         s.rank = self.rank(s)
         if s.cheap or not self.held:
@@ -277,53 +281,53 @@
             insort(self.held, s, key=lambda held: held.rank)
         return s.engine is not None
 
-    def rank(self, s: Submission) -> tuple[float, int]:
+    def rank(self, s: Request) -> tuple[float, int]:
         """Cost per utility, aged; one that will be late has lost utility, and its age."""
-        utility = s.utility * (s.workload.late_utility if s.late else 1.0)
-        return self.now + COST_WEIGHT * s.due * s.workload.threads / max(1e-6, utility), s.number
+        value = s.value * (s.workload.late_value if s.late else 1.0)
+        return self.now + COST_WEIGHT * s.due * s.workload.threads / max(1e-6, value), s.number
 
-    def choice_stage(self, s: Submission) -> bool:
+    def choice_stage(self, s: Request) -> bool:
         s.engine = s.engine or self.choose(s, fewest=False)
         return s.engine is not None
 
-    def trip_stage(self, s: Submission) -> bool:
+    def attempt_stage(self, s: Request) -> bool:
         engine = s.engine
         assert engine is not None
-        trip = state.Trip(s, s.made, engine, self.now, self.now, engine.line.started)
-        s.out[s.made] = engine.out[s.number, s.made] = trip
+        attempt = state.Attempt(s, s.made, engine, self.now, self.now, engine.line.started)
+        s.out[s.made] = engine.out[s.number, s.made] = attempt
         s.made, s.engine = s.made + 1, None
         engine.threads += s.workload.threads
         engine.most = max(engine.most, engine.threads)
-        if trip.number > s.unsent:
+        if attempt.number > s.unsent:
             self.further_times.append(self.now)
             self.further_credit -= 1.0
         elif self.priorities or self.grant:
             self.link.terms(s.number, self.grant * s.memory, CHEAP_PRIORITY if s.cheap else HEAVY_PRIORITY)
         if engine.warm_at > self.now:
-            trip.cold = s.charge
-            engine.cold_sends.append((self.now, trip.cold))
-            engine.cold_spent += trip.cold
+            attempt.cold = s.charge
+            engine.cold_sends.append((self.now, attempt.cold))
+            engine.cold_spent += attempt.cold
         engine.answered = engine.answered if len(engine.out) > 1 else self.now
         self.link.send(s.number, engine.number, 0.0)
         return True
 
-    def may_send(self, now: float, number: int, trip: int, engine: int) -> bool:
+    def may_send(self, now: float, number: int, attempt: int, engine: int) -> bool:
         """The last look, where a trip's first byte leaves later than its choice: dialled for, or held up.
 
         Covers what came between: a list, a restart, a repeat's end of window, a cold start, the client's
         leaving, a planned stop. It could only harm where the way is so slow that each look comes too late."""
         self.now, e = now, self.engines.get(engine)
-        t = e.out.get((number, trip)) if e is not None else None
+        t = e.out.get((number, attempt)) if e is not None else None
         if (
             e is None
             or t is None
             or t.called_off
-            or t.submission.over
-            or now >= t.submission.expiry
+            or t.request.over
+            or now >= t.request.deadline
             or e.line.life != Life.READY
             or not self.freshness.followed(now)
             or e.line.started != t.started
-            or not self.may_repeat(t.submission)
+            or not self.may_repeat(t.request)
             or (now < e.warm_at and not t.cold)
         ):
             return False
@@ -332,17 +336,17 @@
             e.cold_sends.append((now, t.cold))
         return True
 
-    def may_repeat(self, s: Submission) -> bool:
+    def may_repeat(self, s: Request) -> bool:
         """Rule 2 for labelled ones: a repeat leaves while the first that may have run is still known."""
         return (
             s.ran is None
-            or s.workload.effect != Effect.LABELLED
+            or s.workload.effect != Effect.IDEMPOTENT_BY_KEY
             or self.now < s.ran.sent + s.workload.known_for - REPEAT_MARGIN
         )
 
     def turn(self, now: float) -> None:
         """Held ones leave, lowest aged cost per utility first, each to the engine with most room."""
-        self.now, self.promised, kept, ripe = now, None, list[Submission](), False
+        self.now, self.promised, kept, ripe = now, None, list[Request](), False
         doubt = self.freshness.doubt(now)
         if self.list_followed != (doubt is None):
             self.list_followed = doubt is None
@@ -364,7 +368,7 @@
 
     # The choice of engine, with its guards and the bound.
 
-    def choose(self, s: Submission, fewest: bool) -> Engine | None:
+    def choose(self, s: Request, fewest: bool) -> Engine | None:
         if not self.in_turn(s) or (s.made > s.unsent and not self.may_go_further()):
             return None
         if not self.freshness.followed(self.now):
@@ -399,24 +403,24 @@
         two = best[:2] if best and best[0].bound < w.threads else best[:1]
         return min((self.chance.pick(best) for _ in two), key=lambda e: e.slowness, default=None)
 
-    def in_turn(self, s: Submission) -> bool:
+    def in_turn(self, s: Request) -> bool:
         """Rule 5: those of one key run one at a time, in the order taken, and rest after a doubtful end."""
         return not s.key or (self.lines[s.key][0] is s and self.now >= self.rests.get(s.key, 0.0))
 
-    def allowed(self, s: Submission) -> list[Engine]:
+    def allowed(self, s: Request) -> list[Engine]:
         """Rules 2, 3, 4 and 6, and health: where this submission may go now."""
-        w, now, ran = s.workload, self.now, s.ran if s.workload.effect == Effect.LABELLED else None
+        w, now, ran = s.workload, self.now, s.ran if s.workload.effect == Effect.IDEMPOTENT_BY_KEY else None
         if not self.may_repeat(s):
             return []
         return [
             e
             for e in self.ready
             if now >= e.aside_until
-            and not (e.trial and (e.out or w.effect != Effect.REDOABLE))
+            and not (e.trial and (e.out or w.effect != Effect.IDEMPOTENT))
             and (now >= e.warm_at or self.bears(e, s.charge))
-            and (w.locations is None or e.line.location in w.locations)
+            and (w.zones is None or e.line.zone in w.zones)
             and (w.kinds is None or e.line.kind in w.kinds)
-            and not (ran and w.reach == Reach.LOCATION and e.line.location != ran.engine.line.location)
+            and not (ran and w.reach == Reach.ZONE and e.line.zone != ran.engine.line.zone)
             and not (ran and w.reach == Reach.CELL and e.line.cell != ran.engine.line.cell)
         ]
 
@@ -448,7 +452,7 @@
     def stands(self, engine: Engine, group: int) -> bool:
         """A load of ours holds that group of tables there, or one of ours stands still behind another's."""
         return any(
-            t.submission.group == group and (t.submission.workload.holds_tables or t.stands)
+            t.request.group == group and (t.request.workload.holds_tables or t.stands)
             for t in engine.out.values()
         )
 
@@ -469,7 +473,7 @@
         self,
         now: float,
         number: int,
-        trip: int,
+        attempt: int,
         engine: int,
         ending: Ending,
         took: float,
@@ -479,10 +483,10 @@
         report: Sequence[float],
     ) -> None:
         self.now, e = now, self.engines[engine]
-        t = e.out.pop((number, trip))
-        s = t.submission
+        t = e.out.pop((number, attempt))
+        s = t.request
         e.stand(t, False)
-        del s.out[trip]
+        del s.out[attempt]
         if ending == Ending.TIME_OUT and not self.may_call_off:
             # Its work runs on unseen; counted as gone, it lets a jam grow (slow engine, paging, lost answer).
             e.ghosts.append((now + GHOST * took, s.workload.threads))
@@ -491,7 +495,7 @@
         if ending not in NEVER_RAN:
             s.ran = s.ran or state.Ran(t.sent, e)
         s.unsent += ending in (Ending.MOOT, Ending.CONNECT_TIMEOUT)
-        if trip:
+        if attempt:
             self.further_won.add(1.0 if ending == Ending.DELIVERED else 0.0)
         if report and self.in_hand is not None:  # our share of what engines hold tells our share of sends
             here = len(e.out) + 1  # this one with them: sent where we have fewest, it is often the only one
@@ -507,19 +511,19 @@
             s.avoid.append(e)
             self.pass_on(s, self.chain.index(self.line_stage))
 
-    def reason_to_end(self, s: Submission, ending: Ending) -> EndReason | None:
+    def reason_to_end(self, s: Request, ending: Ending) -> EndReason | None:
         """Why a submission whose trip has just ended without a result is not tried again, or None."""
-        if self.now >= s.expiry - 1.0:
+        if self.now >= s.deadline - 1.0:
             return EndReason.NO_TIME
         if s.out:
             return None
         reasons = {
             EndReason.ERRORS: len(s.erred) > 1,  # it fails anywhere
-            EndReason.NO_TIME: self.now >= s.expiry - LAST_MOMENT,
+            EndReason.NO_TIME: self.now >= s.deadline - LAST_MOMENT,
             EndReason.TIMED_OUT: ending == Ending.TIME_OUT,
-            EndReason.ATTEMPTS: s.made >= self.most_trips + min(s.unsent, MOST_UNSENT),
+            EndReason.ATTEMPTS: s.made >= self.max_attempts + min(s.unsent, MOST_UNSENT),
             EndReason.BUDGET: self.further_credit < 1.0,
-            EndReason.MAY_HAVE_RUN: s.ran is not None and s.workload.effect == Effect.IRREVERSIBLE,
+            EndReason.MAY_HAVE_RUN: s.ran is not None and s.workload.effect == Effect.NON_IDEMPOTENT,
         }
         return next((reason for reason, holds in reasons.items() if holds), None)
 
@@ -529,10 +533,12 @@
             self.call_off(list(s.out.values()))
             self.close(s)
 
-    def end(self, s: Submission, reason: EndReason) -> None:
+    def end(self, s: Request, reason: EndReason) -> None:
         """Shed where trying again is harmless, broken off where it may not be."""
         w = s.workload
-        harmless = w.effect == Effect.REDOABLE or (w.effect == Effect.LABELLED and w.reach == Reach.ALL)
+        harmless = w.effect == Effect.IDEMPOTENT or (
+            w.effect == Effect.IDEMPOTENT_BY_KEY and w.reach == Reach.ALL
+        )
         if harmless or not (s.ran or s.out):
             self.link.shed(s.number, self.come_back, reason)
         else:
@@ -540,16 +546,16 @@
         self.call_off(list(s.out.values()))
         self.close(s)
 
-    def close(self, s: Submission) -> None:
+    def close(self, s: Request) -> None:
         s.over = True
         self.open.pop(s.number, None)
         if s.key and not s.out and s in self.lines.get(s.key, ()):
             self.lines[s.key].remove(s)
 
-    def call_off(self, trips: list[Trip]) -> None:
-        for trip in [trip for trip in trips if self.may_call_off and not trip.called_off]:
-            trip.called_off = True
-            self.link.call_off(trip.submission.number, trip.number)
+    def call_off(self, attempts: list[Attempt]) -> None:
+        for attempt in [attempt for attempt in attempts if self.may_call_off and not attempt.called_off]:
+            attempt.called_off = True
+            self.link.call_off(attempt.request.number, attempt.number)
 
     # Time, measurements and health.
 
@@ -569,10 +575,10 @@
     def watch_held(self) -> None:
         """What can no longer be worth its wait is answered at once."""
         for s in [s for s in self.held if not s.over]:
-            late = (done := self.now + max(LAST_MOMENT, s.due * self.middle)) > s.agreed
-            if done >= s.expiry:
+            late = (done := self.now + max(LAST_MOMENT, s.due * self.middle)) > s.objective
+            if done >= s.deadline:
                 self.end(s, EndReason.NO_TIME)
-            elif late and s.workload.late_utility < LATE_WORTH_IT:
+            elif late and s.workload.late_value < MIN_LATE_VALUE:
                 self.end(s, EndReason.TOO_LATE)
             elif late and not s.late:
                 s.late = True
@@ -590,9 +596,9 @@
                 e.threads -= e.ghosts.popleft()[1]
             e.overdue = 0
             for t in e.out.values():
-                age = (self.now - t.sent) / t.submission.due
+                age = (self.now - t.sent) / t.request.due
                 self.mind(e, t, age / max(1.0, e.slowness))
-                e.overdue += t.submission.workload.threads if age > self.pressing and not t.stands else 0
+                e.overdue += t.request.workload.threads if age > self.pressing and not t.stands else 0
         late = sum(e.overdue for e in busy) / (sum(e.threads for e in busy) + POOL)
         if 2 * late > 1 or self.middle > self.pressing:
             self.pressed_until = self.now + PRESSURE_HOLD
@@ -603,22 +609,22 @@
             # Silence while others answer: a hang, a lost link, answers lost on the way.
             if (
                 quiet > SILENCE
-                and sum(quiet > SILENCE_OF_DUE * t.submission.due * self.middle for t in e.out.values())
-                >= SILENT_TRIPS
+                and sum(quiet > SILENCE_OF_DUE * t.request.due * self.middle for t in e.out.values())
+                >= SILENT_ATTEMPTS
             ):
                 heard = sorted(other.answered for other in self.ready)
                 if heard and heard[len(heard) // 2] > e.answered + SILENCE / 2:
                     self.set_aside(e, f"silent {quiet:.0f} ms")
 
-    def mind(self, e: Engine, t: Trip, times_due: float) -> None:
+    def mind(self, e: Engine, t: Attempt, times_due: float) -> None:
         """A trip with no word while its engine answers others stands still, or its answer is lost."""
-        s, w, quiet = t.submission, t.submission.workload, self.now - t.heard
+        s, w, quiet = t.request, t.request.workload, self.now - t.heard
         if (
             self.may_call_off
             and not s.over
-            and w.effect == Effect.REDOABLE
-            and w.late_utility < LATE_WORTH_IT
-            and self.now > s.taken + TOO_LATE * (s.agreed - s.taken)
+            and w.effect == Effect.IDEMPOTENT
+            and w.late_value < MIN_LATE_VALUE
+            and self.now > s.taken + TOO_LATE * (s.objective - s.taken)
         ):
             self.end(s, EndReason.TOO_LATE)  # its trip holds an engine for nothing
         if self.notes:
@@ -629,22 +635,22 @@
             e.stand(t, times_due > STANDS and (w.waits_for_loads or w.holds_tables))
         if (
             lost
-            and w.effect == Effect.REDOABLE
-            and s.made < self.most_trips
+            and w.effect == Effect.IDEMPOTENT
+            and s.made < self.max_attempts
             and self.may_go_further()
-            and self.now + s.due * self.middle < s.expiry - LAST_MOMENT
+            and self.now + s.due * self.middle < s.deadline - LAST_MOMENT
         ):
             self.call_off([t])
 
-    def noted(self, now: float, number: int, trip: int, engine: int, word: Word, level: float) -> None:
-        if (e := self.engines.get(engine)) and (t := e.out.get((number, trip))):
+    def noted(self, now: float, number: int, attempt: int, engine: int, word: Word, level: float) -> None:
+        if (e := self.engines.get(engine)) and (t := e.out.get((number, attempt))):
             t.heard = now
             e.stand(t, word == Word.WAITS and level == WAITS_FOR_LOAD)
             if word == Word.PROGRESS and level > 0:
                 e.answered = now
 
-    def judge(self, e: Engine, t: Trip, ending: Ending, took: float, work: float) -> None:
-        s = t.submission
+    def judge(self, e: Engine, t: Attempt, ending: Ending, took: float, work: float) -> None:
+        s = t.request
         e.errors += ending in (Ending.ERROR, Ending.UNREACHED, Ending.CONNECT_TIMEOUT)
         if ending == Ending.DELIVERED:
             self.measure(e, t, took, work)
@@ -655,7 +661,7 @@
         elif ending == Ending.ERROR:
             # Its own fault or the submission's: what is redoable tells by how it fares elsewhere.
             s.erred.append(e)
-            if s.workload.effect != Effect.REDOABLE:
+            if s.workload.effect != Effect.IDEMPOTENT:
                 self.strike(e, STRIKE_ERROR)
         elif ending == Ending.UNREACHED or (ending == Ending.RESET and (self.now != e.struck or not e.out)):
             # A connection that ends is one strike while others stay up, and no crash: a refusal tells one.
@@ -663,8 +669,8 @@
         elif ending == Ending.CONNECT_TIMEOUT:  # a cut link, or a handshake that is late: no crash
             self.strike(e, STRIKE_ERROR)
 
-    def measure(self, e: Engine, t: Trip, took: float, work: float) -> None:
-        s, threads = t.submission, t.submission.workload.threads
+    def measure(self, e: Engine, t: Attempt, took: float, work: float) -> None:
+        s, threads = t.request, t.request.workload.threads
         e.served, e.work = e.served + threads, e.work + s.cost
         e.answered, e.strikes, e.errors = self.now, 0.0, 0.0
         if not s.estimated:  # else a guess would count as its work
@@ -702,7 +708,7 @@
         e.start_over(e.start)
         e.aside_until, e.trial = self.now + ASIDE + ASIDE_RANDOM * self.chance.draw(), True
         self.link.log(f"engine {e.number} aside: {why}, {len(e.out)} out, {len(aside)} others aside")
-        self.call_off([t for t in e.out.values() if t.submission.workload.effect == Effect.REDOABLE])
+        self.call_off([t for t in e.out.values() if t.request.workload.effect == Effect.IDEMPOTENT])
 
     def see_calm(self) -> None:
         """Rough estimates alone spread paces: the calmest middle tells by how much. An interval in which more
--- a/spurdeal/state.py
+++ b/spurdeal/state.py
@@ -18,27 +18,27 @@
 
 
 @dataclass(slots=True, eq=False)
-class Submission(Generic[E]):
+class Request(Generic[E]):
     number: int
     kind: int
-    customer: int
+    tenant: int
     key: int
-    expiry: float
+    deadline: float
     cost: float
     memory: float
     group: int
     taken: float
     workload: Workload
     due: float  # how long it runs at its best
-    agreed: float
-    utility: float
+    objective: float
+    value: float
     cheap: bool
     late: bool = False
     over: bool = False
     made: int = 0
     unsent: int = 0  # of these, so many never left
     rank: tuple[float, int] = (0.0, 0)
-    out: dict[int, Trip[E]] = field(default_factory=dict)
+    out: dict[int, Attempt[E]] = field(default_factory=dict)
     ran: Ran[E] | None = None  # the first trip that may have run
     avoid: list[E] = field(default_factory=list)
     erred: list[E] = field(default_factory=list)  # where it ended in an error
@@ -48,8 +48,8 @@
 
 
 @dataclass(slots=True, eq=False)
-class Trip(Generic[E]):
-    submission: Submission[E]
+class Attempt(Generic[E]):
+    request: Request[E]
     number: int
     engine: E
     sent: float
--- a/spurdeal/store/guard.py
+++ b/spurdeal/store/guard.py
@@ -15,8 +15,8 @@
 
 from ..eventloop import Scheduler
 from ..net.counters import Counters
-from ..net.engine_list import Seat
-from ..net.link import Answer, BrokenOff, Guard, Shed, Taken
+from ..net.engine_list import Endpoint
+from ..net.link import Answer, Failed, Guard, OpenRequest, Shed
 from .ledger import TURN, Ledger, LedgerFullError
 from .records import Kind, Record
 
@@ -62,7 +62,7 @@
         self.ledger, self.settings, self.inner = ledger, settings, inner
         self.reactor, self.counters, self.log = runtime.reactor, runtime.counters, runtime.log
         self.in_thread = runtime.in_thread
-        self.waiting: dict[tuple[int, int], tuple[Taken, Go]] = {}
+        self.waiting: dict[tuple[int, int], tuple[OpenRequest, Go]] = {}
         self.ready: list[tuple[int, int]] = []
         self.writing = self.flushing = False
         if ledger.settings.flush == "turn":
@@ -94,18 +94,18 @@
         if self.settings.guarded[kind]:
             if self.ledger.may_have_run(ident.lower()):
                 self.counters.add("ledger_known")
-                return BrokenOff()
+                return Failed()
             if self.ledger.full and not self.ledger.try_again():
                 self.counters.add("ledger_full")
                 return Shed(self.settings.come_back)
         return self.inner.door(kind, ident) if self.inner is not None else None
 
-    def before(self, taken: Taken, trip: int, go: Go) -> bool:
+    def before(self, request: OpenRequest, attempt: int, go: Go) -> bool:
         """Hold a guarded trip until its record is written; `go` is then called with the verdict."""
-        if not self.settings.guarded[taken.kind]:
-            return self.inner.before(taken, trip, go) if self.inner is not None else True
-        token = (taken.number, trip)
-        self.waiting[token] = (taken, go)
+        if not self.settings.guarded[request.kind]:
+            return self.inner.before(request, attempt, go) if self.inner is not None else True
+        token = (request.number, attempt)
+        self.waiting[token] = (request, go)
 
         def told(verdict: bool | None) -> None:
             if token not in self.waiting:
@@ -116,40 +116,40 @@
                 del self.waiting[token]
                 go(verdict)
 
-        if self.inner is None or self.inner.before(taken, trip, told):
+        if self.inner is None or self.inner.before(request, attempt, told):
             self.gather(token)
         return False
 
-    def given_up(self, number: int, trip: int) -> None:
+    def given_up(self, number: int, attempt: int) -> None:
         """Forget a trip that waits for its record."""
-        self.waiting.pop((number, trip), None)
+        self.waiting.pop((number, attempt), None)
         if self.inner is not None:
-            self.inner.given_up(number, trip)
+            self.inner.given_up(number, attempt)
 
-    def answered(self, taken: Taken, answer: Answer | None) -> None:
+    def answered(self, request: OpenRequest, answer: Answer | None) -> None:
         """A shed submission has not run: its record is cancelled."""
-        if self.settings.guarded[taken.kind] and isinstance(answer, Shed):
-            self.never_ran(taken)
+        if self.settings.guarded[request.kind] and isinstance(answer, Shed):
+            self.never_ran(request)
         if self.inner is not None:
-            self.inner.answered(taken, answer)
+            self.inner.answered(request, answer)
 
-    def never_ran(self, taken: Taken) -> None:
+    def never_ran(self, request: OpenRequest) -> None:
         """Record that no trip of a submission has run; if that cannot be written, its record stands."""
-        ident = taken.ident.lower()
-        if self.settings.guarded[taken.kind] and ident in self.ledger.ends:
+        ident = request.ident.lower()
+        if self.settings.guarded[request.kind] and ident in self.ledger.ends:
             try:
                 self.ledger.append([Record(Kind.NEVER_RAN, ident, 0.0)])
             except LedgerFullError:
                 self.counters.add("ledger_not_written")
 
-    def departs(self, taken: Taken, trip: int, engine: int) -> bool:
+    def departs(self, request: OpenRequest, attempt: int, engine: int) -> bool:
         """See Guard."""
-        return self.inner.departs(taken, trip, engine) if self.inner is not None else True
+        return self.inner.departs(request, attempt, engine) if self.inner is not None else True
 
-    def called_off(self, taken: Taken, trip: int) -> None:
+    def called_off(self, request: OpenRequest, attempt: int) -> None:
         """See Guard."""
         if self.inner is not None:
-            self.inner.called_off(taken, trip)
+            self.inner.called_off(request, attempt)
 
     def said(self, line: str) -> None:
         """See Guard."""
@@ -161,9 +161,9 @@
         if self.inner is not None:
             self.inner.turned()
 
-    def seat(self, seat: Seat) -> Seat:
+    def endpoint(self, endpoint: Endpoint) -> Endpoint:
         """See Guard."""
-        return self.inner.seat(seat) if self.inner is not None else seat
+        return self.inner.endpoint(endpoint) if self.inner is not None else endpoint
 
     # Writing.
 
@@ -182,8 +182,8 @@
             return
         records = []
         for token in tokens:
-            taken = self.waiting[token][0]
-            records.append(Record(Kind.MAY_RUN, taken.ident.lower(), taken.expiry + self.settings.keep))
+            request = self.waiting[token][0]
+            records.append(Record(Kind.MAY_RUN, request.ident.lower(), request.deadline + self.settings.keep))
         try:
             self.ledger.append(records)
         except LedgerFullError as fault:
--- a/spurdeal/vrrp/guard.py
+++ b/spurdeal/vrrp/guard.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from ..net.engine_list import Seat
-from ..net.link import Answer, BrokenOff, Shed, SocketLink, Taken, at_most_once
+from ..net.engine_list import Endpoint
+from ..net.link import Answer, Failed, OpenRequest, Shed, SocketLink, at_most_once
 from ..net.start import Service
 from .exchange import Exchange
 from .handover import Facts
@@ -70,15 +70,15 @@
         if found is Door.OPEN:
             return None
         self.counters.add("door_" + found.value)
-        return BrokenOff() if found is Door.RAN else Shed(self.come_back)
+        return Failed() if found is Door.RAN else Shed(self.come_back)
 
-    def before(self, taken: Taken, trip: int, go: Callable[[bool | None], None]) -> bool:
+    def before(self, request: OpenRequest, attempt: int, go: Callable[[bool | None], None]) -> bool:
         """Whether a trip may leave now; False where `go` is called with the peers' verdict, later."""
-        if self.handover is None or not self.guarded[taken.kind]:
+        if self.handover is None or not self.guarded[request.kind]:
             return True
-        now, token = self.monotonic(), (taken.number, trip)
-        expiry = now + max(0.0, taken.expiry - self.link.clock())
-        verdict = self.handover.before(now, taken.ident.lower(), expiry, token)
+        now, token = self.monotonic(), (request.number, attempt)
+        deadline = now + max(0.0, request.deadline - self.link.clock())
+        verdict = self.handover.before(now, request.ident.lower(), deadline, token)
         if verdict is not None and verdict.go:
             return True
         self.exchange.going[token] = go
@@ -88,23 +88,23 @@
             self.exchange.reactor.callLater(0, self.exchange.conclude, [verdict])
         return False
 
-    def given_up(self, number: int, trip: int) -> None:
+    def given_up(self, number: int, attempt: int) -> None:
         """A trip that waits for its verdict is not to be sent any more."""
-        self.exchange.going.pop((number, trip), None)
+        self.exchange.going.pop((number, attempt), None)
         if self.handover is not None:
-            self.handover.give_up((number, trip))
+            self.handover.give_up((number, attempt))
 
-    def answered(self, taken: Taken, answer: Answer | None) -> None:
+    def answered(self, request: OpenRequest, answer: Answer | None) -> None:
         """The answer has left, or the client (None)."""
-        if self.handover is not None and self.guarded[taken.kind]:
-            self.handover.over(taken.ident.lower(), isinstance(answer, Shed))
+        if self.handover is not None and self.guarded[request.kind]:
+            self.handover.over(request.ident.lower(), isinstance(answer, Shed))
 
-    def never_ran(self, taken: Taken) -> None:
+    def never_ran(self, request: OpenRequest) -> None:
         """It was granted, and the caller has shown that nothing ran."""
-        if self.handover is not None and self.guarded[taken.kind]:
-            self.handover.over(taken.ident.lower(), never_ran=True)
+        if self.handover is not None and self.guarded[request.kind]:
+            self.handover.over(request.ident.lower(), never_ran=True)
 
-    def called_off(self, taken: Taken, trip: int) -> None:
+    def called_off(self, request: OpenRequest, attempt: int) -> None:
         """Nothing follows of it here."""
 
     def said(self, line: str) -> None:
@@ -113,7 +113,7 @@
     def turned(self) -> None:
         """Nothing follows of it here."""
 
-    def departs(self, taken: Taken, trip: int, engine: int) -> bool:
+    def departs(self, request: OpenRequest, attempt: int, engine: int) -> bool:
         """Whether something may go there now.
 
         A cold engine's budget may have been lent since the rules chose.
@@ -128,20 +128,20 @@
         self.sent_cold[engine] = [*self.recent(engine, now), ColdSend(now, 1.0)]
         return True
 
-    def seat(self, seat: Seat) -> Seat:
+    def endpoint(self, endpoint: Endpoint) -> Endpoint:
         """The seat with its engine's latest start that a peer tells.
 
         Until the list is known to be fresh, each engine may have been started anew, and counts as cold.
         """
         if self.assumed_cold():
-            return seat._replace(started=self.link.clock())
+            return endpoint._replace(started=self.link.clock())
         told = [
             started
             for known in (self.handover.known.values() if self.handover else ())
             for ident, started, _ in known.cold
-            if ident == seat.ident
+            if ident == endpoint.ident
         ]
-        return seat._replace(started=max(seat.started, *told)) if told else seat
+        return endpoint._replace(started=max(endpoint.started, *told)) if told else endpoint
 
     # Cold engines.
 
@@ -168,9 +168,9 @@
             engine = rules.engines.get(place)
             if engine is None:
                 continue
-            if engine.warm_at > unix and ident in self.link.seats:
+            if engine.warm_at > unix and ident in self.link.endpoints:
                 work = sum(row.work for row in self.recent(place, now))
-                cold.append((ident, self.link.seats[ident].started, work))
+                cold.append((ident, self.link.endpoints[ident].started, work))
             if engine.aside_until > unix:
                 aside.append((ident, engine.aside_until - unix))
         return Facts(number, held, cold, aside)
--- a/spurdeal/vrrp/handover.py
+++ b/spurdeal/vrrp/handover.py
@@ -42,7 +42,7 @@
 
     turn: int  # of this telling: an answer to an earlier one is none to this (found by the walks)
     ident: bytes
-    expiry: float
+    deadline: float
     until: float
     missing: frozenset[str]
 
@@ -134,16 +134,16 @@
             return list(self.sessions)
         return [peer for peer in self.sessions if now - self.heard(peer) <= self.settings.alone_after]
 
-    def before(self, now: float, ident: bytes, expiry: float, token: object) -> Verdict | None:
+    def before(self, now: float, ident: bytes, deadline: float, token: object) -> Verdict | None:
         """It is about to be sent. A verdict at once, or None: one comes of `take` or `tick`."""
         self.turn += 1
-        if not self.marks.mark(now, ident, expiry, self.turn):
+        if not self.marks.mark(now, ident, deadline, self.turn):
             return Verdict(token, None if ident in self.marks.known else False)
         missing = frozenset(self.needed(now)) if self.settings.ahead else frozenset[str]()
         if not missing:
             self.marks.sent(ident)
             return Verdict(token, True)
-        self.waiting[token] = Waiting(self.turn, ident, expiry, now + self.settings.ahead_wait, missing)
+        self.waiting[token] = Waiting(self.turn, ident, deadline, now + self.settings.ahead_wait, missing)
         return None
 
     def give_up(self, token: object) -> bool:
@@ -200,7 +200,7 @@
         replies, self.replies[peer] = self.replies[peer][:MOST_TOLD], self.replies[peer][MOST_TOLD:]
         return {
             "tell": [
-                [each.ident.decode(), max(0.0, each.expiry + self.marks.keep - now), each.turn]
+                [each.ident.decode(), max(0.0, each.deadline + self.marks.keep - now), each.turn]
                 for each in waiting
             ],
             "reply": [list(reply) for reply in replies],
--- a/spurdeal/vrrp/marks.py
+++ b/spurdeal/vrrp/marks.py
@@ -50,14 +50,14 @@
             return Door.FULL
         return Door.OPEN
 
-    def mark(self, now: float, ident: bytes, expiry: float, turn: int) -> bool:
+    def mark(self, now: float, ident: bytes, deadline: float, turn: int) -> bool:
         """Ours is about to be told and sent; kept for a time after its expiry. False: there is no room."""
         found = self.known.get(ident)
         if found is not None and found.peer:
             return False  # a peer was first, since the door
         if found is None and len(self.known) >= self.most:
             return False
-        self.keep_mark(ident, Mark(expiry + self.keep, "", found.sent if found else False, turn))
+        self.keep_mark(ident, Mark(deadline + self.keep, "", found.sent if found else False, turn))
         return True
 
     def sent(self, ident: bytes) -> None:
--- a/spurdeal/vrrp/station.py
+++ b/spurdeal/vrrp/station.py
@@ -180,7 +180,7 @@
         """The first answer of the name service since the start: engines' starts are known now."""
         if not self.fresh and self.service.names.answered_at > float("-inf"):
             self.fresh = True
-            self.link.listed(self.link.seats)
+            self.link.listed(self.link.endpoints)
 
     def assumed_cold(self) -> bool:
         """Whether each engine may have been started anew without our knowing."""
--- a/tests/faulty_names.py
+++ b/tests/faulty_names.py
@@ -30,9 +30,9 @@
     fault, times, delay = Fault.SILENT, 0, 0.0
     then: Fault | None = None
 
-    def __init__(self, host: str, port: int, seats: list[names.Seat]) -> None:
+    def __init__(self, host: str, port: int, endpoints: list[names.Endpoint]) -> None:
         self.sent = dict[int, float]()
-        super().__init__(host, port, seats)
+        super().__init__(host, port, endpoints)
 
     def fail(self, fault: Fault, times: int, then: Fault | None = None) -> None:
         """The next answers fail in this way, and all behind them in the other, where one is given."""
@@ -57,7 +57,9 @@
         if fault is Fault.LOST:
             return
         flags = REFUSED if fault is Fault.UNUSABLE else 0x8400
-        told = names.answer(question, self.serial, *(seat.record() for seat in self.seats), flags=flags)
+        told = names.answer(
+            question, self.serial, *(endpoint.record() for endpoint in self.endpoints), flags=flags
+        )
         if self.delay:
             threading.Timer(self.delay, self.arrive, (told, asker)).start()
         else:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -276,12 +276,12 @@
     """The records of the list that was told last."""
     return [
         (
-            ".".join(label.replace(".", "\\.") for label in (seat.ident, seat.location, "hosts")),
-            f"{seat.host}:{seat.port}",
-            int(seat.life == Life.DRAINING),
-            f"kind={seat.kind} cell={seat.cell} started={seat.started}",
+            ".".join(label.replace(".", "\\.") for label in (endpoint.ident, endpoint.zone, "hosts")),
+            f"{endpoint.host}:{endpoint.port}",
+            int(endpoint.life == Life.DRAINING),
+            f"kind={endpoint.kind} cell={endpoint.cell} started={endpoint.started}",
         )
-        for seat in service.agreement.told.values()
+        for endpoint in service.agreement.told.values()
     ]
 
 
@@ -352,7 +352,7 @@
     def list(
         self,
         serial: int,
-        *seats: tuple[str, str, int, str],
+        *endpoints: tuple[str, str, int, str],
         source: tuple[str, int] = ("127.0.8.9", 5300),
         **more: Any,
     ) -> None:
@@ -361,17 +361,17 @@
         asked = len(self.names)
         while len(self.names) == asked:
             self.go(5)
-        self.answer(serial, *seats, source=source, **more)
+        self.answer(serial, *endpoints, source=source, **more)
         self.names_silent = silent
 
     def answer(
         self,
         serial: int,
-        *seats: tuple[str, str, int, str],
+        *endpoints: tuple[str, str, int, str],
         source: tuple[str, int] = ("127.0.8.9", 5300),
         **more: Any,
     ) -> None:
         """The name service's answer to the last question."""
-        answer = names.answer(self.names[-1], serial, *seats, **more)
+        answer = names.answer(self.names[-1], serial, *endpoints, **more)
         self.service.names.datagramReceived(answer, source)
         self.go()
--- a/tests/scripted_names.py
+++ b/tests/scripted_names.py
@@ -67,15 +67,15 @@
         unanswered: The ids of those that the dispatcher still has open.
     """
 
-    def __init__(self, host: str, port: int, seats: list[names.Seat]) -> None:
+    def __init__(self, host: str, port: int, endpoints: list[names.Endpoint]) -> None:
         self.steps, self.step_since, self.step_used = deque[Step](), 0.0, 0
         self.script_lock = threading.Lock()
         self.drain_told: float | None = None
         self.draining_from: int | None = None  # the number of the list with the drain
-        self.lists = {1: list(seats)}
+        self.lists = {1: list(endpoints)}
         self.played = list[Played]()
         self.unanswered = set[int]()
-        super().__init__(host, port, seats)
+        super().__init__(host, port, endpoints)
 
     def play(self, *steps: Step) -> None:
         """Answer by these steps from the next question on."""
@@ -85,7 +85,7 @@
     def begin_drain(self) -> None:
         """The first server drains, in a list of its own."""
         self.drain("s-0")
-        self.lists[self.serial] = list(self.seats)
+        self.lists[self.serial] = list(self.endpoints)
         self.draining_from = self.serial
 
     def next_step(self, now: float, ident: int) -> Step:
@@ -150,7 +150,7 @@
         """An answer's bytes."""
         if how is Answering.SERVER_FAILURE:
             return question[:2] + struct.pack("!5H", SERVER_FAILURE, 1, 0, 0, 0) + question[12:]
-        told = names.answer(question, serial, *(seat.record() for seat in self.lists[serial]))
+        told = names.answer(question, serial, *(endpoint.record() for endpoint in self.lists[serial]))
         if how in (Answering.WRONG_ID, Answering.OPEN_ID):
             return told[:1] + bytes([told[1] ^ WRONG_BITS]) + told[2:]
         return told[:KEPT] if how is Answering.CUT else told
--- a/tests/soak/engine_troubles.py
+++ b/tests/soak/engine_troubles.py
@@ -15,17 +15,22 @@
 
 async def drain(soak: Soak, chance: random.Random) -> None:
     """An engine drains, then is gone; another comes."""
-    ready = [seat for seat in soak.names.seats if not seat.draining]
+    ready = [endpoint for endpoint in soak.names.endpoints if not endpoint.draining]
     if len(ready) <= LEAST_READY:
         return
     chosen = chance.choice(ready)
     if chance.random() < 0.7:
         soak.names.change(
-            [seat._replace(draining=seat.draining or seat is chosen) for seat in soak.names.seats],
+            [
+                endpoint._replace(draining=endpoint.draining or endpoint is chosen)
+                for endpoint in soak.names.endpoints
+            ],
             chosen.ident,
         )
         await asyncio.sleep(chance.uniform(0.5, 3.0))
-    soak.names.change([seat for seat in soak.names.seats if seat.ident != chosen.ident], chosen.ident)
+    soak.names.change(
+        [endpoint for endpoint in soak.names.endpoints if endpoint.ident != chosen.ident], chosen.ident
+    )
     await asyncio.sleep(chance.uniform(1.0, 3.0))
     if chance.random() < 0.5:
         soak.engines[chosen.ident].stop()
--- a/tests/soak/name_service.py
+++ b/tests/soak/name_service.py
@@ -67,7 +67,7 @@
     """One list, and from when on the answers to each dispatcher hold it."""
 
     number: int
-    seats: list[names.Seat]
+    endpoints: list[names.Endpoint]
     shown: dict[int, float]
 
 
@@ -114,9 +114,9 @@
         self.known_at_start = dict.fromkeys(dispatchers.values(), 1)
 
     @property
-    def seats(self) -> list[names.Seat]:
+    def endpoints(self) -> list[names.Endpoint]:
         """The newest list."""
-        return self.versions[-1].seats
+        return self.versions[-1].endpoints
 
     @property
     def number(self) -> int:
@@ -128,13 +128,13 @@
         self.starts[dispatcher] += 1
         self.known_at_start[dispatcher] = self.number
 
-    def change(self, seats: list[names.Seat], ended: str | None = None) -> None:
+    def change(self, endpoints: list[names.Endpoint], ended: str | None = None) -> None:
         """A newer list, in which that engine drains or is gone."""
         shown = {
             dispatcher: max(before, monotonic() + self.lag(dispatcher))
             for dispatcher, before in self.versions[-1].shown.items()
         }
-        self.versions.append(Version(self.number + 1, seats, shown))
+        self.versions.append(Version(self.number + 1, endpoints, shown))
         if ended is not None and not any(change.engine == ended for change in self.records.changes):
             self.records.changes.append(Change(monotonic(), ended, self.number, {}))
 
@@ -226,8 +226,8 @@
     def spoilt(self, asked: Asked, version: Version, fault: str) -> bytes:
         """The answer as it leaves; a fault that is none of its bytes changes nothing."""
         flags = SERVFAIL if fault == "servfail" else 0x8400
-        seats = (seat.record() for seat in version.seats)
-        answer = names.answer(asked.question, version.number, *seats, flags=flags)
+        endpoints = (endpoint.record() for endpoint in version.endpoints)
+        answer = names.answer(asked.question, version.number, *endpoints, flags=flags)
         if fault == "cut":
             return answer[: self.chance.randrange(len(answer) // 4, len(answer))]
         if fault == "wrong_id":
--- a/tests/soak/process.py
+++ b/tests/soak/process.py
@@ -53,7 +53,11 @@
     def configure(self) -> None:
         """Write its configuration, with the list as it stands."""
         soak = self.soak
-        roster = {"generation": 1, "reset": True, "instances": [seat.told() for seat in soak.names.seats]}
+        roster = {
+            "generation": 1,
+            "reset": True,
+            "instances": [endpoint.told() for endpoint in soak.names.endpoints],
+        }
         known = {"no": soak.names.number, "items": [{"no": soak.names.number, "roster": roster}]}
         told = configuration(
             name=f"n{self.number}",
--- a/tests/soak/sides.py
+++ b/tests/soak/sides.py
@@ -23,8 +23,8 @@
 class Engine:
     """One engine: answers requests, hangs, resets its connections, drains and goes."""
 
-    def __init__(self, seat: names.Seat, records: Records, chance: random.Random) -> None:
-        self.seat, self.records, self.chance = seat, records, chance
+    def __init__(self, endpoint: names.Endpoint, records: Records, chance: random.Random) -> None:
+        self.endpoint, self.records, self.chance = endpoint, records, chance
         self.hung_until = 0.0
         self.writers = set[asyncio.StreamWriter]()
         self.server: asyncio.Server | None = None
@@ -32,7 +32,7 @@
 
     async def start(self) -> None:
         """Listen."""
-        self.server = await asyncio.start_server(self.serve, self.seat.host, self.seat.port)
+        self.server = await asyncio.start_server(self.serve, self.endpoint.host, self.endpoint.port)
 
     def reset(self) -> None:
         """Reset all connections."""
@@ -62,7 +62,7 @@
         """One request; its answer comes later."""
         told = dict(pair.split("=", 1) for pair in fields.split(","))
         ran = self.chance.random() >= FULL
-        attempt = Attempt(monotonic(), ident.decode(), self.seat.ident, int(told["wait"]) / 1000, ran)
+        attempt = Attempt(monotonic(), ident.decode(), self.endpoint.ident, int(told["wait"]) / 1000, ran)
         self.records.attempts.append(attempt)
         task = asyncio.create_task(self.answer(writer, ident, ran))
         self.work.add(task)
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -164,11 +164,11 @@
         """A further engine, which the list tells."""
         number = next(self.engine_numbers)
         started = int((monotonic() + self.unix_origin()) * 1000) if cold else 0
-        seat = names.Seat(f"s-{number}", self.engines_host, ENGINE_PORT + number, started=started)
-        engine = Engine(seat, self.records, random.Random(self.seed * 1000 + number))
-        self.engines[seat.ident] = engine
+        endpoint = names.Endpoint(f"s-{number}", self.engines_host, ENGINE_PORT + number, started=started)
+        engine = Engine(endpoint, self.records, random.Random(self.seed * 1000 + number))
+        self.engines[endpoint.ident] = engine
         await engine.start()
-        self.names.change([*self.names.seats, seat])
+        self.names.change([*self.names.endpoints, endpoint])
 
     def unix_origin(self) -> float:
         """Unix time at the observer's zero."""
--- a/tests/stepped_clock.py
+++ b/tests/stepped_clock.py
@@ -112,8 +112,8 @@
 class NameService:
     """Answers each question with the list as the test has set it."""
 
-    def __init__(self, host: str, port: int, seats: list[names.Seat]) -> None:
-        self.seats, self.serial, self.asked = seats, 1, list[float]()
+    def __init__(self, host: str, port: int, endpoints: list[names.Endpoint]) -> None:
+        self.endpoints, self.serial, self.asked = endpoints, 1, list[float]()
         self.socket = socket.socket(type=socket.SOCK_DGRAM)
         self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.socket.bind((host, port))
@@ -133,18 +133,20 @@
             with suppress(TimeoutError):
                 question, asker = self.socket.recvfrom(512)
                 self.asked.append(time.monotonic())
-                answer = names.answer(question, self.serial, *(seat.record() for seat in self.seats))
+                answer = names.answer(
+                    question, self.serial, *(endpoint.record() for endpoint in self.endpoints)
+                )
                 self.socket.sendto(answer, asker)
         self.socket.close()
 
-    def change(self, change: Callable[[names.Seat], names.Seat]) -> None:
+    def change(self, change: Callable[[names.Endpoint], names.Endpoint]) -> None:
         """A newer list."""
-        self.seats = [change(seat) for seat in self.seats]
+        self.endpoints = [change(endpoint) for endpoint in self.endpoints]
         self.serial += 1
 
     def drain(self, ident: str) -> None:
         """One server drains."""
-        self.change(lambda seat: seat._replace(draining=seat.draining or seat.ident == ident))
+        self.change(lambda endpoint: endpoint._replace(draining=endpoint.draining or endpoint.ident == ident))
 
 
 def listener(host: str, port: int) -> socket.socket:
--- a/tests/steps.py
+++ b/tests/steps.py
@@ -210,7 +210,7 @@
         """The name service's answer to its next question: all engines, these draining."""
         self.names_silent = True
         question, asked = self.next_question()
-        seats = [
+        endpoints = [
             (
                 f"s-{number}.east.hosts",
                 f"{HOST}:{engine.port}",
@@ -219,7 +219,7 @@
             )
             for number, engine in enumerate(self.engines)
         ]
-        self.names.sendto(names.answer(question, serial, *seats), asked)
+        self.names.sendto(names.answer(question, serial, *endpoints), asked)
         self.names_silent = False
         self.go()
 
--- a/tests/test_answer_orders.py
+++ b/tests/test_answer_orders.py
@@ -34,9 +34,9 @@
     return for_seconds(Answering.SILENT, seconds)
 
 
-def in_force(serial: int, seats: list[names.Seat]) -> dict[str, Any]:
+def in_force(serial: int, endpoints: list[names.Endpoint]) -> dict[str, Any]:
     """A list as a configuration holds it."""
-    roster = {"generation": 1, "reset": True, "instances": [seat.told() for seat in seats]}
+    roster = {"generation": 1, "reset": True, "instances": [endpoint.told() for endpoint in endpoints]}
     return {"no": serial, "items": [{"no": serial, "roster": roster}]}
 
 
@@ -124,8 +124,8 @@
         self.check(DRAIN, LOST, OLD._replace(times=5))
 
     def test_answers_with_a_lower_number_than_the_list_in_force_behind_a_lost_one(self) -> None:
-        self.names.change(lambda seat: seat)
-        self.names.lists[2] = list(self.names.seats)
+        self.names.change(lambda endpoint: endpoint)
+        self.names.lists[2] = list(self.names.endpoints)
         self.check(DRAIN, LOST, Step(Answering.FIRST, times=5))
 
     def test_lost_and_old_answers_by_turns(self) -> None:
@@ -251,8 +251,8 @@
 
     def test_a_newer_list_without_the_drain(self) -> None:
         child = self.dispatcher()
-        self.names.change(lambda seat: seat)
-        self.names.lists[2] = list(self.names.seats)
+        self.names.change(lambda endpoint: endpoint)
+        self.names.lists[2] = list(self.names.endpoints)
         self.configured_again(known=in_force(2, self.names.lists[2]))
         self.names.play(DRAIN, LOST, silence(2.0))
         told = self.told(self.names)
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -15,7 +15,7 @@
 from spurdeal.fleet.journal import Journal, JournalSettings
 from spurdeal.fleet.station import Clocks, FleetStation, StationSettings
 from spurdeal.fleet.words import status_words
-from spurdeal.lab.names import Seat
+from spurdeal.lab.names import Endpoint
 from spurdeal.net.engine_list import KnownList
 from spurdeal.net.start import Service
 from spurdeal.settings.reading import read_text
@@ -68,9 +68,9 @@
         self.now += 10
         journal.act_on({"list": f"0.{number}/{digest}", "by": "names", "engines": engines})
 
-    def send(self, journal: Journal, ident: str, engine: str = "s-0", trip: int = 0) -> None:
+    def send(self, journal: Journal, ident: str, engine: str = "s-0", attempt: int = 0) -> None:
         self.now += 1
-        journal.pages.sent(ident.encode(), trip, engine, 0)
+        journal.pages.sent(ident.encode(), attempt, engine, 0)
         journal.flush()
 
     def usual(self, name: str = "d1") -> Journal:
@@ -267,12 +267,12 @@
         one, two = self.journal("d1"), self.journal("d2")
         self.listed(one, 1, {"s-0": 2})
         self.listed(two, 1, {"s-0": 2})
-        self.send(two, "abcd", trip=0)
-        self.send(one, "abcd", trip=1)
+        self.send(two, "abcd", attempt=0)
+        self.send(one, "abcd", attempt=1)
         self.send(one, "ffff")
         entries = merged([read_log(self.root / "d1"), read_log(self.root / "d2")])
-        found = list(chosen(entries, Asked(submission="ABCD")))
-        self.assertEqual([("d2", 0), ("d1", 1)], [(entry.name, entry.record.trip) for entry in found])
+        found = list(chosen(entries, Asked(request="ABCD")))
+        self.assertEqual([("d2", 0), ("d1", 1)], [(entry.name, entry.record.attempt) for entry in found])
         self.assertEqual(3, len(list(chosen(entries, Asked(engine="s-0", version="0.1")))))
 
     def test_the_commands(self) -> None:
@@ -367,15 +367,15 @@
 
     def test_each_list_is_a_version_and_one_of_the_same_number_a_clash(self) -> None:
         world = self.world()
-        seats = [Seat(f"s-{number}", f"127.0.9.{number}", 7001) for number in range(3)]
-        world.list(2, *(seat.record() for seat in seats))
+        endpoints = [Endpoint(f"s-{number}", f"127.0.9.{number}", 7001) for number in range(3)]
+        world.list(2, *(endpoint.record() for endpoint in endpoints))
         self.assertEqual(
             ["0.1", "0.2"], [record.told["list"].partition("/")[0] for record in self.entries(Kind.VERSIONS)]
         )
-        world.list(2, *(seat.record() for seat in seats[:2]))
+        world.list(2, *(endpoint.record() for endpoint in endpoints[:2]))
         world.go(100)
         self.assertEqual(1, len(self.entries(Kind.CLASH)))
-        self.assertEqual(3, len(world.service.link.seats))
+        self.assertEqual(3, len(world.service.link.endpoints))
 
     def test_a_list_between_choice_and_send_holds_the_send_back(self) -> None:
         for stays in ("s-0", "s-1"):  # one of them is what the rules choose
@@ -385,7 +385,7 @@
             assert call is not None
             call.addErrback(lambda _: None)
             # Gathered behind the submission, and so in force before its turn has carried anything out.
-            kept = {ident: seat for ident, seat in link.seats.items() if ident == stays}
+            kept = {ident: endpoint for ident, endpoint in link.endpoints.items() if ident == stays}
             self.station.service.names.take_known(KnownList(2, kept))
             self.station.listed(kept)
             world.go(100)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -167,7 +167,7 @@
 
     def test_a_list_is_applied_whole(self) -> None:
         link, clock = request_path.empty_link()
-        request_path.apply_list(link, clock, request_path.seats(30, 4))
+        request_path.apply_list(link, clock, request_path.endpoints(30, 4))
         self.assertEqual((30, 29), (len(link.rules.engines), len(link.rules.ready)))
 
     def test_the_lists_bytes_grow_in_proportion_and_end_at_a_datagram(self) -> None:
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -67,8 +67,10 @@
         self.clock = SteppedClock(Path(folder.name) / "offset")
         where = self.addresses
         self.servers = [Server(where.engines, FIRST_ENGINE_PORT + number) for number in range(2)]
-        seats = [names.Seat(f"s-{number}", each.host, each.port) for number, each in enumerate(self.servers)]
-        self.names = self.name_service(where.names, NAMES_PORT, seats)
+        endpoints = [
+            names.Endpoint(f"s-{number}", each.host, each.port) for number, each in enumerate(self.servers)
+        ]
+        self.names = self.name_service(where.names, NAMES_PORT, endpoints)
         for server in self.servers:
             self.addCleanup(server.close)
         self.addCleanup(self.names.close)
@@ -184,8 +186,10 @@
 
     def configure_started(self, ident: str, unix_ms: int) -> None:
         """The lists of the start and of the name service: one server was started then, the other long ago."""
-        self.names.change(lambda seat: seat._replace(started=unix_ms if seat.ident == ident else 0))
-        instances = [seat.told() for seat in self.names.seats]
+        self.names.change(
+            lambda endpoint: endpoint._replace(started=unix_ms if endpoint.ident == ident else 0)
+        )
+        instances = [endpoint.told() for endpoint in self.names.endpoints]
         roster = {"generation": 1, "reset": True, "instances": instances}
         known = {"no": self.names.serial, "items": [{"no": self.names.serial, "roster": roster}]}
         rules = SETTINGS["rules"] | {"tip_after": WINDOW * 1000}
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -19,7 +19,7 @@
 
 ROOT = Path(__file__).parent.parent
 SHED, BROKEN = 503, 500
-LABELLED = [dict(SETTINGS["grades"][0]), SETTINGS["grades"][1] | {"effect": "by_key", "window": 400}]
+IDEMPOTENT_BY_KEY = [dict(SETTINGS["grades"][0]), SETTINGS["grades"][1] | {"effect": "by_key", "window": 400}]
 
 
 def more_of(name: str, text: str) -> dict[str, Any]:
@@ -47,7 +47,7 @@
                 else:
                     client.reset()
                 self.assertEqual(self.sent(steps, steps.engines[0].talks[0]), [])
-                self.assertEqual(steps.service.link.taken, {})
+                self.assertEqual(steps.service.link.open_requests, {})
 
     def test_between_the_reading_and_the_turn(self) -> None:
         steps = Steps(self)
@@ -130,7 +130,7 @@
     def test_a_repeat_whose_window_ended_while_it_was_dialled_for(self) -> None:
         for ms, sent in ((100, 1), (300, 0)):
             with self.subTest(ms=ms):
-                world = World(self, engines=2, settings=SETTINGS | {"grades": LABELLED})
+                world = World(self, engines=2, settings=SETTINGS | {"grades": IDEMPOTENT_BY_KEY})
                 caller = Caller(world)
                 caller.post(1, "load")
                 peer = world.peer().up()
@@ -257,11 +257,11 @@
         third.post(9, body=b"y" * 60_000)
         steps.go()
         connection = next(each for each in self.stuck(steps) if each.write_queue)
-        number = int(connection.engine.seat.ident[2:])
-        waiting = [trip for trip in connection.trips.values() if not trip.written]
+        number = int(connection.engine.endpoint.ident[2:])
+        waiting = [attempt for attempt in connection.attempts.values() if not attempt.written]
         self.assertEqual(len(waiting), 1)
         steps.list(2, number)
-        self.assertEqual([trip for trip in connection.trips.values() if not trip.written], [])
+        self.assertEqual([attempt for attempt in connection.attempts.values() if not attempt.written], [])
         self.assertTrue(connection.up)
         steps.go(130)  # over half of the grace: what the system has not taken is cut off
         self.assertFalse(connection.up)
@@ -273,7 +273,7 @@
         third.post(9, body=b"y" * 60_000)
         steps.go()
         connection = next(each for each in self.stuck(steps) if each.write_queue)
-        ident = next(trip.ident for trip in connection.trips.values() if not trip.written)
+        ident = next(attempt.ident for attempt in connection.attempts.values() if not attempt.written)
         third.socket.close()
         steps.go()
         self.assertNotIn(
@@ -384,7 +384,7 @@
         peer.say(1, "200", "parts=1")
         last = Caller(world)
         last.post(1)
-        self.assertEqual(len(world.service.link.taken), 1)
+        self.assertEqual(len(world.service.link.open_requests), 1)
         last.leave()
 
 
@@ -430,7 +430,7 @@
         steps.client()
         steps.go()
         served.post(2)
-        steps.until(lambda: steps.service.link.taken)
+        steps.until(lambda: steps.service.link.open_requests)
 
     def test_a_call_that_crosses_the_end_of_a_resting_connection_is_read(self) -> None:
         for ender in ("sweep", "evict_idle", "close_idle"):
@@ -648,7 +648,9 @@
             ("s-2.2\\.korrus.hosts", "127.0.9.2:7001", 0, "kind=std cell=0 started=0"),
         )
         world.go(AGREED)
-        self.assertEqual([seat.location for seat in world.service.link.seats.values()], ["õu", "2.korrus"])
+        self.assertEqual(
+            [endpoint.zone for endpoint in world.service.link.endpoints.values()], ["õu", "2.korrus"]
+        )
         Caller(world).post(1)
         self.assertEqual(world.peer().host, "127.0.9.2")
 
@@ -719,7 +721,7 @@
                 self.assertIn(f"class={name},", world.peer().up().heard()[0][2])
 
     def test_the_mark_against_repeats_goes_on(self) -> None:
-        world = World(self, engines=2, settings=SETTINGS | {"grades": LABELLED})
+        world = World(self, engines=2, settings=SETTINGS | {"grades": IDEMPOTENT_BY_KEY})
         caller, bad = Caller(world), Caller(world)
         caller.post(1, "load", Req_Token="8d80-9f")
         first = world.peer().up()
@@ -733,11 +735,11 @@
         tenants = [{"name": "A & B", "quota_per_s": 1}, {"name": "õ", "quota_per_s": 1}]
         world = World(self, settings=SETTINGS | {"tenants": tenants, "balancers": 1, "over_share_worth": 0.5})
         kept = [0.5, 1.0, 1.0, 1.0]
-        for ident, (owner, utility) in enumerate(zip(("A & B", "õ", "nobody known", ""), kept, strict=True)):
+        for ident, (owner, value) in enumerate(zip(("A & B", "õ", "nobody known", ""), kept, strict=True)):
             for more in ("1", "2") if owner == "A & B" else ("1",):
                 Caller(world).post(10 * ident + int(more), **more_of("Req_Owner", owner))
-            submission = list(world.service.link.rules.open.values())[-1]
-            self.assertEqual(submission.utility, utility, owner)
+            request = list(world.service.link.rules.open.values())[-1]
+            self.assertEqual(request.value, value, owner)
 
     def test_those_of_one_key_run_in_turn(self) -> None:
         ordered = [SETTINGS["grades"][0], SETTINGS["grades"][1] | {"serial_by_key": True}]
@@ -767,14 +769,14 @@
         world = World(self)
         world.service.names.question_id = 0xFFFF
         old = world.names[-1]
-        seat = ("s-7.east.hosts", "127.0.9.7:7001", 0, "kind=std cell=0 started=0")
-        world.list(2, seat)
+        endpoint = ("s-7.east.hosts", "127.0.9.7:7001", 0, "kind=std cell=0 started=0")
+        world.list(2, endpoint)
         self.assertEqual((world.names[-1][:2], world.service.names.number), (b"\0\0", 2))
         world.go(AGREED)
-        self.assertEqual(set(world.service.link.seats), {"s-7"})
+        self.assertEqual(set(world.service.link.endpoints), {"s-7"})
         world.go(7000)
         foreign = world.count("names_foreign")
-        world.service.names.datagramReceived(names.answer(old, 3, seat), ("127.0.8.9", 5300))
+        world.service.names.datagramReceived(names.answer(old, 3, endpoint), ("127.0.8.9", 5300))
         self.assertEqual((world.count("names_foreign"), world.service.names.number), (foreign + 1, 2))
 
     def test_a_bad_record_changes_nothing(self) -> None:
@@ -785,4 +787,6 @@
             ("s-1.east.hosts", "127.0.9.1:7001", 0, "cell=x"),
         )
         self.assertEqual((world.count("names_bad"), world.service.names.number), (1, 1))
-        self.assertEqual({seat.life.name for seat in world.service.link.seats.values()}, {"READY"})
+        self.assertEqual(
+            {endpoint.life.name for endpoint in world.service.link.endpoints.values()}, {"READY"}
+        )
--- a/tests/test_discovery_faults.py
+++ b/tests/test_discovery_faults.py
@@ -43,7 +43,7 @@
     def dispatcher_with(self, *faults: tuple[str, int, int]) -> Iterator[subprocess.Popen[str]]:
         """A dispatcher of a subtest of its own, in which these calls fail from now on."""
         with self.subTest(faults[0][0], error=errno.errorcode[faults[0][1]]):
-            self.names.change(lambda seat: seat._replace(draining=False))
+            self.names.change(lambda endpoint: endpoint._replace(draining=False))
             self.faults.heal()
             child = self.dispatcher()
             try:
@@ -164,7 +164,7 @@
         """A SIGHUP moves discovery, and the file cannot be opened for 7 s: the new address holds then."""
         child = self.dispatcher()
         before = self.names
-        self.names = NameService(self.addresses.names, MOVED_PORT, list(before.seats))
+        self.names = NameService(self.addresses.names, MOVED_PORT, list(before.endpoints))
         self.addCleanup(self.names.close)
         told = json.loads(self.configured.read_text())
         told["nameserver"] = f"{self.addresses.names}:{MOVED_PORT}"
--- a/tests/test_discovery_log.py
+++ b/tests/test_discovery_log.py
@@ -5,17 +5,17 @@
 
 from tests.helpers import World
 
-SEAT = ("s-0.east.hosts", "127.0.9.0:7001", 0, "kind=std cell=0 started=0")
+ENDPOINT = ("s-0.east.hosts", "127.0.9.0:7001", 0, "kind=std cell=0 started=0")
 
 
 class Missed(unittest.TestCase):
     def test_the_next_answer_tells_how_many_questions_had_none_and_for_how_long(self) -> None:
         world = World(self)
-        world.list(2, SEAT)
+        world.list(2, ENDPOINT)
         before, world.names_silent = world.count("names_unanswered"), True
         with self.assertLogs(world.service.log, logging.INFO) as logs:
             world.go(1000)
-            world.list(3, SEAT)
+            world.list(3, ENDPOINT)
         told = {record.getMessage(): record.figures for record in logs.records}  # type: ignore[attr-defined]
         self.assertGreaterEqual(told["discovery_answers_missed"]["questions"], 4)
         self.assertGreaterEqual(told["discovery_answers_missed"]["for_ms"], 1000.0)
@@ -25,12 +25,12 @@
 
     def test_one_that_was_not_answered_is_counted_and_not_logged(self) -> None:
         world = World(self)
-        world.list(2, SEAT)
+        world.list(2, ENDPOINT)
         before, world.names_silent = world.count("names_unanswered"), True
         world.service.names.ask()
         world.service.names.ask()
         with self.assertNoLogs(world.service.log, logging.WARNING):
-            world.answer(3, SEAT)
+            world.answer(3, ENDPOINT)
         self.assertEqual(world.count("names_unanswered") - before, 1)
 
 
--- a/tests/test_extproc.py
+++ b/tests/test_extproc.py
@@ -289,7 +289,7 @@
                 self.server.granter.calls,
                 self.server.granter.leases,
                 self.server.door.calls,
-                self.world.service.link.taken,
+                self.world.service.link.open_requests,
             ),
             ({}, {}, 0, {}),
         )
@@ -421,7 +421,7 @@
         proxy = Proxy(self)
         engines = self.world.service.engines.engines
         for engine in engines.values():
-            engine.seat = engine.seat._replace(life=Life.DRAINING)
+            engine.endpoint = engine.endpoint._replace(life=Life.DRAINING)
         stream = proxy.ask(1)
         self.assertNotIsInstance(proxy.answer(stream), str)
         self.assertGreater(self.world.count("grants_not_said"), 0)
--- a/tests/test_gone_clients.py
+++ b/tests/test_gone_clients.py
@@ -292,7 +292,7 @@
             first.post(1)
             steps.until(steps.engines[0].accept)
             connection = steps.service.engines.engines[0].connections[0]
-            steps.until(lambda: connection.trips and not connection.sending)
+            steps.until(lambda: connection.attempts and not connection.sending)
             connection.sending = True  # its transport still holds a message
             client = steps.client()
             client.post(LOOKUP)
@@ -588,11 +588,11 @@
     def __init__(self) -> None:
         self.verdicts: list[Callable[[bool | None], None]] = []
 
-    def before(self, taken: Any, trip: int, go: Callable[[bool | None], None]) -> bool:
+    def before(self, taken: Any, attempt: int, go: Callable[[bool | None], None]) -> bool:
         self.verdicts.append(go)
         return False
 
-    def departs(self, taken: Any, trip: int, engine: int) -> bool:
+    def departs(self, taken: Any, attempt: int, engine: int) -> bool:
         return True
 
     def turned(self) -> None:
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -9,8 +9,8 @@
 from spurdeal.lab.planted import KIND, find, site, world
 
 
-def line(engine: int, life: Life = Life.READY, location: int = 0, cell: int = 0) -> Listed:
-    return Listed(engine, location, 0, cell, life, 1.0, 0.0)
+def line(engine: int, life: Life = Life.READY, zone: int = 0, cell: int = 0) -> Listed:
+    return Listed(engine, zone, 0, cell, life, 1.0, 0.0)
 
 
 class Engines(unittest.TestCase):
@@ -61,7 +61,7 @@
 class Rules(unittest.TestCase):
     def observer(self) -> Observer:
         made = Observer(site(1), 1000.0)
-        made.listed(0.0, 0, [line(0), line(1, cell=1), line(2, location=1)])
+        made.listed(0.0, 0, [line(0), line(1, cell=1), line(2, zone=1)])
         return made
 
     def test_each_rule_by_hand(self) -> None:
@@ -90,9 +90,9 @@
                     elif rule == 6:
                         seen.sent(1.0, 0, 1, 0, 2 if broken else 0)
                     else:
-                        for trip in range(5 if broken else 4):
-                            seen.sent(1.0 + trip, 0, 1, trip, trip % 2)
-                            seen.ended(1.5 + trip, 0, 1, trip, Ending.FULL)
+                        for attempt in range(5 if broken else 4):
+                            seen.sent(1.0 + attempt, 0, 1, attempt, attempt % 2)
+                            seen.ended(1.5 + attempt, 0, 1, attempt, Ending.FULL)
                     self.assertEqual(dict(seen.broken), {rule: 1} if broken else {}, seen.seen)
 
     def test_planted_in_the_rules_and_in_a_link_they_are_found(self) -> None:
--- a/tests/test_list_agreement.py
+++ b/tests/test_list_agreement.py
@@ -4,20 +4,20 @@
 
 from spurdeal.interface import Life, Verdict
 from spurdeal.list_agreement import RENUMBERED_AFTER, RETURN_HOLD, Agreement, judged
-from spurdeal.net.engine_list import Seat
+from spurdeal.net.engine_list import Endpoint
 
 
-def seat(ident: str, life: Life = Life.READY, started: float = 0.0, weight: float = 1.0) -> Seat:
+def endpoint(ident: str, life: Life = Life.READY, started: float = 0.0, weight: float = 1.0) -> Endpoint:
     """One engine."""
-    return Seat(ident, "127.0.9.1", 7001, "east", "std", 0, life, weight, started)
+    return Endpoint(ident, "127.0.9.1", 7001, "east", "std", 0, life, weight, started)
 
 
-def listed(*seats: Seat) -> dict[str, Seat]:
+def listed(*endpoints: Endpoint) -> dict[str, Endpoint]:
     """A list of these."""
-    return {each.ident: each for each in seats}
+    return {each.ident: each for each in endpoints}
 
 
-A, B, C = seat("a"), seat("b"), seat("c")
+A, B, C = endpoint("a"), endpoint("b"), endpoint("c")
 A_DRAINS, B_DRAINS = (each._replace(life=Life.DRAINING) for each in (A, B))
 
 
@@ -26,11 +26,11 @@
         self.agreement = Agreement.of(5, listed(A, B))
         self.now = 0.0
 
-    def answer(self, number: int, *seats: Seat, asked_at: float | None = None) -> Verdict:
+    def answer(self, number: int, *endpoints: Endpoint, asked_at: float | None = None) -> Verdict:
         """One answer, 200 ms behind the last, to a question that has just left."""
         self.now += 200.0
         asked_at = self.now - 1.0 if asked_at is None else asked_at
-        found = judged(self.agreement, number, listed(*seats), asked_at, self.now)
+        found = judged(self.agreement, number, listed(*endpoints), asked_at, self.now)
         self.agreement = found.agreement
         self.ask_again, self.is_settled = found.ask_again, found.is_settled
         return found.verdict
@@ -56,7 +56,7 @@
         self.assertEqual(self.in_force(), {"a": "DRAINING", "b": "READY", "c": "READY"})
 
     def test_an_engine_that_was_told_twice_gets_requests_while_others_join(self) -> None:
-        joined = [seat(f"n{number}") for number in range(5)]
+        joined = [endpoint(f"n{number}") for number in range(5)]
         for number in range(1, 6):
             self.answer(5 + number, A, B, *joined[:number])
             self.assertEqual(list(self.in_force()), ["a", "b", *(f"n{old}" for old in range(number - 1))])
@@ -117,11 +117,11 @@
             self.assertEqual(self.in_force(), {"a": "DRAINING", "b": "READY"})
         self.assertEqual(self.agreement.contradictions, 0)
 
-    def renumber(self, *seats: Seat) -> None:
+    def renumber(self, *endpoints: Endpoint) -> None:
         """Answers in a row tell a list of number 2."""
         for _ in range(RENUMBERED_AFTER - 1):
-            self.answer(2, *seats)
-        self.assertEqual(self.answer(2, *seats), Verdict.NEWER)
+            self.answer(2, *endpoints)
+        self.assertEqual(self.answer(2, *endpoints), Verdict.NEWER)
         self.assertEqual(self.agreement.number, 2)
 
     def test_older_lists_in_a_row_show_that_the_number_in_force_was_wrong(self) -> None:
@@ -133,12 +133,12 @@
         self.answer(6, A_DRAINS, B)
         self.renumber(A, B, C)
         held_until = self.now + RETURN_HOLD
-        self.answer(3, A, B, C, seat("d"))
+        self.answer(3, A, B, C, endpoint("d"))
         while self.now <= held_until:
             self.assertEqual(self.in_force().get("a"), "DRAINING")
             self.assertNotIn("c", self.in_force())
-            self.answer(3, A, B, C, seat("d"))
-        self.answer(3, A, B, C, seat("d"))
+            self.answer(3, A, B, C, endpoint("d"))
+        self.answer(3, A, B, C, endpoint("d"))
         self.assertEqual(self.in_force(), dict.fromkeys("abcd", "READY"))
 
     def test_what_an_older_list_lacks_drains_and_is_not_forgotten_yet(self) -> None:
@@ -149,7 +149,7 @@
         self.assertEqual(self.in_force(), {"a": "READY"})
 
     def test_an_engine_that_was_started_anew_stays_in_force(self) -> None:
-        self.assertEqual(self.answer(6, A, seat("b", started=9.0)), Verdict.NEWER)
+        self.assertEqual(self.answer(6, A, endpoint("b", started=9.0)), Verdict.NEWER)
         self.assertEqual(self.in_force(), {"a": "READY", "b": "READY"})
 
 
--- a/tests/test_list_numbers.py
+++ b/tests/test_list_numbers.py
@@ -16,21 +16,21 @@
 class NumberedNameService(FaultyNameService):
     """Answers the next questions with another number, and with the list as it stood then."""
 
-    def __init__(self, host: str, port: int, seats: list[names.Seat]) -> None:
-        self.renumbered = list[tuple[int, list[names.Seat]]]()
-        super().__init__(host, port, seats)
+    def __init__(self, host: str, port: int, endpoints: list[names.Endpoint]) -> None:
+        self.renumbered = list[tuple[int, list[names.Endpoint]]]()
+        super().__init__(host, port, endpoints)
 
     def renumber(self, number: int, times: int = 1) -> None:
         """The next answers hold the list of now under this number."""
-        self.renumbered = [(number, list(self.seats))] * times
+        self.renumbered = [(number, list(self.endpoints))] * times
 
     def answer(self, question: bytes, asker: tuple[str, int]) -> None:
         """One question."""
         if not self.renumbered:
             super().answer(question, asker)
             return
-        number, seats = self.renumbered.pop()
-        told = names.answer(question, number, *(seat.record() for seat in seats), flags=0x8400)
+        number, endpoints = self.renumbered.pop()
+        told = names.answer(question, number, *(endpoint.record() for endpoint in endpoints), flags=0x8400)
         self.socket.sendto(told, asker)
 
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -17,7 +17,7 @@
 from spurdeal.net.engines import Connection
 from spurdeal.net.logs import logger
 from spurdeal.net.start import Configuration, load_configuration, read_configuration
-from spurdeal.state import Submission
+from spurdeal.state import Request
 from tests.helpers import AGREED, BASE, SETTINGS, SETTLED, Caller, World, configuration, started_process
 
 NETWORK = Network.of_this_process()
@@ -162,7 +162,7 @@
         caller.leave()
         link = world.service.link
         self.assertEqual(len(peer.heard()), 1)
-        self.assertEqual((list(link.taken), link.rules.engines[0].threads), ([0], 1))
+        self.assertEqual((list(link.open_requests), link.rules.engines[0].threads), ([0], 1))
 
     def test_bad_messages_cost_their_connection_only(self) -> None:
         world = World(self)
@@ -264,8 +264,8 @@
             caller.post(ident)
         peers = [world.peer(place).up() for place in range(4)]
         self.assertEqual(sorted(len(peer.heard()) for peer in peers), [1, 1, 2, 2])
-        crowded = max(peers, key=lambda peer: len(peer.protocol.trips))
-        for ident in [trip.ident for trip in crowded.protocol.trips.values()][1:]:
+        crowded = max(peers, key=lambda peer: len(peer.protocol.attempts))
+        for ident in [attempt.ident for attempt in crowded.protocol.attempts.values()][1:]:
             crowded.say(int(ident, 16), "200")
         crowded.raw(b"nonsense\r\n")
         self.assertEqual([len(caller.answers()) for caller in callers].count(1), 1)
@@ -334,7 +334,7 @@
             world.reactor.tcpClients.clear()
 
         one_round()
-        left = [thing for thing in gc.get_objects() if isinstance(thing, (Submission, Connection))]
+        left = [thing for thing in gc.get_objects() if isinstance(thing, (Request, Connection))]
         self.assertEqual(left, [])
 
     def test_a_connection_gone_silent_gets_nothing_more(self) -> None:
@@ -396,13 +396,18 @@
 
     def test_engines_of_the_list(self) -> None:
         world = World(self, engines=2)
-        seat = ("s-{}.east.hosts", "127.0.9.{}:7001", 0, "kind=std cell=0 started={}")
+        endpoint = ("s-{}.east.hosts", "127.0.9.{}:7001", 0, "kind=std cell=0 started={}")
 
         def at(number: int, priority: int = 0, started: int = 0) -> tuple[str, str, int, str]:
-            return (seat[0].format(number), seat[1].format(number), priority, seat[3].format(started))
+            return (
+                endpoint[0].format(number),
+                endpoint[1].format(number),
+                priority,
+                endpoint[3].format(started),
+            )
 
         world.list(0, at(0))  # overtaken by what is known
-        self.assertEqual(set(world.service.link.seats), {"s-0", "s-1"})
+        self.assertEqual(set(world.service.link.endpoints), {"s-0", "s-1"})
         world.go(SETTLED)
         world.list(3, at(0, priority=1), at(1))
         for ident in range(3):
@@ -428,7 +433,7 @@
         self.assertEqual(world.count("names_foreign"), foreign + 2)
         world.list(9, at(1), flags=0x8402)
         world.list(9, ("s-1.east.hosts", "127.0.9.1:7001", 0, "cell=0"))
-        self.assertEqual((world.count("names_bad"), set(world.service.link.seats)), (2, {"s-5"}))
+        self.assertEqual((world.count("names_bad"), set(world.service.link.endpoints)), (2, {"s-5"}))
 
     def test_nothing_dialled_for_is_sent_after_a_drain(self) -> None:
         world = World(self)
@@ -476,13 +481,13 @@
         told = read_configuration(json.dumps(configuration(1, nameserver="127.0.8.10:5301")))
         world.service.read_again(lambda: told)
         self.assertEqual(world.asked[-1], ("127.0.8.10", 5301))
-        seat = ("s-1.east.hosts", "127.0.9.1:7001", 0, "kind=std cell=0 started=0")
-        world.list(2, seat)  # the old one answers no more
-        self.assertEqual(set(world.service.link.seats), {"s-0"})
-        world.list(2, seat, source=("127.0.8.10", 5301))
-        self.assertEqual(set(world.service.link.seats), set())
+        endpoint = ("s-1.east.hosts", "127.0.9.1:7001", 0, "kind=std cell=0 started=0")
+        world.list(2, endpoint)  # the old one answers no more
+        self.assertEqual(set(world.service.link.endpoints), {"s-0"})
+        world.list(2, endpoint, source=("127.0.8.10", 5301))
+        self.assertEqual(set(world.service.link.endpoints), set())
         world.go(AGREED)
-        self.assertEqual(set(world.service.link.seats), {"s-1"})
+        self.assertEqual(set(world.service.link.endpoints), {"s-1"})
 
         def unusable() -> Configuration:
             return load_configuration("/nowhere/config.json")
@@ -498,7 +503,7 @@
         more = configuration(2, limits={"sockets": 8})
         more["known"]["no"] = more["known"]["items"][0]["no"] = 9
         world.service.read_again(lambda: read_configuration(json.dumps(more)))
-        self.assertEqual((set(world.service.link.seats), world.service.names.number), ({"s-0", "s-1"}, 9))
+        self.assertEqual((set(world.service.link.endpoints), world.service.names.number), ({"s-0", "s-1"}, 9))
         for ident in range(8):
             Caller(world).post(ident)
         self.assertEqual(len(world.reactor.tcpClients), 3)
--- a/tests/test_new_days.py
+++ b/tests/test_new_days.py
@@ -13,7 +13,7 @@
 from unittest.mock import Mock
 
 from spurdeal.lab import names
-from spurdeal.net.link import BrokenOff
+from spurdeal.net.link import Failed
 from spurdeal.net.start import read_configuration
 from tests.helpers import RETURNED, SETTLED, Caller, Peer, World, configuration, started_process
 from tests.steps import HOST, ROW, Steps, Talk, free_port
@@ -31,7 +31,7 @@
 
 
 def lives(world: World) -> dict[str, str]:
-    return {ident: seat.life.name for ident, seat in world.service.link.seats.items()}
+    return {ident: endpoint.life.name for ident, endpoint in world.service.link.endpoints.items()}
 
 
 def accepted(steps: Steps) -> Talk:
@@ -66,8 +66,8 @@
         return world, world.names[asked:]
 
     def answer(self, world: World, question: bytes, serial: int, *draining: int) -> None:
-        seats = [record(number, number in draining) for number in range(2)]
-        world.service.names.datagramReceived(names.answer(question, serial, *seats), OLD)
+        endpoints = [record(number, number in draining) for number in range(2)]
+        world.service.names.datagramReceived(names.answer(question, serial, *endpoints), OLD)
 
     def test_all_late_answers_in_one_round_the_newest_holds(self) -> None:
         for order in ((2, 4, 3), (4, 2, 3), (3, 2, 4)):
@@ -198,12 +198,12 @@
                 world = World(self, engines=2)
                 Caller(world).post(1, "load")
                 dialled = int(world.peer().host[-1])
-                seats = [record(number, number == dialled) for number in range(2)]
+                endpoints = [record(number, number == dialled) for number in range(2)]
                 if moved_first:
                     self.reload(world, self.told())
-                    world.list(5, *seats, source=NEW)
+                    world.list(5, *endpoints, source=NEW)
                 else:
-                    world.list(5, *seats)
+                    world.list(5, *endpoints)
                     self.reload(world, self.told())
                 self.assertEqual(world.peer().up().heard(), [])
                 self.assertEqual(len(world.peer(1).up().heard()), 1)
@@ -575,7 +575,7 @@
         """As those are that a guard knows: one does not stand on the other's stack."""
         world = World(self)
         guard = Mock()
-        guard.door.return_value = BrokenOff()
+        guard.door.return_value = Failed()
         world.service.link.guard = guard
         caller = Caller(world)
         caller.say(b"".join(call(ident) for ident in range(1, 1001)))
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -113,7 +113,7 @@
 
 class Dns(unittest.TestCase):
     ASKED = dns.question(7, "_api._tcp.svc.local", dns.SRV)
-    SEATS = (
+    ENDPOINTS = (
         ("s-1.east.hosts", "10.1.0.9:7001", 0, "kind=std cell=2 started=0"),
         ("s-2.east.hosts", "10.1.0.8:7002", 1, "kind=std cell=3 started=9"),
     )
@@ -133,17 +133,17 @@
         )
         sizes = set()
         for compressed in (True, False):
-            datagram = name_answer(self.ASKED, 41, *self.SEATS, compressed=compressed)
+            datagram = name_answer(self.ASKED, 41, *self.ENDPOINTS, compressed=compressed)
             sizes.add(len(datagram))
             self.assertEqual(self.read(datagram), wanted)
         self.assertEqual(len(sizes), 2)
 
     def test_an_answer_of_8000_bytes(self) -> None:
-        seats = [
+        endpoints = [
             (f"s-{n}.east.hosts", f"10.1.{n >> 8}.{n & 255}:7001", 0, "kind=std cell=2 started=0")
             for n in range(75)
         ]
-        datagram = name_answer(self.ASKED, 41, *seats, compressed=False)
+        datagram = name_answer(self.ASKED, 41, *endpoints, compressed=False)
         self.assertGreater(len(datagram), 7800)
         answer = self.read(datagram)
         assert isinstance(answer, tuple)
@@ -151,7 +151,7 @@
 
     def test_every_cut_and_every_changed_byte(self) -> None:
         """Whatever comes, the reader ends, and says so or answers."""
-        datagram = name_answer(self.ASKED, 41, *self.SEATS)
+        datagram = name_answer(self.ASKED, 41, *self.ENDPOINTS)
         for place in range(len(datagram)):
             if place < dns.HEADER.size:
                 with self.assertRaises(dns.BadDatagram):
@@ -165,7 +165,7 @@
                         continue
 
     def test_foreign_refused_and_looping(self) -> None:
-        datagram = name_answer(self.ASKED, 41, *self.SEATS)
+        datagram = name_answer(self.ASKED, 41, *self.ENDPOINTS)
         self.assertIsNone(self.read(datagram, 8))
         self.assertIsNone(self.read(self.ASKED))
         other = dns.question(7, "_api._tcp.svc.locas", dns.SRV)
--- a/tests/test_port_renewal.py
+++ b/tests/test_port_renewal.py
@@ -35,10 +35,10 @@
         others: What happens to answers to ports but the first.
     """
 
-    def __init__(self, host: str, port: int, seats: list[names.Seat]) -> None:
+    def __init__(self, host: str, port: int, endpoints: list[names.Endpoint]) -> None:
         self.ports = list[int]()
         self.others = Step(Answering.SENT)
-        super().__init__(host, port, seats)
+        super().__init__(host, port, endpoints)
 
     def carry_out(self, step: Step, question: bytes, asker: tuple[str, int]) -> None:
         """One answer."""
--- a/tests/test_review_findings.py
+++ b/tests/test_review_findings.py
@@ -7,7 +7,7 @@
 from spurdeal.lab import names
 from spurdeal.list_agreement import RENUMBERED_AFTER, Agreement, judged, same_use
 from spurdeal.list_freshness import ROW, TOLD_WITHIN, ListFreshness
-from spurdeal.net.engine_list import Seat
+from spurdeal.net.engine_list import Endpoint
 from tests.helpers import World
 
 GRACE, SLACK = 250.0, 50.0  # ms, as the settings and the protocol page have them
@@ -61,8 +61,8 @@
 
     def may_get(self, place: int) -> bool:
         """Whether an attempt at that engine may begin now."""
-        seat = self.world.service.link.seats.get(f"s-{place}")
-        return self.followed() and seat is not None and seat.life == Life.READY
+        endpoint = self.world.service.link.endpoints.get(f"s-{place}")
+        return self.followed() and endpoint is not None and endpoint.life == Life.READY
 
     def check_never_sent(
         self, place: int, sent: float, until: float, serial: int, lag: tuple[Record, ...]
@@ -209,20 +209,20 @@
                 self.assertFalse(freshness.followed(read + passed), passed)
 
 
-def seat(ident: str, life: Life = Life.READY, started: float = 0.0) -> Seat:
+def endpoint(ident: str, life: Life = Life.READY, started: float = 0.0) -> Endpoint:
     """One engine."""
-    return Seat(ident, "127.0.9.1", 7001, "east", "std", 0, life, 1.0, started)
+    return Endpoint(ident, "127.0.9.1", 7001, "east", "std", 0, life, 1.0, started)
 
 
 class Agreeing(unittest.TestCase):
     def setUp(self) -> None:
         self.now = 0.0
-        self.agreement = Agreement.of(5, {"a": seat("a"), "b": seat("b")})
+        self.agreement = Agreement.of(5, {"a": endpoint("a"), "b": endpoint("b")})
 
-    def answer(self, number: int, *seats: Seat) -> Verdict:
+    def answer(self, number: int, *endpoints: Endpoint) -> Verdict:
         """One answer, 40 ms behind the last."""
         self.now += 40.0
-        listed = {each.ident: each for each in seats}
+        listed = {each.ident: each for each in endpoints}
         found = judged(self.agreement, number, listed, self.now - 1.0, self.now)
         self.agreement, self.is_settled = found.agreement, found.is_settled
         return found.verdict
@@ -232,25 +232,25 @@
         return self.agreement.in_force[ident].life if ident in self.agreement.in_force else None
 
     def test_a_change_during_the_hold_after_a_renumbering_releases_nothing_early(self) -> None:
-        drains = seat("b", Life.DRAINING)
-        self.answer(10, seat("a"), drains)
+        drains = endpoint("b", Life.DRAINING)
+        self.answer(10, endpoint("a"), drains)
         told = self.now
         for _ in range(RENUMBERED_AFTER):  # from a replica that lags
-            self.answer(7, seat("a"), seat("b"))
+            self.answer(7, endpoint("a"), endpoint("b"))
         while self.now < told + TOLD_WITHIN:  # it goes on, and still lags
-            self.answer(8, seat("a"), seat("b"), seat("c"))
+            self.answer(8, endpoint("a"), endpoint("b"), endpoint("c"))
             self.assertEqual(self.life("b"), Life.DRAINING, f"{self.now - told:.0f} ms after it was told")
 
     def test_two_old_lists_with_a_number_that_is_too_high_take_no_drain_back(self) -> None:
-        self.answer(10, seat("a"), seat("b", Life.DRAINING))
+        self.answer(10, endpoint("a"), endpoint("b", Life.DRAINING))
         for _ in range(2):  # from before a restart
-            self.answer(41, seat("a"), seat("b"))
+            self.answer(41, endpoint("a"), endpoint("b"))
         self.assertEqual(self.life("b"), Life.DRAINING)
 
     def test_an_engine_that_was_told_again_gets_requests_though_another_has_joined_meanwhile(self) -> None:
-        joined = [seat("a"), seat("b")]
+        joined = [endpoint("a"), endpoint("b")]
         for number in range(6, 56):  # 2 s
-            joined.append(seat(f"n{number}"))
+            joined.append(endpoint(f"n{number}"))
             self.answer(number, *joined)
         self.assertEqual(self.life("n6"), Life.READY)
 
@@ -260,7 +260,7 @@
         for number in range(250):  # 10 s
             asked = self.now + 39.0
             freshness.asked(asked)
-            verdict = self.answer(5 if number % 2 else 3, seat("a"), seat("b"))
+            verdict = self.answer(5 if number % 2 else 3, endpoint("a"), endpoint("b"))
             if self.is_settled:
                 freshness.answered(self.now, asked, verdict)
             followed = freshness.followed(self.now)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -12,9 +12,9 @@
 SITE: dict[str, Any] = dict(
     index=0,
     dispatchers=1,
-    location=0,
+    zone=0,
     quotas=(),
-    over_share_utility=1.0,
+    over_share_value=1.0,
     cores=(8,),
     memory_mb=(8192.0,),
     in_hand=None,
@@ -23,7 +23,7 @@
     may_probe=False,
     may_tell=False,
     second_copies=False,
-    most_trips=3,
+    max_attempts=3,
     most_come_back=500.0,
     grants=False,
     priorities=False,
@@ -38,7 +38,23 @@
 )
 LINE = Listed(0, 0, 0, 0, Life.READY, 1.0, 0.0)
 KINDS: tuple[Any, ...] = (Effect, Ending, Life, Reach, Word)
-WORDS: dict[str, Any] = {word.name.lower(): word for kind in KINDS for word in kind}
+# The notation of the scenario files has names of its own for some members and fields.
+WORDS: dict[str, Any] = {word.name.lower(): word for kind in KINDS for word in kind} | {
+    "redoable": Effect.IDEMPOTENT,
+    "labelled": Effect.IDEMPOTENT_BY_KEY,
+    "irreversible": Effect.NON_IDEMPOTENT,
+    "location": Reach.ZONE,
+}
+FIELDS = {
+    "agreed": "objective",
+    "customer": "tenant",
+    "expiry": "deadline",
+    "late_utility": "late_value",
+    "location": "zone",
+    "locations": "zones",
+    "over_share_utility": "over_share_value",
+    "utility": "value",
+}
 
 
 def value(text: str) -> Any:
@@ -80,7 +96,7 @@
     def break_off(self, number: int, reason: EndReason) -> None:
         self.did.append(f"break {number}")
 
-    def call_off(self, number: int, trip: int) -> None:
+    def call_off(self, number: int, attempt: int) -> None:
         self.did.append(f"call_off {number}")
 
     def wake(self, delay: float, token: int) -> None:
@@ -101,7 +117,8 @@
         line, arrow, wanted = line.partition("->")
         verb, *rest = line.split()
         words = [word for word in rest if "=" not in word]
-        given = {key: value(text) for key, _, text in (word.partition("=") for word in rest if "=" in word)}
+        pairs = (word.partition("=") for word in rest if "=" in word)
+        given = {FIELDS.get(key, key): value(text) for key, _, text in pairs}
         getattr(self, "do_" + verb)(*words, **given)
         if arrow:
             self.expect([] if wanted.strip() == "nothing" else wanted.split(","))
@@ -113,7 +130,7 @@
         self.workloads.append(
             Workload(
                 **(
-                    {"agreed": 1000.0, "stretch": 2.0, "expiry": 5000.0, "utility": 1.0, "late_utility": 0.0}
+                    {"objective": 1000.0, "stretch": 2.0, "deadline": 5000.0, "value": 1.0, "late_value": 0.0}
                     | given
                 )
             )
@@ -156,19 +173,19 @@
         life: float = 5000.0,
         key: int = 0,
         group: int = 0,
-        customer: int = 0,
+        tenant: int = 0,
     ) -> None:
         for number in numbers:
-            expiry = self.now + life
-            self.rules.submitted(self.now, int(number), kind, customer, key, expiry, cost, 0.0, group)
+            deadline = self.now + life
+            self.rules.submitted(self.now, int(number), kind, tenant, key, deadline, cost, 0.0, group)
         self.rules.turn(self.now)
 
     def do_end(
-        self, *trips: str, ending: Ending = Ending.DELIVERED, took: float = 100.0, report: float = 0.0
+        self, *attempts: str, ending: Ending = Ending.DELIVERED, took: float = 100.0, report: float = 0.0
     ) -> None:
-        for name in trips:
-            number, _, trip = name.partition(".")
-            which = int(number), int(trip or 0)
+        for name in attempts:
+            number, _, attempt = name.partition(".")
+            which = int(number), int(attempt or 0)
             final = ending == Ending.DELIVERED
             engine = self.engine_of[which]
             self.rules.ended(self.now, *which, engine, ending, took, final, 0.0, 0.0, (report,))
--- a/tests/test_soak_names.py
+++ b/tests/test_soak_names.py
@@ -12,7 +12,7 @@
 from tests.soak.name_service import Condition, NameService
 
 IDENT, HOSTS = 0x1234, ("127.0.0.1", "127.0.0.2")
-DRAINING = [names.Seat("s-0", "127.0.0.9", 7001, draining=True)]
+DRAINING = [names.Endpoint("s-0", "127.0.0.9", 7001, draining=True)]
 
 
 class Transport:
--- a/tests/test_station.py
+++ b/tests/test_station.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 from spurdeal.lab.model import figures
-from spurdeal.lab.names import Seat
-from spurdeal.net.link import BrokenOff, Delivered, Shed
+from spurdeal.lab.names import Endpoint
+from spurdeal.net.link import Delivered, Failed, Shed
 from spurdeal.settings.reading import read_text
 from spurdeal.vrrp import advert
 from spurdeal.vrrp.machine import State
@@ -107,7 +107,9 @@
         pair.sides["n1"].kill()
         pair.go(600)
         started = int(pair.unix())
-        pair.names.change([Seat("s-1", "127.0.9.1", 7001), Seat("s-9", "127.0.9.9", 7001, started=started)])
+        pair.names.change(
+            [Endpoint("s-1", "127.0.9.1", 7001), Endpoint("s-9", "127.0.9.9", 7001, started=started)]
+        )
         pair.names.silent = True
         one = pair.again("n1")
         pair.go(2500)
@@ -171,7 +173,7 @@
         pair = Pair(self)
         pair.go(3500)
         pair.sides["n1"].kill()
-        pair.names.change([Seat("s-9", "127.0.9.9", 7001, started=int(pair.unix()))])
+        pair.names.change([Endpoint("s-9", "127.0.9.9", 7001, started=int(pair.unix()))])
         dialled = len(pair.ether.tcpClients)
         while not pair.sides["n2"].holds():
             pair.go(5)
@@ -201,7 +203,7 @@
         self.assertEqual(sent.heard()[0][1], X.decode())
         one.kill()
         pair.go(500)
-        self.assertEqual((answers, two.submit(X)), ([], [BrokenOff()]))
+        self.assertEqual((answers, two.submit(X)), ([], [Failed()]))
         self.assertEqual(two.count("door_ran"), 1)
 
     def test_told_but_the_answer_is_lost(self) -> None:
@@ -239,7 +241,7 @@
         pair.peers()[-1].up().say(0xAA, "200", "parts=1", b"a\t1\tx\n")
         self.assertEqual(answers, [Delivered((b"a\t1\tx\n",))])
         for side in (one, two):
-            self.assertEqual(side.submit(X), [BrokenOff()])
+            self.assertEqual(side.submit(X), [Failed()])
 
     def test_proven_not_to_have_run_it_may_go_again(self) -> None:
         pair = self.pair()
@@ -261,7 +263,7 @@
         pair.go(400)
         ran = [side.count("ahead_sent") for side in pair.sides.values()]
         self.assertLessEqual(sum(ran), 1)
-        self.assertIn([BrokenOff()], answers)
+        self.assertIn([Failed()], answers)
 
     def test_both_killed_each_recalls_by_its_ledger_and_tells_the_other(self) -> None:
         pair = self.pair()
@@ -274,7 +276,7 @@
         one.station.recall({X: pair.unix() + 60_000})  # what its ledger holds
         self.assertEqual(two.submit(X), [Shed(500.0)])  # it does not know yet what its peer knows
         pair.go(1000)
-        self.assertEqual([two.submit(X), one.submit(X)], [[BrokenOff()], [BrokenOff()]])
+        self.assertEqual([two.submit(X), one.submit(X)], [[Failed()], [Failed()]])
 
     def test_the_peer_is_away(self) -> None:
         pair = self.pair()
@@ -294,7 +296,7 @@
         pair.go(10)
         self.assertTrue(one.service.link.withdraw(X))
         pair.go(200)
-        self.assertEqual((one.service.link.taken, one.station.going), ({}, {}))
+        self.assertEqual((one.service.link.open_requests, one.station.going), ({}, {}))
 
 
 class BadInput(unittest.TestCase):
--- a/tests/test_system_faults.py
+++ b/tests/test_system_faults.py
@@ -77,7 +77,7 @@
                 port.socket = FailingSocket(port.socket, "recvfrom", error)
                 steps.list(2, 0)  # a drain, in an answer of which the first read fails
                 steps.go(30)
-                self.assertEqual(steps.service.link.seats["s-0"].life, Life.DRAINING)
+                self.assertEqual(steps.service.link.endpoints["s-0"].life, Life.DRAINING)
                 self.assertIs(steps.service.names.transport, port)
 
     def test_an_error_that_twisted_passes_over_is_counted(self) -> None:
@@ -86,7 +86,7 @@
         telling.real = FailingSocket(telling.real, "recvfrom", errno.ECONNREFUSED)
         steps.list(2, 0)
         steps.go(30)
-        self.assertEqual(steps.service.link.seats["s-0"].life, Life.DRAINING)
+        self.assertEqual(steps.service.link.endpoints["s-0"].life, Life.DRAINING)
         self.assertEqual(steps.service.counters.sums["datagram_read_errors"], 1)
 
     def test_errors_that_go_on_end_the_socket_and_another_is_opened(self) -> None:
@@ -102,7 +102,7 @@
         self.assertIsNot(steps.service.names.transport, port)
         self.assertEqual(steps.service.counters.sums["names_socket_ended"], 1)
         steps.list(2, 0)
-        self.assertEqual(steps.service.link.seats["s-0"].life, Life.DRAINING)
+        self.assertEqual(steps.service.link.endpoints["s-0"].life, Life.DRAINING)
 
     def test_an_error_on_sending_is_counted_and_the_next_question_goes(self) -> None:
         for error in (errno.ENOBUFS, errno.EPERM, errno.ENETUNREACH, errno.EHOSTUNREACH):
@@ -142,10 +142,10 @@
         taken = world.service.names.on_list
         failures = [RuntimeError("by the test")]
 
-        def on_list(seats: Any) -> None:
+        def on_list(endpoints: Any) -> None:
             if failures:
                 raise failures.pop()
-            taken(seats)
+            taken(endpoints)
 
         world.service.names.on_list = on_list
         with self.assertRaises(RuntimeError):
@@ -153,7 +153,7 @@
         self.assertEqual(world.service.names.number, 1)
         world.list(2, DRAINING, SERVING)
         self.assertEqual(world.service.names.number, 2)
-        self.assertEqual(world.service.link.seats["s-0"].life, Life.DRAINING)
+        self.assertEqual(world.service.link.endpoints["s-0"].life, Life.DRAINING)
 
     def test_a_question_that_twisted_would_drop_in_silence_is_counted(self) -> None:
         for error in (errno.ECONNREFUSED, errno.EMSGSIZE):
@@ -213,12 +213,12 @@
         steps.reactor.removeReader(steps.service.names.transport)
         steps.list(2, 0)
         steps.go(800)
-        self.assertEqual(steps.service.link.seats["s-0"].life, Life.DRAINING)
+        self.assertEqual(steps.service.link.endpoints["s-0"].life, Life.DRAINING)
         self.assertEqual(steps.service.counters.sums["discovery_read_by_look"], 1)
         steps.list(3)  # it is told of again
-        self.assertEqual(steps.service.link.seats["s-0"].life, Life.DRAINING)
+        self.assertEqual(steps.service.link.endpoints["s-0"].life, Life.DRAINING)
         steps.go(RETURNED)
-        self.assertEqual(steps.service.link.seats["s-0"].life, Life.READY)
+        self.assertEqual(steps.service.link.endpoints["s-0"].life, Life.READY)
 
     def test_a_fault_in_one_sweep_ends_no_other(self) -> None:
         world = World(self)
@@ -234,10 +234,10 @@
         link: Any = world.service.link
         taken, failures = link.listed, [RuntimeError("by the test")]
 
-        def listed(seats: Any) -> None:
+        def listed(endpoints: Any) -> None:
             if failures:
                 raise failures.pop()
-            taken(seats)
+            taken(endpoints)
 
         link.listed = listed
         world.service.names.on_list = listed
@@ -251,7 +251,7 @@
         self.assertEqual(world.service.names.address, ("127.0.8.10", 5301))
         self.assertEqual(world.service.names.number, 1)
         world.list(2, DRAINING, SERVING, source=("127.0.8.10", 5301))
-        self.assertEqual(world.service.link.seats["s-0"].life, Life.DRAINING)
+        self.assertEqual(world.service.link.endpoints["s-0"].life, Life.DRAINING)
 
     def test_a_file_that_cannot_be_read_is_read_until_it_can(self) -> None:
         world, reads = World(self), list[float]()
@@ -315,8 +315,10 @@
         world.reactor.rightNow += 2.5
         world.peer().up()
         self.assertEqual(self.sent(world), 0)
-        seats = ((f"s-{n}.east.hosts", f"127.0.9.{n}:7001", 0, "kind=std cell=0 started=0") for n in (0, 1))
-        world.list(2, *seats)
+        endpoints = (
+            (f"s-{n}.east.hosts", f"127.0.9.{n}:7001", 0, "kind=std cell=0 started=0") for n in (0, 1)
+        )
+        world.list(2, *endpoints)
         world.go(60)
         if len(world.reactor.tcpClients) > 1:  # it is dialled for at the other engine now
             world.peer(1).up()
@@ -380,12 +382,12 @@
         sent_at = crowd.post(1, wait=2000)
         crowd.go(800)
         self.assertEqual(listener.real.times, 0)
-        self.assertLessEqual(crowd.expiry(1) + ANSWER_WAY - sent_at, 2000)
-        self.assertGreaterEqual(crowd.expiry(1) + ANSWER_WAY - sent_at, 2000 - 2 * ROUND)
+        self.assertLessEqual(crowd.deadline(1) + ANSWER_WAY - sent_at, 2000)
+        self.assertGreaterEqual(crowd.deadline(1) + ANSWER_WAY - sent_at, 2000 - 2 * ROUND)
         sent_at = crowd.post(2, wait=2000)
         crowd.go(600)
-        self.assertLessEqual(crowd.expiry(2) + ANSWER_WAY - sent_at, 2000)
-        self.assertGreaterEqual(crowd.expiry(2) + ANSWER_WAY - sent_at, 2000 - 2 * ROUND)
+        self.assertLessEqual(crowd.deadline(2) + ANSWER_WAY - sent_at, 2000)
+        self.assertGreaterEqual(crowd.deadline(2) + ANSWER_WAY - sent_at, 2000 - 2 * ROUND)
 
     def test_unread_while_recv_fails(self) -> None:
         steps = Steps(self)
@@ -689,12 +691,14 @@
     def test_a_fault_at_one_engine_leaves_no_list_half_applied(self) -> None:
         world = World(self, engines=2)
         failing: Any = world.service.engines.engines[0]
-        failing.reseat = lambda seat: 1 / 0
+        failing.update_endpoint = lambda endpoint: 1 / 0
         gone = ("s-1.east.hosts", "127.0.9.1:7001", 1, "kind=std cell=0 started=0")
         world.list(2, DRAINING, gone)
         self.assertEqual(world.service.counters.sums.pop("faults"), 1)
-        self.assertEqual({seat.life for seat in world.service.link.seats.values()}, {Life.DRAINING})
-        self.assertEqual(world.service.engines.engines[1].seat.life, Life.DRAINING)
+        self.assertEqual(
+            {endpoint.life for endpoint in world.service.link.endpoints.values()}, {Life.DRAINING}
+        )
+        self.assertEqual(world.service.engines.engines[1].endpoint.life, Life.DRAINING)
         Caller(world).post(1)
         self.assertEqual(world.reactor.tcpClients, [])
 
@@ -746,7 +750,7 @@
         self.assertEqual(
             ([status for status, _, _ in caller.answers()], released), ([500], ["answer_in_time"])
         )
-        self.assertEqual((rules.open, world.service.link.taken), ({}, {}))
+        self.assertEqual((rules.open, world.service.link.open_requests), ({}, {}))
 
     def test_decisions_that_send_twice_are_not_followed(self) -> None:
         """Whatever the decisions' fault: what must not run twice has one attempt out at most."""
@@ -766,7 +770,7 @@
                 peer = world.peer().up()
                 (request,) = rules.open.values()
                 request.engine = rules.engines[1]
-                link.gather(lambda now, rules=rules, request=request: rules.trip_stage(request))
+                link.gather(lambda now, rules=rules, request=request: rules.attempt_stage(request))
                 world.go(50)
                 peers = [peer, *(world.peer(place).up() for place in range(1, len(world.reactor.tcpClients)))]
                 served = [said for each in peers for said in each.heard() if said[0] == "serve"]
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -67,9 +67,9 @@
         steps.service.clients.port.numberAccepts = 1
         stall(steps)
         steps.go()
-        expiries = {taken.expiry for taken in steps.service.link.taken.values()}
-        self.assertEqual((len(steps.service.link.taken), len(expiries)), (3, 1))
-        self.assertAlmostEqual(expiries.pop() - steps.clock(), 2000 - STALL - ANSWER_WAY, places=3)
+        deadlines = {taken.deadline for taken in steps.service.link.open_requests.values()}
+        self.assertEqual((len(steps.service.link.open_requests), len(deadlines)), (3, 1))
+        self.assertAlmostEqual(deadlines.pop() - steps.clock(), 2000 - STALL - ANSWER_WAY, places=3)
 
     def test_in_a_turn(self) -> None:
         steps, client, engine = self.resting()
@@ -109,8 +109,8 @@
         open_ones[0].socket.close()
         steps.go()
         steps.go()  # the room that it left is seen in one round, and used in the next
-        expiry = steps.service.link.by_ident[b"%016x" % 99].expiry  # so accepting went on
-        self.assertAlmostEqual(expiry - steps.clock(), 2000 - 500 - ANSWER_WAY, places=3)
+        deadline = steps.service.link.by_ident[b"%016x" % 99].deadline  # so accepting went on
+        self.assertAlmostEqual(deadline - steps.clock(), 2000 - 500 - ANSWER_WAY, places=3)
 
     def test_in_a_flood_nobody_has_waited_longer_than_the_queue_is_long(self) -> None:
         """Each round accepts as many as it may, so the queue is never seen empty."""
@@ -190,8 +190,8 @@
         self.steps.client().post(ident, wait=wait)
         return self.steps.clock()
 
-    def expiry(self, ident: int) -> float:
-        return self.steps.service.link.by_ident[b"%016x" % ident].expiry
+    def deadline(self, ident: int) -> float:
+        return self.steps.service.link.by_ident[b"%016x" % ident].deadline
 
 
 class Backlog(unittest.TestCase):
@@ -202,7 +202,7 @@
         crowd.go(LONG_CROWD)
         sent_at = crowd.post(1, wait=2000)
         crowd.go(100)
-        left_when_sent = crowd.expiry(1) + ANSWER_WAY - sent_at
+        left_when_sent = crowd.deadline(1) + ANSWER_WAY - sent_at
         self.assertLessEqual(left_when_sent, 2000)
         self.assertGreaterEqual(left_when_sent, 2000 - 2 * ROUND)
 
@@ -213,7 +213,7 @@
         crowd.come(100)
         crowd.steps.reactor.now += 0.09  # under the gap from which on all that is read is dated back
         crowd.go(200)
-        left_when_sent = crowd.expiry(1) + ANSWER_WAY - sent_at
+        left_when_sent = crowd.deadline(1) + ANSWER_WAY - sent_at
         self.assertLessEqual(left_when_sent, 2000)
         self.assertGreaterEqual(left_when_sent, 2000 - 2 * ROUND)
 
@@ -224,7 +224,7 @@
         crowd.go(LONG_CROWD)
         crowd.post(1, wait=3000)
         crowd.go(100)
-        self.assertAlmostEqual(crowd.expiry(1), began + ROUND + 3000 - ANSWER_WAY, places=3)
+        self.assertAlmostEqual(crowd.deadline(1), began + ROUND + 3000 - ANSWER_WAY, places=3)
 
     def test_the_first_count_above_0_ends_what_was_assumed_before(self) -> None:
         steps = Steps(self)
@@ -361,8 +361,8 @@
         """What one more that comes now still has, as the dispatcher counts."""
         self.count += 1
         Caller(self.world).post(self.count, workload, wait=wait, Req_Key=key)
-        expiry = self.world.service.link.by_ident[b"%016x" % self.count].expiry
-        return round(expiry - self.world.now() + ANSWER_WAY)
+        deadline = self.world.service.link.by_ident[b"%016x" % self.count].deadline
+        return round(deadline - self.world.now() + ANSWER_WAY)
 
     def test_a_run_counts_from_its_first(self) -> None:
         left = list[float]()
@@ -441,7 +441,7 @@
 
     BEGUN = b"*4\r\n$16\r\n%016x\r\n$3\r\n200\r\n$7\r\nparts=1\r\n$6\r\n" % 1
 
-    def two_trips(self) -> tuple[World, Caller, Caller]:
+    def two_attempts(self) -> tuple[World, Caller, Caller]:
         """Two trips on one connection; the second has 640 ms left."""
         world = World(self)
         world.service.engines.most_connections = 1
@@ -451,7 +451,7 @@
         return world, patient, pressed
 
     def test_an_answer_is_not_cut_for_the_sake_of_another_trip(self) -> None:
-        world, patient, pressed = self.two_trips()
+        world, patient, pressed = self.two_attempts()
         peer = world.peer().up()
         self.assertEqual(len(peer.heard()), 2)
         peer.raw(self.BEGUN)
@@ -462,7 +462,7 @@
         self.assertEqual([caller.answers()[0][0] for caller in (patient, pressed)], [200, 200])
 
     def test_one_whose_id_has_not_come_is_bounded_by_no_single_trip(self) -> None:
-        world, _, _ = self.two_trips()
+        world, _, _ = self.two_attempts()
         peer = world.peer().up()
         peer.raw(self.BEGUN[:10])
         world.go(400)
@@ -471,7 +471,7 @@
         self.assertTrue(peer.pipe.aborted)
 
     def test_its_own_trips_time_bounds_it(self) -> None:
-        world, _, _ = self.two_trips()
+        world, _, _ = self.two_attempts()
         peer = world.peer().up()
         peer.raw(self.BEGUN.replace(b"%016x" % 1, b"%016x" % 2))
         world.go(290)
--- a/tests/test_unheard_drains.py
+++ b/tests/test_unheard_drains.py
@@ -45,7 +45,7 @@
 
     def serve_again(self) -> None:
         """Both servers are ready, and the dispatcher knows."""
-        self.names.change(lambda seat: seat._replace(draining=False))
+        self.names.change(lambda endpoint: endpoint._replace(draining=False))
         time.sleep(0.5)
 
     def check_drain(self, fault: Fault, times: int, seconds: float, then: Fault | None = None) -> None:
@@ -101,7 +101,7 @@
 
     def test_nothing_goes_to_a_server_whose_drain_was_told_by_the_address_before_a_move(self) -> None:
         child = self.dispatcher()
-        moved = FaultyNameService(self.addresses.names, MOVED_PORT, list(self.names.seats))
+        moved = FaultyNameService(self.addresses.names, MOVED_PORT, list(self.names.endpoints))
         moved.fail(Fault.SILENT, sys.maxsize)
         self.addCleanup(moved.close)
         told = json.loads(self.configured.read_text())
