--- a/spurdeal/benchlink/host.py
+++ b/spurdeal/benchlink/host.py
@@ -6,7 +6,7 @@
 from typing import Any, BinaryIO
 
 from ..deployment import deployment
-from ..interface import Ending, EndReason, Life, Listed, Word
+from ..interface import Ending, EndReason, Life, Listed, ProgressKind
 from ..rules import Dispatcher
 from .frames import BadInputError, Reader, read_frame, write_frame
 from .records import (
@@ -63,11 +63,11 @@
 
     def turn(self, now: float) -> None:
         """All events of a batch are told."""
-        self.rules.turn(now)
+        self.rules.end_batch(now)
 
     def woken(self, now: float, token: int) -> None:
         """A timer of the rules is due."""
-        self.rules.woken(now, token)
+        self.rules.timer_fired(now, token)
 
     def engine(self, address: bytes) -> int:
         """Our index of the engine at that address.
@@ -97,7 +97,7 @@
                 self.engines[address] = len(self.addresses)
                 self.addresses.append(address)
             lines.append(Listed(self.engines[address], zone, kind, cell, Life(life), weight, started))
-        self.rules.listed(now, lines, scope != DELTA)
+        self.rules.list_changed(now, lines, scope != DELTA)
 
     def submitted(self, now: float, tid: int, fields: tuple[Any, ...]) -> None:
         """A submission has come.
@@ -117,7 +117,7 @@
         self.taken += 1
         self.numbers[tid], self.names[number], self.attempts_out[number] = number, tid, 0
         cost = cost if bits & ESTIMATED else 0.0
-        self.rules.submitted(now, number, kind, tenant, key, deadline, cost, memory, int(group))
+        self.rules.request_received(now, number, kind, tenant, key, deadline, cost, memory, int(group))
 
     def settled(self, now: float, tid: int, result: AttemptResult) -> None:
         """A trip has ended; late ones, of submissions that are over, are passed over."""
@@ -125,7 +125,7 @@
         if number is None:
             return
         self.attempts_out[number] -= 1
-        self.rules.ended(
+        self.rules.attempt_ended(
             now,
             number,
             result.attempt,
@@ -143,13 +143,13 @@
 
     def withdrawn(self, now: float, number: int) -> None:
         """The client has left."""
-        self.rules.withdrawn(now, number)
+        self.rules.request_withdrawn(now, number)
         self.closed(number)
 
     def noted(self, now: float, number: int, notice: Notice) -> None:
         """An engine has said something of a trip under way."""
         attempt, engine, word, level = notice
-        self.rules.noted(now, number, attempt, engine, Word(word), level)
+        self.rules.progress_reported(now, number, attempt, engine, ProgressKind(word), level)
 
     def closed(self, number: int) -> None:
         """The submission is over."""
@@ -179,16 +179,16 @@
         self.records.append(struct.pack("<BHQd", 1, self.who, self.names[number], come_back))
         self.closed(number)
 
-    def break_off(self, number: int, reason: EndReason) -> None:
+    def fail_request(self, number: int, reason: EndReason) -> None:
         """End a submission that may have run."""
         self.records.append(struct.pack("<BHQ", 2, self.who, self.names[number]))
         self.closed(number)
 
-    def call_off(self, number: int, attempt: int) -> None:
+    def cancel_attempt(self, number: int, attempt: int) -> None:
         """Ask for the end of a trip."""
         self.records.append(struct.pack("<BHQB", 3, self.who, self.names[number], attempt))
 
-    def wake(self, delay: float, token: int) -> None:
+    def set_timer(self, delay: float, token: int) -> None:
         """Ask to be woken after so many ms; LONGEST_SLEEP at most."""
         self.records.append(struct.pack("<BHdI", 4, self.who, min(delay, LONGEST_SLEEP), token))
 
@@ -376,6 +376,6 @@
         who, tid, word, address, attempt, level = reader.take(UPDATE)
         instance = self.instance(who)
         engine = instance.engine(address)
-        if tid in instance.numbers and 1 <= word <= max(Word):
+        if tid in instance.numbers and 1 <= word <= max(ProgressKind):
             notice = Notice(attempt, engine, word, level)
             self.guarded(instance, instance.noted, now, instance.numbers[tid], notice)
--- a/spurdeal/cli/running.py
+++ b/spurdeal/cli/running.py
@@ -74,7 +74,7 @@
         self.service, self.plan, self.unix = service, plan, unix
         self.loop: Any = loop  # Twisted's reactor has no types of its own
         self.path, self.configuration = files
-        self.link, self.log, self.counters = service.link, service.log, service.counters
+        self.adapter, self.log, self.counters = service.adapter, service.log, service.counters
         self.station: Station | None = None
         self.ledger: Ledger | None = None
         self.fleet: FleetStation | None = None
@@ -163,7 +163,7 @@
         )
         longest = max(workload.deadline for workload in site.workloads)
         return Server(
-            self.link,
+            self.adapter,
             self.service.engines,
             ServerSettings(configured.workloads, terms, bounds, longest, site.most_come_back),
             Runtime(self.loop, self.service.clock, self.counters, self.log),
@@ -188,11 +188,11 @@
         from ..store.guard import GuardRuntime, GuardSettings, LedgerGuard
 
         site = self.service.configuration.site
-        self.link.guard = LedgerGuard(
+        self.adapter.guard = LedgerGuard(
             ledger,
             GuardSettings(at_most_once(site), part.keep, site.most_come_back),
             GuardRuntime(self.loop, self.counters, self.log),
-            self.link.guard,
+            self.adapter.guard,
         )
         if self.station is not None:
             self.station.recall(ledger.ends)
--- a/spurdeal/deployment.py
+++ b/spurdeal/deployment.py
@@ -90,7 +90,7 @@
         memory_mb=tuple(float(memory) for memory in extra.get("memory_by_kind_mb", [])),
         in_hand=fields.index(IN_HAND) if IN_HAND in fields else None,
         list_pushed=options.get("membership_mode", "pushed") == "pushed",
-        may_call_off=bool(limits.get("cancelling", False)),
+        may_cancel=bool(limits.get("cancelling", False)),
         may_probe=bool(limits.get("may_probe", False)),
         may_tell=bool(limits.get("may_tell", False)),
         second_copies=bool(limits.get("second_copies", False)),
--- a/spurdeal/extproc/server.py
+++ b/spurdeal/extproc/server.py
@@ -11,7 +11,7 @@
 from ..eventloop import Scheduler
 from ..net.counters import Counters
 from ..net.engines import Engines
-from ..net.link import SocketLink
+from ..net.link import SocketAdapter
 from .bounds import Bounds, Door
 from .calls import Terms
 from .connection import METHOD, Processor
@@ -59,12 +59,12 @@
 
     def __init__(
         self,
-        link: SocketLink,
+        adapter: SocketAdapter,
         engines: Engines,
         settings: ServerSettings,
         runtime: Runtime,
     ) -> None:
-        self.link, self.workloads, self.terms = link, settings.workloads, settings.terms
+        self.adapter, self.workloads, self.terms = adapter, settings.workloads, settings.terms
         self.bounds, self.longest, self.come_back = settings.bounds, settings.longest, settings.come_back
         self.reactor, self.clock = runtime.reactor, runtime.clock
         self.counters, self.log = runtime.counters, runtime.log
--- a/spurdeal/fleet/station.py
+++ b/spurdeal/fleet/station.py
@@ -91,7 +91,7 @@
         assert plan.fleet is not None
         self.service, self.plan, self.reactor = service, plan, reactor
         self.monotonic, self.unix, self.raw, self.log = clocks.monotonic, clocks.unix, clocks.raw, log
-        self.link, self.counters = service.link, service.counters
+        self.adapter, self.counters = service.adapter, service.counters
         part, site = plan.fleet, service.configuration.site
         self.guarded = at_most_once(site)
         self.come_back, self.share = site.most_come_back, 1.0 / site.dispatchers
@@ -131,7 +131,7 @@
     def start(self) -> None:
         """Before the service takes anything: its list is seen through this from the first."""
         assert self.plan.fleet is not None
-        self.inner, self.link.guard = self.link.guard, self
+        self.inner, self.adapter.guard = self.adapter.guard, self
         self.service.names.on_list = self.listed
         self.service.names.on_unchanged = self.same
         self.service.names.numbers_shared = True
@@ -172,7 +172,7 @@
     def listed(self, endpoints: dict[str, Endpoint]) -> None:
         """The name service has told a newer list."""
         self.act_on(self.service.names.number, endpoints, "names")
-        self.link.listed(endpoints)
+        self.adapter.apply_list(endpoints)
 
     def same(self, endpoints: dict[str, Endpoint]) -> None:
         """The name service has told the number that is in force."""
@@ -207,7 +207,7 @@
         names.is_brought = True
         self.counters.add("lists_from_peers")
         self.acted_on("peer")
-        self.link.listed(endpoints)
+        self.adapter.apply_list(endpoints)
 
     def acted_on(self, by: str) -> None:
         """Note in the audit which versions are in force, and by whose word."""
@@ -275,7 +275,7 @@
             kind = KINDS.get(told.what, Kind.OTHER)
             figures = told.figures if kind is not Kind.OTHER else {"event": told.what} | told.figures
             self.journal.pages.tell(kind, figures)
-            if not self.link.in_turn:
+            if not self.adapter.in_batch:
                 self.journal.flush()
 
     def tell_parts(self, doubtful: bool) -> None:
@@ -285,14 +285,16 @@
         """
         self.parts = doubtful
         if self.inner is None or self.plan.vrrp is None:
-            self.link.gather(self.link.rules.tenured, self.share if doubtful else 0.0, self.share)
+            self.adapter.gather(
+                self.adapter.rules.capacity_shares_changed, self.share if doubtful else 0.0, self.share
+            )
 
     # The link's Guard.
 
-    def turning(self, now: float) -> None:
+    def batch_started(self, now: float) -> None:
         """See Guard."""
         if self.inner is not None:
-            self.inner.turning(now)
+            self.inner.batch_started(now)
 
     def door(self, kind: int, ident: bytes) -> Answer | None:
         """Shed what may not be taken in our standing."""
@@ -326,8 +328,8 @@
 
     def departs(self, request: OpenRequest, attempt: int, engine: int) -> bool:
         """The last look before a send: the lease may have run out since the rules chose, also in a pause."""
-        found = self.link.rules.engines.get(engine)
-        cold = found is not None and found.warm_at > self.link.clock()
+        found = self.adapter.rules.engines.get(engine)
+        cold = found is not None and found.warm_at > self.adapter.clock()
         doubtful = cold or self.guarded[request.kind]
         allowed = self.fleet.allowed(self.monotonic())
         if not allowed.idempotent or (doubtful and not allowed.doubtful):
@@ -345,21 +347,21 @@
         if self.journal is not None:
             flags = COLD * cold | DOUBTFUL * self.guarded[request.kind]
             self.journal.pages.sent(request.ident, attempt, ident, flags)
-            if not self.link.in_turn:
+            if not self.adapter.in_batch:
                 self.journal.flush()
         return True
 
     def ident_of(self, engine: int) -> str:
         """The id of the engine at that place."""
         if engine not in self.idents:
-            self.idents = {place: ident for ident, place in self.link.index.places.items()}
+            self.idents = {place: ident for ident, place in self.adapter.index.places.items()}
         return self.idents.get(engine, str(engine))
 
-    def called_off(self, request: OpenRequest, attempt: int) -> None:
+    def attempt_cancelled(self, request: OpenRequest, attempt: int) -> None:
         """Note it in the audit."""
         self.short(Kind.CALLED_OFF, request.ident, attempt)
         if self.inner is not None:
-            self.inner.called_off(request, attempt)
+            self.inner.attempt_cancelled(request, attempt)
 
     def said(self, line: str) -> None:
         """Note it in the audit."""
@@ -368,12 +370,12 @@
         if self.inner is not None:
             self.inner.said(line)
 
-    def turned(self) -> None:
+    def batch_ended(self) -> None:
         """Write the turn's frame before anything of it leaves."""
         if self.journal is not None:
             self.journal.flush()
         if self.inner is not None:
-            self.inner.turned()
+            self.inner.batch_ended()
 
     def endpoint(self, endpoint: Endpoint) -> Endpoint:
         """See Guard."""
@@ -383,5 +385,5 @@
         """Note in the audit what happened to a submission, at once when no turn is under way."""
         if self.journal is not None:
             self.journal.pages.short(kind, ident, attempt)
-            if not self.link.in_turn:
+            if not self.adapter.in_batch:
                 self.journal.flush()
--- a/spurdeal/lab/capacity/request_path.py
+++ b/spurdeal/lab/capacity/request_path.py
@@ -17,7 +17,7 @@
 from ...net.counters import Counters
 from ...net.engine_list import Endpoint
 from ...net.engines import Engines
-from ...net.link import SocketLink
+from ...net.link import SocketAdapter
 from ...net.logs import logger
 from ...rules import TICK, WAKE_TICK, Dispatcher
 from . import design
@@ -43,7 +43,7 @@
 }
 
 
-class RecordingLink:
+class RecordingAdapter:
     """A link that keeps only which submission went to which engine."""
 
     def __init__(self) -> None:
@@ -54,9 +54,9 @@
 
     def terms(self, number: int, memory: float, priority: int) -> None: ...
     def shed(self, number: int, come_back: float, reason: EndReason) -> None: ...
-    def break_off(self, number: int, reason: EndReason) -> None: ...
-    def call_off(self, number: int, attempt: int) -> None: ...
-    def wake(self, delay: float, token: int) -> None: ...
+    def fail_request(self, number: int, reason: EndReason) -> None: ...
+    def cancel_attempt(self, number: int, attempt: int) -> None: ...
+    def set_timer(self, delay: float, token: int) -> None: ...
     def watch(self) -> None: ...
     def log(self, line: str) -> None: ...
 
@@ -70,15 +70,15 @@
     """One decision module before so many warm engines."""
 
     def __init__(self, engines: int) -> None:
-        self.link, self.now, self.number = RecordingLink(), 0.0, 0
-        self.rules = Dispatcher(site(), 1, self.link, self.now)
+        self.adapter, self.now, self.number = RecordingAdapter(), 0.0, 0
+        self.rules = Dispatcher(site(), 1, self.adapter, self.now)
         lines = [Listed(number, 0, 0, number % CELLS, Life.READY, 1.0, 0.0) for number in range(engines)]
-        self.rules.listed(self.now, lines, True)
+        self.rules.list_changed(self.now, lines, True)
 
     def submit(self) -> None:
         """One submission; it is sent, or held where the module finds no engine."""
         self.number += 1
-        self.rules.submitted(self.now, self.number, 0, 0, 0, self.now + DEADLINE_MS, COST_MS, 0.0, 0)
+        self.rules.request_received(self.now, self.number, 0, 0, 0, self.now + DEADLINE_MS, COST_MS, 0.0, 0)
 
     def submit_many(self, count: int) -> None:
         """As `submit`, so many times."""
@@ -87,18 +87,20 @@
 
     def deliver_all(self) -> None:
         """All that is out comes back; what is held is withdrawn."""
-        sent, self.link.sent = self.link.sent, []
+        sent, self.adapter.sent = self.adapter.sent, []
         for number, engine in sent:
-            self.rules.ended(self.now, number, 0, engine, Ending.DELIVERED, COST_MS, True, COST_MS, 0.0, ())
+            self.rules.attempt_ended(
+                self.now, number, 0, engine, Ending.DELIVERED, COST_MS, True, COST_MS, 0.0, ()
+            )
         for number in list(self.rules.open):
-            self.rules.withdrawn(self.now, number)
-        self.rules.turn(self.now)
+            self.rules.request_withdrawn(self.now, number)
+        self.rules.end_batch(self.now)
 
     def tick(self) -> None:
         """One periodic wake-up and its turn."""
         self.now += TICK
-        self.rules.woken(self.now, WAKE_TICK)
-        self.rules.turn(self.now)
+        self.rules.timer_fired(self.now, WAKE_TICK)
+        self.rules.end_batch(self.now)
 
 
 def choice_us(engines: int) -> Sample:
@@ -152,31 +154,31 @@
         return len(text)
 
 
-def empty_link() -> tuple[SocketLink, Clock]:
+def empty_adapter() -> tuple[SocketAdapter, Clock]:
     """A dispatcher's link before no engines, on a clock turned by hand."""
     clock = Clock()
     now: Callable[[], float] = lambda: clock.seconds() * 1000  # noqa: E731
     counters, log = Counters(), logger("capacity", Silent())
     engines = Engines(clock, now, (), counters, log)
     engines.bound(250.0, 30_000.0, 4, 409, 0.0)
-    return SocketLink(site(), 1, ["east"], ["std"], engines, clock, now, counters, log), clock
+    return SocketAdapter(site(), 1, ["east"], ["std"], engines, clock, now, counters, log), clock
 
 
-def apply_list(link: SocketLink, clock: Clock, listed: dict[str, Endpoint]) -> None:
+def apply_list(adapter: SocketAdapter, clock: Clock, listed: dict[str, Endpoint]) -> None:
     """A whole list through the link, the connections' table and the decision module."""
-    link.listed(listed)
+    adapter.apply_list(listed)
     clock.advance(0)
 
 
 def list_us(engines: int) -> Sample:
     """Processor time of applying a whole list in which one engine has changed."""
-    link, clock = empty_link()
-    apply_list(link, clock, endpoints(engines))
+    adapter, clock = empty_adapter()
+    apply_list(adapter, clock, endpoints(engines))
     tries = []
     for changed in range(TRIES):
         told = endpoints(engines, changed)
         gc.collect()
-        tries.append(cpu_us(partial(apply_list, link, clock, told)))
+        tries.append(cpu_us(partial(apply_list, adapter, clock, told)))
     return sample(tries)
 
 
@@ -184,9 +186,9 @@
     """Processor time of the first list, in which all engines are new."""
     told, tries = endpoints(engines), []
     for _ in range(TRIES):
-        link, clock = empty_link()
+        adapter, clock = empty_adapter()
         gc.collect()
-        tries.append(cpu_us(partial(apply_list, link, clock, told)))
+        tries.append(cpu_us(partial(apply_list, adapter, clock, told)))
     return sample(tries)
 
 
@@ -194,9 +196,9 @@
     """What a list keeps allocated in the link, the connections' table and the decision module."""
     gc.collect()
     tracemalloc.start()
-    link, clock = empty_link()
+    adapter, clock = empty_adapter()
     before = tracemalloc.get_traced_memory()[0]
-    apply_list(link, clock, endpoints(engines))
+    apply_list(adapter, clock, endpoints(engines))
     gc.collect()
     kept = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
@@ -250,7 +252,7 @@
     return Role(
         "periodic tick",
         "engines",
-        "Dispatcher.woken every 50 ms, spurdeal/rules.py",
+        "Dispatcher.timer_fired every 50 ms, spurdeal/rules.py",
         "none of its own",
         "none",
         (by_engines(Measure.CPU, "us a second", sizes, samples, design.CONTROL_CPU_US_PER_S),),
@@ -264,7 +266,7 @@
     return Role(
         "whole list applied",
         "engines",
-        "SocketLink.listed, spurdeal/net/link.py; Dispatcher.listed, spurdeal/rules.py",
+        "SocketAdapter.apply_list, spurdeal/net/link.py; Dispatcher.list_changed, spurdeal/rules.py",
         "seat, place and Engine of each engine",
         "one list a change",
         (
@@ -280,7 +282,7 @@
     return Role(
         "first list applied",
         "engines",
-        "SocketLink.listed, spurdeal/net/link.py; Dispatcher.listed, spurdeal/rules.py",
+        "SocketAdapter.apply_list, spurdeal/net/link.py; Dispatcher.list_changed, spurdeal/rules.py",
         "as above",
         "one list a start",
         (by_engines(Measure.CPU, "us a start", sizes, samples, None),),
--- a/spurdeal/lab/capacity/sockets.py
+++ b/spurdeal/lab/capacity/sockets.py
@@ -62,8 +62,8 @@
         Role(
             "request over sockets",
             "engines",
-            "Client, spurdeal/net/client.py; SocketLink, net/link.py; Connection, net/engines.py",
-            "one Taken a submission, one Trip a send",
+            "Client, spurdeal/net/client.py; SocketAdapter, net/link.py; Connection, net/engines.py",
+            "one OpenRequest a request, one Attempt a send",
             "one call and one answer to the client, one command and one answer to the engine",
             (figures,),
             notes=(
--- a/spurdeal/lab/cold_ramp.py
+++ b/spurdeal/lab/cold_ramp.py
@@ -15,13 +15,13 @@
 from dataclasses import dataclass, replace
 from typing import Any, NamedTuple
 
-from ..interface import Deployment, Ending, Link, Listed, Rules, Workload
+from ..interface import Adapter, Deployment, Ending, Listed, Rules, Workload
 from ..rules import Dispatcher
 from .model_engine import Engine, Kind
 from .planted import site
-from .virtual import Failure, Load, OpenRequest, VirtualLink, World
+from .virtual import Failure, Load, OpenRequest, VirtualAdapter, World
 
-RulesFactory = Callable[[Deployment, int, Link, float], Rules]
+RulesFactory = Callable[[Deployment, int, Adapter, float], Rules]
 
 PROCESSES = 2
 WILSON_Z = 1.96  # two-sided 95%
@@ -165,19 +165,19 @@
         self.told_in_window += sign * attempt.work if attempt.told else 0.0
 
 
-class ToldLink(VirtualLink):
+class ToldAdapter(VirtualAdapter):
     """A dispatcher's link that keeps which starts of engines it has been told of."""
 
     def start(self) -> None:
         self.told = dict[int, float]()
         super().start()
 
-    def listed(self) -> None:
+    def apply_list(self) -> None:
         assert isinstance(self.world, ColdWorld)
         lines = self.world.list_for(self.index)
         self.told = {line.engine: line.started for line in lines}
         self.world.observer.listed(self.world.now, self.index, lines)
-        self.rules.listed(self.world.now, lines, True)
+        self.rules.list_changed(self.world.now, lines, True)
 
     def submit(self, kind: int, work: float, group: int) -> None:
         assert isinstance(self.world, ColdWorld)
@@ -212,8 +212,10 @@
             Load(self.peak_rate(), scenario.mix.shares, scenario.mix.work),
             (),
             seed,
-            lambda site, chance, link, now: make(replace(site, dispatchers=declared), chance, link, now),
-            ToldLink,
+            lambda site, chance, adapter, now: make(
+                replace(site, dispatchers=declared), chance, adapter, now
+            ),
+            ToldAdapter,
         )
         self.plan_events(dispatchers)
 
@@ -286,13 +288,13 @@
         return self.old_lines if late else list(self.lines.values())
 
     def arrive(
-        self, link: VirtualLink, life: int, request: OpenRequest, attempt: int, number: int, job: int
+        self, adapter: VirtualAdapter, life: int, request: OpenRequest, attempt: int, number: int, job: int
     ) -> None:
         if number == self.metered:
-            assert isinstance(link, ToldLink)
-            told = link.told.get(number) == self.started_at
+            assert isinstance(adapter, ToldAdapter)
+            told = adapter.told.get(number) == self.started_at
             self.meter.reached(Attempt(self.now, request.work, told))
-        super().arrive(link, life, request, attempt, number, job)
+        super().arrive(adapter, life, request, attempt, number, job)
 
     def mean_use(self) -> float:
         """Work sent to the cold engine since its start, as a share of N in each window."""
--- a/spurdeal/lab/planted.py
+++ b/spurdeal/lab/planted.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from ..interface import Deployment, Effect, Ending, Life, Link, Listed, Reach, Workload
+from ..interface import Adapter, Deployment, Effect, Ending, Life, Listed, Reach, Workload
 from ..rules import Dispatcher, Engine, Request
 from .model_engine import Kind
-from .virtual import Failure, Load, OpenRequest, VirtualLink, World
+from .virtual import Failure, Load, OpenRequest, VirtualAdapter, World
 
 
 def site(dispatchers: int) -> Deployment:
@@ -32,7 +32,7 @@
         memory_mb=(),
         in_hand=None,
         list_pushed=True,
-        may_call_off=True,
+        may_cancel=True,
         may_probe=False,
         may_tell=False,
         second_copies=True,
@@ -84,7 +84,7 @@
     return World(site(dispatchers), KIND, engines, load(engines, of_capacity), failures, seed, make)
 
 
-class AnswersTwice(VirtualLink):
+class AnswersTwice(VirtualAdapter):
     """Rule 1: a refusal is written twice."""
 
     def write(self, request: OpenRequest, what: str) -> None:
@@ -96,8 +96,8 @@
 class RunsTwice(Dispatcher):
     """Rule 2: every workload counts as redoable, whatever may have run."""
 
-    def __init__(self, told: Deployment, seed: int, link: Link, now: float) -> None:
-        super().__init__(told, seed, link, now)
+    def __init__(self, told: Deployment, seed: int, adapter: Adapter, now: float) -> None:
+        super().__init__(told, seed, adapter, now)
         from dataclasses import replace
 
         self.workloads = tuple(replace(w, effect=Effect.IDEMPOTENT) for w in self.workloads)
@@ -106,8 +106,8 @@
 class ForgetsDrains(Dispatcher):
     """Rule 3: what drains stays in use."""
 
-    def listed(self, now: float, lines: Sequence[Listed], whole: bool) -> None:
-        super().listed(now, [line._replace(life=Life.READY) for line in lines], False)
+    def list_changed(self, now: float, lines: Sequence[Listed], whole: bool) -> None:
+        super().list_changed(now, [line._replace(life=Life.READY) for line in lines], False)
 
 
 class ForgetsCold(Dispatcher):
@@ -127,8 +127,8 @@
 class ForgetsPlaces(Dispatcher):
     """Rule 6: any engine will do."""
 
-    def __init__(self, told: Deployment, seed: int, link: Link, now: float) -> None:
-        super().__init__(told, seed, link, now)
+    def __init__(self, told: Deployment, seed: int, adapter: Adapter, now: float) -> None:
+        super().__init__(told, seed, adapter, now)
         from dataclasses import replace
 
         self.workloads = tuple(replace(w, zones=None) for w in self.workloads)
@@ -140,7 +140,7 @@
     def may_go_further(self) -> bool:
         return True
 
-    def ended(
+    def attempt_ended(
         self,
         now: float,
         number: int,
@@ -154,7 +154,7 @@
         report: Sequence[float],
     ) -> None:
         self.further_credit = 30.0
-        super().ended(now, number, attempt, engine, ending, took, final, work, memory, report)
+        super().attempt_ended(now, number, attempt, engine, ending, took, final, work, memory, report)
 
 
 PLANTED: dict[int, type[Dispatcher]] = {
@@ -171,7 +171,7 @@
     """How often the planted rule was seen broken, and how often any other; rule 0 plants nothing."""
     made: World
     if rule == 1:
-        made = World(site(3), KIND, 6, load(6, 1.3), ROUGH, 5, links=AnswersTwice)
+        made = World(site(3), KIND, 6, load(6, 1.3), ROUGH, 5, adapters=AnswersTwice)
     else:
         made = world(3, 6, 0.9, 5, PLANTED.get(rule, Dispatcher))
     made.run(seconds)
--- a/spurdeal/lab/virtual.py
+++ b/spurdeal/lab/virtual.py
@@ -54,7 +54,7 @@
     out: dict[int, tuple[int, float, int]] = field(default_factory=dict)  # trip: engine, sent, job
 
 
-class VirtualLink:
+class VirtualAdapter:
     """One dispatcher's link. `make` builds the rules, or what stands in for them."""
 
     def __init__(self, world: World, index: int, make: Callable[[Deployment, int, Any, float], Any]) -> None:
@@ -66,34 +66,34 @@
         self.open_requests: dict[int, OpenRequest] = {}
         self.life = self.world.next()
         self.numbers = 0
-        self.turning = False
+        self.batch_scheduled = False
         world = self.world
         self.rules = self.make(world.site, world.chance.getrandbits(32), self, world.now)
-        self.listed()
+        self.apply_list()
 
     def event(self, life: int, call: Callable[..., None], *words: Any) -> None:
         """Something for this start of it; a turn follows when all of the moment is gathered."""
         if life != self.life:
             return
         call(*words)
-        if not self.turning:
-            self.turning = True
-            self.world.at(self.world.now, self.turn, life)
+        if not self.batch_scheduled:
+            self.batch_scheduled = True
+            self.world.at(self.world.now, self.run_batch, life)
 
-    def turn(self, life: int) -> None:
+    def run_batch(self, life: int) -> None:
         if life == self.life:
-            self.turning = False
-            self.rules.turn(self.world.now)
+            self.batch_scheduled = False
+            self.rules.end_batch(self.world.now)
 
     def later(self, delay: float, call: Callable[..., None], *words: Any) -> None:
         self.world.at(self.world.now + delay, self.event, self.life, call, *words)
 
     # What comes in.
 
-    def listed(self) -> None:
+    def apply_list(self) -> None:
         lines = list(self.world.lines.values())
         self.world.observer.listed(self.world.now, self.index, lines)
-        self.rules.listed(self.world.now, lines, True)
+        self.rules.list_changed(self.world.now, lines, True)
 
     def submit(self, kind: int, work: float, group: int) -> None:
         world, w = self.world, self.world.site.workloads[kind]
@@ -104,7 +104,9 @@
         world.counts["submissions"] += 1
         world.observer.taken(world.now, self.index, number, kind, key, deadline)
         self.later(w.deadline, self.expire, number)
-        self.rules.submitted(world.now, number, kind, 0, key, deadline, self.estimate(work), 0.0, group)
+        self.rules.request_received(
+            world.now, number, kind, 0, key, deadline, self.estimate(work), 0.0, group
+        )
         world.note("in", self.index, number, request.kind)
 
     def estimate(self, work: float) -> float:
@@ -143,7 +145,7 @@
             took = world.now - (request.deadline - world.site.workloads[request.kind].deadline)
             world.took[request.kind].append(took)
             world.counts["in_time"] += took <= world.site.workloads[request.kind].objective
-        self.rules.ended(
+        self.rules.attempt_ended(
             world.now,
             request.number,
             attempt,
@@ -178,7 +180,7 @@
     def shed(self, number: int, come_back: float, reason: EndReason) -> None:
         self.answer(self.open_requests[number], "shed")
 
-    def break_off(self, number: int, reason: EndReason) -> None:
+    def fail_request(self, number: int, reason: EndReason) -> None:
         self.answer(self.open_requests[number], "broken_off")
 
     def answer(self, request: OpenRequest, what: str) -> None:
@@ -197,15 +199,15 @@
         if request.answered and not request.out:
             self.open_requests.pop(request.number, None)
 
-    def call_off(self, number: int, attempt: int) -> None:
+    def cancel_attempt(self, number: int, attempt: int) -> None:
         if (request := self.open_requests.get(number)) is not None and attempt in request.out:
             self.later(0.0, self.came_back, number, attempt, Ending.CALLED_OFF)
 
-    def wake(self, delay: float, token: int) -> None:
+    def set_timer(self, delay: float, token: int) -> None:
         self.later(delay, self.woken, token)
 
     def woken(self, token: int) -> None:
-        self.rules.woken(self.world.now, token)
+        self.rules.timer_fired(self.world.now, token)
 
     def watch(self) -> None:
         """The list comes unasked."""
@@ -226,7 +228,7 @@
         failures: Sequence[Failure],
         seed: int,
         make: Callable[[Deployment, int, Any, float], Any] = Dispatcher,
-        links: type[VirtualLink] = VirtualLink,
+        adapters: type[VirtualAdapter] = VirtualAdapter,
     ) -> None:
         self.site, self.kind, self.load = site, kind, load
         self.chance, self.now = random.Random(seed), 1e6  # Unix times are too coarse for ends of jobs
@@ -239,11 +241,11 @@
         self.observer = Observer(site, kind.multiple * kind.cores * kind.cold_share * kind.window)
         self.engines: dict[int, Engine] = {}
         self.lines: dict[int, Listed] = {}
-        self.running: dict[int, tuple[VirtualLink, int, OpenRequest, int]] = {}
+        self.running: dict[int, tuple[VirtualAdapter, int, OpenRequest, int]] = {}
         self.versions: dict[int, int] = {}
         for number in range(engines):
             self.add_engine(number, cold=False)
-        self.dispatchers = [links(self, index, make) for index in range(site.dispatchers)]
+        self.dispatchers = [adapters(self, index, make) for index in range(site.dispatchers)]
         for failure in failures:
             self.at(self.began + failure.at, self.fails, failure)
         self.arrive_next()
@@ -280,9 +282,9 @@
     def client(self) -> None:
         self.arrive_next()
         kind = self.chance.choices(range(len(self.load.shares)), self.load.shares)[0]
-        link = self.dispatchers[self.chance.randrange(len(self.dispatchers))]
+        adapter = self.dispatchers[self.chance.randrange(len(self.dispatchers))]
         work = self.chance.expovariate(1 / self.load.work[kind])
-        link.event(link.life, link.submit, kind, work, self.chance.randrange(self.load.groups))
+        adapter.event(adapter.life, adapter.submit, kind, work, self.chance.randrange(self.load.groups))
 
     # Engines.
 
@@ -296,16 +298,16 @@
             self.observer.started(number, self.now + self.kind.cold_for)
 
     def arrive(
-        self, link: VirtualLink, life: int, request: OpenRequest, attempt: int, number: int, job: int
+        self, adapter: VirtualAdapter, life: int, request: OpenRequest, attempt: int, number: int, job: int
     ) -> None:
         """A trip reaches its engine."""
         engine = self.engines[number]
         if engine.down:
             self.at(
                 self.now + self.way(),
-                link.event,
+                adapter.event,
                 life,
-                link.came_back,
+                adapter.came_back,
                 request.number,
                 attempt,
                 Ending.UNREACHED,
@@ -327,10 +329,16 @@
         )
         if not engine.start(self.now, made):
             self.at(
-                self.now + self.way(), link.event, life, link.came_back, request.number, attempt, Ending.FULL
+                self.now + self.way(),
+                adapter.event,
+                life,
+                adapter.came_back,
+                request.number,
+                attempt,
+                Ending.FULL,
             )
         else:
-            self.running[job] = (link, life, request, attempt)
+            self.running[job] = (adapter, life, request, attempt)
             self.counts["runs"] += 1
             if w.effect == Effect.NON_IDEMPOTENT:
                 self.counts["irreversible_runs"] += 1
@@ -343,8 +351,10 @@
     def reply(self, job: int, ending: Ending) -> None:
         found = self.running.pop(job, None)
         if found is not None:
-            link, life, request, attempt = found
-            self.at(self.now + self.way(), link.event, life, link.came_back, request.number, attempt, ending)
+            adapter, life, request, attempt = found
+            self.at(
+                self.now + self.way(), adapter.event, life, adapter.came_back, request.number, attempt, ending
+            )
 
     def plan(self, number: int) -> None:
         """When its next job ends; what was planned before counts no more."""
@@ -371,12 +381,12 @@
         self.note("fails", failure.what, failure.whom)
         engine = self.engines.get(failure.whom)
         if failure.what == "restart":
-            link = self.dispatchers[failure.whom % len(self.dispatchers)]
-            self.observer.restarted(link.index)
+            adapter = self.dispatchers[failure.whom % len(self.dispatchers)]
+            self.observer.restarted(adapter.index)
             self.counts["held_by_killed"] += sum(
-                not request.answered for request in link.open_requests.values()
+                not request.answered for request in adapter.open_requests.values()
             )
-            link.start()
+            adapter.start()
         elif engine is not None and failure.what in ("crash", "replace"):
             self.progress(failure.whom)
             for job in engine.crash(self.now):
@@ -407,5 +417,5 @@
 
     def tell(self) -> None:
         """Each dispatcher learns of it a little later, by itself."""
-        for link in self.dispatchers:
-            self.at(self.now + self.chance.uniform(*NOTICE), link.event, link.life, link.listed)
+        for adapter in self.dispatchers:
+            self.at(self.now + self.chance.uniform(*NOTICE), adapter.event, adapter.life, adapter.apply_list)
--- a/spurdeal/net/batches.py
+++ b/spurdeal/net/batches.py
@@ -15,7 +15,7 @@
 MOST_EVENTS = 128  # in one turn; the rest waits for the next, and sockets are polled between them
 
 
-class Turns:
+class EventBatches:
     """Events, alarms and the turns that take them up; who derives from it says what a turn decides."""
 
     def __init__(
@@ -28,17 +28,17 @@
         self.inbox: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
         self.asked: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
         self.alarms: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
-        self.in_turn = False
-        self.turning: Any = None
+        self.in_batch = False
+        self.scheduled: Any = None
         self.alarm: Any = None
 
-    def turn_begins(self, now: float) -> None:
+    def batch_begins(self, now: float) -> None:
         """Before anything of a turn is handed over."""
 
     def decide(self, now: float) -> None:
         """All of a turn has been handed over; what is asked for goes to `asked`."""
 
-    def turn_ends(self) -> None:
+    def batch_ends(self) -> None:
         """What was asked for is carried out."""
 
     def write_out(self) -> None:
@@ -47,38 +47,40 @@
     def gather(self, call: Callable[..., None], *words: Any) -> None:
         """An event waits for the next turn."""
         self.inbox.append((call, words))
-        if self.turning is None and not self.in_turn:
-            self.turning = self.reactor.callLater(0, self.turn)
+        if self.scheduled is None and not self.in_batch:
+            self.scheduled = self.reactor.callLater(0, self.run_batch)
 
     def at(self, when: float, call: Callable[..., None], *words: Any) -> None:
         heapq.heappush(self.alarms, (when, next(self.order), call, words))
 
-    def turn(self) -> None:
+    def run_batch(self) -> None:
         began = self.clock()
-        for delayed in (self.turning, self.alarm):
+        for delayed in (self.scheduled, self.alarm):
             if delayed is not None and delayed.active():
                 delayed.cancel()
-        self.turning = self.alarm = None
-        self.in_turn = True
-        self.turn_begins(began)
+        self.scheduled = self.alarm = None
+        self.in_batch = True
+        self.batch_begins(began)
         self.call_alarms(began)
         handed = self.hand_over(began)
         self.guarded(self.decide, began)
         asked, self.asked = self.asked, []
         for act, words in asked:
             self.guarded(act, *words)
-        self.turn_ends()
-        self.in_turn = False
+        self.batch_ends()
+        self.in_batch = False
         self.guarded(self.write_out)
         took = self.clock() - began
         self.counters.most("longest_turn_ms", took)
-        self.loop.turned(took, handed)
-        if self.turning is not None:
+        self.loop.batch_ended(took, handed)
+        if self.scheduled is not None:
             return  # what was written has brought the next one on
         if self.inbox:
-            self.turning = self.reactor.callLater(0, self.turn)
+            self.scheduled = self.reactor.callLater(0, self.run_batch)
         elif self.alarms:
-            self.alarm = self.reactor.callLater(max(0.0, self.alarms[0][0] - self.clock()) / 1000, self.turn)
+            self.alarm = self.reactor.callLater(
+                max(0.0, self.alarms[0][0] - self.clock()) / 1000, self.run_batch
+            )
 
     def call_alarms(self, now: float) -> None:
         while self.alarms and self.alarms[0][0] <= now:
--- a/spurdeal/net/client.py
+++ b/spurdeal/net/client.py
@@ -60,7 +60,7 @@
         self.draining = False  # its next answer is its last
         self.since = self.last_read = clients.clock()
         self.dropped = 0  # bytes
-        self.arrivals = ArrivalTimes(clients.link.loop, clients.accepted())
+        self.arrivals = ArrivalTimes(clients.adapter.loop, clients.accepted())
         self.cancelled_ahead = deque[tuple[int, bool]]()  # status and whether the connection is kept
         self.advancing: Any = None
         self.taking = False  # requests, within `advance`: one that is answered at once does not nest
@@ -78,7 +78,7 @@
     # Twisted's calls.
 
     def connectionMade(self) -> None:
-        make_patient(self.transport, self.clients.link.loop)
+        make_patient(self.transport, self.clients.adapter.loop)
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
         self.clients.came(self)
@@ -191,7 +191,7 @@
         while self.is_free():
             if handled >= MOST_IN_A_ROW:
                 if not self.is_advancing():
-                    self.advancing = self.clients.link.reactor.callLater(0, self.advance)
+                    self.advancing = self.clients.adapter.reactor.callLater(0, self.advance)
                 return
             handled += 1
             try:
@@ -233,7 +233,7 @@
 
     def cancel(self, target: bytes) -> int:
         """Withdraws the submission whose id a path ends with; the status of the answer."""
-        return 200 if self.clients.link.withdraw(last_part(target)) else 404
+        return 200 if self.clients.adapter.withdraw(last_part(target)) else 404
 
     def handle(
         self, method: bytes, target: bytes, fields: dict[bytes, memoryview], body: memoryview, keep: bool
@@ -270,7 +270,7 @@
         owner, idempotency_key = bytes(fields.get(b"req-owner", b"")), bytes(fields.get(b"req-token", b""))
         if idempotency_key and not IDEMPOTENCY_KEY.fullmatch(idempotency_key):
             raise BadMessage(400, "req-token cannot be used")
-        call = self.clients.link.take(
+        call = self.clients.adapter.take(
             ident,
             self.clients.names[kind],
             kind,
--- a/spurdeal/net/clients.py
+++ b/spurdeal/net/clients.py
@@ -12,7 +12,7 @@
 from .client import Client
 from .counters import Counters
 from .eviction import LEAST_AGE, evict
-from .link import SocketLink
+from .link import SocketAdapter
 from .patient_socket import ACCEPT_AGAIN, PatientListener
 from .pending import count_waiting_connections, has_waiting_connections
 from .watch import AcceptWatch, Unpolled
@@ -47,14 +47,14 @@
 
     def __init__(
         self,
-        link: SocketLink,
+        adapter: SocketAdapter,
         workloads: Mapping[bytes, int],
         tenants: Mapping[bytes, int],
         clock: Callable[[], float],
         counters: Counters,
         log: logging.Logger,
     ) -> None:
-        self.link, self.workloads = link, workloads
+        self.adapter, self.workloads = adapter, workloads
         self.most, self.accepts, self.ahead = 0, 1, MOST_AHEAD
         self.names = {kind: name for name, kind in workloads.items()}
         self.tenants, self.slashes = tenants, max(name.count(b"/") for name in workloads)
@@ -66,7 +66,9 @@
         self.fleet: Callable[[], object] | None = None
         self.pause_logged_at = float("-inf")
         self.ready = self.paused = self.ending = self.accept_ended = False
-        self.accepting = AcceptWatch(link.loop, BACKLOG + 1, self.count_waiting)  # Linux lets one more wait
+        self.accepting = AcceptWatch(
+            adapter.loop, BACKLOG + 1, self.count_waiting
+        )  # Linux lets one more wait
 
     def bound(self, most: int, accepts: int, memory_mb: float) -> None:
         """Sets how many connections there may be, how many are accepted a round, and the memory for all."""
@@ -87,7 +89,7 @@
         """An accept has failed; what waits in the backlog stays there."""
         self.accepting.failed()
         self.port.stopReading()
-        self.link.reactor.callLater(ACCEPT_AGAIN, self.resume_after_error)
+        self.adapter.reactor.callLater(ACCEPT_AGAIN, self.resume_after_error)
 
     def resume_after_error(self) -> None:
         """Unless accepting is paused for another reason, or over."""
@@ -142,7 +144,7 @@
 
     def settle_within(self, seconds: float) -> None:
         """Lets `settle` run by then; it may be due earlier already."""
-        reactor = self.link.reactor
+        reactor = self.adapter.reactor
         if self.settling is None:
             self.settling = reactor.callLater(seconds, self.settle)
         elif self.settling.getTime() > reactor.seconds() + seconds:
@@ -223,7 +225,7 @@
             self.counters.add("accept_failed_at_exit")
             return True
         self.accept_ended = True
-        self.link.reactor.callLater(0, self.drain_backlog)  # just before the port's own end
+        self.adapter.reactor.callLater(0, self.drain_backlog)  # just before the port's own end
         self.port.stopListening()
         return True
 
--- a/spurdeal/net/link.py
+++ b/spurdeal/net/link.py
@@ -14,7 +14,7 @@
 from ..slow_start import StartTimes
 from .answers import COUNTED, Answer, Delivered, Failed, Granted, Shed
 from .attempts import Outcome, SendTerms
-from .batches import Turns
+from .batches import EventBatches
 from .counters import Counters
 from .engine_index import EngineIndex
 from .engine_list import Endpoint
@@ -32,7 +32,7 @@
 OVERDUE = 20.0  # ms after a submission's time at which the rules must have answered
 
 
-class SocketLink(Turns):
+class SocketAdapter(EventBatches):
     """Carries events to the rules and what they ask to the sockets. Knows nothing of either's bytes."""
 
     def __init__(
@@ -140,7 +140,7 @@
     ) -> None:
         self.counters.most("longest_wait_for_a_turn_ms", now - came)
         self.at(deadline, self.expire, number)
-        self.rules.submitted(now, number, kind, tenant, key, deadline, cost, memory, group)
+        self.rules.request_received(now, number, kind, tenant, key, deadline, cost, memory, group)
 
     def left(self, number: int) -> None:
         """The client has gone, or has said that it waits no longer: no answer is owed."""
@@ -153,7 +153,7 @@
         self.gather(self.withdrawn, request)
 
     def withdrawn(self, now: float, request: OpenRequest) -> None:
-        self.rules.withdrawn(now, request.number)
+        self.rules.request_withdrawn(now, request.number)
         self.drop(request)
 
     def withdraw(self, ident: bytes) -> bool:
@@ -165,7 +165,7 @@
             self.withdrawn_early.remember(ident.lower(), self.clock())
         return request is not None
 
-    def listed(self, endpoints: Mapping[str, Endpoint]) -> None:
+    def apply_list(self, endpoints: Mapping[str, Endpoint]) -> None:
         """The whole list. An engine's place goes with it: nothing outlives what is gone."""
         began = self.starts.listed(
             self.clock(), {ident: endpoint.started for ident, endpoint in endpoints.items()}
@@ -175,7 +175,7 @@
             told = {ident: self.guard.endpoint(endpoint) for ident, endpoint in told.items()}
         lines = [self.index.line(ident, endpoint) for ident, endpoint in told.items()]
         # Told first: what the engines' connections then give back must not be sent there again.
-        self.gather(self.rules.listed, lines, True)
+        self.gather(self.rules.list_changed, lines, True)
         gone = {ident: endpoint._replace(life=Life.GONE) for ident, endpoint in self.endpoints.items()}
         for ident, endpoint in (gone | dict(endpoints)).items():
             self.guarded(self.engines.listed, self.index.place_of(ident), endpoint)
@@ -201,7 +201,7 @@
 
     def list_moved(self) -> None:
         """Another name service is asked from now on."""
-        self.rules.list_moved()
+        self.rules.name_service_changed()
 
     def list_answered(self, asked_at: float, verdict: Verdict) -> bool:
         """The answer to the question which left at that time told each engine that gets requests.
@@ -218,20 +218,20 @@
             if request.deadline > until:
                 request.deadline = until
                 self.at(until, self.expire, request.number)
-        self.gather(self.rules.stopping, until)
+        self.gather(self.rules.shutdown_started, until)
 
     # The turn.
 
-    def turn_begins(self, now: float) -> None:
+    def batch_begins(self, now: float) -> None:
         if self.guard is not None:
-            self.guarded(self.guard.turning, now)
+            self.guarded(self.guard.batch_started, now)
 
     def decide(self, now: float) -> None:
-        self.rules.turn(now)
+        self.rules.end_batch(now)
 
-    def turn_ends(self) -> None:
+    def batch_ends(self) -> None:
         if self.guard is not None:
-            self.guarded(self.guard.turned)
+            self.guarded(self.guard.batch_ended)
 
     def write_out(self) -> None:
         self.engines.write_held()
@@ -250,7 +250,7 @@
         request = self.open_requests.get(number)
         if request is not None and not self.counters.must(request.answered, "answer_in_time"):
             self.asked.append((self.conclude, (request, Failed())))
-            self.gather(self.rules.withdrawn, number)  # or they would go on with it
+            self.gather(self.rules.request_withdrawn, number)  # or they would go on with it
 
     # What the rules ask for: kept until their turn is over.
 
@@ -268,19 +268,19 @@
         self.request_log.refused(self.open_requests[number], reason)
         self.asked.append((self.conclude, (self.open_requests[number], Shed(come_back))))
 
-    def break_off(self, number: int, reason: EndReason) -> None:
+    def fail_request(self, number: int, reason: EndReason) -> None:
         self.request_log.aborted(self.open_requests[number], reason)
         self.asked.append((self.conclude, (self.open_requests[number], Failed())))
 
-    def call_off(self, number: int, attempt: int) -> None:
+    def cancel_attempt(self, number: int, attempt: int) -> None:
         self.asked.append((self.cancel, (number, attempt)))
 
-    def wake(self, delay: float, token: int) -> None:
+    def set_timer(self, delay: float, token: int) -> None:
         self.at(self.clock() + delay, self.gather, self.rules_woken, token)
 
     def rules_woken(self, now: float, token: int) -> None:
         """By name, as the rules ask to be woken while they are still being made."""
-        self.rules.woken(now, token)
+        self.rules.timer_fired(now, token)
 
     def watch(self) -> None:
         """The list comes unasked here: the name service is polled."""
@@ -384,7 +384,7 @@
             wait,
             request.rank if self.priorities else None,
             request.idempotency_key,
-            at_once=self.guard is None or not self.in_turn,  # a guard's records come first, see Guard.turned
+            at_once=self.guard is None or not self.in_batch,  # a guard's records come first, see Guard.turned
             taken=lambda: self.attempt_sent(request, now),
         )
 
@@ -405,7 +405,7 @@
     def cancel(self, number: int, attempt: int) -> None:
         if number in self.open_requests and attempt in self.open_requests[number].attempts:
             if self.guard is not None:
-                self.guard.called_off(self.open_requests[number], attempt)
+                self.guard.attempt_cancelled(self.open_requests[number], attempt)
             self.open_requests[number].sender.give_up(
                 self.open_requests[number].attempts[attempt], Ending.CALLED_OFF
             )
@@ -465,7 +465,7 @@
             self.guard.never_ran(request)
         if delivered and not request.answered:
             self.asked.append((self.conclude, (request, Delivered(outcome.pages))))
-        self.rules.ended(
+        self.rules.attempt_ended(
             now,
             request.number,
             attempt,
--- a/spurdeal/net/requests.py
+++ b/spurdeal/net/requests.py
@@ -56,7 +56,7 @@
     """What stands beside the link where dispatchers stand in for one another; without one nothing is
     asked."""
 
-    def turning(self, now: float) -> None:
+    def batch_started(self, now: float) -> None:
         """A turn begins: what has lapsed since the last, also in a pause, is said to the rules first."""
 
     def door(self, kind: int, ident: bytes) -> Answer | None:
@@ -77,13 +77,13 @@
     def departs(self, request: OpenRequest, attempt: int, engine: int) -> bool:
         """A trip is about to be sent to an engine; False: not now, and nothing of it has run."""
 
-    def called_off(self, request: OpenRequest, attempt: int) -> None:
+    def attempt_cancelled(self, request: OpenRequest, attempt: int) -> None:
         """A trip that is out is being called off."""
 
     def said(self, line: str) -> None:
         """The rules have changed a mode."""
 
-    def turned(self) -> None:
+    def batch_ended(self) -> None:
         """A turn is over; what it has sent leaves after this."""
 
     def endpoint(self, endpoint: Endpoint) -> Endpoint:
--- a/spurdeal/net/service.py
+++ b/spurdeal/net/service.py
@@ -16,7 +16,7 @@
 from .discovery_socket import DiscoverySocket
 from .engine_list import KnownList
 from .engines import Engines
-from .link import SocketLink
+from .link import SocketAdapter
 from .names import NameService
 from .wall_clock import WallClockWatch
 
@@ -61,7 +61,7 @@
         self.log, self.done = log, done
         self.counters = Counters()
         self.engines = Engines(reactor, clock, configuration.report_fields, self.counters, log)
-        self.link = SocketLink(
+        self.adapter = SocketAdapter(
             configuration.site,
             configuration.seed,
             configuration.zones,
@@ -73,7 +73,7 @@
             log,
         )
         self.clients = Clients(
-            self.link, configuration.workloads, configuration.tenants, clock, self.counters, log
+            self.adapter, configuration.workloads, configuration.tenants, clock, self.counters, log
         )
         self.clients.held_elsewhere = self.held_elsewhere
         self.bound(configuration)
@@ -81,13 +81,13 @@
             reactor,
             configuration.nameserver,
             configuration.known,
-            self.link.listed,
+            self.adapter.apply_list,
             self.counters,
             log,
         )
-        self.names.on_confirmed = self.link.list_confirmed
-        self.names.on_asked = self.link.list_asked
-        self.names.on_answered = self.link.list_answered
+        self.names.on_confirmed = self.adapter.list_confirmed
+        self.names.on_asked = self.adapter.list_asked
+        self.names.on_answered = self.adapter.list_answered
         self.discovery = DiscoverySocket(self.names, reactor, configuration.host, self.counters, log)
         self.endpoints = configuration.known.endpoints
         self.wall_clock = WallClockWatch(wall_clock, monotonic_ms, self.counters, log)
@@ -149,7 +149,7 @@
         """Puts a configuration in force. Discovery first: it outlives a fault at the rest."""
         nameserver = configuration.nameserver
         if nameserver != self.names.address:
-            self.link.list_moved()
+            self.adapter.list_moved()
             self.names.move(nameserver)
         known = configuration.known
         if known.number > self.names.number:
@@ -169,7 +169,7 @@
 
     def take_list(self, known: KnownList) -> None:
         """Noted as in force once it is: else the name service's next answer tells it again."""
-        self.link.listed(known.endpoints)
+        self.adapter.apply_list(known.endpoints)
         self.names.take_known(known)
 
     def start(self) -> None:
@@ -184,9 +184,9 @@
             )
         )
         self.clients.admit()
-        self.link.list_known(self.configured_at)
+        self.adapter.list_known(self.configured_at)
         self.discovery.open()
-        self.link.listed(self.endpoints)
+        self.adapter.apply_list(self.endpoints)
         self.clients.ready = True
         self.sweeping.start(SWEEP_EVERY, now=False)
         self.log.info(
@@ -231,8 +231,8 @@
         """Told to end: goes on accepting, answers all that it has taken, then ends."""
         if not self.stopped_at:
             self.stopped_at = self.clock()
-            self.log.info("stopping", extra={"figures": {"open": len(self.link.by_ident)}})
-            self.link.stop(self.stopped_at + self.stop_within)
+            self.log.info("stopping", extra={"figures": {"open": len(self.adapter.by_ident)}})
+            self.adapter.stop(self.stopped_at + self.stop_within)
             self.clients.ending = True
             self.leave()
 
@@ -240,7 +240,7 @@
         """So many ms after it was told to end: whether all is answered and no more can come."""
         self.may_leave = not (
             passed < STOP_NOT_BEFORE
-            or self.link.by_ident
+            or self.adapter.by_ident
             or self.clients.close_idle()
             or self.clients.stop_accepting()
         )
@@ -256,7 +256,7 @@
             return
         if self.retry is not None and self.retry.active():
             self.retry.cancel()
-        self.counters.must(not self.link.by_ident, "all_answered_at_exit")
+        self.counters.must(not self.adapter.by_ident, "all_answered_at_exit")
         self.sweeping.stop()
         self.discovery.close()
         self.guarded("close", self.engines.close)
--- a/spurdeal/net/watch.py
+++ b/spurdeal/net/watch.py
@@ -38,7 +38,7 @@
         self.polled_at = self.readable_since = clock()
         self.next_log = 0.0
         self.lines = LimitedLog(log, clock)
-        self.turn_time, self.turn_events = 0.0, 0  # of the turns since the last poll
+        self.batch_time, self.batch_events = 0.0, 0  # of the turns since the last poll
         self.poller: RetryingPoller | None = None
         self.delays: dict[object, float] = {}  # since when reading from each source fails
         self.over: set[object] = set()  # those that were read in this round
@@ -67,7 +67,7 @@
         self.round += 1
         if gap > COUNTED_GAP:
             self.report(now, gap)
-        self.turn_time, self.turn_events = 0.0, 0
+        self.batch_time, self.batch_events = 0.0, 0
 
     def delayed(self, source: object) -> None:
         """Reading from a source fails: what comes there waits since the poll of this round."""
@@ -94,17 +94,17 @@
         if self.delays:
             self.readable_since = min(self.readable_since, *self.delays.values())
 
-    def turned(self, took: float, events: int) -> None:
+    def batch_ended(self, took: float, events: int) -> None:
         """A turn of the dispatcher is over."""
-        self.turn_time += took
-        self.turn_events += events
+        self.batch_time += took
+        self.batch_events += events
 
     def report(self, now: float, gap: float) -> None:
         self.counters.add("poll_gaps")
         self.counters.most("longest_poll_gap_ms", gap)
         if gap > LOGGED_GAP and now >= self.next_log:
             self.next_log = now + LOG_INTERVAL
-            figures = {"ms": gap, "turns_ms": self.turn_time, "events": self.turn_events}
+            figures = {"ms": gap, "turns_ms": self.batch_time, "events": self.batch_events}
             self.log.warning("poll_gap", extra={"figures": figures})
 
     def refused(self, call: str, descriptor: int, fault: OSError) -> None:
--- a/spurdeal/rules.py
+++ b/spurdeal/rules.py
@@ -17,16 +17,16 @@
 from .interface import (
     NEVER_RAN,
     WAITS_FOR_LOAD,
+    Adapter,
     Deployment,
     Effect,
     Ending,
     EndReason,
     Life,
-    Link,
     Listed,
+    ProgressKind,
     Reach,
     Verdict,
-    Word,
 )
 from .list_freshness import ListFreshness
 from .running_mean import RunningMean
@@ -119,8 +119,14 @@
 class Dispatcher:
     """The rules of one dispatcher, from its start to its end."""
 
-    def __init__(self, site: Deployment, seed: int, link: Link, now: float) -> None:
-        self.link, self.chance, self.now, self.began, self.until = link, Chance(seed), now, now, float("inf")
+    def __init__(self, site: Deployment, seed: int, adapter: Adapter, now: float) -> None:
+        self.adapter, self.chance, self.now, self.began, self.until = (
+            adapter,
+            Chance(seed),
+            now,
+            now,
+            float("inf"),
+        )
         self.workloads, self.cores = site.workloads, site.cores or (1,)
         self.share, self.further_credit = 1.0 / site.dispatchers, FURTHER_MOST
         self.in_hand, self.priorities, self.own, self.all = site.in_hand, site.priorities, self.share, 1.0
@@ -128,9 +134,9 @@
         self.spare = 0.0 if site.pages else SPARE * self.widest  # what lets all in has no room for chance
         self.quotas = [quota * self.share / 1000 for quota in site.quotas]
         self.credit, self.over_share = [quota * 1000 for quota in self.quotas], site.over_share_value
-        self.max_attempts, self.may_call_off, self.ways_in = (
+        self.max_attempts, self.may_cancel, self.ways_in = (
             site.max_attempts,
-            site.may_call_off,
+            site.may_cancel,
             site.most_open,
         )
         self.notes, self.pages, self.grant = site.notes_every, site.pages, GRANT if site.grants else 0.0
@@ -157,11 +163,11 @@
         self.asked, self.asked_in = 0.0, 0.0
         admission = (self.duty_stage, self.share_stage, self.order_stage)
         self.chain = (*admission, self.line_stage, self.choice_stage, self.attempt_stage)
-        link.wake(TICK, WAKE_TICK)
+        adapter.set_timer(TICK, WAKE_TICK)
         if not site.list_pushed:
-            link.watch()
+            adapter.watch()
 
-    def listed(self, now: float, lines: Sequence[Listed], whole: bool) -> None:
+    def list_changed(self, now: float, lines: Sequence[Listed], whole: bool) -> None:
         self.now = now
         for number in (self.engines.keys() - {line.engine for line in lines}) if whole else ():
             self.engines[number].line = self.engines[number].line._replace(life=Life.GONE)
@@ -178,20 +184,20 @@
             self.engines[line.engine] = engine
         self.ready = [engine for engine in self.engines.values() if engine.line.life == Life.READY]
 
-    def stopping(self, now: float, until: float) -> None:
+    def shutdown_started(self, now: float, until: float) -> None:
         """A planned restart: whatever is taken, now or later, is answered by then."""
         self.now, self.until = now, until
         for s in self.open.values():
             s.deadline = min(s.deadline, until)
 
-    def tenured(self, now: float, cold: float, start: float) -> None:
+    def capacity_shares_changed(self, now: float, cold: float, start: float) -> None:
         """Dispatchers that stand in for one another: our parts, of all, of cold budgets and of the start of
         n*."""
         self.now, self.cold_budget = now, self.cold_whole * cold
         if start != self.share:  # the next interval moves each n* by the difference
             self.share, self.own, self.all = start, start, 1.0
 
-    def warned(self, now: float, number: int, left: float) -> None:
+    def engine_suspected(self, now: float, number: int, left: float) -> None:
         """Who held our address before had set this engine aside: it is tried before it gets its full part."""
         self.now, e = now, self.engines.get(number)
         if e is not None and e.aside_until <= now and not e.trial:
@@ -200,7 +206,7 @@
                 e.aside_until, e.trial = now + min(left, ASIDE + ASIDE_RANDOM), True
 
     def list_failed(self, now: float) -> None:
-        self.link.wake(500.0 + 1000.0 * self.chance.draw(), WAKE_WATCH)
+        self.adapter.set_timer(500.0 + 1000.0 * self.chance.draw(), WAKE_WATCH)
 
     def list_known(self, at: float) -> None:
         self.freshness.known(at)
@@ -209,7 +215,7 @@
         self.freshness.asked(now)
         return self.freshness.repeat_after(self.chance.draw())
 
-    def list_moved(self) -> None:
+    def name_service_changed(self) -> None:
         self.freshness.moved()
 
     def list_answered(self, now: float, asked_at: float, verdict: Verdict) -> bool:
@@ -218,7 +224,7 @@
 
     # Submissions on their way out: the stages.
 
-    def submitted(
+    def request_received(
         self,
         now: float,
         number: int,
@@ -302,13 +308,13 @@
             self.further_times.append(self.now)
             self.further_credit -= 1.0
         elif self.priorities or self.grant:
-            self.link.terms(s.number, self.grant * s.memory, CHEAP_PRIORITY if s.cheap else HEAVY_PRIORITY)
+            self.adapter.terms(s.number, self.grant * s.memory, CHEAP_PRIORITY if s.cheap else HEAVY_PRIORITY)
         if engine.warm_at > self.now:
             attempt.cold = s.charge
             engine.cold_sends.append((self.now, attempt.cold))
             engine.cold_spent += attempt.cold
         engine.answered = engine.answered if len(engine.out) > 1 else self.now
-        self.link.send(s.number, engine.number, 0.0)
+        self.adapter.send(s.number, engine.number, 0.0)
         return True
 
     def may_send(self, now: float, number: int, attempt: int, engine: int) -> bool:
@@ -321,7 +327,7 @@
         if (
             e is None
             or t is None
-            or t.called_off
+            or t.cancelled
             or t.request.over
             or now >= t.request.deadline
             or e.line.life != Life.READY
@@ -344,13 +350,13 @@
             or self.now < s.ran.sent + s.workload.known_for - REPEAT_MARGIN
         )
 
-    def turn(self, now: float) -> None:
+    def end_batch(self, now: float) -> None:
         """Held ones leave, lowest aged cost per utility first, each to the engine with most room."""
         self.now, self.promised, kept, ripe = now, None, list[Request](), False
         doubt = self.freshness.doubt(now)
         if self.list_followed != (doubt is None):
             self.list_followed = doubt is None
-            self.link.log("list followed again" if doubt is None else f"list not followed: {doubt}")
+            self.adapter.log("list followed again" if doubt is None else f"list not followed: {doubt}")
         stuck = [False for _ in self.workloads]  # nothing frees room within a turn: one speaks for its kind
         waiting = iter(self.held)
         try:
@@ -469,7 +475,7 @@
 
     # What comes back: trip, engine, order, then the answer owed.
 
-    def ended(
+    def attempt_ended(
         self,
         now: float,
         number: int,
@@ -487,7 +493,7 @@
         s = t.request
         e.stand(t, False)
         del s.out[attempt]
-        if ending == Ending.TIME_OUT and not self.may_call_off:
+        if ending == Ending.TIME_OUT and not self.may_cancel:
             # Its work runs on unseen; counted as gone, it lets a jam grow (slow engine, paging, lost answer).
             e.ghosts.append((now + GHOST * took, s.workload.threads))
         else:
@@ -527,10 +533,10 @@
         }
         return next((reason for reason, holds in reasons.items() if holds), None)
 
-    def withdrawn(self, now: float, number: int) -> None:
+    def request_withdrawn(self, now: float, number: int) -> None:
         self.now = now
         if (s := self.open.get(number)) is not None:
-            self.call_off(list(s.out.values()))
+            self.cancel_attempts(list(s.out.values()))
             self.close(s)
 
     def end(self, s: Request, reason: EndReason) -> None:
@@ -540,10 +546,10 @@
             w.effect == Effect.IDEMPOTENT_BY_KEY and w.reach == Reach.ALL
         )
         if harmless or not (s.ran or s.out):
-            self.link.shed(s.number, self.come_back, reason)
+            self.adapter.shed(s.number, self.come_back, reason)
         else:
-            self.link.break_off(s.number, reason)
-        self.call_off(list(s.out.values()))
+            self.adapter.fail_request(s.number, reason)
+        self.cancel_attempts(list(s.out.values()))
         self.close(s)
 
     def close(self, s: Request) -> None:
@@ -552,19 +558,19 @@
         if s.key and not s.out and s in self.lines.get(s.key, ()):
             self.lines[s.key].remove(s)
 
-    def call_off(self, attempts: list[Attempt]) -> None:
-        for attempt in [attempt for attempt in attempts if self.may_call_off and not attempt.called_off]:
-            attempt.called_off = True
-            self.link.call_off(attempt.request.number, attempt.number)
+    def cancel_attempts(self, attempts: list[Attempt]) -> None:
+        for attempt in [attempt for attempt in attempts if self.may_cancel and not attempt.cancelled]:
+            attempt.cancelled = True
+            self.adapter.cancel_attempt(attempt.request.number, attempt.number)
 
     # Time, measurements and health.
 
-    def woken(self, now: float, token: int) -> None:
+    def timer_fired(self, now: float, token: int) -> None:
         self.now = now
         if token == WAKE_WATCH:
-            self.link.watch()
+            self.adapter.watch()
         else:
-            self.link.wake(TICK, WAKE_TICK)
+            self.adapter.set_timer(TICK, WAKE_TICK)
             self.credit = [min(c + q * TICK, q * 1000) for c, q in zip(self.credit, self.quotas, strict=True)]
             self.watch_engines()
             self.watch_held()
@@ -620,7 +626,7 @@
         """A trip with no word while its engine answers others stands still, or its answer is lost."""
         s, w, quiet = t.request, t.request.workload, self.now - t.heard
         if (
-            self.may_call_off
+            self.may_cancel
             and not s.over
             and w.effect == Effect.IDEMPOTENT
             and w.late_value < MIN_LATE_VALUE
@@ -640,13 +646,15 @@
             and self.may_go_further()
             and self.now + s.due * self.middle < s.deadline - LAST_MOMENT
         ):
-            self.call_off([t])
+            self.cancel_attempts([t])
 
-    def noted(self, now: float, number: int, attempt: int, engine: int, word: Word, level: float) -> None:
+    def progress_reported(
+        self, now: float, number: int, attempt: int, engine: int, word: ProgressKind, level: float
+    ) -> None:
         if (e := self.engines.get(engine)) and (t := e.out.get((number, attempt))):
             t.heard = now
-            e.stand(t, word == Word.WAITS and level == WAITS_FOR_LOAD)
-            if word == Word.PROGRESS and level > 0:
+            e.stand(t, word == ProgressKind.WAITS and level == WAITS_FOR_LOAD)
+            if word == ProgressKind.PROGRESS and level > 0:
                 e.answered = now
 
     def judge(self, e: Engine, t: Attempt, ending: Ending, took: float, work: float) -> None:
@@ -686,7 +694,7 @@
         e.slowness = pooled(e.pace, self.middle)
         if e.trial and pace < SLOW:
             e.trial = False
-            self.link.log(f"engine {e.number} back, pace {pace:.2f}")
+            self.adapter.log(f"engine {e.number} back, pace {pace:.2f}")
         # Far slower than its peers: a sick machine, a neighbour. All slow at once moves the middle.
         elif e.slowness > SLOW * self.middle:
             self.set_aside(e, f"pace {e.slowness:.1f} of {self.middle:.1f}")
@@ -707,8 +715,8 @@
             return
         e.start_over(e.start)
         e.aside_until, e.trial = self.now + ASIDE + ASIDE_RANDOM * self.chance.draw(), True
-        self.link.log(f"engine {e.number} aside: {why}, {len(e.out)} out, {len(aside)} others aside")
-        self.call_off([t for t in e.out.values() if t.request.workload.effect == Effect.IDEMPOTENT])
+        self.adapter.log(f"engine {e.number} aside: {why}, {len(e.out)} out, {len(aside)} others aside")
+        self.cancel_attempts([t for t in e.out.values() if t.request.workload.effect == Effect.IDEMPOTENT])
 
     def see_calm(self) -> None:
         """Rough estimates alone spread paces: the calmest middle tells by how much. An interval in which more
@@ -756,4 +764,4 @@
             paces.halve()
         self.further_won.halve()
         n, own, held = sum(e.bound for e in self.ready), sum(e.threads for e in self.ready), len(self.held)
-        self.link.log(f"n* {n:.1f} own {own} held {held} pace {self.middle:.2f}")
+        self.adapter.log(f"n* {n:.1f} own {own} held {held} pace {self.middle:.2f}")
--- a/spurdeal/state.py
+++ b/spurdeal/state.py
@@ -56,5 +56,5 @@
     heard: float
     started: float = 0.0  # of its engine, as told at the choice
     cold: float = 0.0  # ms of work booked against a cold engine's budget
-    called_off: bool = False
+    cancelled: bool = False
     stands: bool = False  # waits for a load
--- a/spurdeal/store/guard.py
+++ b/spurdeal/store/guard.py
@@ -84,10 +84,10 @@
 
     # The link's Guard.
 
-    def turning(self, now: float) -> None:
+    def batch_started(self, now: float) -> None:
         """See Guard."""
         if self.inner is not None:
-            self.inner.turning(now)
+            self.inner.batch_started(now)
 
     def door(self, kind: int, ident: bytes) -> Answer | None:
         """Refuse what may have run, and shed guarded submissions while the ledger cannot be written."""
@@ -146,20 +146,20 @@
         """See Guard."""
         return self.inner.departs(request, attempt, engine) if self.inner is not None else True
 
-    def called_off(self, request: OpenRequest, attempt: int) -> None:
+    def attempt_cancelled(self, request: OpenRequest, attempt: int) -> None:
         """See Guard."""
         if self.inner is not None:
-            self.inner.called_off(request, attempt)
+            self.inner.attempt_cancelled(request, attempt)
 
     def said(self, line: str) -> None:
         """See Guard."""
         if self.inner is not None:
             self.inner.said(line)
 
-    def turned(self) -> None:
+    def batch_ended(self) -> None:
         """See Guard."""
         if self.inner is not None:
-            self.inner.turned()
+            self.inner.batch_ended()
 
     def endpoint(self, endpoint: Endpoint) -> Endpoint:
         """See Guard."""
--- a/spurdeal/vrrp/guard.py
+++ b/spurdeal/vrrp/guard.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from ..net.engine_list import Endpoint
-from ..net.link import Answer, Failed, OpenRequest, Shed, SocketLink, at_most_once
+from ..net.link import Answer, Failed, OpenRequest, Shed, SocketAdapter, at_most_once
 from ..net.start import Service
 from .exchange import Exchange
 from .handover import Facts
@@ -40,7 +40,7 @@
         share: bool,
         assumed_cold: Callable[[], bool],
     ) -> None:
-        self.link: SocketLink = service.link
+        self.adapter: SocketAdapter = service.adapter
         self.counters, self.come_back = service.counters, service.configuration.site.most_come_back
         self.exchange, self.handover, self.monotonic = exchange, exchange.handover, exchange.monotonic
         self.tenure, self.share = tenure, share
@@ -51,7 +51,7 @@
 
     # The link's Guard.
 
-    def turning(self, now: float) -> None:
+    def batch_started(self, now: float) -> None:
         """Tell the rules our parts of cold budgets, where they have changed."""
         if not self.share or self.handover is None:
             return
@@ -59,7 +59,7 @@
         parts = self.tenure.part(mono), self.tenure.start(mono)
         if parts != self.parts:
             self.parts = parts
-            self.link.rules.tenured(now, *parts)
+            self.adapter.rules.capacity_shares_changed(now, *parts)
             self.counters.add("tenure_changes")
 
     def door(self, kind: int, ident: bytes) -> Answer | None:
@@ -77,7 +77,7 @@
         if self.handover is None or not self.guarded[request.kind]:
             return True
         now, token = self.monotonic(), (request.number, attempt)
-        deadline = now + max(0.0, request.deadline - self.link.clock())
+        deadline = now + max(0.0, request.deadline - self.adapter.clock())
         verdict = self.handover.before(now, request.ident.lower(), deadline, token)
         if verdict is not None and verdict.go:
             return True
@@ -104,13 +104,13 @@
         if self.handover is not None and self.guarded[request.kind]:
             self.handover.over(request.ident.lower(), never_ran=True)
 
-    def called_off(self, request: OpenRequest, attempt: int) -> None:
+    def attempt_cancelled(self, request: OpenRequest, attempt: int) -> None:
         """Nothing follows of it here."""
 
     def said(self, line: str) -> None:
         """Nothing follows of it here."""
 
-    def turned(self) -> None:
+    def batch_ended(self) -> None:
         """Nothing follows of it here."""
 
     def departs(self, request: OpenRequest, attempt: int, engine: int) -> bool:
@@ -134,7 +134,7 @@
         Until the list is known to be fresh, each engine may have been started anew, and counts as cold.
         """
         if self.assumed_cold():
-            return endpoint._replace(started=self.link.clock())
+            return endpoint._replace(started=self.adapter.clock())
         told = [
             started
             for known in (self.handover.known.values() if self.handover else ())
@@ -147,8 +147,8 @@
 
     def is_cold(self, engine: int) -> bool:
         """Whether that engine is in the list, and not warm yet."""
-        found = self.link.rules.engines.get(engine)
-        return found is not None and found.warm_at > self.link.clock()
+        found = self.adapter.rules.engines.get(engine)
+        return found is not None and found.warm_at > self.adapter.clock()
 
     def recent(self, engine: int, now: float) -> list[ColdSend]:
         """What we have sent to a cold engine within a window."""
@@ -162,15 +162,15 @@
             number: Of the list in force.
             held: The groups whose addresses we hold.
         """
-        unix, rules = self.link.clock(), self.link.rules
+        unix, rules = self.adapter.clock(), self.adapter.rules
         cold, aside = [], []
-        for ident, place in self.link.index.places.items():
+        for ident, place in self.adapter.index.places.items():
             engine = rules.engines.get(place)
             if engine is None:
                 continue
-            if engine.warm_at > unix and ident in self.link.endpoints:
+            if engine.warm_at > unix and ident in self.adapter.endpoints:
                 work = sum(row.work for row in self.recent(place, now))
-                cold.append((ident, self.link.endpoints[ident].started, work))
+                cold.append((ident, self.adapter.endpoints[ident].started, work))
             if engine.aside_until > unix:
                 aside.append((ident, engine.aside_until - unix))
         return Facts(number, held, cold, aside)
--- a/spurdeal/vrrp/station.py
+++ b/spurdeal/vrrp/station.py
@@ -49,7 +49,7 @@
         runtime: Runtime,
     ) -> None:
         assert plan.vrrp is not None
-        self.service, self.plan, self.link, self.vrrp = service, plan, service.link, plan.vrrp
+        self.service, self.plan, self.adapter, self.vrrp = service, plan, service.adapter, plan.vrrp
         self.reactor, self.monotonic = runtime.reactor, runtime.monotonic
         self.counters, self.log = runtime.counters, runtime.log
         now, site = self.monotonic(), service.configuration.site
@@ -83,7 +83,7 @@
 
     def start(self) -> None:
         """Before the service takes anything: its list is seen through this from the first."""
-        self.link.guard = self.guard
+        self.adapter.guard = self.guard
         self.listen()
         self.advertising.do(self.groups.start(self.monotonic(), barred=True))
         self.every()
@@ -143,7 +143,7 @@
             ends: By id, until when it counts, in Unix ms.
         """
         if self.handover is not None:
-            apart = self.monotonic() - self.link.clock()
+            apart = self.monotonic() - self.adapter.clock()
             for ident, until in ends.items():
                 self.handover.marks.recall(ident, until + apart)
 
@@ -180,7 +180,7 @@
         """The first answer of the name service since the start: engines' starts are known now."""
         if not self.fresh and self.service.names.answered_at > float("-inf"):
             self.fresh = True
-            self.link.listed(self.link.endpoints)
+            self.adapter.apply_list(self.adapter.endpoints)
 
     def assumed_cold(self) -> bool:
         """Whether each engine may have been started anew without our knowing."""
@@ -189,10 +189,10 @@
 
     def holding(self, now: float) -> list[str]:
         """The conditions that hold now and lower priorities."""
-        unix = self.link.clock()
+        unix = self.adapter.clock()
         stale = (self.reactor.seconds() - self.service.names.answered_at) * 1000 > self.vrrp.stale_after
         conditions = ["list_stale"] if stale and now - self.began > self.vrrp.stale_after else []
-        if not any(engine.aside_until <= unix for engine in self.link.rules.ready):
+        if not any(engine.aside_until <= unix for engine in self.adapter.rules.ready):
             conditions.append("no_engine")
         if self.shut_out():
             conditions.append("shut_out")
@@ -208,8 +208,10 @@
             return
         for known in self.handover.known.values():
             for ident, left in known.aside:
-                if ident in self.link.index.places:
-                    self.link.gather(self.link.rules.warned, self.link.index.place_of(ident), left)
+                if ident in self.adapter.index.places:
+                    self.adapter.gather(
+                        self.adapter.rules.engine_suspected, self.adapter.index.place_of(ident), left
+                    )
 
     def tell_all(self) -> None:
         """Tell the peers how we are; our part of cold budgets may be lent while we hold nothing."""
--- a/tests/stations.py
+++ b/tests/stations.py
@@ -116,7 +116,9 @@
 
     def submit(self, ident: bytes, kind: int = 1) -> list[Answer]:
         answers: list[Answer] = []
-        call = self.service.link.take(ident, b"load" if kind else b"lookup", kind, 5000, 20.0, 0.0, -1, b"x")
+        call = self.service.adapter.take(
+            ident, b"load" if kind else b"lookup", kind, 5000, 20.0, 0.0, -1, b"x"
+        )
         assert call is not None
         call.addCallbacks(answers.append, lambda _: None)
         return answers
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -363,7 +363,7 @@
         caller.post(8)
         world.peer().up()
         self.assertEqual([f"{8:016x}"], [record.ident for record in self.entries(Kind.SENT)])
-        self.assertEqual(0.0, world.service.link.rules.cold_budget)
+        self.assertEqual(0.0, world.service.adapter.rules.cold_budget)
 
     def test_each_list_is_a_version_and_one_of_the_same_number_a_clash(self) -> None:
         world = self.world()
@@ -375,17 +375,17 @@
         world.list(2, *(endpoint.record() for endpoint in endpoints[:2]))
         world.go(100)
         self.assertEqual(1, len(self.entries(Kind.CLASH)))
-        self.assertEqual(3, len(world.service.link.endpoints))
+        self.assertEqual(3, len(world.service.adapter.endpoints))
 
     def test_a_list_between_choice_and_send_holds_the_send_back(self) -> None:
         for stays in ("s-0", "s-1"):  # one of them is what the rules choose
             world = self.world()
-            link = world.service.link
-            call = link.take(b"a" * 16, b"lookup", 0, 5000, 20.0, 0.0, -1, b"x")
+            adapter = world.service.adapter
+            call = adapter.take(b"a" * 16, b"lookup", 0, 5000, 20.0, 0.0, -1, b"x")
             assert call is not None
             call.addErrback(lambda _: None)
             # Gathered behind the submission, and so in force before its turn has carried anything out.
-            kept = {ident: endpoint for ident, endpoint in link.endpoints.items() if ident == stays}
+            kept = {ident: endpoint for ident, endpoint in adapter.endpoints.items() if ident == stays}
             self.station.service.names.take_known(KnownList(2, kept))
             self.station.listed(kept)
             world.go(100)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -160,15 +160,15 @@
     def test_every_submission_of_the_bench_is_sent(self) -> None:
         bench = request_path.Bench(40)
         bench.submit_many(10)
-        self.assertEqual(10, len(bench.link.sent) + len(bench.rules.held))
-        self.assertGreater(len(bench.link.sent), 0)
+        self.assertEqual(10, len(bench.adapter.sent) + len(bench.rules.held))
+        self.assertGreater(len(bench.adapter.sent), 0)
         bench.deliver_all()
         self.assertEqual(0, len(bench.rules.open))
 
     def test_a_list_is_applied_whole(self) -> None:
-        link, clock = request_path.empty_link()
-        request_path.apply_list(link, clock, request_path.endpoints(30, 4))
-        self.assertEqual((30, 29), (len(link.rules.engines), len(link.rules.ready)))
+        adapter, clock = request_path.empty_adapter()
+        request_path.apply_list(adapter, clock, request_path.endpoints(30, 4))
+        self.assertEqual((30, 29), (len(adapter.rules.engines), len(adapter.rules.ready)))
 
     def test_the_lists_bytes_grow_in_proportion_and_end_at_a_datagram(self) -> None:
         small, large = (engine_list.bytes_per_s(size).value for size in (100, 400))
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -248,14 +248,14 @@
 
     def test_a_request_answered_late_sends_no_other_twice(self) -> None:
         world = World(self, engines=4)
-        link, missed = world.service.link, list[str]()
-        rules: Any = link.rules
+        adapter, missed = world.service.adapter, list[str]()
+        rules: Any = adapter.rules
 
         def must(holds: object, what: str) -> bool:  # as in a release build
             missed.extend([] if holds else [what])
             return bool(holds)
 
-        link.counters.must = must  # type: ignore[method-assign]
+        adapter.counters.must = must  # type: ignore[method-assign]
         rules.choose = lambda *_, **__: None  # all wait in the queue
         rules.watch_held = lambda: None  # the decisions miss a deadline, and the link answers for them
         callers = [Caller(world) for _ in range(3)]
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -18,7 +18,7 @@
     Meter,
     Phase,
     Scenario,
-    ToldLink,
+    ToldAdapter,
     Verdict,
     play,
     summary,
@@ -132,7 +132,10 @@
     def test_half_of_the_dispatchers_have_not_been_told(self) -> None:
         world = ColdWorld(BY_NAME["half_is_told"], 4, 1)
         world.run((JOIN_AT + 1_500.0) / 1000)
-        told = [isinstance(link, ToldLink) and link.told[0] == world.started_at for link in world.dispatchers]
+        told = [
+            isinstance(adapter, ToldAdapter) and adapter.told[0] == world.started_at
+            for adapter in world.dispatchers
+        ]
         self.assertEqual(told, [True, False, True, False])
 
     def test_a_run_is_the_same_for_the_same_seed(self) -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -47,14 +47,14 @@
                 else:
                     client.reset()
                 self.assertEqual(self.sent(steps, steps.engines[0].talks[0]), [])
-                self.assertEqual(steps.service.link.open_requests, {})
+                self.assertEqual(steps.service.adapter.open_requests, {})
 
     def test_between_the_reading_and_the_turn(self) -> None:
         steps = Steps(self)
         steps.served(1)
         client = steps.client()
         client.post(2)
-        steps.until(lambda: steps.service.link.inbox)
+        steps.until(lambda: steps.service.adapter.inbox)
         client.socket.close()
         self.assertEqual(self.sent(steps, steps.engines[0].talks[0]), [])
         self.assertEqual(steps.service.counters.sums["trips_whose_client_left"], 1)
@@ -76,13 +76,13 @@
 
     def test_what_was_withdrawn_early_is_forgotten(self) -> None:
         world = World(self)
-        link = world.service.link
+        adapter = world.service.adapter
         for number in range(400):
-            link.withdraw(b"%016x" % number)
-        self.assertEqual(len(link.withdrawn_early), 256)
+            adapter.withdraw(b"%016x" % number)
+        self.assertEqual(len(adapter.withdrawn_early), 256)
         world.go(5100)
         Caller(world).post(399)
-        self.assertEqual((len(world.peer().up().heard()), link.withdrawn_early), (1, {}))
+        self.assertEqual((len(world.peer().up().heard()), adapter.withdrawn_early), (1, {}))
 
     def test_while_its_trip_is_dialled_for_where_nothing_may_be_called_off(self) -> None:
         world = World(self, settings=settings(limits={"cancelling": False}))
@@ -104,12 +104,12 @@
 
     def test_held_and_then_let_go(self) -> None:
         world = World(self)
-        link = world.service.link
-        link.rules.choose = lambda *_, **__: None  # type: ignore[method-assign]
+        adapter = world.service.adapter
+        adapter.rules.choose = lambda *_, **__: None  # type: ignore[method-assign]
         caller = Caller(world)
         caller.post(1)
         world.go(100)
-        del link.rules.choose
+        del adapter.rules.choose
         caller.pipe.ended = True  # its end has arrived and was not read
         world.go(100)
         self.assertEqual(world.peer().up().heard(), [])
@@ -122,7 +122,7 @@
         world = World(self)
         Caller(world).post(1, wait=1500)
         world.go(200)
-        world.service.link.terms(0, 0.0, 1)
+        world.service.adapter.terms(0, 0.0, 1)
         world.go(50)
         (said,) = world.peer().up().heard()
         self.assertRegex(said[2], r"^class=lookup,wait=1[12]\d\d,rank=1$")
@@ -184,7 +184,7 @@
 
     def test_a_way_that_stays_shut_is_not_tried_for_ever(self) -> None:
         world = World(self, settings=settings(limits={"send_cap": 2}))
-        world.service.link.rules.may_send = lambda *_: False  # type: ignore[method-assign]
+        world.service.adapter.rules.may_send = lambda *_: False  # type: ignore[method-assign]
         caller = Caller(world)
         caller.post(1)
         world.peer().up()
@@ -196,7 +196,7 @@
 
     def test_a_cold_send_counts_from_when_it_leaves(self) -> None:
         world = World(self)
-        rules = world.service.link.rules
+        rules = world.service.adapter.rules
         engine = rules.engines[0]
         engine.be_cold(world.now() + 15_000, world.now(), 1.0)
         engine.cold_sends.clear()
@@ -210,7 +210,7 @@
     def test_an_engine_taken_for_cold_while_it_was_dialled_for(self) -> None:
         world = World(self, engines=2)
         Caller(world).post(1)
-        engine = next(e for e in world.service.link.rules.engines.values() if e.out)
+        engine = next(e for e in world.service.adapter.rules.engines.values() if e.out)
         engine.be_cold(world.now() + 15_000, world.now(), 0.0)
         self.assertEqual(world.peer().up().heard(), [])
         self.assertEqual(len(world.peer(1).up().heard()), 1)
@@ -312,7 +312,7 @@
         steps = Steps(self)
         client = steps.served(1)
         client.post(2, "load")
-        steps.until(lambda: steps.service.link.inbox)
+        steps.until(lambda: steps.service.adapter.inbox)
         steps.engines[0].talks[0].socket.close()
         talk = steps.until(steps.engines[0].accept)
         steps.until(talk.heard)
@@ -384,7 +384,7 @@
         peer.say(1, "200", "parts=1")
         last = Caller(world)
         last.post(1)
-        self.assertEqual(len(world.service.link.open_requests), 1)
+        self.assertEqual(len(world.service.adapter.open_requests), 1)
         last.leave()
 
 
@@ -430,7 +430,7 @@
         steps.client()
         steps.go()
         served.post(2)
-        steps.until(lambda: steps.service.link.open_requests)
+        steps.until(lambda: steps.service.adapter.open_requests)
 
     def test_a_call_that_crosses_the_end_of_a_resting_connection_is_read(self) -> None:
         for ender in ("sweep", "evict_idle", "close_idle"):
@@ -478,7 +478,7 @@
         for client in busy:
             client.socket.close()
         steps.go(60)
-        steps.until(lambda: b"%016x" % 99 in steps.service.link.by_ident)
+        steps.until(lambda: b"%016x" % 99 in steps.service.adapter.by_ident)
         waiting.socket.close()
 
     def test_answers_end_their_connections(self) -> None:
@@ -524,7 +524,7 @@
         other.post(2)
         steps.round()
         steps.round()
-        self.assertIn(b"%016x" % 2, steps.service.link.by_ident)
+        self.assertIn(b"%016x" % 2, steps.service.adapter.by_ident)
         self.assertLess(steps.service.counters.sums["answers_200"], 200)
         steps.until(lambda: steps.service.counters.sums["answers_200"] >= 2001)
 
@@ -649,7 +649,7 @@
         )
         world.go(AGREED)
         self.assertEqual(
-            [endpoint.zone for endpoint in world.service.link.endpoints.values()], ["õu", "2.korrus"]
+            [endpoint.zone for endpoint in world.service.adapter.endpoints.values()], ["õu", "2.korrus"]
         )
         Caller(world).post(1)
         self.assertEqual(world.peer().host, "127.0.9.2")
@@ -738,7 +738,7 @@
         for ident, (owner, value) in enumerate(zip(("A & B", "õ", "nobody known", ""), kept, strict=True)):
             for more in ("1", "2") if owner == "A & B" else ("1",):
                 Caller(world).post(10 * ident + int(more), **more_of("Req_Owner", owner))
-            request = list(world.service.link.rules.open.values())[-1]
+            request = list(world.service.adapter.rules.open.values())[-1]
             self.assertEqual(request.value, value, owner)
 
     def test_those_of_one_key_run_in_turn(self) -> None:
@@ -773,7 +773,7 @@
         world.list(2, endpoint)
         self.assertEqual((world.names[-1][:2], world.service.names.number), (b"\0\0", 2))
         world.go(AGREED)
-        self.assertEqual(set(world.service.link.endpoints), {"s-7"})
+        self.assertEqual(set(world.service.adapter.endpoints), {"s-7"})
         world.go(7000)
         foreign = world.count("names_foreign")
         world.service.names.datagramReceived(names.answer(old, 3, endpoint), ("127.0.8.9", 5300))
@@ -788,5 +788,5 @@
         )
         self.assertEqual((world.count("names_bad"), world.service.names.number), (1, 1))
         self.assertEqual(
-            {endpoint.life.name for endpoint in world.service.link.endpoints.values()}, {"READY"}
+            {endpoint.life.name for endpoint in world.service.adapter.endpoints.values()}, {"READY"}
         )
--- a/tests/test_extproc.py
+++ b/tests/test_extproc.py
@@ -243,7 +243,7 @@
     def make(self, terms: Terms) -> None:
         service = self.world.service
         self.server = Server(
-            service.link,
+            service.adapter,
             service.engines,
             ServerSettings(service.configuration.workloads, terms, self.bounds, 20_000, 500.0),
             Runtime(self.world.reactor, self.world.now, service.counters, service.log),
@@ -253,14 +253,14 @@
         service = self.world.service
         made = Ledger(self.path, self.world.now, LedgerSettings("never"))
         self.addCleanup(made.close)
-        service.link.guard = LedgerGuard(
+        service.adapter.guard = LedgerGuard(
             made,
             GuardSettings(at_most_once(service.configuration.site), 60_000, 500.0),
             GuardRuntime(self.world.reactor, service.counters, service.log),
         )
 
     def engines(self) -> Any:
-        return self.world.service.link.rules.engines
+        return self.world.service.adapter.rules.engines
 
     def out(self) -> int:
         return sum(len(engine.out) for engine in self.engines().values())
@@ -289,7 +289,7 @@
                 self.server.granter.calls,
                 self.server.granter.leases,
                 self.server.door.calls,
-                self.world.service.link.open_requests,
+                self.world.service.adapter.open_requests,
             ),
             ({}, {}, 0, {}),
         )
@@ -372,7 +372,7 @@
         self.assertIsInstance(again.answer(again.ask(1, "lookup")), str)
 
     def test_a_full_disk_sheds_what_at_most_once_and_reads_go_on(self) -> None:
-        guard: Any = self.world.service.link.guard
+        guard: Any = self.world.service.adapter.guard
         guard.ledger.settings = replace(guard.ledger.settings, max_bytes=guard.ledger.bytes + 3)
         proxy = Proxy(self)
         stream, read = proxy.ask(1, "load"), proxy.ask(2, "lookup")
--- a/tests/test_gone_clients.py
+++ b/tests/test_gone_clients.py
@@ -137,7 +137,7 @@
         if leave is not None:  # else it stayed, and this is where its attempt begins
             steps.go(200)
             self.assertEqual(attempts(steps), 0)
-            self.assertNotIn(b"%016x" % LOOKUP, steps.service.link.by_ident)
+            self.assertNotIn(b"%016x" % LOOKUP, steps.service.adapter.by_ident)
             self.assertEqual(counted(steps, "attempts_after_client_left"), 0)
             self.assertEqual(counted(steps, "attempts_late_after_client_left"), 0)
 
@@ -153,7 +153,7 @@
         """Each connection has a call open. Its end needs no accepting; a cancel would wait as it does."""
 
         def bring(steps: Steps) -> Waiting:
-            rules = steps.service.link.rules
+            rules = steps.service.adapter.rules
             rules.choose = lambda *_, **__: None  # type: ignore[method-assign]
             busy = []
             while not steps.service.clients.paused:
@@ -163,7 +163,7 @@
             client = steps.client()
             client.post(LOOKUP)
             steps.go()
-            self.assertNotIn(b"%016x" % LOOKUP, steps.service.link.by_ident)
+            self.assertNotIn(b"%016x" % LOOKUP, steps.service.adapter.by_ident)
 
             def others_leave() -> None:
                 for other in busy:
@@ -188,7 +188,7 @@
         def bring(steps: Steps) -> Waiting:
             client = after_another(steps)
             client.post(LOOKUP)
-            steps.until(lambda: steps.service.link.inbox)
+            steps.until(lambda: steps.service.adapter.inbox)
             return Waiting(client, lambda: only_timers(steps))
 
         self.check_each_way(bring)
@@ -215,13 +215,13 @@
     def test_in_the_wait_queue(self) -> None:
         def bring(steps: Steps) -> Waiting:
             steps.served(1)
-            rules = steps.service.link.rules
+            rules = steps.service.adapter.rules
             rules.choose = lambda *_, **__: None  # type: ignore[method-assign]
             client = steps.client()
             client.post(LOOKUP)
             steps.until(lambda: rules.held)
             del rules.choose
-            return Waiting(client, steps.service.link.turn)
+            return Waiting(client, steps.service.adapter.run_batch)
 
         self.check_each_way(bring)
 
@@ -247,7 +247,7 @@
         def bring(steps: Steps) -> Waiting:
             steps.served(1)
             guard = SlowGuard()
-            steps.service.link.guard = guard
+            steps.service.adapter.guard = guard
             client = steps.client()
             client.post(LOOKUP)
             steps.until(lambda: guard.verdicts)
@@ -264,7 +264,7 @@
             client.post(LOOKUP)
             talk = steps.until(lambda: next((talk for talk in talks if talk.heard()), None))
             talk.say(LOOKUP, "503", "-", b"")
-            steps.until(lambda: steps.service.link.inbox)
+            steps.until(lambda: steps.service.adapter.inbox)
             return Waiting(client, lambda: only_timers(steps))
 
         self.check_each_way(bring, engines=2)
@@ -276,12 +276,12 @@
             talk = steps.until(steps.engines[0].accept)
             steps.until(talk.heard)
             talk.say(LOOKUP, "503", "-", b"")
-            rules = steps.service.link.rules
+            rules = steps.service.adapter.rules
             steps.until(lambda: rules.held)
             engine = rules.engines[0]
             self.assertGreater(engine.aside_until, steps.clock())
             engine.aside_until = engine.pressed_until = 0.0  # its rest is over
-            return Waiting(client, steps.service.link.turn)
+            return Waiting(client, steps.service.adapter.run_batch)
 
         self.check_each_way(bring)
 
@@ -316,7 +316,7 @@
             connection = list(steps.service.clients.connections)[-1]
             connection.pauseProducing()
             connection.dataReceived(WHOLE_CALL.replace(b"%016x" % 77, b"%016x" % LOOKUP))
-            self.assertEqual(steps.service.link.by_ident, {})
+            self.assertEqual(steps.service.adapter.by_ident, {})
 
             def client_reads() -> None:
                 connection.resumeProducing()
@@ -336,7 +336,7 @@
         steps.served(1)
         client = steps.client()
         client.post(LOOKUP)
-        steps.until(lambda: steps.service.link.inbox)
+        steps.until(lambda: steps.service.adapter.inbox)
         only_timers(steps)
         self.assertEqual(attempts(steps), 1)
         client.socket.close()
@@ -350,10 +350,10 @@
         client = after_another(steps)
         guard = SlowGuard()
         guard.before = lambda *_: True  # type: ignore[method-assign]
-        guard.turned = lambda: self.assertEqual(attempts(steps), 0)  # type: ignore[method-assign]
-        steps.service.link.guard = guard
+        guard.batch_ended = lambda: self.assertEqual(attempts(steps), 0)  # type: ignore[method-assign]
+        steps.service.adapter.guard = guard
         client.post(LOOKUP)
-        steps.until(lambda: steps.service.link.inbox)
+        steps.until(lambda: steps.service.adapter.inbox)
         only_timers(steps)
         self.assertEqual(attempts(steps), 1)
 
@@ -364,10 +364,10 @@
         after_another(steps)
         guard = SlowGuard()
         guard.before = lambda *_: True  # type: ignore[method-assign]
-        steps.service.link.guard = guard
+        steps.service.adapter.guard = guard
         for ident, client in ((LOOKUP, steps.client()), (OTHER, steps.client())):
             client.post(ident)
-        steps.until(lambda: len(steps.service.link.inbox) == 2)
+        steps.until(lambda: len(steps.service.adapter.inbox) == 2)
         only_timers(steps)
         said = [words[1] for words in steps.engines[0].talks[0].heard()]
         self.assertEqual(said, [f"{LOOKUP:016x}", f"{OTHER:016x}"])
@@ -380,10 +380,10 @@
         caller.post(1)
         peer = world.peer().up()
         peer.say(1, "200", "parts=1", ROW)
-        world.service.link.guard = guard
-        guard.turned = lambda: peer.protocol.lost()  # type: ignore[method-assign]  # noqa: PLW0108 - the attribute is replaced below
+        world.service.adapter.guard = guard
+        guard.batch_ended = lambda: peer.protocol.lost()  # type: ignore[method-assign]  # noqa: PLW0108 - the attribute is replaced below
         caller.post(LOOKUP)
-        guard.turned = lambda: None  # type: ignore[method-assign]
+        guard.batch_ended = lambda: None  # type: ignore[method-assign]
         world.go()
         self.assertEqual([said[1] for said in peer.heard()], [f"{1:016x}"])
 
@@ -393,10 +393,10 @@
         canceller, client = steps.client(), steps.client()
         steps.go()
         client.post(LOOKUP)
-        steps.until(lambda: steps.service.link.inbox)
+        steps.until(lambda: steps.service.adapter.inbox)
         canceller.socket.sendall(b"DELETE /ops/lookup/%016x HTTP/1.1\r\n\r\n" % LOOKUP)
         steps.round()
-        self.assertNotIn(b"%016x" % LOOKUP, steps.service.link.by_ident)
+        self.assertNotIn(b"%016x" % LOOKUP, steps.service.adapter.by_ident)
         steps.round()
         self.assertEqual([said[0] for said in steps.engines[0].talks[0].heard()], ["serve", "cancel"])
 
@@ -479,7 +479,7 @@
         caller = Caller(world)
         caller.post(LOOKUP)
         caller.say(self.DELETE % LOOKUP)
-        self.assertEqual(world.service.link.by_ident, {})
+        self.assertEqual(world.service.adapter.by_ident, {})
         self.assertEqual((caller.answers(), caller.pipe.disconnecting), ([], True))
         self.assertEqual(world.peer().up().heard(), [])
 
@@ -508,7 +508,7 @@
         first.post(1)
         caller.post(LOOKUP)
         caller.say(self.DELETE % 1 + self.DELETE % 99)
-        self.assertEqual(list(world.service.link.by_ident), [b"%016x" % LOOKUP])
+        self.assertEqual(list(world.service.adapter.by_ident), [b"%016x" % LOOKUP])
         self.assertEqual(caller.answers(), [])
         world.peer(1).up().say(LOOKUP, "200", "parts=1", ROW)
         self.assertEqual([status for status, _, _ in caller.answers()], [200, 200, 404])
@@ -546,7 +546,7 @@
             process.stdin.write(sent + HALF_A_CALL)
             process.stdin.close()
             self.assertEqual(process.stdout.readline(), b"sent\n")
-            steps.until(lambda: steps.service.link.inbox)
+            steps.until(lambda: steps.service.adapter.inbox)
             process.kill()
             process.wait()
         only_timers(steps)
@@ -579,7 +579,7 @@
         caller.pipe.unread = b"x" * 200_000
         self.assertEqual(world.peer().up().heard(), [])
         self.assertTrue(caller.pipe.aborted)
-        self.assertEqual(world.service.link.by_ident, {})
+        self.assertEqual(world.service.adapter.by_ident, {})
 
 
 class SlowGuard:
@@ -595,7 +595,7 @@
     def departs(self, taken: Any, attempt: int, engine: int) -> bool:
         return True
 
-    def turned(self) -> None:
+    def batch_ended(self) -> None:
         """Nothing follows of it here."""
 
     def __getattr__(self, name: str) -> Callable[..., Any]:
--- a/tests/test_list_freshness.py
+++ b/tests/test_list_freshness.py
@@ -258,7 +258,7 @@
         world.answer(2, ("s-0.east.hosts", "127.0.9.0:7001", 1, "cell=x"))
         self.assertEqual(world.count("names_bad"), 1)
         world.go(130)
-        freshness = world.service.link.rules.freshness
+        freshness = world.service.adapter.rules.freshness
         self.assertEqual(freshness.doubt(world.now()), Doubt.UNANSWERED)
 
     def test_a_list_that_was_old_when_the_dispatcher_could_start_waits_for_the_first_answer(self) -> None:
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -160,9 +160,9 @@
         head = b"POST /ops/lookup HTTP/1.1\r\nReq-Id: %016x\r\nReq-Wait-Ms: 900\r\n\r\n" % 2
         caller.protocol.dataReceived(head)
         caller.leave()
-        link = world.service.link
+        adapter = world.service.adapter
         self.assertEqual(len(peer.heard()), 1)
-        self.assertEqual((list(link.open_requests), link.rules.engines[0].threads), ([0], 1))
+        self.assertEqual((list(adapter.open_requests), adapter.rules.engines[0].threads), ([0], 1))
 
     def test_bad_messages_cost_their_connection_only(self) -> None:
         world = World(self)
@@ -269,7 +269,7 @@
             crowded.say(int(ident, 16), "200")
         crowded.raw(b"nonsense\r\n")
         self.assertEqual([len(caller.answers()) for caller in callers].count(1), 1)
-        self.assertEqual(max(engine.strikes for engine in world.service.link.rules.engines.values()), 0.5)
+        self.assertEqual(max(engine.strikes for engine in world.service.adapter.rules.engines.values()), 0.5)
         world.go(21_000)
         self.assertTrue(all(peer.pipe.disconnecting for peer in peers))  # idle for half of the engines' time
 
@@ -310,8 +310,8 @@
             world.list(serial, (f"s-{serial}.east.hosts", "127.0.9.1:7001", 0, "kind=std cell=0 started=0"))
             peer.lose()
         world.go(6000)
-        link = world.service.link
-        kept = (link.index.places, link.rules.engines, link.engines.engines)
+        adapter = world.service.adapter
+        kept = (adapter.index.places, adapter.rules.engines, adapter.engines.engines)
         self.assertEqual([len(engines) for engines in kept], [1, 1, 1])
 
     def test_what_has_ended_needs_no_collector(self) -> None:
@@ -354,14 +354,14 @@
 
     def test_an_answer_that_the_rules_owe_is_given_for_them(self) -> None:
         world = World(self)
-        link, faults = world.service.link, list[str]()
+        adapter, faults = world.service.adapter, list[str]()
 
         def must(holds: object, what: str) -> bool:
             faults.extend([] if holds else [what])
             return bool(holds)
 
-        link.counters.must = must  # type: ignore[method-assign]
-        link.rules.submitted = lambda *_: None  # type: ignore[method-assign]
+        adapter.counters.must = must  # type: ignore[method-assign]
+        adapter.rules.request_received = lambda *_: None  # type: ignore[method-assign]
         caller = Caller(world)
         caller.post(1, wait=1000)
         world.go(975)
@@ -372,19 +372,19 @@
     def test_reports_and_priorities(self) -> None:
         report = {"report": {"how": "piggyback", "fields": ["q", "rif"]}}
         world = World(self, settings=SETTINGS | report)
-        link = world.service.link
+        adapter = world.service.adapter
         Caller(world).post(1)
         peer = world.peer().up()
-        link.terms(0, 0.0, 2)
+        adapter.terms(0, 0.0, 2)
         world.go(60)
         self.assertEqual(peer.heard()[1:], [["weigh", f"{1:016x}", "2"]])
         peer.say(1, "200", "parts=1,stats=rif:9;q:0")
-        self.assertEqual(link.rules.all, 10.0)
+        self.assertEqual(adapter.rules.all, 10.0)
         Caller(world).post(2)
         peer.say(2, "200", "parts=1,stats=q:0")  # one is missing: no report
         Caller(world).post(3)
         peer.say(3, "200", "parts=1,stats=rif:nan;q:0")
-        self.assertEqual((link.rules.all, peer.pipe.aborted), (10.0, True))
+        self.assertEqual((adapter.rules.all, peer.pipe.aborted), (10.0, True))
 
     def test_a_late_start_of_a_call_has_its_own_time(self) -> None:
         world = World(self)
@@ -407,7 +407,7 @@
             )
 
         world.list(0, at(0))  # overtaken by what is known
-        self.assertEqual(set(world.service.link.endpoints), {"s-0", "s-1"})
+        self.assertEqual(set(world.service.adapter.endpoints), {"s-0", "s-1"})
         world.go(SETTLED)
         world.list(3, at(0, priority=1), at(1))
         for ident in range(3):
@@ -433,7 +433,7 @@
         self.assertEqual(world.count("names_foreign"), foreign + 2)
         world.list(9, at(1), flags=0x8402)
         world.list(9, ("s-1.east.hosts", "127.0.9.1:7001", 0, "cell=0"))
-        self.assertEqual((world.count("names_bad"), set(world.service.link.endpoints)), (2, {"s-5"}))
+        self.assertEqual((world.count("names_bad"), set(world.service.adapter.endpoints)), (2, {"s-5"}))
 
     def test_nothing_dialled_for_is_sent_after_a_drain(self) -> None:
         world = World(self)
@@ -483,11 +483,11 @@
         self.assertEqual(world.asked[-1], ("127.0.8.10", 5301))
         endpoint = ("s-1.east.hosts", "127.0.9.1:7001", 0, "kind=std cell=0 started=0")
         world.list(2, endpoint)  # the old one answers no more
-        self.assertEqual(set(world.service.link.endpoints), {"s-0"})
+        self.assertEqual(set(world.service.adapter.endpoints), {"s-0"})
         world.list(2, endpoint, source=("127.0.8.10", 5301))
-        self.assertEqual(set(world.service.link.endpoints), set())
+        self.assertEqual(set(world.service.adapter.endpoints), set())
         world.go(AGREED)
-        self.assertEqual(set(world.service.link.endpoints), {"s-1"})
+        self.assertEqual(set(world.service.adapter.endpoints), {"s-1"})
 
         def unusable() -> Configuration:
             return load_configuration("/nowhere/config.json")
@@ -503,7 +503,9 @@
         more = configuration(2, limits={"sockets": 8})
         more["known"]["no"] = more["known"]["items"][0]["no"] = 9
         world.service.read_again(lambda: read_configuration(json.dumps(more)))
-        self.assertEqual((set(world.service.link.endpoints), world.service.names.number), ({"s-0", "s-1"}, 9))
+        self.assertEqual(
+            (set(world.service.adapter.endpoints), world.service.names.number), ({"s-0", "s-1"}, 9)
+        )
         for ident in range(8):
             Caller(world).post(ident)
         self.assertEqual(len(world.reactor.tcpClients), 3)
--- a/tests/test_new_days.py
+++ b/tests/test_new_days.py
@@ -31,7 +31,7 @@
 
 
 def lives(world: World) -> dict[str, str]:
-    return {ident: endpoint.life.name for ident, endpoint in world.service.link.endpoints.items()}
+    return {ident: endpoint.life.name for ident, endpoint in world.service.adapter.endpoints.items()}
 
 
 def accepted(steps: Steps) -> Talk:
@@ -247,7 +247,7 @@
         steps = Steps(self)
         client = steps.client()
         client.post(1)
-        steps.until(lambda: steps.service.link.inbox)
+        steps.until(lambda: steps.service.adapter.inbox)
         steps.service.stop()
         self.check(steps, client)
 
@@ -553,7 +553,7 @@
         client.post(2)
         steps.go()
         self.assertEqual(client.read(), b"")
-        self.assertNotIn(b"%016x" % 2, steps.service.link.by_ident)
+        self.assertNotIn(b"%016x" % 2, steps.service.adapter.by_ident)
         client.socket.close()
         steps.go()
         self.assertEqual(steps.service.clients.connections, {})
@@ -576,7 +576,7 @@
         world = World(self)
         guard = Mock()
         guard.door.return_value = Failed()
-        world.service.link.guard = guard
+        world.service.adapter.guard = guard
         caller = Caller(world)
         caller.say(b"".join(call(ident) for ident in range(1, 1001)))
         world.go(50)
@@ -592,7 +592,7 @@
                 client.socket.close() if end == "close" else client.socket.shutdown(socket.SHUT_WR)
                 steps.go(200)
                 self.assertEqual(steps.engines[0].talks[0].heard(), [])
-                self.assertEqual(steps.service.link.by_ident, {})
+                self.assertEqual(steps.service.adapter.by_ident, {})
 
 
 class SignalsAroundTheLoop(unittest.TestCase):
--- a/tests/test_review_findings.py
+++ b/tests/test_review_findings.py
@@ -57,11 +57,11 @@
 
     def followed(self) -> bool:
         """Whether requests may be sent by the list."""
-        return self.world.service.link.rules.freshness.followed(self.world.now())
+        return self.world.service.adapter.rules.freshness.followed(self.world.now())
 
     def may_get(self, place: int) -> bool:
         """Whether an attempt at that engine may begin now."""
-        endpoint = self.world.service.link.endpoints.get(f"s-{place}")
+        endpoint = self.world.service.adapter.endpoints.get(f"s-{place}")
         return self.followed() and endpoint is not None and endpoint.life == Life.READY
 
     def check_never_sent(
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -5,7 +5,17 @@
 from pathlib import Path
 from typing import Any
 
-from spurdeal.interface import Deployment, Effect, Ending, EndReason, Life, Listed, Reach, Word, Workload
+from spurdeal.interface import (
+    Deployment,
+    Effect,
+    Ending,
+    EndReason,
+    Life,
+    Listed,
+    ProgressKind,
+    Reach,
+    Workload,
+)
 from spurdeal.rules import Dispatcher
 
 FOLDER = Path(__file__).parent / "scenarios"
@@ -19,7 +29,7 @@
     memory_mb=(8192.0,),
     in_hand=None,
     list_pushed=True,
-    may_call_off=True,
+    may_cancel=True,
     may_probe=False,
     may_tell=False,
     second_copies=False,
@@ -37,7 +47,7 @@
     cold_window=2000.0,
 )
 LINE = Listed(0, 0, 0, 0, Life.READY, 1.0, 0.0)
-KINDS: tuple[Any, ...] = (Effect, Ending, Life, Reach, Word)
+KINDS: tuple[Any, ...] = (Effect, Ending, Life, Reach, ProgressKind)
 # The notation of the scenario files has names of its own for some members and fields.
 WORDS: dict[str, Any] = {word.name.lower(): word for kind in KINDS for word in kind} | {
     "redoable": Effect.IDEMPOTENT,
@@ -52,6 +62,7 @@
     "late_utility": "late_value",
     "location": "zone",
     "locations": "zones",
+    "may_call_off": "may_cancel",
     "over_share_utility": "over_share_value",
     "utility": "value",
 }
@@ -93,13 +104,13 @@
     def shed(self, number: int, come_back: float, reason: EndReason) -> None:
         self.did.append(f"shed {number}")
 
-    def break_off(self, number: int, reason: EndReason) -> None:
+    def fail_request(self, number: int, reason: EndReason) -> None:
         self.did.append(f"break {number}")
 
-    def call_off(self, number: int, attempt: int) -> None:
+    def cancel_attempt(self, number: int, attempt: int) -> None:
         self.did.append(f"call_off {number}")
 
-    def wake(self, delay: float, token: int) -> None:
+    def set_timer(self, delay: float, token: int) -> None:
         self.wakes.append((self.now + delay, token))
 
     def terms(self, number: int, memory: float, priority: int) -> None:
@@ -139,19 +150,19 @@
     def do_engines(self, count: str, **given: Any) -> None:
         for engine in range(int(count)):
             self.lines[engine] = LINE._replace(engine=engine, **given)
-        self.rules.listed(self.now, list(self.lines.values()), True)
+        self.rules.list_changed(self.now, list(self.lines.values()), True)
 
     def do_engine(self, engine: str, **given: Any) -> None:
         line = self.lines.get(int(engine), LINE._replace(engine=int(engine)))
         self.lines[int(engine)] = line._replace(**given)
-        self.rules.listed(self.now, [self.lines[int(engine)]], False)
+        self.rules.list_changed(self.now, [self.lines[int(engine)]], False)
 
     def do_unlist(self, engine: str) -> None:
         del self.lines[int(engine)]
-        self.rules.listed(self.now, list(self.lines.values()), True)
+        self.rules.list_changed(self.now, list(self.lines.values()), True)
 
     def do_stop(self, until: str) -> None:
-        self.rules.stopping(self.now, float(until))
+        self.rules.shutdown_started(self.now, float(until))
 
     def do_list_failed(self) -> None:
         self.rules.list_failed(self.now)
@@ -161,8 +172,8 @@
             due = min(self.wakes)
             self.wakes.remove(due)
             self.now = max(self.now, due[0])
-            self.rules.woken(self.now, due[1])
-            self.rules.turn(self.now)
+            self.rules.timer_fired(self.now, due[1])
+            self.rules.end_batch(self.now)
         self.now = float(when)
 
     def do_submit(
@@ -177,8 +188,8 @@
     ) -> None:
         for number in numbers:
             deadline = self.now + life
-            self.rules.submitted(self.now, int(number), kind, tenant, key, deadline, cost, 0.0, group)
-        self.rules.turn(self.now)
+            self.rules.request_received(self.now, int(number), kind, tenant, key, deadline, cost, 0.0, group)
+        self.rules.end_batch(self.now)
 
     def do_end(
         self, *attempts: str, ending: Ending = Ending.DELIVERED, took: float = 100.0, report: float = 0.0
@@ -188,14 +199,14 @@
             which = int(number), int(attempt or 0)
             final = ending == Ending.DELIVERED
             engine = self.engine_of[which]
-            self.rules.ended(self.now, *which, engine, ending, took, final, 0.0, 0.0, (report,))
-        self.rules.turn(self.now)
+            self.rules.attempt_ended(self.now, *which, engine, ending, took, final, 0.0, 0.0, (report,))
+        self.rules.end_batch(self.now)
 
-    def do_note(self, number: str, word: Word, level: float) -> None:
-        self.rules.noted(self.now, int(number), 0, self.engine_of[int(number), 0], word, level)
+    def do_note(self, number: str, word: ProgressKind, level: float) -> None:
+        self.rules.progress_reported(self.now, int(number), 0, self.engine_of[int(number), 0], word, level)
 
     def do_withdraw(self, number: str) -> None:
-        self.rules.withdrawn(self.now, int(number))
+        self.rules.request_withdrawn(self.now, int(number))
 
     def do_interval(self, engine: str, served: float, work: float = 0.0, most: float = 99.0) -> None:
         e = self.rules.engines[int(engine)]
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -71,8 +71,8 @@
 
     def cold_for(self, world: World, ident: str) -> float:
         """Ms for which slow start still limits an engine."""
-        rules = world.service.link.rules
-        return float(rules.engines[world.service.link.index.places[ident]].warm_at - world.now())
+        rules = world.service.adapter.rules
+        return float(rules.engines[world.service.adapter.index.places[ident]].warm_at - world.now())
 
     def test_in_the_list_of_the_start(self) -> None:
         for off in (HOUR, 20_000.0, -HOUR):
--- a/tests/test_station.py
+++ b/tests/test_station.py
@@ -113,7 +113,7 @@
         pair.names.silent = True
         one = pair.again("n1")
         pair.go(2500)
-        rules = one.service.link.rules
+        rules = one.service.adapter.rules
         self.assertEqual([one.holds(), pair.sides["n2"].holds()], [False, True])
         self.assertEqual({engine.warm_at > pair.unix() for engine in rules.engines.values()}, {True})
         pair.names.silent = False
@@ -121,7 +121,7 @@
         self.assertEqual([one.holds(), pair.sides["n2"].holds()], [True, False])
         cold = {
             ident: rules.engines[place].warm_at > pair.unix()
-            for ident, place in one.service.link.index.places.items()
+            for ident, place in one.service.adapter.index.places.items()
         }
         self.assertEqual(cold, {"s-1": False, "s-9": True})
 
@@ -294,9 +294,9 @@
         pair.ether.drops = lambda source, target: source == (HOSTS["n2"], 7113)
         one.submit(X)
         pair.go(10)
-        self.assertTrue(one.service.link.withdraw(X))
+        self.assertTrue(one.service.adapter.withdraw(X))
         pair.go(200)
-        self.assertEqual((one.service.link.open_requests, one.station.going), ({}, {}))
+        self.assertEqual((one.service.adapter.open_requests, one.station.going), ({}, {}))
 
 
 class BadInput(unittest.TestCase):
--- a/tests/test_system_faults.py
+++ b/tests/test_system_faults.py
@@ -77,7 +77,7 @@
                 port.socket = FailingSocket(port.socket, "recvfrom", error)
                 steps.list(2, 0)  # a drain, in an answer of which the first read fails
                 steps.go(30)
-                self.assertEqual(steps.service.link.endpoints["s-0"].life, Life.DRAINING)
+                self.assertEqual(steps.service.adapter.endpoints["s-0"].life, Life.DRAINING)
                 self.assertIs(steps.service.names.transport, port)
 
     def test_an_error_that_twisted_passes_over_is_counted(self) -> None:
@@ -86,7 +86,7 @@
         telling.real = FailingSocket(telling.real, "recvfrom", errno.ECONNREFUSED)
         steps.list(2, 0)
         steps.go(30)
-        self.assertEqual(steps.service.link.endpoints["s-0"].life, Life.DRAINING)
+        self.assertEqual(steps.service.adapter.endpoints["s-0"].life, Life.DRAINING)
         self.assertEqual(steps.service.counters.sums["datagram_read_errors"], 1)
 
     def test_errors_that_go_on_end_the_socket_and_another_is_opened(self) -> None:
@@ -102,7 +102,7 @@
         self.assertIsNot(steps.service.names.transport, port)
         self.assertEqual(steps.service.counters.sums["names_socket_ended"], 1)
         steps.list(2, 0)
-        self.assertEqual(steps.service.link.endpoints["s-0"].life, Life.DRAINING)
+        self.assertEqual(steps.service.adapter.endpoints["s-0"].life, Life.DRAINING)
 
     def test_an_error_on_sending_is_counted_and_the_next_question_goes(self) -> None:
         for error in (errno.ENOBUFS, errno.EPERM, errno.ENETUNREACH, errno.EHOSTUNREACH):
@@ -153,7 +153,7 @@
         self.assertEqual(world.service.names.number, 1)
         world.list(2, DRAINING, SERVING)
         self.assertEqual(world.service.names.number, 2)
-        self.assertEqual(world.service.link.endpoints["s-0"].life, Life.DRAINING)
+        self.assertEqual(world.service.adapter.endpoints["s-0"].life, Life.DRAINING)
 
     def test_a_question_that_twisted_would_drop_in_silence_is_counted(self) -> None:
         for error in (errno.ECONNREFUSED, errno.EMSGSIZE):
@@ -213,12 +213,12 @@
         steps.reactor.removeReader(steps.service.names.transport)
         steps.list(2, 0)
         steps.go(800)
-        self.assertEqual(steps.service.link.endpoints["s-0"].life, Life.DRAINING)
+        self.assertEqual(steps.service.adapter.endpoints["s-0"].life, Life.DRAINING)
         self.assertEqual(steps.service.counters.sums["discovery_read_by_look"], 1)
         steps.list(3)  # it is told of again
-        self.assertEqual(steps.service.link.endpoints["s-0"].life, Life.DRAINING)
+        self.assertEqual(steps.service.adapter.endpoints["s-0"].life, Life.DRAINING)
         steps.go(RETURNED)
-        self.assertEqual(steps.service.link.endpoints["s-0"].life, Life.READY)
+        self.assertEqual(steps.service.adapter.endpoints["s-0"].life, Life.READY)
 
     def test_a_fault_in_one_sweep_ends_no_other(self) -> None:
         world = World(self)
@@ -231,15 +231,15 @@
 
     def test_a_list_of_a_configuration_that_could_not_be_taken_is_asked_for(self) -> None:
         world = World(self, engines=2)
-        link: Any = world.service.link
-        taken, failures = link.listed, [RuntimeError("by the test")]
+        adapter: Any = world.service.adapter
+        taken, failures = adapter.apply_list, [RuntimeError("by the test")]
 
         def listed(endpoints: Any) -> None:
             if failures:
                 raise failures.pop()
             taken(endpoints)
 
-        link.listed = listed
+        adapter.apply_list = listed
         world.service.names.on_list = listed
         told = configuration(2, nameserver="127.0.8.10:5301")
         told["known"]["items"].append(
@@ -251,7 +251,7 @@
         self.assertEqual(world.service.names.address, ("127.0.8.10", 5301))
         self.assertEqual(world.service.names.number, 1)
         world.list(2, DRAINING, SERVING, source=("127.0.8.10", 5301))
-        self.assertEqual(world.service.link.endpoints["s-0"].life, Life.DRAINING)
+        self.assertEqual(world.service.adapter.endpoints["s-0"].life, Life.DRAINING)
 
     def test_a_file_that_cannot_be_read_is_read_until_it_can(self) -> None:
         world, reads = World(self), list[float]()
@@ -361,7 +361,7 @@
         steps.go(50)
         client.post(2)
         self.assertGreaterEqual(self.wait_told(steps, 2), 4900)
-        self.assertEqual(steps.service.link.loop.delays, {})
+        self.assertEqual(steps.service.adapter.loop.delays, {})
 
     def test_in_the_backlog_while_accept_fails(self) -> None:
         for error in (errno.ECONNABORTED, errno.ENFILE, errno.ENOBUFS, errno.EPROTO, errno.EHOSTUNREACH):
@@ -401,7 +401,7 @@
 
     def test_unwatched_while_epoll_ctl_fails(self) -> None:
         steps = Steps(self)
-        timed: Any = steps.service.link.loop.poller
+        timed: Any = steps.service.adapter.loop.poller
         register = timed.poller.register
 
         def refuse(*_: object) -> None:
@@ -415,7 +415,7 @@
 
     def test_a_delay_without_end_dates_back_by_no_more_than_the_bound(self) -> None:
         steps = Steps(self)
-        steps.service.link.loop.delayed("a source that is not read again")
+        steps.service.adapter.loop.delayed("a source that is not read again")
         steps.go(4000)
         steps.client().post(1, wait=8000)
         self.assertGreaterEqual(self.wait_told(steps, 1), 8000 - 100)
@@ -474,7 +474,7 @@
         patient.real = ByteWise(patient.real, "none", 0)
         client.post(1)
         steps.round()
-        self.assertEqual(len(steps.service.link.by_ident), 1)
+        self.assertEqual(len(steps.service.adapter.by_ident), 1)
         self.wait_told(steps, 1)
         self.assertEqual(steps.until(client.status), 200)
 
@@ -495,10 +495,10 @@
 
     def test_the_decisions_know_when_sockets_were_polled(self) -> None:
         steps = Steps(self)
-        link: Any = steps.service.link
-        self.assertEqual(link.rules.freshness.polled_at(), link.loop.polled_at)
-        link.loop.polled_at -= 200.0
-        self.assertFalse(link.rules.freshness.followed(steps.clock()))
+        adapter: Any = steps.service.adapter
+        self.assertEqual(adapter.rules.freshness.polled_at(), adapter.loop.polled_at)
+        adapter.loop.polled_at -= 200.0
+        self.assertFalse(adapter.rules.freshness.followed(steps.clock()))
 
 
 class PlannedEnd(unittest.TestCase):
@@ -639,8 +639,8 @@
         peer = world.peer()
         peer.factory.clientConnectionFailed(None, Failure(ConnectError(error, "by the test")))
         world.go()
-        number = world.service.link.index.places[f"s-{peer.host.rpartition('.')[2]}"]
-        return world, world.service.link.rules.engines[number]
+        number = world.service.adapter.index.places[f"s-{peer.host.rpartition('.')[2]}"]
+        return world, world.service.adapter.rules.engines[number]
 
     def test_a_want_of_our_own_counts_against_no_engine_and_the_request_goes_on(self) -> None:
         for error in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL):
@@ -696,7 +696,7 @@
         world.list(2, DRAINING, gone)
         self.assertEqual(world.service.counters.sums.pop("faults"), 1)
         self.assertEqual(
-            {endpoint.life for endpoint in world.service.link.endpoints.values()}, {Life.DRAINING}
+            {endpoint.life for endpoint in world.service.adapter.endpoints.values()}, {Life.DRAINING}
         )
         self.assertEqual(world.service.engines.engines[1].endpoint.life, Life.DRAINING)
         Caller(world).post(1)
@@ -704,7 +704,7 @@
 
     def test_a_fault_in_a_turn_keeps_the_rest_of_the_queue(self) -> None:
         world = World(self, engines=4)
-        rules: Any = world.service.link.rules
+        rules: Any = world.service.adapter.rules
         choose = rules.choose
         rules.choose = lambda *_, **__: None  # all wait
         for number in range(4):
@@ -726,7 +726,7 @@
 
     def test_the_one_that_failed_is_answered_at_its_deadline(self) -> None:
         world = World(self)
-        rules: Any = world.service.link.rules
+        rules: Any = world.service.adapter.rules
         choose = rules.choose
         rules.choose = lambda *_, **__: None
         caller = Caller(world)
@@ -750,27 +750,27 @@
         self.assertEqual(
             ([status for status, _, _ in caller.answers()], released), ([500], ["answer_in_time"])
         )
-        self.assertEqual((rules.open, world.service.link.open_requests), ({}, {}))
+        self.assertEqual((rules.open, world.service.adapter.open_requests), ({}, {}))
 
     def test_decisions_that_send_twice_are_not_followed(self) -> None:
         """Whatever the decisions' fault: what must not run twice has one attempt out at most."""
         for workload, sent in (("load", 1), ("lookup", 2)):
             with self.subTest(workload):
                 world = World(self, engines=2)
-                link, missed = world.service.link, list[str]()
-                rules: Any = link.rules
+                adapter, missed = world.service.adapter, list[str]()
+                rules: Any = adapter.rules
 
                 def must(holds: object, what: str, missed: list[str] = missed) -> bool:
                     missed.extend([] if holds else [what])
                     return bool(holds)
 
-                link.counters.must = must  # type: ignore[method-assign]
+                adapter.counters.must = must  # type: ignore[method-assign]
                 caller = Caller(world)
                 caller.post(7, workload)
                 peer = world.peer().up()
                 (request,) = rules.open.values()
                 request.engine = rules.engines[1]
-                link.gather(lambda now, rules=rules, request=request: rules.attempt_stage(request))
+                adapter.gather(lambda now, rules=rules, request=request: rules.attempt_stage(request))
                 world.go(50)
                 peers = [peer, *(world.peer(place).up() for place in range(1, len(world.reactor.tcpClients)))]
                 served = [said for each in peers for said in each.heard() if said[0] == "serve"]
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -67,22 +67,22 @@
         steps.service.clients.port.numberAccepts = 1
         stall(steps)
         steps.go()
-        deadlines = {taken.deadline for taken in steps.service.link.open_requests.values()}
-        self.assertEqual((len(steps.service.link.open_requests), len(deadlines)), (3, 1))
+        deadlines = {taken.deadline for taken in steps.service.adapter.open_requests.values()}
+        self.assertEqual((len(steps.service.adapter.open_requests), len(deadlines)), (3, 1))
         self.assertAlmostEqual(deadlines.pop() - steps.clock(), 2000 - STALL - ANSWER_WAY, places=3)
 
     def test_in_a_turn(self) -> None:
         steps, client, engine = self.resting()
-        rules = steps.service.link.rules
-        usual = rules.turn
+        rules = steps.service.adapter.rules
+        usual = rules.end_batch
 
-        def slow_turn(now: float) -> None:
-            rules.turn = usual  # type: ignore[method-assign]
+        def slow_batch(now: float) -> None:
+            rules.end_batch = usual  # type: ignore[method-assign]
             client.post(2, wait=2000)
             stall(steps)
             usual(now)
 
-        rules.turn = slow_turn  # type: ignore[method-assign]
+        rules.end_batch = slow_batch  # type: ignore[method-assign]
         steps.go(50)
         self.assertEqual(wait_told(engine), [2000 - 10 - int(STALL) - ANSWER_WAY])  # polled 10 ms before it
 
@@ -109,13 +109,13 @@
         open_ones[0].socket.close()
         steps.go()
         steps.go()  # the room that it left is seen in one round, and used in the next
-        deadline = steps.service.link.by_ident[b"%016x" % 99].deadline  # so accepting went on
+        deadline = steps.service.adapter.by_ident[b"%016x" % 99].deadline  # so accepting went on
         self.assertAlmostEqual(deadline - steps.clock(), 2000 - 500 - ANSWER_WAY, places=3)
 
     def test_in_a_flood_nobody_has_waited_longer_than_the_queue_is_long(self) -> None:
         """Each round accepts as many as it may, so the queue is never seen empty."""
         steps = Steps(self)
-        watch = AcceptWatch(steps.service.link.loop, queue_length=6)
+        watch = AcceptWatch(steps.service.adapter.loop, queue_length=6)
         dated = list[float]()
         for _ in range(10):
             steps.reactor.now += 0.01
@@ -191,7 +191,7 @@
         return self.steps.clock()
 
     def deadline(self, ident: int) -> float:
-        return self.steps.service.link.by_ident[b"%016x" % ident].deadline
+        return self.steps.service.adapter.by_ident[b"%016x" % ident].deadline
 
 
 class Backlog(unittest.TestCase):
@@ -229,7 +229,7 @@
     def test_the_first_count_above_0_ends_what_was_assumed_before(self) -> None:
         steps = Steps(self)
         counts = iter([0, 0, 2, 2, 2, 2, 2, 2])
-        watch = AcceptWatch(steps.service.link.loop, 1000, lambda: next(counts))
+        watch = AcceptWatch(steps.service.adapter.loop, 1000, lambda: next(counts))
         ages, kept = list[float](), list[int]()
         for _ in range(8):
             steps.reactor.now += ROUND / 1000
@@ -361,7 +361,7 @@
         """What one more that comes now still has, as the dispatcher counts."""
         self.count += 1
         Caller(self.world).post(self.count, workload, wait=wait, Req_Key=key)
-        deadline = self.world.service.link.by_ident[b"%016x" % self.count].deadline
+        deadline = self.world.service.adapter.by_ident[b"%016x" % self.count].deadline
         return round(deadline - self.world.now() + ANSWER_WAY)
 
     def test_a_run_counts_from_its_first(self) -> None:
@@ -394,7 +394,7 @@
         self.assertEqual(left, [5000, 5000])
 
     def test_runs_are_bounded_and_forgotten(self) -> None:
-        ordered = self.world.service.link.ordered
+        ordered = self.world.service.adapter.ordered
         for key in range(1, 5000):
             ordered.held_back(key, 0.0, 5000.0)
         self.assertEqual(len(ordered.runs), 1024)
@@ -402,19 +402,19 @@
         self.assertEqual(list(ordered.runs), [1])
 
 
-class Turns(unittest.TestCase):
+class EventBatches(unittest.TestCase):
     """The work of one turn is bounded."""
 
     def test_many_events_are_handed_over_in_several_turns_in_their_order(self) -> None:
         world = World(self)
-        link, handed, turns = world.service.link, list[int](), world.count("turns")
+        adapter, handed, turns = world.service.adapter, list[int](), world.count("turns")
 
         def event(_: float, place: int) -> None:
             handed.append(place)
 
         for place in range(300):
-            link.gather(event, place)
-        link.turn()
+            adapter.gather(event, place)
+        adapter.run_batch()
         self.assertEqual(handed, list(range(128)))
         world.go()
         self.assertEqual((handed, world.count("turns") - turns), (list(range(300)), 3))
@@ -424,7 +424,7 @@
         weighed at all."""
         grades = [{"name": "load", "aim": 3000, "deadline": 20000, "effect": "once", "serial_by_key": True}]
         world = World(self, limits={"sockets": 1024}, settings=settings() | {"grades": grades})
-        rules, weighed = world.service.link.rules, list[int]()
+        rules, weighed = world.service.adapter.rules, list[int]()
         rules.admits = lambda *_: False  # type: ignore[method-assign]
         callers = [Caller(world) for _ in range(60)]
         for ident, caller in enumerate(callers, 1):
@@ -432,7 +432,7 @@
         self.assertEqual((len(rules.held), len(rules.lines)), (60, 20))
         usual = rules.allowed
         rules.allowed = lambda s: weighed.append(s.number) or usual(s)  # type: ignore[method-assign, func-returns-value]
-        rules.turn(world.now())
+        rules.end_batch(world.now())
         self.assertEqual(weighed, [0])
 
 
