--- a/spurdeal/benchlink/host.py
+++ b/spurdeal/benchlink/host.py
@@ -100,7 +100,7 @@
         self.rules.list_changed(now, lines, scope != DELTA)
 
     def submitted(self, now: float, tid: int, fields: tuple[Any, ...]) -> None:
-        """A submission has come.
+        """A request has come.
 
         Args:
             now: In ms.
@@ -120,7 +120,7 @@
         self.rules.request_received(now, number, kind, tenant, key, deadline, cost, memory, int(group))
 
     def settled(self, now: float, tid: int, result: AttemptResult) -> None:
-        """A trip has ended; late ones, of submissions that are over, are passed over."""
+        """An attempt has ended; late ones, of requests that are over, are passed over."""
         number = self.numbers.get(tid)
         if number is None:
             return
@@ -147,17 +147,17 @@
         self.closed(number)
 
     def noted(self, now: float, number: int, notice: Notice) -> None:
-        """An engine has said something of a trip under way."""
+        """An engine has said something of an attempt under way."""
         attempt, engine, word, level = notice
         self.rules.progress_reported(now, number, attempt, engine, ProgressKind(word), level)
 
     def closed(self, number: int) -> None:
-        """The submission is over."""
+        """The request is over."""
         self.over.add(number)
         self.forget(number)
 
     def forget(self, number: int) -> None:
-        """An id is dropped once the submission is over and none of its trips is out."""
+        """An id is dropped once the request is over and none of its attempts is out."""
         if number in self.over and self.attempts_out[number] <= 0:
             del self.numbers[self.names.pop(number)], self.attempts_out[number]
             self.over.discard(number)
@@ -165,27 +165,27 @@
     # What the rules ask for.
 
     def send(self, number: int, engine: int, time_limit: float) -> None:
-        """Send a submission to an engine; the limit is in ms, 0 for none."""
+        """Send a request to an engine; the limit is in ms, 0 for none."""
         self.attempts_out[number] += 1
         address = self.addresses[engine]
         self.records.append(struct.pack("<BHQ6sd", 0, self.who, self.names[number], address, time_limit))
 
     def terms(self, number: int, memory: float, priority: int) -> None:
-        """Memory and priority with which the submission is sent next."""
+        """Memory and priority with which the request is sent next."""
         self.records.append(struct.pack("<BHQfB", 12, self.who, self.names[number], memory, priority))
 
     def shed(self, number: int, come_back: float, reason: EndReason) -> None:
-        """Refuse a submission; it may come back after so many ms."""
+        """Refuse a request; it may come back after so many ms."""
         self.records.append(struct.pack("<BHQd", 1, self.who, self.names[number], come_back))
         self.closed(number)
 
     def fail_request(self, number: int, reason: EndReason) -> None:
-        """End a submission that may have run."""
+        """End a request that may have run."""
         self.records.append(struct.pack("<BHQ", 2, self.who, self.names[number]))
         self.closed(number)
 
     def cancel_attempt(self, number: int, attempt: int) -> None:
-        """Ask for the end of a trip."""
+        """Ask for the end of an attempt."""
         self.records.append(struct.pack("<BHQB", 3, self.who, self.names[number], attempt))
 
     def set_timer(self, delay: float, token: int) -> None:
@@ -193,7 +193,7 @@
         self.records.append(struct.pack("<BHdI", 4, self.who, min(delay, LONGEST_SLEEP), token))
 
     def watch(self) -> None:
-        """Ask for notices of trips under way."""
+        """Ask for notices of attempts under way."""
         self.records.append(struct.pack("<BHB", 10, self.who, 1))
 
     def log(self, line: str) -> None:
@@ -319,7 +319,7 @@
         self.guarded(instance, instance.listed, now, scope, [] if scope == FAILED else self.lists[number])
 
     def inbound(self, now: float, reader: Reader) -> None:
-        """A submission for an instance."""
+        """A request for an instance."""
         who, tid, *fields = reader.take(INBOUND)
         instance = self.instance(who)
         if fields[0] >= len(instance.site.workloads):
@@ -333,7 +333,7 @@
         instance.engine(address)
 
     def settled(self, now: float, reader: Reader) -> None:
-        """A trip has ended."""
+        """An attempt has ended."""
         who, tid, attempt, address, ending, took, final, bill, count = reader.take(SETTLED)
         report = reader.take(struct.Struct(f"<{count}f"))
         instance = self.instance(who)
@@ -372,7 +372,7 @@
         self.instance(who)
 
     def update(self, now: float, reader: Reader) -> None:
-        """What an engine says of a trip under way; unknown words are passed over."""
+        """What an engine says of an attempt under way; unknown words are passed over."""
         who, tid, word, address, attempt, level = reader.take(UPDATE)
         instance = self.instance(who)
         engine = instance.engine(address)
--- a/spurdeal/benchlink/records.py
+++ b/spurdeal/benchlink/records.py
@@ -20,14 +20,14 @@
 
 
 class AttemptResult(NamedTuple):
-    """How a trip has ended, as a frame tells it.
+    """How an attempt has ended, as a frame tells it.
 
     Attributes:
-        trip: Its number within the submission.
+        attempt: Its number within the request.
         engine: Our index of the engine.
         ending: The value of an Ending.
         took: How long it took, in ms.
-        final: Whether the submission is over with it.
+        final: Whether the request is over with it.
         bill: Work in the bits from BILL_SHIFT on, and below them memory in units of BILL_UNIT MB.
         report: What the engine tells of itself.
     """
@@ -42,7 +42,7 @@
 
 
 class Notice(NamedTuple):
-    """What an engine says of a trip: its number, our index of the engine, the value of a Word, a level."""
+    """An engine's report on an attempt: its number, our engine index, a ProgressKind's value, a level."""
 
     attempt: int
     engine: int
--- a/spurdeal/cli/running.py
+++ b/spurdeal/cli/running.py
@@ -170,7 +170,7 @@
         )
 
     def start(self) -> None:
-        """Before the service: its first list and its first submission are seen through all of this."""
+        """Before the service: its first list and its first request are seen through all of this."""
         if self.station is not None:
             self.station.start()
         if self.ledger is not None and self.plan.ledger is not None:
--- a/spurdeal/extproc/calls.py
+++ b/spurdeal/extproc/calls.py
@@ -157,7 +157,7 @@
 
 
 def outcome(headers: Mapping[bytes, bytes], terms: Terms) -> Ending:
-    """What response headers tell of a granted trip.
+    """What response headers tell of a granted attempt.
 
     Proxies word refusals of their own with 503 and 504, also after a connection was lost half way: only with
     the proof header do these prove that nothing ran. Anything that cannot be read may have run.
--- a/spurdeal/extproc/granter.py
+++ b/spurdeal/extproc/granter.py
@@ -1,4 +1,4 @@
-"""The link's carrier for calls: a send grants a place to the caller."""
+"""The link's sender for calls: a send grants a place to the caller."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Lease:
-    """One trip in a caller's hands: as engines.Trip is to the link."""
+    """One attempt in a caller's hands: as engines.Trip is to the link."""
 
     __slots__ = ("call", "done", "number")
 
@@ -28,7 +28,7 @@
 
 
 class Granter:
-    """The link's carrier for calls: a send grants a place to the caller."""
+    """The link's sender for calls: a send grants a place to the caller."""
 
     def __init__(
         self, engines: Engines, clock: Callable[[], float], terms: Terms, most: int, counters: Counters
@@ -77,14 +77,14 @@
         """A caller is told a rank once, with its grant."""
 
     def give_up(self, attempt: Lease, ending: Ending) -> None:
-        """The link waits no more for that trip's outcome."""
+        """The link waits no more for that attempt's outcome."""
         seen = Seen.SILENT if ending == Ending.TIME_OUT else Seen.CALLED_OFF
         if attempt.call is not None:
             attempt.call.forget()
         self.end(attempt.number, self.grants.happens(attempt.number, seen))
 
     def end(self, number: int, ending: Ending | None) -> None:
-        """A trip is over with this ending; None where it was over already."""
+        """An attempt is over with this ending; None where it was over already."""
         lease = self.leases.pop(number, None)
         if lease is not None and ending is not None:
             lease.done.callback(Outcome(ending))
--- a/spurdeal/extproc/grants.py
+++ b/spurdeal/extproc/grants.py
@@ -1,4 +1,4 @@
-"""Grants as leases, free of I/O and clocks: what is known of a trip that somebody else carries.
+"""Grants as leases, free of I/O and clocks: what is known of an attempt that somebody else carries.
 
 A grant is HELD from the call on, SAID once its answer has left for the caller, and over with exactly one
 ending. What each end proves stands in `ENDS`, and in docs/extproc.md as a table. Times are ms.
@@ -44,7 +44,7 @@
 
 
 class Grant(NamedTuple):
-    """One trip in a caller's hands."""
+    """One attempt in a caller's hands."""
 
     number: int
     ident: bytes
--- a/spurdeal/extproc/stream.py
+++ b/spurdeal/extproc/stream.py
@@ -117,7 +117,7 @@
         self.take(ask, kind)
 
     def take(self, ask: Ask, kind: int) -> None:
-        """Hand the submission to the link, and await what becomes of it.
+        """Hand the request to the link, and await what becomes of it.
 
         Raises:
             BadCallError: One with its id is open.
@@ -159,7 +159,7 @@
             failure.raiseException()
 
     def say(self, host: str, port: int, wait: float, rank: int | None) -> None:
-        """The grant leaves: from here on the submission may run."""
+        """The grant leaves: from here on the request may run."""
         terms, place = self.server.terms, f"{host}:{port}".encode()
         self.said = True
         self.server.held.pop(self, None)
@@ -211,7 +211,7 @@
     # Ends.
 
     def outcome(self, message: pb.HttpHeaders) -> None:
-        """What the caller tells of a granted trip; one that comes late changes nothing."""
+        """What the caller tells of a granted attempt; one that comes late changes nothing."""
         if not self.said:
             if self.answer is not None and not self.over:
                 self.fail(Status.FAILED_PRECONDITION, "a response to what was not granted")
--- a/spurdeal/fleet/audit.py
+++ b/spurdeal/fleet/audit.py
@@ -29,7 +29,7 @@
 MAGIC = b"SPA1\n"
 FRAME = struct.Struct("!II")
 TIME = struct.Struct("!HIHI")  # ms in 2 and 4 bytes, tally, index of versions
-SENT = struct.Struct("!BBBB")  # kind, trip, flags, length of the id; then the id, and the engine's place
+SENT = struct.Struct("!BBBB")  # kind, attempt, flags, length of the id; then the id, and the engine's place
 TEXT = struct.Struct("!BH")
 SEAL = struct.Struct("!BQQ")
 DIGEST = 16
@@ -131,7 +131,7 @@
     # Records, kept until the turn's frame is asked for.
 
     def sent(self, ident: bytes, attempt: int, engine: str, flags: int) -> None:
-        """A trip was sent to an engine; flags are COLD and DOUBTFUL."""
+        """An attempt was sent to an engine; flags are COLD and DOUBTFUL."""
         place = self.engines.get(engine)
         if place is None:
             place = self.engines[engine] = len(self.engines)
@@ -141,7 +141,7 @@
         )
 
     def short(self, kind: Kind, ident: bytes, attempt: int = 0) -> None:
-        """Something happened to a submission; the kind is one of SHORT."""
+        """Something happened to a request; the kind is one of SHORT."""
         self.records.append(SENT.pack(kind, min(attempt, 255), 0, len(ident)) + ident)
 
     def tell(self, kind: Kind, told: dict[str, Any]) -> None:
--- a/spurdeal/fleet/journal.py
+++ b/spurdeal/fleet/journal.py
@@ -1,6 +1,6 @@
 """The audit on disk: files in a folder of its own, a bound on their bytes, and what a failure costs.
 
-It never holds up a submission: what cannot be written is counted, told in the log once the disk takes it
+It never holds up a request: what cannot be written is counted, told in the log once the disk takes it
 again, and the decisions go on. A turn's frame is written, in one call, before anything that was decided in it
 leaves; so what an engine has got is in the log also after a kill. The system's calls are passed in.
 """
--- a/spurdeal/fleet/standing.py
+++ b/spurdeal/fleet/standing.py
@@ -1,11 +1,11 @@
 """What a dispatcher may do, by how current it is. Free of I/O and clocks.
 
-| standing | redoable to warm engines | irreversible, or to cold engines | what is new at the door |
+| standing | idempotent to warm engines | irreversible, or to cold engines | what is new at the door |
 | --- | --- | --- | --- |
-| JOINING: a new start, or one that returns | yes | no | taken, irreversible ones shed |
+| JOINING: a new start, or one that returns | yes | no | taken, non-idempotent ones shed |
 | CURRENT | yes | yes | taken |
 | BEHIND: a newer list exists, and it is being brought up | yes | yes | taken |
-| LAPSED: no lease, or behind for too long, or its clock is off | yes | no | taken, irreversible ones shed |
+| LAPSED: no lease, or behind for too long, or its clock is off | yes | no | taken, non-idempotent ones shed |
 | SHUT: out | no | no | shed with a time to come back |
 | TWIN: another process has its name | no | no | shed, until it is started anew |
 
--- a/spurdeal/fleet/station.py
+++ b/spurdeal/fleet/station.py
@@ -315,7 +315,7 @@
             self.inner.given_up(number, attempt)
 
     def answered(self, request: OpenRequest, answer: Answer | None) -> None:
-        """Note the answer in the audit, unless a trip brought it."""
+        """Note the answer in the audit, unless an attempt brought it."""
         if not isinstance(answer, Delivered):
             self.short(ANSWERS[type(answer)] if answer is not None else Kind.WITHDRAWN, request.ident)
         if self.inner is not None:
@@ -382,7 +382,7 @@
         return self.inner.endpoint(endpoint) if self.inner is not None else endpoint
 
     def short(self, kind: Kind, ident: bytes, attempt: int = 0) -> None:
-        """Note in the audit what happened to a submission, at once when no turn is under way."""
+        """Note in the audit what happened to a request, at once when no turn is under way."""
         if self.journal is not None:
             self.journal.pages.short(kind, ident, attempt)
             if not self.adapter.in_batch:
--- a/spurdeal/fleet/versions.py
+++ b/spurdeal/fleet/versions.py
@@ -80,7 +80,7 @@
 
 
 def rows_of(endpoints: Iterable[Any]) -> dict[str, Row]:
-    """Seats, as net.engine_list has them, in one form whoever told them; by id."""
+    """Endpoints, as net.engine_list has them, in one form whoever told them; by id."""
     return {
         endpoint.ident: (
             endpoint.ident,
--- a/spurdeal/interface.py
+++ b/spurdeal/interface.py
@@ -15,7 +15,7 @@
 
 
 class Reach(IntEnum):
-    """Which engines know a labelled submission's mark: all, those of one location, or those of one cell."""
+    """Which engines know a request's idempotency key: all, those of one zone, or those of one cell."""
 
     ALL = 0
     ZONE = 1
@@ -23,7 +23,7 @@
 
 
 class Ending(IntEnum):
-    """How a trip ended.
+    """How an attempt ended.
 
     UNREACHED: its connection was refused, or did not come up and the link cannot tell which.
     CONNECT_TIMEOUT: its connection did not come up in time, and nothing refused it.
@@ -44,7 +44,7 @@
 
 
 class EndReason(StrEnum):
-    """Why the rules end a submission without a result, as logs and counters name it."""
+    """Why the rules end a request without a result, as logs and counters name it."""
 
     NO_TIME = "no_time_left"
     TOO_LATE = "too_late_to_be_of_use"
@@ -71,7 +71,7 @@
 
 
 class ProgressKind(IntEnum):
-    """What a note tells of a trip that is out: its share done, the megabytes it lacks, what it waits for."""
+    """A progress report on an open attempt: its share done, the megabytes it lacks, what it waits for."""
 
     PROGRESS = 1
     SPILLS = 2
@@ -103,7 +103,7 @@
 class Deployment:
     """All that a dispatcher is told once, at its start. None: the deployment sets no such figure.
 
-    in_hand is the place, in the reports that come with answers, of how many submissions the engine holds.
+    in_hand is the place, in the reports that come with answers, of how many requests the engine holds.
     """
 
     index: int
@@ -132,7 +132,7 @@
     cold_share: float
     cold_multiple: float
     cold_window: float
-    most_open: float = float("inf")  # submissions that clients can have open at once
+    most_open: float = float("inf")  # requests that clients can have open at once
     order_rest: float | None = None
     further_free: float | None = None
     further_share: float | None = None
@@ -154,13 +154,15 @@
 class Rules(Protocol):
     """What a link tells the rules. Every call names the time; turn() closes a batch of them.
 
-    may_send() is asked outside of a turn, as a trip's first byte is about to leave: False, and the trip ends
-    as MOOT. Outside of turns come also, where the list is polled: list_known(), the list of the start was
-    read at that time; list_asked(), a question left, to be repeated after the ms returned;
-    list_moved(), another name service is asked from now on; list_answered(), the answer to the question which
-    left at that time told each engine that gets requests; True where another question is to leave soon.
+    may_send() is called outside of a batch as an attempt's first byte is about to leave. If False, the
+    attempt ends as MOOT. Where the list is polled, these too are called outside of batches:
+    list_known(): the list read at the start was current at that time;
+    list_asked(): a query has left, to be repeated after the ms returned;
+    name_service_changed(): another name service is queried from now on;
+    list_answered(): the answer to the query that left then named each engine that gets requests;
+    True if another query is to leave soon.
 
-    Without an estimate, cost and memory are 0; without a key, key is 0. A submission's trips count from 0.
+    Without an estimate, cost and memory are 0; without a key, key is 0. A request's attempts count from 0.
     """
 
     def list_changed(self, now: float, lines: Sequence[Listed], whole: bool) -> None: ...
--- a/spurdeal/lab/asking.py
+++ b/spurdeal/lab/asking.py
@@ -205,7 +205,7 @@
         self.missing = self.shed_though_run = self.second_paths = 0
 
     def new(self) -> Asked:
-        """Another submission."""
+        """Another request."""
         heavy = self.chance.random() < HEAVY
         asked = Asked(f"{self.chance.getrandbits(64):016x}", heavy, COST * self.chance.uniform(0.5, 1.5))
         self.asked.append(asked)
--- a/spurdeal/lab/audited/run.py
+++ b/spurdeal/lab/audited/run.py
@@ -13,7 +13,7 @@
 from ..rig_process import PORT, WAIT
 from .faults import KINDS, QUICK, Faults
 
-RATE, IRREVERSIBLE = 90.0, 0.25  # submissions a second; share of those that must not run twice
+RATE, IRREVERSIBLE = 90.0, 0.25  # requests a second; share of those that must not run twice
 READY_LOOKS, READY_EVERY = 200, 0.1  # a machine that starts many at once takes its time
 IDLE_FOR = 2.0  # seconds in which the CPU of idle dispatchers is measured
 
--- a/spurdeal/lab/audited/tampering.py
+++ b/spurdeal/lab/audited/tampering.py
@@ -125,7 +125,7 @@
         return False
     bodies = [frame.body for frame in rows]
     changed = bytearray(bodies[sent])
-    changed[TIME.size + 1] ^= 1  # the trip's number
+    changed[TIME.size + 1] ^= 1  # the attempt's number
     bodies[sent] = bytes(changed)
     before = bytes.fromhex(log_head(rows[0].body)["before"])
     file.write_bytes(MAGIC + sealed_anew(before, bodies))
--- a/spurdeal/lab/audited/virtual.py
+++ b/spurdeal/lab/audited/virtual.py
@@ -120,7 +120,7 @@
 
 
 def stamping(times: int = 20_000) -> float:
-    """us of CPU for what a submission's send adds: its record, and its turn's frame with one write."""
+    """us of CPU for what a request's send adds: its record, and its turn's frame with one write."""
     folder = Path(tempfile.mkdtemp(prefix="spurdeal-lab-"))
     pages, clock = Pages(), Hybrid(0.0)
     with open(folder / "stamped", "wb", buffering=0) as file:
--- a/spurdeal/lab/capacity/links_process.py
+++ b/spurdeal/lab/capacity/links_process.py
@@ -24,7 +24,7 @@
 
 reactor: Any = installed
 DIAL_WITHIN_MS, IDLE_AFTER_MS = 10_000.0, 600_000.0
-FAR = 1e15  # ms: the trips that open the connections never expire
+FAR = 1e15  # ms: the attempts that open the connections never expire
 DIALS_AT_ONCE, LOOK_EVERY = 64, 0.02
 REST, GIVEN_UP_AFTER = 0.5, 60.0  # seconds
 
@@ -63,7 +63,7 @@
         for number in range(self.dialled, min(self.count, self.up() + DIALS_AT_ONCE)):
             endpoint = Endpoint(f"s-{number}", "127.0.0.1", self.port, "east", "std", 0, Life.READY, 1.0, 0.0)
             self.engines.listed(number, endpoint)
-            # The connection comes up for a trip that is withdrawn before its first byte.
+            # The connection comes up for an attempt that is withdrawn before its first byte.
             self.engines.send(number, b"%016x" % number, b"lookup", b"", FAR, False, lambda: None)
             self.dialled += 1
         reactor.callLater(LOOK_EVERY, self.open_more)
--- a/spurdeal/lab/capacity/request_path.py
+++ b/spurdeal/lab/capacity/request_path.py
@@ -44,7 +44,7 @@
 
 
 class RecordingAdapter:
-    """A link that keeps only which submission went to which engine."""
+    """A link that keeps only which request went to which engine."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[int, int]] = []
@@ -76,7 +76,7 @@
         self.rules.list_changed(self.now, lines, True)
 
     def submit(self) -> None:
-        """One submission; it is sent, or held where the module finds no engine."""
+        """One request; it is sent, or held where the module finds no engine."""
         self.number += 1
         self.rules.request_received(self.now, self.number, 0, 0, 0, self.now + DEADLINE_MS, COST_MS, 0.0, 0)
 
@@ -104,7 +104,7 @@
 
 
 def choice_us(engines: int) -> Sample:
-    """Processor time of taking one submission in and choosing its engine."""
+    """Processor time of taking one request in and choosing its engine."""
     bench = Bench(engines)
     tries = []
     for _ in range(TRIES):
--- a/spurdeal/lab/cold_ramp.py
+++ b/spurdeal/lab/cold_ramp.py
@@ -37,7 +37,7 @@
 COLD_FOR, COLD_WINDOW, COLD_SHARE, FALL_MULTIPLE = 15_000.0, 1_500.0, 0.31, 2.0
 CORES = 16
 NEVER_FALLS = 1e9  # the model's engine must not fall by itself: it knows no slack
-TAIL_SHARE, TAIL_FACTOR = 0.02, 15.0  # of the submissions with heavy-tailed work, so many times as heavy
+TAIL_SHARE, TAIL_FACTOR = 0.02, 15.0  # of the requests with heavy-tailed work, so many times as heavy
 
 
 class Phase(NamedTuple):
@@ -48,7 +48,7 @@
 
 
 class Mix(NamedTuple):
-    """The workloads: their shares of all submissions, mean work and threads."""
+    """The workloads: their shares of all requests, mean work and threads."""
 
     shares: tuple[float, ...]
     work: tuple[float, ...]
@@ -241,7 +241,7 @@
     # Load.
 
     def peak_rate(self) -> float:
-        """Submissions a second at the heaviest phase."""
+        """Requests a second at the heaviest phase."""
         capacity = self.warm_engines * CORES * 1000 / self.scenario.mean_work()
         return capacity * max(phase.load for phase in self.scenario.phases)
 
--- a/spurdeal/lab/crowd.py
+++ b/spurdeal/lab/crowd.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from .rig import Rig
 
-COST = 12.0  # ms of work of a submission, in the middle
+COST = 12.0  # ms of work of a request, in the middle
 MOST_WAYS = 8
 DIAL_TIMEOUT = 0.5  # seconds
 
@@ -48,7 +48,7 @@
         self.reactor.connectTCP(*place, Dial(self, asked, place), timeout=DIAL_TIMEOUT)
 
     def lost(self, asked: Asked, place: Place, sent: bool) -> None:
-        """The connection was refused or ended: again, where the submission may go again."""
+        """The connection was refused or ended: again, where the request may go again."""
         if sent:
             asked.unanswered.append(place)
             if asked.non_idempotent:  # it may have run: a client that cares does not ask again
--- a/spurdeal/lab/emulate.py
+++ b/spurdeal/lab/emulate.py
@@ -15,7 +15,7 @@
 
 
 def large(seed: int, dispatchers: int, engines: int, seconds: float) -> tuple[str, float, int, int]:
-    """Of one world: its trace, wall seconds, submissions, and rules broken."""
+    """Of one world: its trace, wall seconds, requests, and rules broken."""
     began = time.monotonic()
     made = world(dispatchers, engines, 0.8, seed)
     made.run(seconds)
--- a/spurdeal/lab/front.py
+++ b/spurdeal/lab/front.py
@@ -1,4 +1,4 @@
-"""A stand-in front: open-loop load on an address that moves, each submission's answers counted."""
+"""A stand-in front: open-loop load on an address that moves, each request's answers counted."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class Asked:
-    """One submission, from its first byte to the end of its time."""
+    """One request, from its first byte to the end of its time."""
 
     ident: str
     non_idempotent: bool
@@ -44,7 +44,7 @@
 
 
 class Front:
-    """Sends at a rate, and the same submission with the same id again where its connection was lost."""
+    """Sends at a rate, and the same request with the same id again where its connection was lost."""
 
     def __init__(
         self,
--- a/spurdeal/lab/handover_walk.py
+++ b/spurdeal/lab/handover_walk.py
@@ -1,4 +1,4 @@
-"""Seeded schedules of the handover: no irreversible submission runs twice where it is told ahead.
+"""Seeded schedules of the handover: no non-idempotent request runs twice where it is told ahead.
 
 Its numbers only grow, so that it cannot be enumerated."""
 
@@ -18,7 +18,7 @@
 SETTINGS = HandoverSettings(ahead=True, ahead_wait=40.0, alone_after=None, without=1e9)
 FACTS = Facts(1, (), (), ())
 IDENT = b"x"
-WAYS = 4  # how often the front sends the submission
+WAYS = 4  # how often the front sends the request
 DEADLINE = 2000.0  # ms
 MAX_FLIGHT = 12
 # What happens, by the number drawn: each is the upper bound; beyond the last, a crash.
@@ -35,7 +35,7 @@
 
 
 class Walk:
-    """Two dispatchers, one submission that a front sends up to four times, and a network that does what it
+    """Two dispatchers, one request that a front sends up to four times, and a network that does what it
     likes."""
 
     def __init__(self, seed: int, kind: type[Handover], crashes: int) -> None:
@@ -54,7 +54,7 @@
         return self.kind(Membership(name, (peer,), self.boots, KEYS), SETTINGS, tenure, marks, self.now)
 
     def carry_out(self, name: str, verdicts: list[Verdict]) -> None:
-        """The submission runs, or is known not to have run."""
+        """The request runs, or is known not to have run."""
         for verdict in verdicts:
             if verdict.go:
                 self.runs.append(name)
@@ -109,7 +109,7 @@
                 self.flight.append(Datagram(target, sender, greeting))
 
     def submit(self, name: str) -> None:
-        """The front sends the submission to that side."""
+        """The front sends the request to that side."""
         side = self.sides[name]
         if self.ways and side.door(self.now, IDENT) is Door.OPEN:
             self.ways -= 1
@@ -187,7 +187,7 @@
 
 
 class OpensUnread(Handover):
-    """A new start lets submissions in before it has the peers' marks."""
+    """A new start lets requests in before it has the peers' marks."""
 
     def complete(self, now: float) -> bool:
         return True
--- a/spurdeal/lab/model_engine.py
+++ b/spurdeal/lab/model_engine.py
@@ -34,7 +34,7 @@
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """One trip at an engine."""
+    """One attempt at an engine."""
 
     ident: int
     work: float  # ms on one core that are left
@@ -80,7 +80,7 @@
     # Events.
 
     def start(self, now: float, job: Job) -> bool:
-        """Taken, or False: full or down, and nothing ran. Call `advance` first."""
+        """OpenRequest, or False: full or down, and nothing ran. Call `advance` first."""
         assert now == self.at
         if self.down or len(self.jobs) >= self.kind.sessions:
             return False
--- a/spurdeal/lab/names.py
+++ b/spurdeal/lab/names.py
@@ -54,7 +54,7 @@
     compressed: bool = True,
     flags: int = 0x8400,
 ) -> bytes:
-    """Seats are target, address, priority and text; names are compressed or not at all. A dot within a label
+    """Endpoints are target, address, priority, text; names are compressed or not at all. A dot within a label
     of a target is written as `\\.`."""
     message = bytearray(struct.pack("!2s5H", question[:2], flags, 1, len(endpoints), 1, 2 * len(endpoints)))
     known: dict[str, int] = {}
--- a/spurdeal/lab/observer.py
+++ b/spurdeal/lab/observer.py
@@ -1,7 +1,7 @@
 """Checks the seven rules from what crosses the wire, apart from the code under test. Free of I/O; times are
 ms.
 
-It is told of lists, submissions, sends, ends and answers as they happen, and keeps what is broken: the rule's
+It is told of lists, requests, sends, ends and answers as they happen, and keeps what is broken: the rule's
 number and a line of what was seen. It knows each workload's terms and nothing of how a choice came about."""
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True)
 class Seen:
-    """One submission at one dispatcher."""
+    """One request at one dispatcher."""
 
     kind: int
     key: int
@@ -192,7 +192,7 @@
         self.settled(dispatcher, number, seen)
 
     def settled(self, dispatcher: int, number: int, seen: Seen) -> None:
-        """Over and without a trip that is out: nothing is kept of it."""
+        """Over and without an attempt that is out: nothing is kept of it."""
         if not seen.answers or any(attempt.ending is None for attempt in seen.attempts.values()):
             return
         self.open.pop((dispatcher, number), None)
--- a/spurdeal/lab/planted.py
+++ b/spurdeal/lab/planted.py
@@ -94,7 +94,7 @@
 
 
 class RunsTwice(Dispatcher):
-    """Rule 2: every workload counts as redoable, whatever may have run."""
+    """Rule 2: every workload counts as idempotent, whatever may have run."""
 
     def __init__(self, told: Deployment, seed: int, adapter: Adapter, now: float) -> None:
         super().__init__(told, seed, adapter, now)
@@ -135,7 +135,7 @@
 
 
 class ForgetsBudget(Dispatcher):
-    """Rule 7: further trips as it likes, and each error is one."""
+    """Rule 7: further attempts as it likes, and each error is one."""
 
     def may_go_further(self) -> bool:
         return True
--- a/spurdeal/lab/proxy.py
+++ b/spurdeal/lab/proxy.py
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class Asked:
-    """One submission: what its client was told at last, and each way that it went."""
+    """One request: what its client was told at last, and each way that it went."""
 
     ident: str
     non_idempotent: bool
@@ -119,7 +119,7 @@
         await asyncio.wait_for(old.close(), 2.0)
 
     async def go(self, asked: Asked, wait: float) -> int:
-        """One way for one submission; 0 where nobody can know what became of it, -1 where the processor is
+        """One way for one request; 0 where nobody can know what became of it, -1 where the processor is
         away."""
         asked.ways.append(self.name)
         loop = asyncio.get_running_loop()
--- a/spurdeal/lab/rig.py
+++ b/spurdeal/lab/rig.py
@@ -2,7 +2,7 @@
 them.
 
 Each has its own name service, its own disk and its own clock, and a cable to each other that can lose, delay,
-repeat or be cut, one way or both. Engines keep their own log of what ran. The load is open loop: a submission
+repeat or be cut, one way or both. Engines keep their own log of what ran. The load is open loop: a request
 whose connection was refused goes to another dispatcher; one whose connection was lost goes again only where
 it may. All chance comes from one seed, which is printed."""
 
@@ -229,7 +229,7 @@
     # What they tell.
 
     def excused(self, place: Place, asked: Asked) -> bool:
-        """Whether that dispatcher was not to be counted on while the submission was open."""
+        """Whether that dispatcher was not to be counted on while the request was open."""
         process = next(each for each in self.processes.values() if each.place == place)
         return process.outages.overlap(asked.began / 1000 - 0.05, asked.deadline / 1000 + 0.05)
 
--- a/spurdeal/lab/virtual.py
+++ b/spurdeal/lab/virtual.py
@@ -51,7 +51,7 @@
     group: int
     answered: bool = False
     made: int = 0
-    out: dict[int, tuple[int, float, int]] = field(default_factory=dict)  # trip: engine, sent, job
+    out: dict[int, tuple[int, float, int]] = field(default_factory=dict)  # attempt: engine, sent, job
 
 
 class VirtualAdapter:
@@ -300,7 +300,7 @@
     def arrive(
         self, adapter: VirtualAdapter, life: int, request: OpenRequest, attempt: int, number: int, job: int
     ) -> None:
-        """A trip reaches its engine."""
+        """An attempt reaches its engine."""
         engine = self.engines[number]
         if engine.down:
             self.at(
@@ -314,7 +314,7 @@
             )
             return
         if engine.hung:
-            return  # it says nothing; the trip's time will be up
+            return  # it says nothing; the attempt's time will be up
         self.progress(number)
         self.observer.reached(self.now, number, request.work)
         w = self.site.workloads[request.kind]
--- a/spurdeal/net/answers.py
+++ b/spurdeal/net/answers.py
@@ -1,4 +1,4 @@
-"""How a submission is answered."""
+"""How a request is answered."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Granted(NamedTuple):
-    """A caller carries it from here on; its trip's outcome comes later, or never."""
+    """A caller carries it from here on; its attempt's outcome comes later, or never."""
 
 
 Answer = Delivered | Shed | Failed | Granted
--- a/spurdeal/net/attempts.py
+++ b/spurdeal/net/attempts.py
@@ -1,4 +1,4 @@
-"""What is sent to an engine for a submission, and how that ended."""
+"""What is sent to an engine for a request, and how that ended."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class SendTerms(NamedTuple):
-    """On which a trip leaves.
+    """On which an attempt leaves.
 
     Attributes:
         wait: for how many ms the engine may work on it.
@@ -38,7 +38,7 @@
 
 
 class Attempt:
-    """One trip from its sending to its outcome, which its Deferred brings exactly once."""
+    """One attempt from its sending to its outcome, which its Deferred brings exactly once."""
 
     __slots__ = (
         "at_send",
--- a/spurdeal/net/client.py
+++ b/spurdeal/net/client.py
@@ -56,7 +56,7 @@
         self.call: Deferred[Answer] | None = None
         self.phase = Phase.OPEN
         self.clogged = False  # its answers go unread, and nothing is read from it
-        self.brought = False  # it has sent a submission
+        self.brought = False  # it has sent a request
         self.draining = False  # its next answer is its last
         self.since = self.last_read = clients.clock()
         self.dropped = 0  # bytes
@@ -232,7 +232,7 @@
             self.cancelled_ahead.append((self.cancel(target), keep))
 
     def cancel(self, target: bytes) -> int:
-        """Withdraws the submission whose id a path ends with; the status of the answer."""
+        """Withdraws the request whose id a path ends with; the status of the answer."""
         return 200 if self.clients.adapter.withdraw(last_part(target)) else 404
 
     def handle(
@@ -254,7 +254,7 @@
             self.answer(404 if method == b"GET" else 405, {"fault": "NotKnown"}, keep)
 
     def submit(self, path: bytes, fields: dict[bytes, memoryview], body: memoryview, keep: bool) -> None:
-        """Hands a submission to the link, and keeps the call open until that has its answer.
+        """Hands a request to the link, and keeps the call open until that has its answer.
 
         Raises:
             BadMessage: its workload, id or figures cannot be used, or its id is open.
@@ -266,7 +266,7 @@
         cost, memory = number_field(fields, b"req-cost", 0.0), number_field(fields, b"x-est-mb", 0.0)
         if not IDENT.fullmatch(ident) or wait <= 0:
             raise BadMessage(400, "req-id or req-wait-ms cannot be used")
-        statement = bytes(body)  # outlives the buffer: further trips may need it
+        statement = bytes(body)  # outlives the buffer: further attempts may need it
         owner, idempotency_key = bytes(fields.get(b"req-owner", b"")), bytes(fields.get(b"req-token", b""))
         if idempotency_key and not IDEMPOTENCY_KEY.fullmatch(idempotency_key):
             raise BadMessage(400, "req-token cannot be used")
--- a/spurdeal/net/configuration.py
+++ b/spurdeal/net/configuration.py
@@ -48,7 +48,7 @@
         nameserver: The address of the name service.
         known: The list of engines at the start.
         site: The settings, as the rules take them.
-        workloads, customers: Their indices by name.
+        workloads, tenants: Their indices by name.
         locations, kinds: The names of locations and kinds of machine, by index.
         report_fields: The fields of an engine's load report.
         connect_within: How long a connection to an engine may take to come up, in ms.
--- a/spurdeal/net/connection.py
+++ b/spurdeal/net/connection.py
@@ -1,4 +1,4 @@
-"""One connection to an engine: trips go out on it, answers and pages of their results come back.
+"""One connection to an engine: attempts go out on it, answers and pages of their results come back.
 
 What is to be written waits in a connection's own line and goes to its transport a message at a time, as the
 engine reads: what still waits there has not begun to leave, which a hang with its window full, a drain or a
@@ -26,17 +26,17 @@
     from .engines import Engine
 
 LARGEST_RESULT = 96_000  # bytes
-MOST_PAST = 16  # trips remembered on a connection: more than can cross
+MOST_PAST = 16  # attempts remembered on a connection: more than can cross
 STALL, STALL_LEAST, STALL_PART = 2.0, 200.0, 0.5  # for one answer: times the time to connect, ms, and of what
-# its trip still has
+# its attempt still has
 SEND_AGAIN = 0.005  # seconds until a message of which the system took nothing is offered again
-ABANDONED_WITHIN = 50.0  # ms in which the system must take the rest of a trip that nobody waits for any more
+ABANDONED_WITHIN = 50.0  # ms in which the system must take the rest of an attempt that nobody waits for
 DRAIN_PART = 0.5  # of the drain's grace: bytes that the system has not taken by then are cut off
 
 
 @implementer(IPullProducer)
 class Connection(Protocol):
-    """One connection to an engine: trips go out on it, answers come back in any order."""
+    """One connection to an engine: attempts go out on it, answers come back in any order."""
 
     transport: Any
 
@@ -90,7 +90,7 @@
     def patience(self) -> float:
         """ms that the answer which has begun may still take, counted from its first byte.
 
-        Half of what its own trip still had bounds it too, or that could not go again elsewhere. Other trips'
+        Half of what its own attempt still had bounds it too, or that could not be retried elsewhere. Others'
         time does not: a cut ends them all. Until its id has come it may be the one with most time."""
         begun = self.parser.first_part()
         own = self.attempts.get(begun) if begun is not None else None
@@ -140,7 +140,7 @@
             self.transport.registerProducer(self, False)  # which asks at once
 
     def resumeProducing(self) -> None:
-        """Nothing of ours is left in the transport: the next messages leave, up to and with one trip."""
+        """Nothing of ours is left in the transport: the next messages leave, up to and with one attempt."""
         self.message_taken()
         while self.write_queue:
             ready = self.next_messages()
@@ -158,7 +158,7 @@
     def handed_over(self, ready: bytes) -> bool:
         """Whether the system has taken all of it; the transport writes the rest, then asks for more.
 
-        A trip goes at once: by the transport's own turn in the loop its client might have left unseen."""
+        An attempt goes at once: by the transport's own turn in the loop its client might have left unseen."""
         if self.leaving is not None:
             sent = immediate.send(self.transport, ready)
             if sent <= len(self.ahead_of_leaving):
@@ -170,7 +170,7 @@
         return not ready
 
     def put_back(self, attempt: Attempt, ahead: bytes) -> None:
-        """No byte of a trip has left: its message is made anew, by what holds once the system takes some."""
+        """No byte of an attempt has left: its message is rebuilt by what holds once the system takes some."""
         self.engines.counters.add("trips_put_back")
         self.engines.counters.add("trips_written", -1)
         attempt.written = False
@@ -198,7 +198,7 @@
             terms.taken()
 
     def next_messages(self) -> bytes:
-        """What is next in the queue, up to and with one trip; the trips that are not to leave end as MOOT."""
+        """What is next in the queue, up to and with one attempt; those that are not to leave end as MOOT."""
         ready = list[bytes]()
         while self.write_queue and self.leaving is None:
             message = self.write_queue.popleft()
@@ -269,7 +269,7 @@
             self.lost()
 
     def cut_abandoned(self, attempt: Attempt) -> None:
-        """The rest of a trip that was given up would come late. What else runs here is not cut for that."""
+        """The rest of an abandoned attempt would come late. What else runs here is not cut for that."""
         if not any(other.written for other in self.attempts.values()):
             self.cut_off(attempt)
 
@@ -285,7 +285,7 @@
     def look(self) -> bool:
         """At the socket of one that rests; True where that shows it as no good choice.
 
-        Its far side's end has come, or bytes that no trip waits for: these may never become an answer, and
+        Its far side's end has come, or bytes that no attempt waits for: these may never become an answer, and
         spoil what follows."""
         waiting = pending(self.transport) if self.up and not self.attempts else None
         ended, unread = waiting == b"", bool(waiting)
@@ -310,7 +310,7 @@
         attempt.done.callback(outcome)
 
     def retire(self) -> None:
-        """No further trips: it ends with those that are out."""
+        """No further attempts: it ends with those that are out."""
         self.closing = True
         self.close_if_done()
 
--- a/spurdeal/net/dial.py
+++ b/spurdeal/net/dial.py
@@ -1,4 +1,4 @@
-"""Dials an engine for one connection, and tells how a dial that failed counts for its trips."""
+"""Dials an engine for one connection, and tells how a dial that failed counts for its attempts."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
         connector.transport = None
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        """Refused or never up: either way not a byte of a trip has left."""
+        """Refused or never up: either way not a byte of an attempt has left."""
         if isinstance(reason.value, ConnectionRefusedError):
             counter, ending = "dials_refused", Ending.UNREACHED
         elif getattr(reason.value, "osError", None) in OWN_SHORTAGE:
--- a/spurdeal/net/engines.py
+++ b/spurdeal/net/engines.py
@@ -1,4 +1,4 @@
-"""The way to the engines: their seats, the connections to each, and which one carries a trip."""
+"""The way to the engines: their endpoints, the connections to each, and which one carries an attempt."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 
 __all__ = ["Attempt", "Connection", "Engine", "Engines", "Outcome", "SendTerms"]
 
-IDLE_PART = 0.5  # of the time after which engines close: ours closes first, or a trip would cross their close
+IDLE_PART = 0.5  # of the time after which engines close: ours closes first, or an attempt would cross it
 RELAX = 1.001  # a sweep: an early close of idle connections that was seen once is forgotten within minutes
 
 
 class Engine:
-    """One engine's seat and the connections to it."""
+    """One engine's endpoint and the connections to it."""
 
     def __init__(self, engines: Engines, number: int, endpoint: Endpoint) -> None:
         self.engines, self.number, self.endpoint = engines, number, endpoint
@@ -68,11 +68,11 @@
         return connection
 
     def emptiest(self, attempt: Attempt, at_most_once: bool) -> Connection | None:
-        """The open one with fewest trips; None where a new one is better: what spoils one takes its trips
+        """The open one with fewest attempts; None where a new one is better: a failing one takes its attempts
         along.
 
         While another can be had, one that rests with half an answer is not taken, nor, at_most_once, one long
-        unused: where engines were seen to close idle ones early, a trip that crosses that is in doubt."""
+        unused: where engines were seen to close idle ones early, an attempt that crosses that is in doubt."""
         engines = self.engines
         usable = [connection for connection in self.connections if connection.takes(attempt)]
         since = engines.clock() - IDLE_PART * engines.closes_after
@@ -104,7 +104,7 @@
 
 
 class Engines:
-    """All engines by index. A trip is sent, and its Deferred tells how it ended."""
+    """All engines by index. An attempt is sent, and its Deferred tells how it ended."""
 
     def __init__(
         self,
@@ -201,7 +201,7 @@
         return attempt
 
     def write_held(self) -> None:
-        """Hands over the trips whose terms did not let them leave at once."""
+        """Hands over the attempts whose terms did not let them leave at once."""
         held, self.held = self.held, []
         waiting = iter(held)
         try:
--- a/spurdeal/net/eviction.py
+++ b/spurdeal/net/eviction.py
@@ -19,9 +19,9 @@
     """States in which a connection can be given up, the first to go first."""
 
     ENDING = 0  # nothing more is taken from it: its last answer is on its way, or it lingers behind that
-    UNPROVEN = 1  # it has never brought a whole submission: nothing, or part of one
-    IDLE = 2  # it has brought submissions, and no call is open on it
-    UNFINISHED = 3  # it has brought submissions, and part of another call
+    UNPROVEN = 1  # it has never brought a whole request: nothing, or part of one
+    IDLE = 2  # it has brought requests, and no call is open on it
+    UNFINISHED = 3  # it has brought requests, and part of another call
 
 
 def eviction_rank(client: Client) -> EvictionRank | None:
--- a/spurdeal/net/link.py
+++ b/spurdeal/net/link.py
@@ -29,7 +29,7 @@
 ANSWER_WAY = 40.0  # ms kept of a client's time for the answer's way back
 LEFT_LATE = 100.0  # ms after a client's leaving from which on an attempt of its counts as late
 UNCONFIRMED = 1000.0  # ms without an answer of the name service after which attempts by its list are told
-OVERDUE = 20.0  # ms after a submission's time at which the rules must have answered
+OVERDUE = 20.0  # ms after a request's time at which the rules must have answered
 
 
 class SocketAdapter(EventBatches):
@@ -50,10 +50,10 @@
         super().__init__(reactor, clock, counters, log)
         self.engines, engines.watch = engines, self.loop
         self.request_log = RequestLog(log, clock, counters)
-        self.priorities, self.nobody = site.priorities, len(site.quotas)  # nobody: a customer without a share
+        self.priorities, self.nobody = site.priorities, len(site.quotas)  # nobody: a tenant without a share
         self.open_requests: dict[int, OpenRequest] = {}
         self.by_ident: dict[bytes, OpenRequest] = {}
-        self.still_out: dict[bytes, OpenRequest] = {}  # answered, with a trip out: their ids are not free yet
+        self.still_out: dict[bytes, OpenRequest] = {}  # answered, with an attempt out: their ids are in use
         self.withdrawn_early = EarlyWithdrawals()
         self.at_most_once = at_most_once(site)
         self.in_order = [workload.in_order for workload in site.workloads]
@@ -88,9 +88,9 @@
         key: int = 0,
         idempotency_key: bytes = b"",
     ) -> Deferred[Answer] | None:
-        """A submission is taken; its Deferred brings the answer, and cancelling that withdraws it.
+        """A request is taken; its Deferred brings the answer, and cancelling that withdraws it.
 
-        None: one with this id is open, or was answered while a trip of it is still out."""
+        None: one with this id is open, or was answered while an attempt of it is still out."""
         if ident.lower() in self.by_ident or ident.lower() in self.still_out:
             return None
         if sender is None and self.withdrawn_early.forget(ident.lower(), self.clock()):
@@ -317,7 +317,7 @@
     def told(
         self, request: OpenRequest, attempt: int, engine: int, time_limit: float, verdict: bool | None
     ) -> None:
-        """The verdict on a trip that waited for one: sent, not sent, or (None) it may have run elsewhere."""
+        """The verdict that an attempt waited for: sent, not sent, or (None) it may have run elsewhere."""
         now = self.clock()
         if request.waiting.pop(attempt, None) is None:
             return
@@ -413,7 +413,7 @@
             self.never_sent(self.open_requests[number], attempt)
 
     def never_sent(self, request: OpenRequest, attempt: int) -> None:
-        """A trip that waited for its verdict is given up: nothing ran."""
+        """An attempt that waited for its verdict is given up: nothing ran."""
         assert self.guard is not None
         self.guard.given_up(request.number, attempt)
         engine = request.waiting.pop(attempt)
--- a/spurdeal/net/requests.py
+++ b/spurdeal/net/requests.py
@@ -1,4 +1,4 @@
-"""A submission as the link carries it, and those who carry its trips or stand guard over them."""
+"""A request as the link carries it, and those who carry its attempts or stand guard over them."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 
 
 class PendingAttempt(Protocol):
-    """One trip in a carrier's hands; its Deferred brings the outcome exactly once."""
+    """One attempt in a sender's hands; its Deferred brings the outcome exactly once."""
 
     done: Deferred[Outcome]
 
 
 class Sender(Protocol):
-    """Who carries trips: our own connections to the engines, or callers that are told where to send."""
+    """Who carries attempts: our own connections to the engines, or callers that are told where to send."""
 
     def ready(self, engine: int) -> bool: ...
 
@@ -46,7 +46,7 @@
         at_send: Callable[[], SendTerms | None],
     ) -> PendingAttempt:
         """at_most_once: a doubtful end would be final. at_send is asked as the first byte is about to leave,
-        again where the system took none; with None nothing leaves, and the trip ends as MOOT."""
+        again where the system took none; with None nothing leaves, and the attempt ends as MOOT."""
 
     def weigh(self, attempt: Any, rank: int) -> None: ...
     def give_up(self, attempt: Any, ending: Ending) -> None: ...
@@ -60,25 +60,25 @@
         """A turn begins: what has lapsed since the last, also in a pause, is said to the rules first."""
 
     def door(self, kind: int, ident: bytes) -> Answer | None:
-        """An answer at once, where the submission may have run elsewhere or cannot be guarded."""
+        """An answer at once, where the request may have run elsewhere or cannot be guarded."""
 
     def before(self, request: OpenRequest, attempt: int, go: Callable[[bool | None], None]) -> bool:
-        """A trip is about to be sent. False: go() is called with the verdict, later."""
+        """An attempt is about to be sent. False: go() is called with the verdict, later."""
 
     def never_ran(self, request: OpenRequest) -> None:
         """It was granted, and the caller has shown that nothing ran."""
 
     def given_up(self, number: int, attempt: int) -> None:
-        """A trip that waits for its verdict is not to be sent any more."""
+        """An attempt that waits for its verdict is not to be sent any more."""
 
     def answered(self, request: OpenRequest, answer: Answer | None) -> None:
         """The answer has left, or the client (None)."""
 
     def departs(self, request: OpenRequest, attempt: int, engine: int) -> bool:
-        """A trip is about to be sent to an engine; False: not now, and nothing of it has run."""
+        """An attempt is about to be sent to an engine; False: not now, and nothing of it has run."""
 
     def attempt_cancelled(self, request: OpenRequest, attempt: int) -> None:
-        """A trip that is out is being called off."""
+        """An attempt that is out is being called off."""
 
     def said(self, line: str) -> None:
         """The rules have changed a mode."""
@@ -87,12 +87,12 @@
         """A turn is over; what it has sent leaves after this."""
 
     def endpoint(self, endpoint: Endpoint) -> Endpoint:
-        """The seat as the rules are to see it."""
+        """The endpoint as the rules are to see it."""
 
 
 @dataclass(slots=True, eq=False)
 class OpenRequest:
-    """A submission as the link carries it, until it is answered and none of its trips is out."""
+    """A request as the link carries it, until it is answered and none of its attempts is out."""
 
     number: int
     kind: int
@@ -105,12 +105,12 @@
     here: Callable[[], bool]  # whether its client's connection is still open, where that can be seen
     idempotency_key: bytes  # by which engines know a repeat
     answered: bool = False
-    client_left: bool = False  # it ended its connection, or withdrew the submission
+    client_left: bool = False  # it ended its connection, or withdrew the request
     rank: int | None = None
     made: int = 0
     attempts: dict[int, PendingAttempt] = field(default_factory=dict)
-    waiting: dict[int, int] = field(default_factory=dict)  # trips with no verdict yet, and engines
-    last_ending: Ending | None = None  # of the trip that ended last
+    waiting: dict[int, int] = field(default_factory=dict)  # attempts with no verdict yet, and engines
+    last_ending: Ending | None = None  # of the attempt that ended last
 
 
 class EarlyWithdrawals(dict[bytes, float]):
--- a/spurdeal/net/service.py
+++ b/spurdeal/net/service.py
@@ -21,7 +21,7 @@
 from .wall_clock import WallClockWatch
 
 SWEEP_EVERY = 0.25  # seconds
-KILL_AFTER, KILL_MOST, KILL_MARGIN = 700.0, 3000.0, 400.0  # ms: behind SIGTERM and the longest expiry, up to
+KILL_AFTER, KILL_MOST, KILL_MARGIN = 700.0, 3000.0, 400.0  # ms: after SIGTERM and the longest deadline, up to
 STOP_NOT_BEFORE = 900.0  # ms after SIGTERM; new connections and calls on open ones come until 600
 OVERTIME = 200.0  # ms in which the last answers may still be written
 LOOK_EVERY = 0.05  # s
@@ -38,7 +38,7 @@
         configured_at: When that had just been read.
         process: What its process has to do with descriptors.
         budget: How its descriptors are shared out, by the limits now in force.
-        seats: The engines known at the start.
+        endpoints: The engines known at the start.
         retry: The delayed call that reads an unusable configuration again.
         stopped_at: When it was told to end, by its clock; 0 before.
         wall_clock: Tells of steps of the system's wall clock, by which nothing goes.
--- a/spurdeal/rules.py
+++ b/spurdeal/rules.py
@@ -1,7 +1,7 @@
 """All decisions of a dispatcher: what runs, on which engine, when, and on which terms.
 
 A link makes one Dispatcher per start, reports events by the calls of interface.Rules, closes each batch
-with turn(), and carries out what interface.Link asks. A submission passes the stages of Dispatcher.chain;
+with turn(), and carries out what interface.Link asks. A request passes the stages of Dispatcher.chain;
 each passes it on (True), keeps it or ends it (False). What comes back runs the other way, in ended()."""
 
 from __future__ import annotations
@@ -37,23 +37,23 @@
 PRESSURE, PRESSURE_HOLD = 1.5, 1000.0  # this many times its best, and the calmest middle, is pressure; ms
 BUSY = 2.0  # work taken over what all engines do in that time, so many times: our share of sends at least
 JAM = 2.5  # where engines page, one this far over its best latency gives up a step of n*
-UNSEEN, SPARE = 1.25, 2.0  # in n*, in widest submissions: own threads out that count as pressure unheard
+UNSEEN, SPARE = 1.25, 2.0  # in n*, in widest requests: own threads out that count as pressure unheard
 POOL = 6.0  # threads' worth of evidence that all engines together lend to each, where its own is thin
 CHEAP_MARK, COST_WEIGHT = 1.5, 8.0  # in usual costs of the lightest workload; ms of age for one of cost
 RIPE = 600.0  # a held one this old has room kept for it, or cheap ones starve it
 PACE_EDGES = tuple(0.25 * 1.15**step for step in range(40))  # of time taken over time expected
 BEST_SHARE, BEST_SAMPLES, BEST_DRIFT, CALM_DRIFT = 0.25, 15.0, 1.1, 1.02  # best latency: a low quantile
 SLOW, FULL_REST = 3.0, 500.0  # in the middle pace: far slower, set aside; ms after a refusal as full
-GHOST = 0.5  # where work cannot be stopped, a timed-out trip counts on, for this part of its time
+GHOST = 0.5  # where work cannot be stopped, a timed-out attempt counts on, for this part of its time
 STRIKES, STRIKE_LOST, STRIKE_ERROR, STRIKE_RESET, ASIDE, ASIDE_RANDOM = 3.0, 1.5, 1.0, 0.5, 3000.0, 3000.0
 STANDS, LOST_DUE, LOST_LEAST, LOST_NOTES = 3.0, 10.0, 2500.0, 2.5  # in its due, ms, gaps between notes
 SILENCE, SILENCE_OF_DUE, SILENT_ATTEMPTS = 2000.0, 4.0, 3
 COLD_MARGIN, CAPACITY_SHARE, SPEED_FLOOR = 0.5, 0.85, 0.8  # of our share of what a cold engine bears
 COLD_GRAIN = 0.1  # of all dispatchers' budget: work so light may go there by chance
 COLD_SAMPLES = 30  # in a workload's mean work
-FURTHER_EACH, FURTHER_SUCCESS, FURTHER_MOST = 0.05, 0.25, 30.0  # credit for further trips
-MOST_UNSENT = 3  # trips that never left and count for none: a way that stays shut is not tried for ever
-REPEAT_MARGIN = 1.0  # ms, for the way of a labelled one's repeat
+FURTHER_EACH, FURTHER_SUCCESS, FURTHER_MOST = 0.05, 0.25, 30.0  # credit for further attempts
+MOST_UNSENT = 3  # attempts that never left and count for none: a way that stays shut is not tried for ever
+REPEAT_MARGIN = 1.0  # ms, for the way of an idempotent-by-key one's repeat
 LAST_MOMENT, MIN_LATE_VALUE, TOO_LATE, CROWDED = 2 * TICK, 0.25, 1.5, 0.9  # ms, value, objective, ways in
 CHEAP_PRIORITY, HEAVY_PRIORITY, GRANT = 3, 1, 1.35  # the grant is in the estimate of memory
 
@@ -80,7 +80,7 @@
         self.be_cold(0.0, now, 0.0)
 
     def be_cold(self, until: float, since: float, part: float) -> None:
-        """What may go there begins from a part, drawn by chance, of the next light submission."""
+        """What may go there begins from a part, drawn by chance, of the next light request."""
         self.warm_at, self.cold_from, self.cold_part, self.cold_spent = until, since, part, 0.0
 
     def start_over(self, start: float) -> None:
@@ -90,7 +90,7 @@
         self.pace, self.slowness, self.strikes, self.pressed_until = Histogram(PACE_EDGES), 1.0, 0.0, 0.0
 
     def stand(self, attempt: Attempt, stands: bool) -> None:
-        """A trip that waits for a load holds no core: it leaves the own threads until it runs."""
+        """An attempt that waits for a load holds no core: it leaves the own threads until it runs."""
         if stands != attempt.stands:
             attempt.stands = stands
             self.threads += -attempt.request.workload.threads if stands else attempt.request.workload.threads
@@ -222,7 +222,7 @@
         self.freshness.answered(now, asked_at, verdict)
         return self.freshness.is_settling()
 
-    # Submissions on their way out: the stages.
+    # Requests on their way out: the stages.
 
     def request_received(
         self,
@@ -266,7 +266,7 @@
         return not s.over
 
     def share_stage(self, s: Request) -> bool:
-        """A customer beyond its share is not shed for that: what it sends weighs less in the held line."""
+        """A tenant beyond its share is not shed for that: what it sends weighs less in the held line."""
         if s.tenant < len(self.quotas) and self.credit[s.tenant] < 1.0:
             s.value, s.cheap = s.value * self.over_share, False
         elif s.tenant < len(self.quotas):
@@ -318,7 +318,7 @@
         return True
 
     def may_send(self, now: float, number: int, attempt: int, engine: int) -> bool:
-        """The last look, where a trip's first byte leaves later than its choice: dialled for, or held up.
+        """The last look, where an attempt's first byte leaves later than its choice: dialled for, or held up.
 
         Covers what came between: a list, a restart, a repeat's end of window, a cold start, the client's
         leaving, a planned stop. It could only harm where the way is so slow that each look comes too late."""
@@ -343,7 +343,7 @@
         return True
 
     def may_repeat(self, s: Request) -> bool:
-        """Rule 2 for labelled ones: a repeat leaves while the first that may have run is still known."""
+        """Rule 2, idempotent by key: a repeat leaves while the first that may have run is still known."""
         return (
             s.ran is None
             or s.workload.effect != Effect.IDEMPOTENT_BY_KEY
@@ -382,18 +382,18 @@
         w, engines = s.workload, self.allowed(s)
         if not engines:
             return None
-        if s.avoid:  # further trips go elsewhere
+        if s.avoid:  # further attempts go elsewhere
             engines = [e for e in engines if e not in s.avoid] or engines
         after, bounds = w.threads + sum(e.threads for e in self.ready), sum(e.bound for e in self.ready)
         # So much out is pressure before answers show it (a burst, a held line let go). Where n* is under one
-        # submission engines fill unevenly, and those that page bear no more than n*.
+        # request engines fill unevenly, and those that page bear no more than n*.
         beyond = 1.0 if self.pages and bounds < self.widest * len(self.ready) else UNSEEN
         calm = self.now >= self.pressed_until and after <= max(beyond * bounds + self.spare, w.threads)
         even = after <= max(bounds + self.spare, w.threads)  # chance overshoots n* where widths mix
         engines = [e for e in engines if e is not self.promised and self.admits(e, w.threads, calm, even)]
         if w.waits_for_loads or w.holds_tables:
             engines = [e for e in engines if not self.stands(e, s.group)] or engines
-        # Where n* is under one submission ties are the rule: fewer trips out, then better pace of two drawn.
+        # Where n* is under one request ties are the rule: fewer attempts out, then better pace of two drawn.
         # One that fails at once has fewest out: its errors since it last delivered count as threads.
         # A cold one whose part has come together first: left to chance, most of it would go unused.
         ranks = [
@@ -414,7 +414,7 @@
         return not s.key or (self.lines[s.key][0] is s and self.now >= self.rests.get(s.key, 0.0))
 
     def allowed(self, s: Request) -> list[Engine]:
-        """Rules 2, 3, 4 and 6, and health: where this submission may go now."""
+        """Rules 2, 3, 4 and 6, and health: where this request may go now."""
         w, now, ran = s.workload, self.now, s.ran if s.workload.effect == Effect.IDEMPOTENT_BY_KEY else None
         if not self.may_repeat(s):
             return []
@@ -437,7 +437,7 @@
         while engine.cold_sends and engine.cold_sends[0][0] <= self.now - self.cold_window:
             engine.cold_sends.popleft()
         budget, sent = self.cold_budget * engine.cores, sum(sent for _, sent in engine.cold_sends)
-        # Our share may be under one submission: a light one then goes once it has come together, from a part
+        # Our share may be under one request: a light one then goes once it has come together, from a part
         # drawn at the start, so that in sum over all dispatchers the shares are sent and no more. What came
         # together lapses after a window: where the fleet was idle, a burst would send all of it at once.
         passed = (self.now - engine.cold_from) / self.cold_window
@@ -463,7 +463,7 @@
         )
 
     def may_go_further(self) -> bool:
-        """Rule 7, and our own credit, which follows how many of the recent further trips succeeded."""
+        """Rule 7, and our own credit, which follows how many of the recent further attempts succeeded."""
         self.forget_times()
         most = self.further_free + self.further_share * len(self.taken_times)
         return self.further_credit >= 1.0 and len(self.further_times) + 1 <= most
@@ -473,7 +473,7 @@
             while times and times[0] <= self.now - self.further_window:
                 times.popleft()
 
-    # What comes back: trip, engine, order, then the answer owed.
+    # What comes back: attempt, engine, order, then the answer owed.
 
     def attempt_ended(
         self,
@@ -518,7 +518,7 @@
             self.pass_on(s, self.chain.index(self.line_stage))
 
     def reason_to_end(self, s: Request, ending: Ending) -> EndReason | None:
-        """Why a submission whose trip has just ended without a result is not tried again, or None."""
+        """Why a request whose attempt has just ended without a result is not tried again, or None."""
         if self.now >= s.deadline - 1.0:
             return EndReason.NO_TIME
         if s.out:
@@ -623,7 +623,7 @@
                     self.set_aside(e, f"silent {quiet:.0f} ms")
 
     def mind(self, e: Engine, t: Attempt, times_due: float) -> None:
-        """A trip with no word while its engine answers others stands still, or its answer is lost."""
+        """An attempt with no word while its engine answers others stands still, or its answer is lost."""
         s, w, quiet = t.request, t.request.workload, self.now - t.heard
         if (
             self.may_cancel
@@ -632,7 +632,7 @@
             and w.late_value < MIN_LATE_VALUE
             and self.now > s.taken + TOO_LATE * (s.objective - s.taken)
         ):
-            self.end(s, EndReason.TOO_LATE)  # its trip holds an engine for nothing
+            self.end(s, EndReason.TOO_LATE)  # its attempt holds an engine for nothing
         if self.notes:
             lost = quiet > LOST_NOTES * self.notes
             e.stand(t, t.stands or lost)
@@ -667,7 +667,7 @@
             e.answered, e.pressed_until = self.now, self.now + PRESSURE_HOLD
             e.aside_until = max(e.aside_until, self.now + FULL_REST * (0.5 + self.chance.draw()))
         elif ending == Ending.ERROR:
-            # Its own fault or the submission's: what is redoable tells by how it fares elsewhere.
+            # Its own fault or the request's: what is idempotent tells by how it fares elsewhere.
             s.erred.append(e)
             if s.workload.effect != Effect.IDEMPOTENT:
                 self.strike(e, STRIKE_ERROR)
--- a/spurdeal/settings/installation.py
+++ b/spurdeal/settings/installation.py
@@ -165,7 +165,7 @@
 
 
 class LedgerPart(Part):
-    """The durable ledger of submissions that must not run twice."""
+    """The durable ledger of requests that must not run twice."""
 
     path: str = Field(min_length=1, description="a folder of its own, on a disk that outlives the process")
     flush: Literal["always", "turn", "never"] = Field(
--- a/spurdeal/state.py
+++ b/spurdeal/state.py
@@ -1,4 +1,4 @@
-"""What the rules keep of a submission and of its trips."""
+"""What the rules keep of a request and of its attempts."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Ran(NamedTuple, Generic[E]):
-    """When and where a trip was sent; the trip itself would hold its submission, and that the trip."""
+    """When and where an attempt was sent; the attempt itself would hold its request, and that the attempt."""
 
     sent: float
     engine: E
@@ -39,10 +39,10 @@
     unsent: int = 0  # of these, so many never left
     rank: tuple[float, int] = (0.0, 0)
     out: dict[int, Attempt[E]] = field(default_factory=dict)
-    ran: Ran[E] | None = None  # the first trip that may have run
+    ran: Ran[E] | None = None  # the first attempt that may have run
     avoid: list[E] = field(default_factory=list)
     erred: list[E] = field(default_factory=list)  # where it ended in an error
-    engine: E | None = None  # chosen for the next trip
+    engine: E | None = None  # chosen for the next attempt
     charge: float = 0.0  # ms of work that it counts for at a cold engine
     estimated: bool = True  # an estimate of its work came with it
 
--- a/spurdeal/store/__init__.py
+++ b/spurdeal/store/__init__.py
@@ -1,1 +1,1 @@
-"""What must outlive the process: the ledger of submissions that must not run twice."""
+"""What must outlive the process: the ledger of requests that must not run twice."""
--- a/spurdeal/store/guard.py
+++ b/spurdeal/store/guard.py
@@ -1,6 +1,6 @@
 """A guard that keeps the ledger: what may have run is known after a kill, whichever path it came by.
 
-The guarded trips of one turn are written in one append. With `flush: always` they leave when a thread has
+The guarded attempts of one turn are written in one append. With `flush: always` they leave when a thread has
 flushed them; those that come meanwhile are gathered for the next flush.
 """
 
@@ -29,8 +29,8 @@
     """What is guarded, and for how long.
 
     Attributes:
-        guarded: By workload: whether its submissions must not run twice.
-        keep: How long an id is kept beyond its submission's expiry, in ms.
+        guarded: By workload: whether its requests must not run twice.
+        keep: How long an id is kept beyond its request's deadline, in ms.
         come_back: When a client that is shed may come back, in ms.
     """
 
@@ -90,7 +90,7 @@
             self.inner.batch_started(now)
 
     def door(self, kind: int, ident: bytes) -> Answer | None:
-        """Refuse what may have run, and shed guarded submissions while the ledger cannot be written."""
+        """Refuse what may have run, and shed guarded requests while the ledger cannot be written."""
         if self.settings.guarded[kind]:
             if self.ledger.may_have_run(ident.lower()):
                 self.counters.add("ledger_known")
@@ -101,7 +101,7 @@
         return self.inner.door(kind, ident) if self.inner is not None else None
 
     def before(self, request: OpenRequest, attempt: int, go: Go) -> bool:
-        """Hold a guarded trip until its record is written; `go` is then called with the verdict."""
+        """Hold a guarded attempt until its record is written; `go` is then called with the verdict."""
         if not self.settings.guarded[request.kind]:
             return self.inner.before(request, attempt, go) if self.inner is not None else True
         token = (request.number, attempt)
@@ -121,20 +121,20 @@
         return False
 
     def given_up(self, number: int, attempt: int) -> None:
-        """Forget a trip that waits for its record."""
+        """Forget an attempt that waits for its record."""
         self.waiting.pop((number, attempt), None)
         if self.inner is not None:
             self.inner.given_up(number, attempt)
 
     def answered(self, request: OpenRequest, answer: Answer | None) -> None:
-        """A shed submission has not run: its record is cancelled."""
+        """A shed request has not run: its record is cancelled."""
         if self.settings.guarded[request.kind] and isinstance(answer, Shed):
             self.never_ran(request)
         if self.inner is not None:
             self.inner.answered(request, answer)
 
     def never_ran(self, request: OpenRequest) -> None:
-        """Record that no trip of a submission has run; if that cannot be written, its record stands."""
+        """Record that no attempt of a request has run; if that cannot be written, its record stands."""
         ident = request.ident.lower()
         if self.settings.guarded[request.kind] and ident in self.ledger.ends:
             try:
@@ -168,14 +168,14 @@
     # Writing.
 
     def gather(self, token: tuple[int, int]) -> None:
-        """Add a trip to the next append, in the loop's next round or after the flush under way."""
+        """Add an attempt to the next append, in the loop's next round or after the flush under way."""
         self.ready.append(token)
         if not self.writing and not self.flushing:
             self.writing = True
             self.reactor.callLater(0, self.write)
 
     def write(self) -> None:
-        """Append the records of all trips gathered, and release the trips or wait for the flush."""
+        """Append the records of all attempts gathered, and release the attempts or wait for the flush."""
         self.writing = False
         tokens, self.ready = [token for token in self.ready if token in self.waiting], []
         if not tokens:
@@ -200,7 +200,7 @@
             self.verdicts(tokens, True)
 
     def flushed(self, tokens: list[tuple[int, int]], safe: bool) -> None:
-        """A flush has ended: its trips are released if `safe`, and what was gathered meanwhile is written."""
+        """A flush has ended: its attempts are released if `safe`; what was gathered meanwhile is written."""
         self.flushing = False
         self.verdicts(tokens, safe)
         if self.ready:
@@ -208,7 +208,7 @@
             self.reactor.callLater(0, self.write)
 
     def verdicts(self, tokens: list[tuple[int, int]], go: bool) -> None:
-        """Tell each of these trips that still waits whether it may be sent."""
+        """Tell each of these attempts that still waits whether it may be sent."""
         for token in tokens:
             found = self.waiting.pop(token, None)
             if found is not None:
--- a/spurdeal/store/ledger.py
+++ b/spurdeal/store/ledger.py
@@ -5,7 +5,7 @@
 needed is a set of ids with ends, read once at a start; so a log. Its decisions are few: when to rewrite the
 log, and what a failure means.
 
-flush: `always` (each write is on the disk before a submission is sent: outlives the machine), `turn` (left to
+flush: `always` (each write is on the disk before a request is sent: outlives the machine), `turn` (left to
 a timer of 50 ms: outlives the process, and the machine but for the last 50 ms), `never` (outlives the
 process).
 """
--- a/spurdeal/store/records.py
+++ b/spurdeal/store/records.py
@@ -23,7 +23,7 @@
     """What a record says of its id."""
 
     MAY_RUN = 1  # it is about to be sent: from here on it may have run
-    NEVER_RAN = 2  # each trip is known not to have run: it may go again
+    NEVER_RAN = 2  # each attempt is known not to have run: it may go again
 
 
 class Record(NamedTuple):
--- a/spurdeal/vrrp/exchange.py
+++ b/spurdeal/vrrp/exchange.py
@@ -1,4 +1,4 @@
-"""Handover datagrams between one dispatcher and its peers, and the verdicts that submissions wait for.
+"""Handover datagrams between one dispatcher and its peers, and the verdicts that requests wait for.
 
 It decides nothing: `handover` does.
 """
--- a/spurdeal/vrrp/guard.py
+++ b/spurdeal/vrrp/guard.py
@@ -25,7 +25,7 @@
 
 
 class HandoverGuard:
-    """Asked by the link about each submission and each send.
+    """Asked by the link about each request and each send.
 
     Args:
         share: Whether cold budgets are shared by tenure.
@@ -63,7 +63,7 @@
             self.counters.add("tenure_changes")
 
     def door(self, kind: int, ident: bytes) -> Answer | None:
-        """An answer at once, where the submission may have run at a peer or cannot be guarded."""
+        """An answer at once, where the request may have run at a peer or cannot be guarded."""
         if self.handover is None or not self.guarded[kind]:
             return None
         found = self.handover.door(self.monotonic(), ident.lower())
@@ -73,7 +73,7 @@
         return Failed() if found is Door.RAN else Shed(self.come_back)
 
     def before(self, request: OpenRequest, attempt: int, go: Callable[[bool | None], None]) -> bool:
-        """Whether a trip may leave now; False where `go` is called with the peers' verdict, later."""
+        """Whether an attempt may leave now; False where `go` is called with the peers' verdict, later."""
         if self.handover is None or not self.guarded[request.kind]:
             return True
         now, token = self.monotonic(), (request.number, attempt)
@@ -89,7 +89,7 @@
         return False
 
     def given_up(self, number: int, attempt: int) -> None:
-        """A trip that waits for its verdict is not to be sent any more."""
+        """An attempt that waits for its verdict is not to be sent any more."""
         self.exchange.going.pop((number, attempt), None)
         if self.handover is not None:
             self.handover.give_up((number, attempt))
@@ -129,7 +129,7 @@
         return True
 
     def endpoint(self, endpoint: Endpoint) -> Endpoint:
-        """The seat with its engine's latest start that a peer tells.
+        """The endpoint with its engine's latest start that a peer tells.
 
         Until the list is known to be fresh, each engine may have been started anew, and counts as cold.
         """
--- a/spurdeal/vrrp/handover.py
+++ b/spurdeal/vrrp/handover.py
@@ -2,7 +2,7 @@
 
 Every few ms each tells each peer: the number of its list, which engines are cold since when and what it sent
 there, which it has set aside, which groups it holds, what it lends of its tenure, and its marks. Between
-these, an irreversible submission is told ahead of its sending, and answered. Times are ms of one monotonic
+these, a non-idempotent request is told ahead of its sending, and answered. Times are ms of one monotonic
 clock; a datagram tells only what is left of them. A body is JSON with the keys of `compose`; one with
 anything unusable in it is refused whole and changes nothing.
 """
@@ -69,7 +69,7 @@
     """What is told ahead, and what holds without peers. Times in ms.
 
     Attributes:
-        ahead: Whether irreversible submissions are told before they are sent.
+        ahead: Whether non-idempotent requests are told before they are sent.
         ahead_wait: Within how long they must be answered.
         alone_after: None refuses them while a peer is not heard; a figure lets them go once it was not heard
             for so long.
@@ -151,7 +151,7 @@
         return self.waiting.pop(token, None) is not None
 
     def over(self, ident: bytes, never_ran: bool) -> None:
-        """It was answered. Only where each trip is known not to have run is its mark taken back."""
+        """It was answered. Only where each attempt is known not to have run is its mark taken back."""
         if never_ran and (turn := self.marks.never_ran(ident)) is not None:
             for clearing in self.clearing.values():
                 clearing.append((ident, turn, SAY_CLEAR))
--- a/spurdeal/vrrp/marks.py
+++ b/spurdeal/vrrp/marks.py
@@ -1,6 +1,6 @@
-"""Which submissions that must not run twice may have run, here or at a peer. Free of I/O and clocks.
+"""Which requests that must not run twice may have run, here or at a peer. Free of I/O and clocks.
 
-A mark is made before such a submission is sent, and taken away only when each trip of it is known not to have
+A mark is made before such a request is sent, and taken away only when each attempt of it is known not to have
 run, or when its time is over. Times are ms of one monotonic clock; between dispatchers only what is left is
 told.
 """
@@ -13,7 +13,7 @@
 
 
 class Door(Enum):
-    """What a submission that must not run twice meets on its way in."""
+    """What a request that must not run twice meets on its way in."""
 
     OPEN = "open"
     RAN = "ran"  # it may have run: broken off, never shed and never sent again
@@ -22,7 +22,7 @@
 
 
 class Mark(NamedTuple):
-    """What is known of one submission that may have run."""
+    """What is known of one request that may have run."""
 
     until: float
     peer: str  # who told; "" for our own
@@ -40,7 +40,7 @@
         self.refused = self.double = 0
 
     def door(self, now: float, ident: bytes) -> Door:
-        """A new submission: its id may be known from an earlier way in."""
+        """A new request: its id may be known from an earlier way in."""
         self.forget(now)
         if ident in self.known:
             self.double += 1
@@ -51,7 +51,7 @@
         return Door.OPEN
 
     def mark(self, now: float, ident: bytes, deadline: float, turn: int) -> bool:
-        """Ours is about to be told and sent; kept for a time after its expiry. False: there is no room."""
+        """Ours is about to be told and sent; kept for a time after its deadline. False: there is no room."""
         found = self.known.get(ident)
         if found is not None and found.peer:
             return False  # a peer was first, since the door
@@ -66,7 +66,7 @@
             self.known[ident] = self.known[ident]._replace(sent=True)
 
     def never_ran(self, ident: bytes) -> float | None:
-        """Each trip is known not to have run, so it may go again.
+        """Each attempt is known not to have run, so it may go again.
 
         Returns:
             Its last telling; None if it was not ours.
--- a/spurdeal/vrrp/message.py
+++ b/spurdeal/vrrp/message.py
@@ -28,7 +28,7 @@
 
 
 class Told(NamedTuple):
-    """An irreversible submission that the peer is about to send. left: ms that its mark lasts."""
+    """A non-idempotent request that the peer is about to send. left: ms that its mark lasts."""
 
     ident: bytes
     left: float
@@ -56,7 +56,7 @@
         replies: By the turn of what we told, whether it may go.
         clears: Marks taken back, by id and turn.
         marks: By id, for how many ms each lasts.
-        known: None where the datagram tells only of submissions.
+        known: None where the datagram tells only of requests.
         left: ms until what the peer lent counts no more with it.
         need: The page of our marks that it needs next.
     """
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -384,7 +384,7 @@
             call = adapter.take(b"a" * 16, b"lookup", 0, 5000, 20.0, 0.0, -1, b"x")
             assert call is not None
             call.addErrback(lambda _: None)
-            # Gathered behind the submission, and so in force before its turn has carried anything out.
+            # Gathered behind the request, and so in force before its turn has carried anything out.
             kept = {ident: endpoint for ident, endpoint in adapter.endpoints.items() if ident == stays}
             self.station.service.names.take_known(KnownList(2, kept))
             self.station.listed(kept)
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -32,7 +32,7 @@
 
 
 class IgnoresItsPart(Dispatcher):
-    """A planted fault: every submission may go to a cold engine, whatever is there."""
+    """A planted fault: every request may go to a cold engine, whatever is there."""
 
     def bears(self, engine: Engine, work: float) -> bool:
         return True
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -27,7 +27,7 @@
 
 
 class LeavingClients(unittest.TestCase):
-    """A submission whose client has left is not sent on, wherever it waits."""
+    """A request whose client has left is not sent on, wherever it waits."""
 
     def sent(self, steps: Steps, talk: Talk) -> list[str]:
         steps.go()
@@ -153,7 +153,7 @@
                     self.assertEqual(peer.up().heard()[0][1], f"{1:016x}")
 
     def test_what_never_left_counts_for_no_trip(self) -> None:
-        """One trip is allowed, no further ones: a drain while it is dialled for leaves it to another."""
+        """One attempt is allowed, no further ones: a drain while it is dialled for leaves it to another."""
         ration = SETTINGS["rules"] | {"extra_floor": 0, "repeat_ratio": 0, "counted_over": 5000}
         world = World(self, engines=2, settings=settings(limits={"send_cap": 1}, rules=ration))
         Caller(world).post(1, "load")
@@ -173,7 +173,7 @@
         self.assertEqual(len(world.peer(1).up().heard()), 1)
 
     def test_a_connection_that_does_not_come_up_in_time_counts_for_no_trip(self) -> None:
-        """It proves that nothing ran: the other engine takes it, though one trip is all that is allowed."""
+        """It proves that nothing ran: the other engine takes it, though only one attempt is allowed."""
         ration = SETTINGS["rules"] | {"extra_floor": 0, "repeat_ratio": 0, "counted_over": 5000}
         world = World(self, engines=2, settings=settings(limits={"send_cap": 1}, rules=ration))
         Caller(world).post(1, "load")
@@ -220,7 +220,7 @@
     """What has not left by the drain's grace does not leave."""
 
     def full(self) -> Steps:
-        """One connection whose far side does not read: a submission stuck in it, another behind that."""
+        """One connection whose far side does not read: a request stuck in it, another behind that."""
         steps = Steps(
             self,
             engines=2,
@@ -282,7 +282,7 @@
         self.assertNotIn(b"cancel", b"".join(m for m in connection.write_queue if isinstance(m, bytes)))
 
     def test_a_connection_whose_far_side_reads_no_more_is_not_kept(self) -> None:
-        """What is left to write on it waits for nothing: neither a trip nor a drain would end it."""
+        """What is left to write on it waits for nothing: neither an attempt nor a drain would end it."""
         world = World(self)
         caller = Caller(world)
         caller.post(1)
@@ -320,7 +320,7 @@
         self.assertEqual(steps.until(client.status), 200)
 
     def test_how_early_engines_close_is_learnt(self) -> None:
-        """A clean end of a resting connection; irreversible ones then go on one that was used lately."""
+        """A clean end of a resting connection; non-idempotent ones then go on one that was used lately."""
         world = World(self)
         caller, early = Caller(world), Caller(world)
         for ident, each in ((1, caller), (2, early)):
@@ -331,7 +331,7 @@
         world.go(1000)
         peers[0].lose()
         self.assertAlmostEqual(world.service.engines.closes_after, 1000.0, delta=60)
-        Caller(world).post(3)  # redoable ones go on as they did
+        Caller(world).post(3)  # idempotent ones go on as they did
         self.assertEqual(peers[1].heard()[1][1], f"{3:016x}")
         peers[1].say(3, "200", "parts=1")
         world.go(700)
@@ -372,7 +372,7 @@
         self.assertEqual(caller.answers()[0][0], 200)
 
     def test_an_id_whose_trip_is_still_out_is_not_taken_again(self) -> None:
-        """Where nothing may be called off: two trips under one id would be out at once."""
+        """Where nothing may be called off: two attempts under one id would be out at once."""
         world = World(self, settings=settings(limits={"cancelling": False}))
         caller = Caller(world)
         caller.post(1, wait=4000)
@@ -614,7 +614,7 @@
 
 
 class OtherCustomers(unittest.TestCase):
-    """What another customer's settings can hold: each starts, and serves."""
+    """What another tenant's settings can hold: each starts, and serves."""
 
     def serves(self, workload: str, **more: Any) -> World:
         world = World(self, **more)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -62,7 +62,7 @@
         )
 
     def test_what_proves_that_nothing_ran(self) -> None:
-        """Refused, never up, full and over let an irreversible one go again; all else breaks it off."""
+        """Refused, never up, full and over let a non-idempotent one go again; all else breaks it off."""
         for proof in ("refused", "not up", "503", "504"):
             with self.subTest(proof):
                 world = World(self, engines=2)
@@ -338,7 +338,7 @@
         self.assertEqual(left, [])
 
     def test_a_connection_gone_silent_gets_nothing_more(self) -> None:
-        """A machine cut off: the next trip dials anew, and that it never comes up proves that nothing ran."""
+        """A machine cut off: the next attempt dials anew; that it never comes up proves that nothing ran."""
         world = World(self)
         Caller(world).post(1, wait=1000)
         peer = world.peer().up()
@@ -415,7 +415,7 @@
         peers = [world.peer(place).up() for place in range(3)]
         self.assertEqual({peer.host for peer in peers}, {"127.0.9.1"})
         world.list(4, ("s-5.east.hosts", "127.0.9.1:7001", 0, "kind=std cell=0 started=0"))
-        self.assertFalse(peers[0].pipe.disconnecting)  # gone, yet its trips may still end
+        self.assertFalse(peers[0].pipe.disconnecting)  # gone, yet its attempts may still end
         for ident, peer in enumerate(peers):
             peer.say(ident, "200")
             self.assertTrue(peer.pipe.disconnecting)
--- a/tests/test_station.py
+++ b/tests/test_station.py
@@ -187,7 +187,7 @@
 
 
 class Ahead(unittest.TestCase):
-    """An irreversible submission at each point of its life, and the same id at the other dispatcher."""
+    """A non-idempotent request at each point of its life, and the same id at the other dispatcher."""
 
     def pair(self) -> Pair:
         pair = Pair(self)
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -28,7 +28,7 @@
 
 
 def wait_told(talk: Talk) -> list[int]:
-    """The time that engines were told, of each trip that has come on this connection."""
+    """The time that engines were told, of each attempt that has come on this connection."""
     return [
         int(dict(pair.split("=") for pair in said[2].split(","))["wait"])
         for said in talk.heard()
@@ -437,12 +437,12 @@
 
 
 class SharedConnections(unittest.TestCase):
-    """Several trips on one connection to an engine."""
+    """Several attempts on one connection to an engine."""
 
     BEGUN = b"*4\r\n$16\r\n%016x\r\n$3\r\n200\r\n$7\r\nparts=1\r\n$6\r\n" % 1
 
     def two_attempts(self) -> tuple[World, Caller, Caller]:
-        """Two trips on one connection; the second has 640 ms left."""
+        """Two attempts on one connection; the second has 640 ms left."""
         world = World(self)
         world.service.engines.most_connections = 1
         patient, pressed = Caller(world), Caller(world)
