--- a/spurdeal/extproc/granter.py
+++ b/spurdeal/extproc/granter.py
@@ -18,7 +18,7 @@
 
 
 class Lease:
-    """One attempt in a caller's hands: as engines.Trip is to the link."""
+    """One attempt in a caller's hands: as engines.Attempt is to the link."""
 
     __slots__ = ("call", "done", "number")
 
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -23,14 +23,14 @@
 import sys
 from twisted.internet import reactor
 from spurdeal.lab.engines import Fleet
-from spurdeal.lab.names import Names, Seat
+from spurdeal.lab.names import Names, Endpoint
 engine_host, names_host, first_port, engines, names_port = sys.argv[1:]
-seats = [Seat(f"s-{n}", engine_host, int(first_port) + n) for n in range(int(engines))]
+endpoints = [Endpoint(f"s-{n}", engine_host, int(first_port) + n) for n in range(int(engines))]
 fleet = Fleet(reactor, 8, 1000.0, 0.3, 2.0, 1500.0)
-for seat in seats:
-    fleet.start(seat.ident, seat.host, seat.port, cold=False)
+for endpoint in endpoints:
+    fleet.start(endpoint.ident, endpoint.host, endpoint.port, cold=False)
 if int(names_port):
-    reactor.listenUDP(int(names_port), Names(seats), interface=names_host)
+    reactor.listenUDP(int(names_port), Names(endpoints), interface=names_host)
 reactor.callWhenRunning(print, "ready", flush=True)
 reactor.callLater(120, reactor.stop)
 reactor.run()
