--- a/spurdeal/fleet/station.py
+++ b/spurdeal/fleet/station.py
@@ -329,7 +329,7 @@
     def departs(self, request: OpenRequest, attempt: int, engine: int) -> bool:
         """The last look before a send: the lease may have run out since the rules chose, also in a pause."""
         found = self.adapter.rules.engines.get(engine)
-        cold = found is not None and found.warm_at > self.adapter.clock()
+        cold = found is not None and found.slow_start_until > self.adapter.clock()
         doubtful = cold or self.guarded[request.kind]
         allowed = self.fleet.allowed(self.monotonic())
         if not allowed.idempotent or (doubtful and not allowed.doubtful):
--- a/spurdeal/lab/capacity/request_path.py
+++ b/spurdeal/lab/capacity/request_path.py
@@ -19,7 +19,7 @@
 from ...net.engines import Engines
 from ...net.link import SocketAdapter
 from ...net.logs import logger
-from ...rules import TICK, WAKE_TICK, Dispatcher
+from ...rules import TICK_MS, TICK_TIMER, Dispatcher
 from . import design
 from .measure import TRIES, cpu_us, require_memory, sample
 from .records import Measure, Quantity, Role, Sample, quantity
@@ -30,7 +30,7 @@
 COST_MS, DEADLINE_MS = 12.0, 2_500.0
 CHOICES_PER_TRY = 12
 IN_FLIGHT = 40
-TICKS_PER_S = int(1000 / TICK)
+TICKS_PER_S = int(1000 / TICK_MS)
 KB_PER_ENGINE = 16.0  # a generous bound on what one engine costs, for the refusal
 
 SETTINGS = {
@@ -94,14 +94,14 @@
             self.rules.attempt_ended(
                 self.now, number, 0, engine, Ending.DELIVERED, COST_MS, True, COST_MS, 0.0, ()
             )
-        for number in list(self.rules.open):
+        for number in list(self.rules.open_requests):
             self.rules.request_withdrawn(self.now, number)
         self.rules.end_batch(self.now)
 
     def tick(self) -> None:
         """One periodic wake-up and its turn."""
-        self.now += TICK
-        self.rules.timer_fired(self.now, WAKE_TICK)
+        self.now += TICK_MS
+        self.rules.timer_fired(self.now, TICK_TIMER)
         self.rules.end_batch(self.now)
 
 
--- a/spurdeal/lab/capacity/unserved.py
+++ b/spurdeal/lab/capacity/unserved.py
@@ -38,6 +38,8 @@
         "",
         "a zone is a name in the list (`ListedEngine.zone`); a region is not known",
         "members probe each other regardless of zone and region",
-        notes=("only a workload's allowed zones are kept to, by Dispatcher.allowed in spurdeal/rules.py",),
+        notes=(
+            "only a workload's allowed zones are kept to, by Dispatcher.eligible_engines, spurdeal/rules.py",
+        ),
     ),
 )
--- a/spurdeal/lab/planted.py
+++ b/spurdeal/lab/planted.py
@@ -120,14 +120,14 @@
 class ForgetsCold(Dispatcher):
     """Rule 4: a cold engine is sent its full part."""
 
-    def bears(self, engine: Engine, work: float) -> bool:
+    def fits_slow_start(self, engine: Engine, work: float) -> bool:
         return True
 
 
 class ForgetsOrder(Dispatcher):
     """Rule 5: keys wait for nobody."""
 
-    def in_turn(self, s: Request) -> bool:
+    def is_next_for_key(self, request: Request) -> bool:
         return True
 
 
@@ -144,7 +144,7 @@
 class ForgetsBudget(Dispatcher):
     """Rule 7: further attempts as it likes, and each error is one."""
 
-    def may_go_further(self) -> bool:
+    def may_retry(self) -> bool:
         return True
 
     def attempt_ended(
@@ -160,7 +160,7 @@
         memory: float,
         report: Sequence[float],
     ) -> None:
-        self.further_credit = 30.0
+        self.retry_budget = 30.0
         super().attempt_ended(now, number, attempt, engine, ending, took, final, work, memory, report)
 
 
--- a/spurdeal/rules.py
+++ b/spurdeal/rules.py
@@ -1,8 +1,27 @@
 """All decisions of a dispatcher: what runs, on which engine, when, and on which terms.
 
-A link makes one Dispatcher per start, reports events by the calls of interface.Rules, closes each batch
-with turn(), and carries out what interface.Link asks. A request passes the stages of Dispatcher.chain;
-each passes it on (True), keeps it or ends it (False). What comes back runs the other way, in ended()."""
+An adapter makes one Dispatcher per start, reports events by the calls of interface.Rules, closes each batch
+of them with end_batch(), and carries out what interface.Adapter asks for. A request passes the stages of
+Dispatcher.stages in order; a stage passes it on (True), or queues or ends it (False). The end of an attempt
+takes the opposite way, in attempt_ended(). Nothing here does I/O or reads a clock: every call names the time.
+
+The main mechanisms:
+
+- An adaptive concurrency limit per engine (Engine.adjust_limit), in threads of this dispatcher's requests.
+  Hill climbing on the throughput of each interval moves it; it binds only under pressure, which latency,
+  refusals or this dispatcher's own load show. A limit below one request's threads admits at random.
+- Normalized latency: time taken over time expected, over the baseline of that workload. Its median over all
+  engines is what engines are compared with.
+- A wait queue, ordered by aged cost per value; cheap requests bypass it.
+- Outlier ejection (eject): failures, missing responses or a latency far over the median eject an engine for
+  some seconds; after that a half-open probe, one idempotent request at a time, must succeed.
+- Slow start: a cold engine gets at most this dispatcher's share of a budget of work per window.
+- A retry budget, and a cap on retries over a sliding window.
+
+"Rule 1" to "rule 7" are the deployment's requirements: one final answer per request; a request runs again
+only where that does no harm; nothing is sent to draining engines; cold engines are not overloaded; requests
+of one key run one at a time in order; requests stay on allowed engines; retries stay within their cap.
+"""
 
 from __future__ import annotations
 
@@ -31,96 +50,252 @@
 from .list_freshness import ListFreshness
 from .running_mean import RunningMean
 
-TICK, WAKE_TICK, WAKE_WATCH = 50.0, 0, 1
-INTERVAL, GAIN_C = 5000.0, 0.4  # between two moves of n*; C, the least gain in P for a gain in n*
-START_THREADS, FLOOR = 2.0, 0.125  # n* starts at so many threads a core, over all dispatchers; its least part
-PRESSURE, PRESSURE_HOLD = 1.5, 1000.0  # this many times its best, and the calmest middle, is pressure; ms
-BUSY = 2.0  # work taken over what all engines do in that time, so many times: our share of sends at least
-JAM = 2.5  # where engines page, one this far over its best latency gives up a step of n*
-UNSEEN, SPARE = 1.25, 2.0  # in n*, in widest requests: own threads out that count as pressure unheard
-POOL = 6.0  # threads' worth of evidence that all engines together lend to each, where its own is thin
-CHEAP_MARK, COST_WEIGHT = 1.5, 8.0  # in usual costs of the lightest workload; ms of age for one of cost
-RIPE = 600.0  # a held one this old has room kept for it, or cheap ones starve it
-PACE_EDGES = tuple(0.25 * 1.15**step for step in range(40))  # of time taken over time expected
-BEST_SHARE, BEST_SAMPLES, BEST_DRIFT, CALM_DRIFT = 0.25, 15.0, 1.1, 1.02  # best latency: a low quantile
-SLOW, FULL_REST = 3.0, 500.0  # in the middle pace: far slower, set aside; ms after a refusal as full
-GHOST = 0.5  # where work cannot be stopped, a timed-out attempt counts on, for this part of its time
-STRIKES, STRIKE_LOST, STRIKE_ERROR, STRIKE_RESET, ASIDE, ASIDE_RANDOM = 3.0, 1.5, 1.0, 0.5, 3000.0, 3000.0
-STANDS, LOST_DUE, LOST_LEAST, LOST_NOTES = 3.0, 10.0, 2500.0, 2.5  # in its due, ms, gaps between notes
-SILENCE, SILENCE_OF_DUE, SILENT_ATTEMPTS = 2000.0, 4.0, 3
-COLD_MARGIN, CAPACITY_SHARE, SPEED_FLOOR = 0.5, 0.85, 0.8  # of our share of what a cold engine bears
-COLD_GRAIN = 0.1  # of all dispatchers' budget: work so light may go there by chance
-COLD_SAMPLES = 30  # in a workload's mean work
-FURTHER_EACH, FURTHER_SUCCESS, FURTHER_MOST = 0.05, 0.25, 30.0  # credit for further attempts
-MOST_UNSENT = 3  # attempts that never left and count for none: a way that stays shut is not tried for ever
-REPEAT_MARGIN = 1.0  # ms, for the way of an idempotent-by-key one's repeat
-LAST_MOMENT, MIN_LATE_VALUE, TOO_LATE, CROWDED = 2 * TICK, 0.25, 1.5, 0.9  # ms, value, objective, ways in
-CHEAP_PRIORITY, HEAVY_PRIORITY, GRANT = 3, 1, 1.35  # the grant is in the estimate of memory
+# Timers: the period of the tick in ms; the tokens of the tick's timer and of the one that asks for the list.
+TICK_MS, TICK_TIMER, WATCH_TIMER = 50.0, 0, 1
+
+# Concurrency limit. The time in ms between two moves; and C, the least relative gain in throughput, as a part
+# of the relative rise of the limit, for which the limit rises further.
+INTERVAL_MS, MIN_GAIN_RATIO = 5000.0, 0.4
+# The limit starts at so many threads a core over all dispatchers; lowering stops at this part of the start.
+INITIAL_LIMIT_PER_CORE, MIN_LIMIT_SHARE = 2.0, 0.125
+# So many times the lowest calm median of the normalized latency is pressure, which is taken to last so many
+# ms. That median counts up to the same ratio.
+PRESSURE_RATIO, PRESSURE_HOLD_MS = 1.5, 1000.0
+# Our share of all sends is at least the work offered to us over so many times what all engines can do.
+OFFERED_LOAD_RATIO = 2.0
+# Where engines page, one over this normalized latency loses a quarter of its initial limit per interval.
+PAGING_LATENCY_RATIO = 2.5
+# In-flight threads beyond this many times the limits, plus this many of the widest requests, count as
+# pressure before any answer shows it.
+BURST_RATIO, BURST_REQUESTS = 1.25, 2.0
+# The median of all engines counts like so many threads' worth of samples beside an engine's own: few samples
+# of its own say little.
+PRIOR_THREADS = 6.0
+
+# Wait queue. A request of one thread is cheap up to this many times the mean cost of the lightest workload;
+# and ms of age that weigh as much as 1 ms of cost per value.
+CHEAP_COST_RATIO, COST_WEIGHT = 1.5, 8.0
+# ms of waiting after which an engine is reserved for a queued request; else cheap requests would starve it.
+RESERVE_AFTER_MS = 600.0
+
+# Latency. Edges of the histograms of time taken over time expected.
+LATENCY_EDGES = tuple(0.25 * 1.15**step for step in range(40))
+# The baseline latency of a workload is this low quantile of its ratios, taken from at least so much weight of
+# samples; factors by which the baseline and the lowest calm median may rise per interval.
+BASELINE_QUANTILE, MIN_BASELINE_WEIGHT, BASELINE_DRIFT, CALM_MEDIAN_DRIFT = 0.25, 15.0, 1.1, 1.02
+# An engine over this many medians is ejected, and a probe must stay below it; ms of pause, give or take a
+# half, after an engine refused a request as full.
+OUTLIER_LATENCY_RATIO, FULL_BACKOFF_MS = 3.0, 500.0
+# Where work cannot be stopped, a timed-out attempt stays in flight for this part of the time that it took.
+ABANDONED_WORK_RATIO = 0.5
+
+# Outlier ejection: the failure score that ejects; what a refused or lost dial, an error and a reset
+# connection add to it; and how long it lasts: fixed ms, and ms by chance on top.
+EJECTION_SCORE, UNREACHED_SCORE, ERROR_SCORE, RESET_SCORE, EJECTION_MS, EJECTION_JITTER_MS = (
+    3.0,
+    1.5,
+    1.0,
+    0.5,
+    3000.0,
+    3000.0,
+)
+# In times of an attempt's best case over its engine's latency: when an attempt that can wait for a load
+# counts as waiting, and when an answer counts as lost, not before so many ms. Where engines send progress
+# reports, it is lost after so many of their intervals.
+WAITING_RATIO, LOST_RATIO, MIN_LOST_MS, LOST_INTERVALS = 3.0, 10.0, 2500.0, 2.5
+# An engine does not respond if nothing came for so many ms, and for so many times the time that at least so
+# many of its open attempts should take.
+NO_RESPONSE_MS, NO_RESPONSE_RATIO, NO_RESPONSE_ATTEMPTS = 2000.0, 4.0, 3
+
+# Slow start. The part of the allowed work that is used; the part of an engine's cores that its work gets; and
+# the lowest speed that an engine may have, relative to nominal.
+COLD_SAFETY_FACTOR, USABLE_CAPACITY, MIN_ENGINE_SPEED = 0.5, 0.85, 0.8
+# A request of up to this part of all dispatchers' budget may go to a cold engine by chance.
+LIGHT_WORK_SHARE = 0.1
+# Samples in a workload's mean work.
+MEAN_WORK_SAMPLES = 30
+
+# Retry budget, in retries: what a request adds, what it adds on top if all retries succeed, and the most.
+RETRY_BUDGET_PER_REQUEST, RETRY_BUDGET_BY_SUCCESS, MAX_RETRY_BUDGET = 0.05, 0.25, 30.0
+# Attempts of one request that never left the process and so don't count as attempts; more of them do count,
+# as an engine that stays unreachable is not to be dialled for ever.
+MAX_UNCOUNTED_ATTEMPTS = 3
+# ms left for an idempotent-by-key request's repeat to reach an engine before its key is forgotten there.
+KEY_EXPIRY_MARGIN_MS = 1.0
+
+# Ends without a result: ms before the deadline in which no attempt is made; the least late value for which a
+# late request still runs; the part of the latency objective after which a running one is of no use; and the
+# part of the requests that clients can have open beyond which the last of the wait queue are shed.
+MIN_TIME_LEFT_MS, MIN_LATE_VALUE, TOO_LATE_RATIO, MAX_OPEN_RATIO = 2 * TICK_MS, 0.25, 1.5, 0.9
+# Priorities that are sent with a request; the memory grant over the estimate of memory.
+CHEAP_PRIORITY, HEAVY_PRIORITY, GRANT_RATIO = 3, 1, 1.35
 
 
 Request: TypeAlias = "state.Request[Engine]"
 Attempt: TypeAlias = "state.Attempt[Engine]"
 
 
-def pooled(pace: Histogram, middle: float) -> float:
-    """The median pace, beside POOL threads' worth of the middle: what there is counts as far as it goes."""
-    return (pace.total * pace.quantile(0.5) + POOL * middle) / (pace.total + POOL)
+def pooled(latencies: Histogram, prior: float) -> float:
+    """The median latency, pooled with a prior that weighs as much as PRIOR_THREADS threads of samples."""
+    return (latencies.total * latencies.quantile(0.5) + PRIOR_THREADS * prior) / (
+        latencies.total + PRIOR_THREADS
+    )
 
 
 class Engine:
-    """One engine as this dispatcher sees it, with its bound n*."""
-
-    def __init__(self, line: ListedEngine, cores: tuple[int, ...], now: float) -> None:
-        self.number, self.line, self.cores = line.engine, line, cores[line.kind % len(cores)]
-        self.out: dict[tuple[int, int], Attempt] = {}
-        self.threads, self.overdue, self.answered, self.luck = 0, 0, now, 1.0
-        self.aside_until, self.struck, self.trial = 0.0, 0.0, False
-        self.cold_sends, self.ghosts = deque[tuple[float, float]](), deque[tuple[float, int]]()
-        self.start_over(0.0)
-        self.be_cold(0.0, now, 0.0)
-
-    def be_cold(self, until: float, since: float, part: float) -> None:
-        """What may go there begins from a part, drawn by chance, of the next light request."""
-        self.warm_at, self.cold_from, self.cold_part, self.cold_spent = until, since, part, 0.0
-
-    def start_over(self, start: float) -> None:
-        """A hang or a restart swings n* and P: both begin anew."""
-        self.bound = self.before = self.start = start
-        self.served = self.served_before = self.work = self.work_before = self.most = self.errors = 0.0
-        self.pace, self.slowness, self.strikes, self.pressed_until = Histogram(PACE_EDGES), 1.0, 0.0, 0.0
-
-    def stand(self, attempt: Attempt, stands: bool) -> None:
-        """An attempt that waits for a load holds no core: it leaves the own threads until it runs."""
-        if stands != attempt.stands:
-            attempt.stands = stands
-            self.threads += -attempt.request.workload.threads if stands else attempt.request.workload.threads
-
-    def room(self) -> float:
-        return self.bound - self.threads - self.errors
-
-    def move_bound(self, step: float) -> None:
-        """The design's hill climbing, once an interval."""
-        # A heavy draw reads as lost throughput: where no less work was served, P counts as not fallen.
-        served = max(self.served, self.served_before) if self.work >= self.work_before > 0 else self.served
-        lowered, gain = self.bound < self.before, served - self.served_before
-        enough = GAIN_C * (self.bound - self.before) / self.before * self.served_before
-        if not lowered and (not self.served_before or gain >= enough):
-            self.before, self.bound = self.bound, self.bound + step
+    """What this dispatcher knows of one engine, and its concurrency limit.
+
+    All counts cover this dispatcher's own requests only: what others send shows only in the latency. The
+    limit is called n* and the throughput P in logs and in the scenarios.
+
+    Attributes:
+        listed: its entry in the list of engines.
+        in_flight_threads: threads of open attempts that run, and of abandoned work.
+        overdue_threads: of these, threads of attempts over the pressure threshold.
+        last_response: when it last showed that it works; or when an attempt was sent to it while it had none.
+        admission_draw: a number in [0, 1), drawn once an interval: where the limit is below one request's
+            threads, a request is admitted if the limit's part of those threads is higher.
+        ejected_until: it gets nothing before that time; also the end of the pause after it refused as full.
+        half_open_probe: it was ejected, and gets one idempotent request at a time until one succeeds.
+        last_failure: when its failure score last rose.
+        cold_sends: time and work of each send within the slow start's window.
+        abandoned_work: until when the threads of timed-out attempts that cannot be stopped count as in
+            flight.
+        slow_start_until: it is cold before that time.
+        initial_cold_credit: the part of the next light request, drawn by chance, that was credited at the
+            start.
+        cold_work_sent: work sent there in slow start and credit that has expired; credit is what accrued less
+            this.
+        served_threads: throughput P of this interval, in threads of delivered attempts.
+        served_work: their cost.
+        peak_threads: the most threads in flight within this interval.
+        recent_errors: errors since it last delivered, halved each interval.
+        normalized_latencies: time taken over time expected, over the workload's baseline.
+        normalized_latency: their median, pooled with that of all engines.
+        failure_score: the sum of weighted failures since it last delivered.
+    """
+
+    def __init__(self, listed: ListedEngine, cores: tuple[int, ...], now: float) -> None:
+        self.number, self.listed, self.cores = listed.engine, listed, cores[listed.kind % len(cores)]
+        self.open_attempts: dict[tuple[int, int], Attempt] = {}
+        self.in_flight_threads, self.overdue_threads, self.last_response, self.admission_draw = 0, 0, now, 1.0
+        self.ejected_until, self.last_failure, self.half_open_probe = 0.0, 0.0, False
+        self.cold_sends, self.abandoned_work = deque[tuple[float, float]](), deque[tuple[float, int]]()
+        self.reset_statistics(0.0)
+        self.begin_slow_start(0.0, now, 0.0)
+
+    def begin_slow_start(self, until: float, since: float, part: float) -> None:
+        """Take it for cold; the credit for light requests begins at this part of one, drawn by chance."""
+        self.slow_start_until, self.slow_start_began, self.initial_cold_credit, self.cold_work_sent = (
+            until,
+            since,
+            part,
+            0.0,
+        )
+
+    def reset_statistics(self, start: float) -> None:
+        """Restart the limit and all measurements: a hang or a restart makes the old ones meaningless."""
+        self.concurrency_limit = self.previous_limit = self.initial_limit = start
+        self.served_threads = self.previous_served_threads = self.served_work = self.previous_served_work = (
+            self.peak_threads
+        ) = self.recent_errors = 0.0
+        self.normalized_latencies, self.normalized_latency, self.failure_score, self.pressure_until = (
+            Histogram(LATENCY_EDGES),
+            1.0,
+            0.0,
+            0.0,
+        )
+
+    def set_waiting(self, attempt: Attempt, waits: bool) -> None:
+        """Note whether an attempt waits for a load: then it holds no core and is not in flight."""
+        if waits != attempt.stands:
+            attempt.stands = waits
+            self.in_flight_threads += (
+                -attempt.request.workload.threads if waits else attempt.request.workload.threads
+            )
+
+    def free_threads(self) -> float:
+        """How many threads are free below the limit; recent errors count as threads."""
+        return self.concurrency_limit - self.in_flight_threads - self.recent_errors
+
+    def adjust_limit(self, step: float) -> None:
+        """Move the concurrency limit by hill climbing on the throughput, once an interval.
+
+        A raised or equal limit is raised by a step if throughput rose by at least MIN_GAIN_RATIO of the
+        limit's own relative rise or was zero, else the previous limit returns. A lowered one is lowered
+        further as long as throughput rises. A limit above the demand falls to the demand, so that it does not
+        grow while nothing tests it.
+        """
+        # Fewer but heavier requests are no loss: where no less work was served, throughput counts as not
+        # fallen.
+        served = (
+            max(self.served_threads, self.previous_served_threads)
+            if self.served_work >= self.previous_served_work > 0
+            else self.served_threads
+        )
+        lowered, gain = self.concurrency_limit < self.previous_limit, served - self.previous_served_threads
+        enough = (
+            MIN_GAIN_RATIO
+            * (self.concurrency_limit - self.previous_limit)
+            / self.previous_limit
+            * self.previous_served_threads
+        )
+        if not lowered and (not self.previous_served_threads or gain >= enough):
+            self.previous_limit, self.concurrency_limit = (
+                self.concurrency_limit,
+                self.concurrency_limit + step,
+            )
         elif lowered and gain > 0:
-            self.before, self.bound = self.bound, max(FLOOR * self.start, self.bound - step)
+            self.previous_limit, self.concurrency_limit = (
+                self.concurrency_limit,
+                max(MIN_LIMIT_SHARE * self.initial_limit, self.concurrency_limit - step),
+            )
         else:
-            self.before, self.bound = self.bound, self.before
-        if (demand := max(self.start, self.most)) < self.bound:  # lowers n*, and counts as no lowering
-            self.before = self.bound = demand
-        self.served_before, self.work_before = served, self.work
-        self.served, self.work, self.most = 0.0, 0.0, float(self.threads)
+            self.previous_limit, self.concurrency_limit = self.concurrency_limit, self.previous_limit
+        # Falling to the demand does not count as lowering in the next interval.
+        if (demand := max(self.initial_limit, self.peak_threads)) < self.concurrency_limit:
+            self.previous_limit = self.concurrency_limit = demand
+        self.previous_served_threads, self.previous_served_work = served, self.served_work
+        self.served_threads, self.served_work, self.peak_threads = 0.0, 0.0, float(self.in_flight_threads)
 
 
 class Dispatcher:
-    """The rules of one dispatcher, from its start to its end."""
+    """The decisions of one dispatcher, from its start to its end; implements interface.Rules.
+
+    Attributes:
+        even_share: this dispatcher's part of all dispatchers' work, as configured or as
+            capacity_shares_changed told.
+        own_in_flight, fleet_in_flight: requests of ours and of all that engines hold, as their reports say;
+            the quotient is our share of the sends.
+        widest_request: the most threads of any workload.
+        burst_allowance: threads beyond the limits that don't count as pressure.
+        quotas, quota_credit: per tenant, our part of the requests per ms, and the requests that it may send
+            now.
+        fleet_slow_start_budget: work in ms per core that all dispatchers may send to a cold engine in a
+            window.
+        slow_start_budget: our part of that.
+        mean_work: per workload, the mean work in ms, which a request counts for at a cold engine.
+        light_cold_work: work per core up to which a request may go to a cold engine by its credit.
+        heavy_cold_work: work beyond which a request counts for its own estimate if that is above the mean.
+        request_times, retry_times: when requests came and retries were made, within the retry window.
+        retry_successes: which of the recent retries succeeded.
+        ready: the engines that the list gives as ready.
+        reserved_engine: within one batch, kept free for a request that has waited for long.
+        ordered_queues, key_paused_until: per key, its open requests in order, and when the next may be sent.
+        mean_costs, baseline_latency: per workload, the mean estimate, and time taken over time expected at
+            its best.
+        latency_ratios: per workload, time taken over time expected.
+        normalized_latencies, median_latency: the latency ratios over their baselines, and their median; at
+            least 1.
+        calm_median: the lowest such median of calm intervals; 0 until there is one.
+        pressure_threshold: normalized latency beyond which attempts and engines show pressure.
+        thread_demand: threads in flight and queued, summed over the interval's ticks.
+        offered_work, offered_work_time: cost of the requests that came, and the ms in which they came; both
+            fade.
+    """
 
     def __init__(self, site: Deployment, seed: int, adapter: Adapter, now: float) -> None:
-        self.adapter, self.chance, self.now, self.began, self.until = (
+        self.adapter, self.chance, self.now, self.started_at, self.shutdown_deadline = (
             adapter,
             Chance(seed),
             now,
@@ -128,106 +303,147 @@
             float("inf"),
         )
         self.workloads, self.cores = site.workloads, site.cores or (1,)
-        self.share, self.further_credit = 1.0 / site.dispatchers, FURTHER_MOST
-        self.load_field, self.priorities, self.own, self.all = (
+        self.even_share, self.retry_budget = 1.0 / site.dispatchers, MAX_RETRY_BUDGET
+        self.load_field, self.priorities, self.own_in_flight, self.fleet_in_flight = (
             site.load_field,
             site.priorities,
-            self.share,
+            self.even_share,
             1.0,
         )
-        self.widest = float(max(workload.threads for workload in site.workloads))
-        self.spare = 0.0 if site.pages else SPARE * self.widest  # what lets all in has no room for chance
-        self.quotas = [quota * self.share / 1000 for quota in site.quotas]
-        self.credit, self.over_share = [quota * 1000 for quota in self.quotas], site.over_share_value
-        self.max_attempts, self.may_cancel, self.ways_in = (
+        self.widest_request = float(max(workload.threads for workload in site.workloads))
+        # Engines that page admit everything: nothing beyond the limit may be sent there by chance.
+        self.burst_allowance = 0.0 if site.pages else BURST_REQUESTS * self.widest_request
+        self.quotas = [quota * self.even_share / 1000 for quota in site.quotas]
+        self.quota_credit, self.over_quota_value = (
+            [quota * 1000 for quota in self.quotas],
+            site.over_share_value,
+        )
+        self.max_attempts, self.may_cancel, self.max_open = (
             site.max_attempts,
             site.may_cancel,
             site.max_open,
         )
-        self.notes, self.pages, self.grant = site.progress_interval, site.pages, GRANT if site.grants else 0.0
-        self.cold_for, self.cold_window, self.retry_after = (
+        self.progress_interval, self.pages, self.grant_ratio = (
+            site.progress_interval,
+            site.pages,
+            GRANT_RATIO if site.grants else 0.0,
+        )
+        self.slow_start_ms, self.slow_start_window, self.max_retry_after = (
             site.cold_for,
             site.cold_window,
             site.max_retry_after,
         )
-        cold_capacity = site.cold_multiple * site.cold_share * CAPACITY_SHARE * SPEED_FLOOR
-        self.cold_whole = cold_capacity * site.cold_window * COLD_MARGIN
-        self.cold_budget = self.cold_whole * self.share
-        self.cold_work = [RunningMean(max(1.0, w.objective / 4), COLD_SAMPLES) for w in site.workloads]
-        self.light = COLD_GRAIN * self.cold_whole
-        self.heavy = COLD_GRAIN * self.cold_whole / COLD_MARGIN * min(self.cores)
+        cold_capacity = site.cold_multiple * site.cold_share * USABLE_CAPACITY * MIN_ENGINE_SPEED
+        self.fleet_slow_start_budget = cold_capacity * site.cold_window * COLD_SAFETY_FACTOR
+        self.slow_start_budget = self.fleet_slow_start_budget * self.even_share
+        self.mean_work = [
+            RunningMean(max(1.0, workload.objective / 4), MEAN_WORK_SAMPLES) for workload in site.workloads
+        ]
+        self.light_cold_work = LIGHT_WORK_SHARE * self.fleet_slow_start_budget
+        self.heavy_cold_work = (
+            LIGHT_WORK_SHARE * self.fleet_slow_start_budget / COLD_SAFETY_FACTOR * min(self.cores)
+        )
         self.order_pause, self.retry_window = site.order_pause or 0.0, site.retry_window or 0.0
         self.retry_floor = site.retry_floor or 0.0 if site.retry_window else float("inf")
-        self.retry_ratio, self.further_won = site.retry_ratio or 0.0, Histogram((0.5, 1.5))
-        self.taken_times, self.further_times, self.held = deque[float](), deque[float](), list[Request]()
-        self.engines, self.open, self.ready = dict[int, Engine](), dict[int, Request](), list[Engine]()
-        self.promised: Engine | None = None
+        self.retry_ratio, self.retry_successes = site.retry_ratio or 0.0, Histogram((0.5, 1.5))
+        self.request_times, self.retry_times, self.wait_queue = (
+            deque[float](),
+            deque[float](),
+            list[Request](),
+        )
+        self.engines, self.open_requests, self.ready = (
+            dict[int, Engine](),
+            dict[int, Request](),
+            list[Engine](),
+        )
+        self.reserved_engine: Engine | None = None
         self.freshness, self.list_followed = ListFreshness(site.drain_grace), True
-        self.lines, self.rests = dict[int, deque[Request]](), dict[int, float]()
-        self.usual, self.best = [0.0 for _ in site.workloads], [1.0 for _ in site.workloads]
-        self.paces, self.pace = [Histogram(PACE_EDGES) for _ in site.workloads], Histogram(PACE_EDGES)
-        self.middle, self.pressed_until, self.next_interval = 1.0, 0.0, now + INTERVAL
-        # How far a calm pace spreads is not known yet: as far as is believed.
-        self.calmest, self.pressing, self.demand = 0.0, PRESSURE * PRESSURE, 0.0
-        self.asked, self.asked_in = 0.0, 0.0
-        admission = (self.duty_stage, self.share_stage, self.order_stage)
-        self.chain = (*admission, self.line_stage, self.choice_stage, self.attempt_stage)
-        adapter.set_timer(TICK, WAKE_TICK)
+        self.ordered_queues, self.key_paused_until = dict[int, deque[Request]](), dict[int, float]()
+        self.mean_costs, self.baseline_latency = [0.0 for _ in site.workloads], [1.0 for _ in site.workloads]
+        self.latency_ratios, self.normalized_latencies = (
+            [Histogram(LATENCY_EDGES) for _ in site.workloads],
+            Histogram(LATENCY_EDGES),
+        )
+        self.median_latency, self.pressure_until, self.interval_end = 1.0, 0.0, now + INTERVAL_MS
+        # How far latency spreads without pressure is not known yet: the highest threshold is assumed.
+        self.calm_median, self.pressure_threshold, self.thread_demand = (
+            0.0,
+            PRESSURE_RATIO * PRESSURE_RATIO,
+            0.0,
+        )
+        self.offered_work, self.offered_work_time = 0.0, 0.0
+        admission = (self.deadline_stage, self.quota_stage, self.order_stage)
+        self.stages = (*admission, self.queue_stage, self.choice_stage, self.attempt_stage)
+        adapter.set_timer(TICK_MS, TICK_TIMER)
         if not site.list_pushed:
             adapter.watch()
 
     def list_changed(self, now: float, lines: Sequence[ListedEngine], whole: bool) -> None:
+        """Apply the list of engines or some lines of it; new and restarted engines begin anew."""
         self.now = now
         for number in (self.engines.keys() - {line.engine for line in lines}) if whole else ():
-            self.engines[number].line = self.engines[number].line._replace(life=Life.GONE)
+            self.engines[number].listed = self.engines[number].listed._replace(life=Life.GONE)
         for line in lines:
             engine = self.engines.get(line.engine) or Engine(line, self.cores, now)
-            if line.engine not in self.engines or line.started != engine.line.started:
-                engine.start_over(START_THREADS * engine.cores * self.own / self.all)
-                engine.aside_until, engine.trial, engine.luck = 0.0, False, self.chance.draw()
+            if line.engine not in self.engines or line.started != engine.listed.started:
+                engine.reset_statistics(
+                    INITIAL_LIMIT_PER_CORE * engine.cores * self.own_in_flight / self.fleet_in_flight
+                )
+                engine.ejected_until, engine.half_open_probe, engine.admission_draw = (
+                    0.0,
+                    False,
+                    self.chance.draw(),
+                )
                 part = self.chance.draw() if line.started else 0.0
-                engine.be_cold(line.started + self.cold_for if line.started else 0.0, now, part)
+                engine.begin_slow_start(line.started + self.slow_start_ms if line.started else 0.0, now, part)
                 # What we sent before our own restart is unknown: the budget counts as spent for one window.
-                engine.cold_sends.append((self.began, self.cold_budget * engine.cores))
-            engine.line = line
+                engine.cold_sends.append((self.started_at, self.slow_start_budget * engine.cores))
+            engine.listed = line
             self.engines[line.engine] = engine
-        self.ready = [engine for engine in self.engines.values() if engine.line.life == Life.READY]
+        self.ready = [engine for engine in self.engines.values() if engine.listed.life == Life.READY]
 
     def shutdown_started(self, now: float, until: float) -> None:
-        """A planned restart: whatever is taken, now or later, is answered by then."""
-        self.now, self.until = now, until
-        for s in self.open.values():
-            s.deadline = min(s.deadline, until)
+        """Begin a graceful shutdown: every request, open or still to come, is answered by then."""
+        self.now, self.shutdown_deadline = now, until
+        for request in self.open_requests.values():
+            request.deadline = min(request.deadline, until)
 
     def capacity_shares_changed(self, now: float, cold: float, start: float) -> None:
-        """Dispatchers that stand in for one another: our parts, of all, of cold budgets and of the start of
-        n*."""
-        self.now, self.cold_budget = now, self.cold_whole * cold
-        if start != self.share:  # the next interval moves each n* by the difference
-            self.share, self.own, self.all = start, start, 1.0
+        """Set our parts of slow-start budgets and initial limits: dispatchers stand in for one another."""
+        self.now, self.slow_start_budget = now, self.fleet_slow_start_budget * cold
+        if start != self.even_share:  # the next interval moves each limit by the difference
+            self.even_share, self.own_in_flight, self.fleet_in_flight = start, start, 1.0
 
     def engine_suspected(self, now: float, number: int, left: float) -> None:
-        """Who held our address before had set this engine aside: it is tried before it gets its full part."""
-        self.now, e = now, self.engines.get(number)
-        if e is not None and e.aside_until <= now and not e.trial:
-            aside = sum(other.aside_until > now or other.trial for other in self.ready)
-            if 2 * (aside + 1) < len(self.ready):
-                e.aside_until, e.trial = now + min(left, ASIDE + ASIDE_RANDOM), True
+        """Eject an engine that the previous holder of our address had ejected, until a probe succeeds."""
+        self.now, engine = now, self.engines.get(number)
+        if engine is not None and engine.ejected_until <= now and not engine.half_open_probe:
+            ejected = sum(other.ejected_until > now or other.half_open_probe for other in self.ready)
+            if 2 * (ejected + 1) < len(self.ready):
+                engine.ejected_until, engine.half_open_probe = (
+                    now + min(left, EJECTION_MS + EJECTION_JITTER_MS),
+                    True,
+                )
 
     def list_failed(self, now: float) -> None:
-        self.adapter.set_timer(500.0 + 1000.0 * self.chance.draw(), WAKE_WATCH)
+        """Ask for the list again after 0.5 to 1.5 s: many dispatchers must not ask at once."""
+        self.adapter.set_timer(500.0 + 1000.0 * self.chance.draw(), WATCH_TIMER)
 
     def list_known(self, at: float) -> None:
+        """Note that the list read at the start was current at that time."""
         self.freshness.known(at)
 
     def list_asked(self, now: float) -> float:
+        """Note that a query for the list has left; the result is the ms until it is repeated."""
         self.freshness.asked(now)
         return self.freshness.repeat_after(self.chance.draw())
 
     def name_service_changed(self) -> None:
+        """Note that another name service is queried from now on."""
         self.freshness.moved()
 
     def list_answered(self, now: float, asked_at: float, verdict: Verdict) -> bool:
+        """Note an answer to the query that left then; True if another query is to leave soon."""
         self.freshness.answered(now, asked_at, verdict)
         return self.freshness.is_settling()
 
@@ -245,248 +461,362 @@
         memory: float,
         group: int,
     ) -> None:
+        """Estimate a new request, open it, and run it through the stages.
+
+        Without an estimate, its cost is the mean of its workload; before there is one, a quarter of the
+        objective.
+        """
         self.now = now
-        w, usual, estimated = self.workloads[kind], self.usual[kind], cost > 0
-        charge = self.cold_work[kind].add(cost) if estimated else self.cold_work[kind].value
-        charge = max(charge, cost) if cost > self.heavy else charge
-        cost = cost or usual or w.objective / 4
-        self.usual[kind] = usual + (cost - usual) / 30 if usual else cost
-        due = cost / w.threads * self.best[kind]
-        cheap = w.threads == 1 and cost <= CHEAP_MARK * min(usual or cost for usual in self.usual)
-        key, deadline = key if w.in_order else 0, min(deadline, self.until)
-        objective = now + w.objective + w.stretch * due
-        s: Request = state.Request(
-            number, kind, tenant, key, deadline, cost, memory, group, now, w, due, objective, w.value, cheap
-        )
-        s.charge, s.estimated = charge, estimated
-        self.open[number] = s
-        self.asked += cost * min(1.0, self.best[kind])
-        self.taken_times.append(now)
-        credit = self.further_credit + FURTHER_EACH + FURTHER_SUCCESS * self.further_won.quantile(0.5)
-        self.further_credit = min(FURTHER_MOST, credit)
-        self.pass_on(s)
-
-    def pass_on(self, s: Request, first: int = 0) -> bool:
-        return all(stage(s) for stage in self.chain[first:])
-
-    def duty_stage(self, s: Request) -> bool:
-        if self.now >= s.deadline - LAST_MOMENT:
-            self.end(s, EndReason.NO_TIME)
-        return not s.closed
-
-    def share_stage(self, s: Request) -> bool:
-        """A tenant beyond its share is not shed for that: what it sends weighs less in the held line."""
-        if s.tenant < len(self.quotas) and self.credit[s.tenant] < 1.0:
-            s.value, s.cheap = s.value * self.over_share, False
-        elif s.tenant < len(self.quotas):
-            self.credit[s.tenant] -= 1.0
+        workload, mean_cost, estimated = self.workloads[kind], self.mean_costs[kind], cost > 0
+        charge = self.mean_work[kind].add(cost) if estimated else self.mean_work[kind].value
+        charge = max(charge, cost) if cost > self.heavy_cold_work else charge
+        cost = cost or mean_cost or workload.objective / 4
+        self.mean_costs[kind] = mean_cost + (cost - mean_cost) / 30 if mean_cost else cost
+        best_case = cost / workload.threads * self.baseline_latency[kind]
+        cheap = workload.threads == 1 and cost <= CHEAP_COST_RATIO * min(
+            mean or cost for mean in self.mean_costs
+        )
+        key, deadline = key if workload.in_order else 0, min(deadline, self.shutdown_deadline)
+        objective = now + workload.objective + workload.stretch * best_case
+        request: Request = state.Request(
+            number,
+            kind,
+            tenant,
+            key,
+            deadline,
+            cost,
+            memory,
+            group,
+            now,
+            workload,
+            best_case,
+            objective,
+            workload.value,
+            cheap,
+        )
+        request.charge, request.estimated = charge, estimated
+        self.open_requests[number] = request
+        self.offered_work += cost * min(1.0, self.baseline_latency[kind])
+        self.request_times.append(now)
+        credit = (
+            self.retry_budget
+            + RETRY_BUDGET_PER_REQUEST
+            + RETRY_BUDGET_BY_SUCCESS * self.retry_successes.quantile(0.5)
+        )
+        self.retry_budget = min(MAX_RETRY_BUDGET, credit)
+        self.run_stages(request)
+
+    def run_stages(self, request: Request, first: int = 0) -> bool:
+        """Run the stages from this one on, until one does not pass the request on."""
+        return all(stage(request) for stage in self.stages[first:])
+
+    def deadline_stage(self, request: Request) -> bool:
+        """End a request whose deadline leaves no time for an attempt."""
+        if self.now >= request.deadline - MIN_TIME_LEFT_MS:
+            self.end(request, EndReason.NO_TIME)
+        return not request.closed
+
+    def quota_stage(self, request: Request) -> bool:
+        """Lower the value of a request of a tenant over its quota; it is queued further back and not shed."""
+        if request.tenant < len(self.quotas) and self.quota_credit[request.tenant] < 1.0:
+            request.value, request.cheap = request.value * self.over_quota_value, False
+        elif request.tenant < len(self.quotas):
+            self.quota_credit[request.tenant] -= 1.0
         return True
 
-    def order_stage(self, s: Request) -> bool:
-        if s.key:
-            self.lines.setdefault(s.key, deque()).append(s)
+    def order_stage(self, request: Request) -> bool:
+        """Enter a request that has a key into the queue of its key."""
+        if request.key:
+            self.ordered_queues.setdefault(request.key, deque()).append(request)
         return True
 
-    def line_stage(self, s: Request) -> bool:
-        """Cheap ones pass the held line; the others stand in it by aged cost per utility."""
-        s.rank = self.rank(s)
-        if s.cheap or not self.held:
-            s.engine = self.choose(s, fewest=s.cheap)
-        if s.engine is None:
-            insort(self.held, s, key=lambda held: held.rank)
-        return s.engine is not None
-
-    def rank(self, s: Request) -> tuple[float, int]:
-        """Cost per utility, aged; one that will be late has lost utility, and its age."""
-        value = s.value * (s.workload.late_value if s.late else 1.0)
-        return self.now + COST_WEIGHT * s.best_case * s.workload.threads / max(1e-6, value), s.number
-
-    def choice_stage(self, s: Request) -> bool:
-        s.engine = s.engine or self.choose(s, fewest=False)
-        return s.engine is not None
-
-    def attempt_stage(self, s: Request) -> bool:
-        engine = s.engine
+    def queue_stage(self, request: Request) -> bool:
+        """Queue a request unless an engine admits it now.
+
+        Only cheap requests may pass those that wait; the others queue by aged cost per value.
+        """
+        request.rank = self.rank(request)
+        if request.cheap or not self.wait_queue:
+            request.engine = self.choose(request, fewest=request.cheap)
+        if request.engine is None:
+            insort(self.wait_queue, request, key=lambda queued: queued.rank)
+        return request.engine is not None
+
+    def rank(self, request: Request) -> tuple[float, int]:
+        """Place in the wait queue: the lowest time of arrival plus weighted cost per value leaves first.
+
+        A request that will be late has its late value, and is ranked as if it came now.
+        """
+        value = request.value * (request.workload.late_value if request.late else 1.0)
+        return self.now + COST_WEIGHT * request.best_case * request.workload.threads / max(
+            1e-6, value
+        ), request.number
+
+    def choice_stage(self, request: Request) -> bool:
+        """Choose an engine, unless the queue stage did; without one, the request stays queued."""
+        request.engine = request.engine or self.choose(request, fewest=False)
+        return request.engine is not None
+
+    def attempt_stage(self, request: Request) -> bool:
+        """Send the request to the chosen engine, and book the attempt."""
+        engine = request.engine
         assert engine is not None
-        attempt = state.Attempt(s, s.made, engine, self.now, self.now, engine.line.started)
-        s.out[s.made] = engine.out[s.number, s.made] = attempt
-        s.made, s.engine = s.made + 1, None
-        engine.threads += s.workload.threads
-        engine.most = max(engine.most, engine.threads)
-        if attempt.number > s.never_sent:
-            self.further_times.append(self.now)
-            self.further_credit -= 1.0
-        elif self.priorities or self.grant:
-            self.adapter.terms(s.number, self.grant * s.memory, CHEAP_PRIORITY if s.cheap else HEAVY_PRIORITY)
-        if engine.warm_at > self.now:
-            attempt.cold = s.charge
+        attempt = state.Attempt(request, request.made, engine, self.now, self.now, engine.listed.started)
+        request.out[request.made] = engine.open_attempts[request.number, request.made] = attempt
+        request.made, request.engine = request.made + 1, None
+        engine.in_flight_threads += request.workload.threads
+        engine.peak_threads = max(engine.peak_threads, engine.in_flight_threads)
+        if attempt.number > request.never_sent:
+            self.retry_times.append(self.now)
+            self.retry_budget -= 1.0
+        elif self.priorities or self.grant_ratio:
+            self.adapter.terms(
+                request.number,
+                self.grant_ratio * request.memory,
+                CHEAP_PRIORITY if request.cheap else HEAVY_PRIORITY,
+            )
+        if engine.slow_start_until > self.now:
+            attempt.cold = request.charge
             engine.cold_sends.append((self.now, attempt.cold))
-            engine.cold_spent += attempt.cold
-        engine.answered = engine.answered if len(engine.out) > 1 else self.now
-        self.adapter.send(s.number, engine.number, 0.0)
+            engine.cold_work_sent += attempt.cold
+        engine.last_response = engine.last_response if len(engine.open_attempts) > 1 else self.now
+        self.adapter.send(request.number, engine.number, 0.0)
         return True
 
     def may_send(self, now: float, number: int, attempt: int, engine: int) -> bool:
-        """The last look, where an attempt's first byte leaves later than its choice: dialled for, or held up.
-
-        Covers what came between: a list, a restart, a repeat's end of window, a cold start, the client's
-        leaving, a planned stop. It could only harm where the way is so slow that each look comes too late."""
-        self.now, e = now, self.engines.get(engine)
-        t = e.out.get((number, attempt)) if e is not None else None
+        """Check at send time whether an attempt may still leave: dialling or a full connection delays it.
+
+        Covers what can have happened since the choice: a new list, a restart, the end of a key's retention, a
+        slow start, a withdrawal, a graceful shutdown. It could do harm only if connections are so slow that
+        every attempt fails this check.
+        """
+        self.now, target = now, self.engines.get(engine)
+        open_attempt = target.open_attempts.get((number, attempt)) if target is not None else None
         if (
-            e is None
-            or t is None
-            or t.cancelled
-            or t.request.closed
-            or now >= t.request.deadline
-            or e.line.life != Life.READY
+            target is None
+            or open_attempt is None
+            or open_attempt.cancelled
+            or open_attempt.request.closed
+            or now >= open_attempt.request.deadline
+            or target.listed.life != Life.READY
             or not self.freshness.followed(now)
-            or e.line.started != t.started
-            or not self.may_repeat(t.request)
-            or (now < e.warm_at and not t.cold)
+            or target.listed.started != open_attempt.started
+            or not self.may_repeat(open_attempt.request)
+            or (now < target.slow_start_until and not open_attempt.cold)
         ):
             return False
-        if t.cold and now > t.sent and (t.sent, t.cold) in e.cold_sends:  # it counts from when it leaves
-            e.cold_sends.remove((t.sent, t.cold))
-            e.cold_sends.append((now, t.cold))
+        if (
+            open_attempt.cold
+            and now > open_attempt.sent
+            and (open_attempt.sent, open_attempt.cold) in target.cold_sends
+        ):  # its work counts from when it leaves
+            target.cold_sends.remove((open_attempt.sent, open_attempt.cold))
+            target.cold_sends.append((now, open_attempt.cold))
         return True
 
-    def may_repeat(self, s: Request) -> bool:
-        """Rule 2, idempotent by key: a repeat leaves while the first that may have run is still known."""
+    def may_repeat(self, request: Request) -> bool:
+        """Rule 2: an idempotent-by-key request is repeated only while engines still know its key."""
         return (
-            s.first_send is None
-            or s.workload.effect != Effect.IDEMPOTENT_BY_KEY
-            or self.now < s.first_send.sent + s.workload.key_retention - REPEAT_MARGIN
+            request.first_send is None
+            or request.workload.effect != Effect.IDEMPOTENT_BY_KEY
+            or self.now < request.first_send.sent + request.workload.key_retention - KEY_EXPIRY_MARGIN_MS
         )
 
     def end_batch(self, now: float) -> None:
-        """Held ones leave, lowest aged cost per utility first, each to the engine with most room."""
-        self.now, self.promised, kept, ripe = now, None, list[Request](), False
+        """Send from the wait queue what can be sent, in its order, each to the engine with most free threads.
+
+        The first request that has waited over RESERVE_AFTER_MS reserves an engine, which others then do not
+        get.
+        """
+        self.now, self.reserved_engine, kept, reserved = now, None, list[Request](), False
         doubt = self.freshness.doubt(now)
         if self.list_followed != (doubt is None):
             self.list_followed = doubt is None
             self.adapter.log("list followed again" if doubt is None else f"list not followed: {doubt}")
-        stuck = [False for _ in self.workloads]  # nothing frees room within a turn: one speaks for its kind
-        waiting = iter(self.held)
+        # No threads become free within a batch: where one request finds no engine, others like it find none.
+        blocked = [False for _ in self.workloads]
+        waiting = iter(self.wait_queue)
         try:
-            for s in waiting:
-                if s.closed or (not stuck[s.kind] and self.pass_on(s, self.chain.index(self.choice_stage))):
+            for request in waiting:
+                if request.closed or (
+                    not blocked[request.kind]
+                    and self.run_stages(request, self.stages.index(self.choice_stage))
+                ):
                     continue
-                kept.append(s)
-                stuck[s.kind] |= not s.made and self.in_turn(s)
-                if not ripe and now - s.received > RIPE and self.in_turn(s):
-                    ripe = True
-                    wide = [e for e in self.allowed(s) if e.bound >= s.workload.threads]
-                    self.promised = max(wide, key=Engine.room, default=None)
-        finally:  # also after a fault at one of them: what was sent is not held any more
-            self.held = kept + list(waiting)
-
-    # The choice of engine, with its guards and the bound.
-
-    def choose(self, s: Request, fewest: bool) -> Engine | None:
-        if not self.in_turn(s) or (s.made > s.never_sent and not self.may_go_further()):
+                kept.append(request)
+                blocked[request.kind] |= not request.made and self.is_next_for_key(request)
+                if (
+                    not reserved
+                    and now - request.received > RESERVE_AFTER_MS
+                    and self.is_next_for_key(request)
+                ):
+                    reserved = True
+                    wide_enough = [
+                        engine
+                        for engine in self.eligible_engines(request)
+                        if engine.concurrency_limit >= request.workload.threads
+                    ]
+                    self.reserved_engine = max(wide_enough, key=Engine.free_threads, default=None)
+        finally:  # also after a fault at one of them: what was sent is not queued any more
+            self.wait_queue = kept + list(waiting)
+
+    # The choice of an engine: eligibility, slow start, concurrency limit, retry budget.
+
+    def choose(self, request: Request, fewest: bool) -> Engine | None:
+        """Choose an engine for a request, or None if it must wait.
+
+        Of the eligible engines that admit it, the one with most free threads, or with fewest in-flight
+        threads a core if `fewest`; ties go to the lower normalized latency of two drawn by chance.
+        """
+        if not self.is_next_for_key(request) or (request.made > request.never_sent and not self.may_retry()):
             return None
         if not self.freshness.followed(self.now):
             return None
-        w, engines = s.workload, self.allowed(s)
+        workload, engines = request.workload, self.eligible_engines(request)
         if not engines:
             return None
-        if s.failed_engines:  # further attempts go elsewhere
-            engines = [e for e in engines if e not in s.failed_engines] or engines
-        after, bounds = w.threads + sum(e.threads for e in self.ready), sum(e.bound for e in self.ready)
-        # So much out is pressure before answers show it (a burst, a held line let go). Where n* is under one
-        # request engines fill unevenly, and those that page bear no more than n*.
-        beyond = 1.0 if self.pages and bounds < self.widest * len(self.ready) else UNSEEN
-        calm = self.now >= self.pressed_until and after <= max(beyond * bounds + self.spare, w.threads)
-        even = after <= max(bounds + self.spare, w.threads)  # chance overshoots n* where widths mix
-        engines = [e for e in engines if e is not self.promised and self.admits(e, w.threads, calm, even)]
-        if w.waits_for_loads or w.holds_tables:
-            engines = [e for e in engines if not self.stands(e, s.group)] or engines
-        # Where n* is under one request ties are the rule: fewer attempts out, then better pace of two drawn.
-        # One that fails at once has fewest out: its errors since it last delivered count as threads.
-        # A cold one whose part has come together first: left to chance, most of it would go unused.
+        if request.failed_engines:  # retries go elsewhere
+            engines = [engine for engine in engines if engine not in request.failed_engines] or engines
+        threads_after, limits = (
+            workload.threads + sum(engine.in_flight_threads for engine in self.ready),
+            sum(engine.concurrency_limit for engine in self.ready),
+        )
+        # So much in flight is pressure before answers show it (a burst, a wait queue that is released).
+        # Limits below one request fill engines unevenly, and engines that page can do no more than their
+        # limit.
+        burst_ratio = 1.0 if self.pages and limits < self.widest_request * len(self.ready) else BURST_RATIO
+        calm = self.now >= self.pressure_until and threads_after <= max(
+            burst_ratio * limits + self.burst_allowance, workload.threads
+        )
+        # Randomized admission overshoots the limits where widths mix: it needs room in the sum of all limits.
+        within = threads_after <= max(limits + self.burst_allowance, workload.threads)
+        engines = [
+            engine
+            for engine in engines
+            if engine is not self.reserved_engine and self.admits(engine, workload.threads, calm, within)
+        ]
+        if workload.waits_for_loads or workload.holds_tables:
+            engines = [engine for engine in engines if not self.load_blocks(engine, request.group)] or engines
+        # Where the limit is below one request ties are the rule: fewer open attempts, then the lower latency
+        # of two drawn by chance. An engine that fails at once has fewest in flight: its recent errors count
+        # as threads. A cold engine whose credit suffices for a request goes first: left to chance, most
+        # credit would go unused.
         ranks = [
             (
-                -(e.threads + e.errors) / e.cores if fewest else e.room(),
-                e.warm_at > self.now and self.cold_budget * e.cores < s.charge,
-                -len(e.out) if e.bound < w.threads else 0,
+                -(engine.in_flight_threads + engine.recent_errors) / engine.cores
+                if fewest
+                else engine.free_threads(),
+                engine.slow_start_until > self.now and self.slow_start_budget * engine.cores < request.charge,
+                -len(engine.open_attempts) if engine.concurrency_limit < workload.threads else 0,
             )
-            for e in engines
+            for engine in engines
         ]
         top = max(ranks, default=None)
-        best = [e for e, rank in zip(engines, ranks, strict=True) if rank == top]
-        two = best[:2] if best and best[0].bound < w.threads else best[:1]
-        return min((self.chance.pick(best) for _ in two), key=lambda e: e.slowness, default=None)
-
-    def in_turn(self, s: Request) -> bool:
-        """Rule 5: those of one key run one at a time, in the order taken, and rest after a doubtful end."""
-        return not s.key or (self.lines[s.key][0] is s and self.now >= self.rests.get(s.key, 0.0))
-
-    def allowed(self, s: Request) -> list[Engine]:
-        """Rules 2, 3, 4 and 6, and health: where this request may go now."""
-        w, now, ran = (
-            s.workload,
+        best = [engine for engine, rank in zip(engines, ranks, strict=True) if rank == top]
+        draws = best[:2] if best and best[0].concurrency_limit < workload.threads else best[:1]
+        return min(
+            (self.chance.pick(best) for _ in draws),
+            key=lambda engine: engine.normalized_latency,
+            default=None,
+        )
+
+    def is_next_for_key(self, request: Request) -> bool:
+        """Rule 5: requests of a key run one at a time, in order, and pause after an uncertain end."""
+        return not request.key or (
+            self.ordered_queues[request.key][0] is request
+            and self.now >= self.key_paused_until.get(request.key, 0.0)
+        )
+
+    def eligible_engines(self, request: Request) -> list[Engine]:
+        """Rules 2, 3, 4 and 6, and outlier ejection: the engines to which a request may go now."""
+        workload, now, ran = (
+            request.workload,
             self.now,
-            s.first_send if s.workload.effect == Effect.IDEMPOTENT_BY_KEY else None,
+            request.first_send if request.workload.effect == Effect.IDEMPOTENT_BY_KEY else None,
         )
-        if not self.may_repeat(s):
+        if not self.may_repeat(request):
             return []
         return [
-            e
-            for e in self.ready
-            if now >= e.aside_until
-            and not (e.trial and (e.out or w.effect != Effect.IDEMPOTENT))
-            and (now >= e.warm_at or self.bears(e, s.charge))
-            and (w.zones is None or e.line.zone in w.zones)
-            and (w.kinds is None or e.line.kind in w.kinds)
-            and not (ran and w.reach == Reach.ZONE and e.line.zone != ran.engine.line.zone)
-            and not (ran and w.reach == Reach.CELL and e.line.cell != ran.engine.line.cell)
+            engine
+            for engine in self.ready
+            if now >= engine.ejected_until
+            and not (
+                engine.half_open_probe and (engine.open_attempts or workload.effect != Effect.IDEMPOTENT)
+            )
+            and (now >= engine.slow_start_until or self.fits_slow_start(engine, request.charge))
+            and (workload.zones is None or engine.listed.zone in workload.zones)
+            and (workload.kinds is None or engine.listed.kind in workload.kinds)
+            and not (ran and workload.reach == Reach.ZONE and engine.listed.zone != ran.engine.listed.zone)
+            and not (ran and workload.reach == Reach.CELL and engine.listed.cell != ran.engine.listed.cell)
         ]
 
-    def bears(self, engine: Engine, work: float) -> bool:
-        """Rule 4: our share of what a cold engine bears in any window, by the workload's mean work."""
-        if not self.cold_window:  # the deployment names no such rule
+    def fits_slow_start(self, engine: Engine, work: float) -> bool:
+        """Rule 4: whether work (ms) fits into our share of what a cold engine may get in any window.
+
+        The share may be smaller than one request. A light one then goes once enough credit has accrued.
+        Credit starts at a random part of a request, so that in sum over all dispatchers the shares are sent
+        and no more. It expires after a window: else, where the fleet was idle, a burst would send all of it
+        at once.
+        """
+        if not self.slow_start_window:  # the deployment names no such limit
             return True
-        while engine.cold_sends and engine.cold_sends[0][0] <= self.now - self.cold_window:
+        while engine.cold_sends and engine.cold_sends[0][0] <= self.now - self.slow_start_window:
             engine.cold_sends.popleft()
-        budget, sent = self.cold_budget * engine.cores, sum(sent for _, sent in engine.cold_sends)
-        # Our share may be under one request: a light one then goes once it has come together, from a part
-        # drawn at the start, so that in sum over all dispatchers the shares are sent and no more. What came
-        # together lapses after a window: where the fleet was idle, a burst would send all of it at once.
-        passed = (self.now - engine.cold_from) / self.cold_window
-        part = engine.cold_part * work + budget * passed - engine.cold_spent
-        if part >= work:
-            kept = part % work + (work if part % work < budget else 0.0)
-            engine.cold_spent, part = engine.cold_spent + part - kept, kept
-        return work + sent <= budget or (work <= self.light * engine.cores and not sent and part >= work)
-
-    def admits(self, engine: Engine, threads: int, calm: bool, even: bool) -> bool:
-        """The bound binds only under pressure; below one query's threads it is a matter of chance."""
-        after = engine.threads + threads
-        calm = calm and self.now >= engine.pressed_until and engine.slowness <= self.pressing
-        if after <= engine.bound or (calm and (not engine.threads or after <= UNSEEN * engine.bound)):
+        budget, sent = self.slow_start_budget * engine.cores, sum(sent for _, sent in engine.cold_sends)
+        windows = (self.now - engine.slow_start_began) / self.slow_start_window
+        credit = engine.initial_cold_credit * work + budget * windows - engine.cold_work_sent
+        if credit >= work:
+            kept = credit % work + (work if credit % work < budget else 0.0)
+            engine.cold_work_sent, credit = engine.cold_work_sent + credit - kept, kept
+        return work + sent <= budget or (
+            work <= self.light_cold_work * engine.cores and not sent and credit >= work
+        )
+
+    def admits(self, engine: Engine, threads: int, calm: bool, within: bool) -> bool:
+        """Whether the concurrency limit lets so many threads start.
+
+        The limit binds only under pressure; without it, an engine takes a request if it has none of ours, or
+        up to BURST_RATIO of the limit. Where the limit is below one request's threads, admission is random:
+        the chance is the limit over the threads, drawn once an interval, so that in sum over all dispatchers
+        the limit holds.
+        """
+        after = engine.in_flight_threads + threads
+        calm = (
+            calm
+            and self.now >= engine.pressure_until
+            and engine.normalized_latency <= self.pressure_threshold
+        )
+        if after <= engine.concurrency_limit or (
+            calm and (not engine.in_flight_threads or after <= BURST_RATIO * engine.concurrency_limit)
+        ):
             return True
-        return even and engine.bound < threads and not engine.out and engine.luck < engine.bound / threads
+        return (
+            within
+            and engine.concurrency_limit < threads
+            and not engine.open_attempts
+            and engine.admission_draw < engine.concurrency_limit / threads
+        )
 
-    def stands(self, engine: Engine, group: int) -> bool:
-        """A load of ours holds that group of tables there, or one of ours stands still behind another's."""
+    def load_blocks(self, engine: Engine, group: int) -> bool:
+        """Whether a load of ours holds that group of tables there, or one of ours waits for another load."""
         return any(
-            t.request.group == group and (t.request.workload.holds_tables or t.stands)
-            for t in engine.out.values()
+            attempt.request.group == group and (attempt.request.workload.holds_tables or attempt.stands)
+            for attempt in engine.open_attempts.values()
         )
 
-    def may_go_further(self) -> bool:
-        """Rule 7, and our own credit, which follows how many of the recent further attempts succeeded."""
-        self.forget_times()
-        most = self.retry_floor + self.retry_ratio * len(self.taken_times)
-        return self.further_credit >= 1.0 and len(self.further_times) + 1 <= most
+    def may_retry(self) -> bool:
+        """Rule 7, and our own retry budget, which grows with the part of recent retries that succeeded."""
+        self.trim_retry_window()
+        most = self.retry_floor + self.retry_ratio * len(self.request_times)
+        return self.retry_budget >= 1.0 and len(self.retry_times) + 1 <= most
 
-    def forget_times(self) -> None:
-        for times in (self.taken_times, self.further_times):
+    def trim_retry_window(self) -> None:
+        """Forget requests and retries that are older than the retry window."""
+        for times in (self.request_times, self.retry_times):
             while times and times[0] <= self.now - self.retry_window:
                 times.popleft()
 
-    # What comes back: attempt, engine, order, then the answer owed.
+    # Ends of attempts and requests.
 
     def attempt_ended(
         self,
@@ -501,77 +831,93 @@
         memory: float,
         report: Sequence[float],
     ) -> None:
-        self.now, e = now, self.engines[engine]
-        t = e.out.pop((number, attempt))
-        s = t.request
-        e.stand(t, False)
-        del s.out[attempt]
+        """Account for an attempt that has ended, and answer or retry its request.
+
+        The attempt leaves its engine's counts, its outcome changes what is known of the engine, and the queue
+        of its key may pause; then the request is closed, ended, or runs through the stages from the wait
+        queue on again.
+        """
+        self.now, target = now, self.engines[engine]
+        open_attempt = target.open_attempts.pop((number, attempt))
+        request = open_attempt.request
+        target.set_waiting(open_attempt, False)
+        del request.out[attempt]
         if ending == Ending.TIME_OUT and not self.may_cancel:
-            # Its work runs on unseen; counted as gone, it lets a jam grow (slow engine, paging, lost answer).
-            e.ghosts.append((now + GHOST * took, s.workload.threads))
+            # Its work runs on; counted as gone, it would let an overload grow (slow engine, paging, lost
+            # answer).
+            target.abandoned_work.append((now + ABANDONED_WORK_RATIO * took, request.workload.threads))
         else:
-            e.threads -= s.workload.threads
+            target.in_flight_threads -= request.workload.threads
         if ending not in NEVER_RAN:
-            s.first_send = s.first_send or state.SendRecord(t.sent, e)
-        s.never_sent += ending in (Ending.MOOT, Ending.CONNECT_TIMEOUT)
+            request.first_send = request.first_send or state.SendRecord(open_attempt.sent, target)
+        request.never_sent += ending in (Ending.MOOT, Ending.CONNECT_TIMEOUT)
         if attempt:
-            self.further_won.add(1.0 if ending == Ending.DELIVERED else 0.0)
-        if report and self.load_field is not None:  # our share of what engines hold tells our share of sends
-            here = len(e.out) + 1  # this one with them: sent where we have fewest, it is often the only one
-            self.own, self.all = self.own + here, self.all + max(here, report[self.load_field])
-        self.judge(e, t, ending, took, work)
-        if s.key and ending in (Ending.TIME_OUT, Ending.RESET, Ending.CALLED_OFF):
-            self.rests[s.key] = now + self.order_pause
-        if final or s.closed:
-            self.close(s)
-        elif (reason := self.reason_to_end(s, ending)) is not None:
-            self.end(s, reason)
-        elif not s.out:
-            s.failed_engines.append(e)
-            self.pass_on(s, self.chain.index(self.line_stage))
-
-    def reason_to_end(self, s: Request, ending: Ending) -> EndReason | None:
+            self.retry_successes.add(1.0 if ending == Ending.DELIVERED else 0.0)
+        if report and self.load_field is not None:  # our share of what engines hold is our share of sends
+            # With this one, which is often our only one there: requests go where we have fewest.
+            here = len(target.open_attempts) + 1
+            self.own_in_flight, self.fleet_in_flight = (
+                self.own_in_flight + here,
+                self.fleet_in_flight + max(here, report[self.load_field]),
+            )
+        self.record_outcome(target, open_attempt, ending, took, work)
+        if request.key and ending in (Ending.TIME_OUT, Ending.RESET, Ending.CALLED_OFF):
+            self.key_paused_until[request.key] = now + self.order_pause
+        if final or request.closed:
+            self.close(request)
+        elif (reason := self.reason_to_end(request, ending)) is not None:
+            self.end(request, reason)
+        elif not request.out:
+            request.failed_engines.append(target)
+            self.run_stages(request, self.stages.index(self.queue_stage))
+
+    def reason_to_end(self, request: Request, ending: Ending) -> EndReason | None:
         """Why a request whose attempt has just ended without a result is not tried again, or None."""
-        if self.now >= s.deadline - 1.0:
+        if self.now >= request.deadline - 1.0:
             return EndReason.NO_TIME
-        if s.out:
+        if request.out:
             return None
         reasons = {
-            EndReason.ERRORS: len(s.erring_engines) > 1,  # it fails anywhere
-            EndReason.NO_TIME: self.now >= s.deadline - LAST_MOMENT,
+            EndReason.ERRORS: len(request.erring_engines) > 1,  # it fails anywhere
+            EndReason.NO_TIME: self.now >= request.deadline - MIN_TIME_LEFT_MS,
             EndReason.TIMED_OUT: ending == Ending.TIME_OUT,
-            EndReason.ATTEMPTS: s.made >= self.max_attempts + min(s.never_sent, MOST_UNSENT),
-            EndReason.BUDGET: self.further_credit < 1.0,
-            EndReason.MAY_HAVE_RUN: s.first_send is not None and s.workload.effect == Effect.NON_IDEMPOTENT,
+            EndReason.ATTEMPTS: request.made
+            >= self.max_attempts + min(request.never_sent, MAX_UNCOUNTED_ATTEMPTS),
+            EndReason.BUDGET: self.retry_budget < 1.0,
+            EndReason.MAY_HAVE_RUN: request.first_send is not None
+            and request.workload.effect == Effect.NON_IDEMPOTENT,
         }
         return next((reason for reason, holds in reasons.items() if holds), None)
 
     def request_withdrawn(self, now: float, number: int) -> None:
+        """Cancel a request's attempts and forget it: its client wants no answer."""
         self.now = now
-        if (s := self.open.get(number)) is not None:
-            self.cancel_attempts(list(s.out.values()))
-            self.close(s)
-
-    def end(self, s: Request, reason: EndReason) -> None:
-        """Shed where trying again is harmless, broken off where it may not be."""
-        w = s.workload
-        harmless = w.effect == Effect.IDEMPOTENT or (
-            w.effect == Effect.IDEMPOTENT_BY_KEY and w.reach == Reach.ALL
-        )
-        if harmless or not (s.first_send or s.out):
-            self.adapter.shed(s.number, self.retry_after, reason)
+        if (request := self.open_requests.get(number)) is not None:
+            self.cancel_attempts(list(request.out.values()))
+            self.close(request)
+
+    def end(self, request: Request, reason: EndReason) -> None:
+        """End a request without a result: shed if the client may safely send it again, else failed."""
+        workload = request.workload
+        harmless = workload.effect == Effect.IDEMPOTENT or (
+            workload.effect == Effect.IDEMPOTENT_BY_KEY and workload.reach == Reach.ALL
+        )
+        if harmless or not (request.first_send or request.out):
+            self.adapter.shed(request.number, self.max_retry_after, reason)
         else:
-            self.adapter.fail_request(s.number, reason)
-        self.cancel_attempts(list(s.out.values()))
-        self.close(s)
+            self.adapter.fail_request(request.number, reason)
+        self.cancel_attempts(list(request.out.values()))
+        self.close(request)
 
-    def close(self, s: Request) -> None:
-        s.closed = True
-        self.open.pop(s.number, None)
-        if s.key and not s.out and s in self.lines.get(s.key, ()):
-            self.lines[s.key].remove(s)
+    def close(self, request: Request) -> None:
+        """Forget a request that has got its answer or needs none."""
+        request.closed = True
+        self.open_requests.pop(request.number, None)
+        if request.key and not request.out and request in self.ordered_queues.get(request.key, ()):
+            self.ordered_queues[request.key].remove(request)
 
     def cancel_attempts(self, attempts: list[Attempt]) -> None:
+        """Cancel attempts, where engines can cancel work."""
         for attempt in [attempt for attempt in attempts if self.may_cancel and not attempt.cancelled]:
             attempt.cancelled = True
             self.adapter.cancel_attempt(attempt.request.number, attempt.number)
@@ -579,202 +925,320 @@
     # Time, measurements and health.
 
     def timer_fired(self, now: float, token: int) -> None:
+        """Ask for the list, or run the tick: refill quotas, check engines and queue, close an interval."""
         self.now = now
-        if token == WAKE_WATCH:
+        if token == WATCH_TIMER:
             self.adapter.watch()
         else:
-            self.adapter.set_timer(TICK, WAKE_TICK)
-            self.credit = [min(c + q * TICK, q * 1000) for c, q in zip(self.credit, self.quotas, strict=True)]
-            self.watch_engines()
-            self.watch_held()
-            if now >= self.next_interval:
-                self.next_interval += INTERVAL
+            self.adapter.set_timer(TICK_MS, TICK_TIMER)
+            self.quota_credit = [
+                min(credit + quota * TICK_MS, quota * 1000)
+                for credit, quota in zip(self.quota_credit, self.quotas, strict=True)
+            ]
+            self.check_engines()
+            self.check_wait_queue()
+            if now >= self.interval_end:
+                self.interval_end += INTERVAL_MS
                 self.close_interval()
 
-    def watch_held(self) -> None:
-        """What can no longer be worth its wait is answered at once."""
-        for s in [s for s in self.held if not s.closed]:
-            late = (done := self.now + max(LAST_MOMENT, s.best_case * self.middle)) > s.objective
-            if done >= s.deadline:
-                self.end(s, EndReason.NO_TIME)
-            elif late and s.workload.late_value < MIN_LATE_VALUE:
-                self.end(s, EndReason.TOO_LATE)
-            elif late and not s.late:
-                s.late = True
-                s.rank = self.rank(s)
-        self.held = sorted((s for s in self.held if not s.closed), key=lambda held: held.rank)
-        self.demand += sum(s.workload.threads for s in self.held) + sum(e.threads for e in self.ready)
-        while self.held and len(self.open) > CROWDED * self.ways_in:  # or new ones find no way in
-            self.end(self.held.pop(), EndReason.CROWDED)
-
-    def watch_engines(self) -> None:
-        """Looks only where something of ours is out: idle engines cost nothing."""
-        busy = [e for e in self.engines.values() if e.out or e.ghosts]
-        for e in busy:
-            while e.ghosts and e.ghosts[0][0] <= self.now:
-                e.threads -= e.ghosts.popleft()[1]
-            e.overdue = 0
-            for t in e.out.values():
-                age = (self.now - t.sent) / t.request.best_case
-                self.mind(e, t, age / max(1.0, e.slowness))
-                e.overdue += t.request.workload.threads if age > self.pressing and not t.stands else 0
-        late = sum(e.overdue for e in busy) / (sum(e.threads for e in busy) + POOL)
-        if 2 * late > 1 or self.middle > self.pressing:
-            self.pressed_until = self.now + PRESSURE_HOLD
-        for e in busy:
-            if 2 * (e.overdue + POOL * late) > e.threads + POOL:
-                e.pressed_until = self.now + PRESSURE_HOLD
-            quiet = self.now - e.answered
-            # Silence while others answer: a hang, a lost link, answers lost on the way.
+    def check_wait_queue(self) -> None:
+        """End queued requests that can no longer finish in time, and rank late ones anew.
+
+        If clients have almost all of the requests open that they can have, the last of the queue are shed, or
+        new requests could not come in.
+        """
+        for request in [request for request in self.wait_queue if not request.closed]:
+            late = (
+                done := self.now + max(MIN_TIME_LEFT_MS, request.best_case * self.median_latency)
+            ) > request.objective
+            if done >= request.deadline:
+                self.end(request, EndReason.NO_TIME)
+            elif late and request.workload.late_value < MIN_LATE_VALUE:
+                self.end(request, EndReason.TOO_LATE)
+            elif late and not request.late:
+                request.late = True
+                request.rank = self.rank(request)
+        self.wait_queue = sorted(
+            (request for request in self.wait_queue if not request.closed), key=lambda queued: queued.rank
+        )
+        self.thread_demand += sum(request.workload.threads for request in self.wait_queue) + sum(
+            engine.in_flight_threads for engine in self.ready
+        )
+        while self.wait_queue and len(self.open_requests) > MAX_OPEN_RATIO * self.max_open:
+            self.end(self.wait_queue.pop(), EndReason.CROWDED)
+
+    def check_engines(self) -> None:
+        """Look for pressure, lost answers and engines that do not respond.
+
+        Only engines with work of ours are looked at: idle ones cost nothing.
+
+        Pressure, for all engines or for one: most in-flight threads are over the pressure threshold; for all
+        also if the median latency is.
+        """
+        busy = [engine for engine in self.engines.values() if engine.open_attempts or engine.abandoned_work]
+        for engine in busy:
+            while engine.abandoned_work and engine.abandoned_work[0][0] <= self.now:
+                engine.in_flight_threads -= engine.abandoned_work.popleft()[1]
+            engine.overdue_threads = 0
+            for attempt in engine.open_attempts.values():
+                age = (self.now - attempt.sent) / attempt.request.best_case
+                self.check_attempt(engine, attempt, age / max(1.0, engine.normalized_latency))
+                engine.overdue_threads += (
+                    attempt.request.workload.threads
+                    if age > self.pressure_threshold and not attempt.stands
+                    else 0
+                )
+        late = sum(engine.overdue_threads for engine in busy) / (
+            sum(engine.in_flight_threads for engine in busy) + PRIOR_THREADS
+        )
+        if 2 * late > 1 or self.median_latency > self.pressure_threshold:
+            self.pressure_until = self.now + PRESSURE_HOLD_MS
+        for engine in busy:
+            if 2 * (engine.overdue_threads + PRIOR_THREADS * late) > engine.in_flight_threads + PRIOR_THREADS:
+                engine.pressure_until = self.now + PRESSURE_HOLD_MS
+            quiet = self.now - engine.last_response
+            # No response while most engines respond: a hang, a broken link, answers lost on the way.
             if (
-                quiet > SILENCE
-                and sum(quiet > SILENCE_OF_DUE * t.request.best_case * self.middle for t in e.out.values())
-                >= SILENT_ATTEMPTS
+                quiet > NO_RESPONSE_MS
+                and sum(
+                    quiet > NO_RESPONSE_RATIO * attempt.request.best_case * self.median_latency
+                    for attempt in engine.open_attempts.values()
+                )
+                >= NO_RESPONSE_ATTEMPTS
             ):
-                heard = sorted(other.answered for other in self.ready)
-                if heard and heard[len(heard) // 2] > e.answered + SILENCE / 2:
-                    self.set_aside(e, f"silent {quiet:.0f} ms")
+                responses = sorted(other.last_response for other in self.ready)
+                if responses and responses[len(responses) // 2] > engine.last_response + NO_RESPONSE_MS / 2:
+                    self.eject(engine, f"silent {quiet:.0f} ms")
 
-    def mind(self, e: Engine, t: Attempt, times_due: float) -> None:
-        """An attempt with no word while its engine answers others stands still, or its answer is lost."""
-        s, w, quiet = t.request, t.request.workload, self.now - t.last_progress
+    def check_attempt(self, engine: Engine, attempt: Attempt, relative_age: float) -> None:
+        """End a request that is too late to be of use, and find attempts that wait for a load or are lost.
+
+        An attempt without progress while its engine answers others waits for a load, or its answer is lost; a
+        lost one is cancelled if a retry is allowed and can still finish in time.
+        """
+        request, workload, quiet = attempt.request, attempt.request.workload, self.now - attempt.last_progress
         if (
             self.may_cancel
-            and not s.closed
-            and w.effect == Effect.IDEMPOTENT
-            and w.late_value < MIN_LATE_VALUE
-            and self.now > s.received + TOO_LATE * (s.objective - s.received)
+            and not request.closed
+            and workload.effect == Effect.IDEMPOTENT
+            and workload.late_value < MIN_LATE_VALUE
+            and self.now > request.received + TOO_LATE_RATIO * (request.objective - request.received)
         ):
-            self.end(s, EndReason.TOO_LATE)  # its attempt holds an engine for nothing
-        if self.notes:
-            lost = quiet > LOST_NOTES * self.notes
-            e.stand(t, t.stands or lost)
+            self.end(request, EndReason.TOO_LATE)  # its attempt occupies an engine for nothing
+        if self.progress_interval:
+            lost = quiet > LOST_INTERVALS * self.progress_interval
+            engine.set_waiting(attempt, attempt.stands or lost)
         else:
-            lost = quiet > LOST_LEAST and times_due > LOST_DUE and self.now >= self.pressed_until
-            e.stand(t, times_due > STANDS and (w.waits_for_loads or w.holds_tables))
+            lost = quiet > MIN_LOST_MS and relative_age > LOST_RATIO and self.now >= self.pressure_until
+            engine.set_waiting(
+                attempt, relative_age > WAITING_RATIO and (workload.waits_for_loads or workload.holds_tables)
+            )
         if (
             lost
-            and w.effect == Effect.IDEMPOTENT
-            and s.made < self.max_attempts
-            and self.may_go_further()
-            and self.now + s.best_case * self.middle < s.deadline - LAST_MOMENT
+            and workload.effect == Effect.IDEMPOTENT
+            and request.made < self.max_attempts
+            and self.may_retry()
+            and self.now + request.best_case * self.median_latency < request.deadline - MIN_TIME_LEFT_MS
         ):
-            self.cancel_attempts([t])
+            self.cancel_attempts([attempt])
 
     def progress_reported(
         self, now: float, number: int, attempt: int, engine: int, kind: ProgressKind, level: float
     ) -> None:
-        if (e := self.engines.get(engine)) and (t := e.out.get((number, attempt))):
-            t.last_progress = now
-            e.stand(t, kind == ProgressKind.WAITS and level == WAITS_FOR_LOAD)
+        """Note progress of an open attempt, and whether it waits for a load."""
+        if (target := self.engines.get(engine)) and (
+            open_attempt := target.open_attempts.get((number, attempt))
+        ):
+            open_attempt.last_progress = now
+            target.set_waiting(open_attempt, kind == ProgressKind.WAITS and level == WAITS_FOR_LOAD)
             if kind == ProgressKind.PROGRESS and level > 0:
-                e.answered = now
+                target.last_response = now
 
-    def judge(self, e: Engine, t: Attempt, ending: Ending, took: float, work: float) -> None:
-        s = t.request
-        e.errors += ending in (Ending.ERROR, Ending.UNREACHED, Ending.CONNECT_TIMEOUT)
+    def record_outcome(
+        self, engine: Engine, attempt: Attempt, ending: Ending, took: float, work: float
+    ) -> None:
+        """Change an engine's failure score, pressure and measurements by how an attempt ended there."""
+        request = attempt.request
+        engine.recent_errors += ending in (Ending.ERROR, Ending.UNREACHED, Ending.CONNECT_TIMEOUT)
         if ending == Ending.DELIVERED:
-            self.measure(e, t, took, work)
+            self.record_delivery(engine, attempt, took, work)
         elif ending == Ending.FULL:
-            # It has fewest of ours and answers at once: without a rest it would draw all that comes.
-            e.answered, e.pressed_until = self.now, self.now + PRESSURE_HOLD
-            e.aside_until = max(e.aside_until, self.now + FULL_REST * (0.5 + self.chance.draw()))
+            # It has fewest of ours and answers at once: without a pause it would attract every request.
+            engine.last_response, engine.pressure_until = self.now, self.now + PRESSURE_HOLD_MS
+            engine.ejected_until = max(
+                engine.ejected_until, self.now + FULL_BACKOFF_MS * (0.5 + self.chance.draw())
+            )
         elif ending == Ending.ERROR:
-            # Its own fault or the request's: what is idempotent tells by how it fares elsewhere.
-            s.erring_engines.append(e)
-            if s.workload.effect != Effect.IDEMPOTENT:
-                self.strike(e, STRIKE_ERROR)
-        elif ending == Ending.UNREACHED or (ending == Ending.RESET and (self.now != e.struck or not e.out)):
-            # A connection that ends is one strike while others stay up, and no crash: a refusal tells one.
-            self.strike(e, STRIKE_LOST if ending == Ending.UNREACHED else STRIKE_RESET)
-        elif ending == Ending.CONNECT_TIMEOUT:  # a cut link, or a handshake that is late: no crash
-            self.strike(e, STRIKE_ERROR)
-
-    def measure(self, e: Engine, t: Attempt, took: float, work: float) -> None:
-        s, threads = t.request, t.request.workload.threads
-        e.served, e.work = e.served + threads, e.work + s.cost
-        e.answered, e.strikes, e.errors = self.now, 0.0, 0.0
-        if not s.estimated:  # else a guess would count as its work
-            self.cold_work[s.kind].add(took * threads)
-        for erring in s.erring_engines:
-            self.strike(erring, STRIKE_ERROR)
-        ratio = took * threads / (work or s.cost)
-        pace = ratio / self.best[s.kind]
-        self.paces[s.kind].add(ratio, threads)
-        e.pace.add(pace, threads)
-        self.pace.add(pace, threads)
-        self.middle = max(1.0, pooled(self.pace, 1.0))
-        e.slowness = pooled(e.pace, self.middle)
-        if e.trial and pace < SLOW:
-            e.trial = False
-            self.adapter.log(f"engine {e.number} back, pace {pace:.2f}")
-        # Far slower than its peers: a sick machine, a neighbour. All slow at once moves the middle.
-        elif e.slowness > SLOW * self.middle:
-            self.set_aside(e, f"pace {e.slowness:.1f} of {self.middle:.1f}")
-
-    def strike(self, e: Engine, weight: float) -> None:
-        """Covers a crash, a cut link and an engine that fails all it takes, whatever the list says."""
-        e.strikes, e.struck = e.strikes + weight, self.now
-        if e.strikes >= STRIKES or (e.trial and weight > STRIKE_RESET):
-            self.set_aside(e, f"strikes {e.strikes:.1f}")
-            if weight == STRIKE_LOST:  # it comes back cold, even where the list has not told
-                since = max(self.now, e.aside_until)
-                e.be_cold(max(e.warm_at, e.aside_until + self.cold_for), since, self.chance.draw())
-
-    def set_aside(self, e: Engine, why: str) -> None:
-        """For a fixed time and a random part; never most of the fleet."""
-        aside = [other for other in self.ready if other.aside_until > self.now or other.trial]
-        if e.aside_until > self.now or (not e.trial and 2 * (len(aside) + 1) >= len(self.ready)):
+            # The engine's fault or the request's: for an idempotent one, the result on another engine tells.
+            request.erring_engines.append(engine)
+            if request.workload.effect != Effect.IDEMPOTENT:
+                self.add_failure(engine, ERROR_SCORE)
+        elif ending == Ending.UNREACHED or (
+            ending == Ending.RESET and (self.now != engine.last_failure or not engine.open_attempts)
+        ):
+            # A reset connection counts once, however many attempts it ends, while others are open there. It
+            # shows no crash: a refused dial does.
+            self.add_failure(engine, UNREACHED_SCORE if ending == Ending.UNREACHED else RESET_SCORE)
+        elif ending == Ending.CONNECT_TIMEOUT:  # a broken link, or a late handshake: no crash
+            self.add_failure(engine, ERROR_SCORE)
+
+    def record_delivery(self, engine: Engine, attempt: Attempt, took: float, work: float) -> None:
+        """Measure a delivered attempt: throughput, work and latency of its engine.
+
+        The engine is reinstated if it was probed and the latency is normal, or ejected if it is an outlier.
+        The engines at which the same request ended in an error before are found to be at fault.
+        """
+        request, threads = attempt.request, attempt.request.workload.threads
+        engine.served_threads, engine.served_work = (
+            engine.served_threads + threads,
+            engine.served_work + request.cost,
+        )
+        engine.last_response, engine.failure_score, engine.recent_errors = self.now, 0.0, 0.0
+        # Without an estimate, only a guess would count as its work; an estimate has been added on arrival.
+        if not request.estimated:
+            self.mean_work[request.kind].add(took * threads)
+        for erring in request.erring_engines:
+            self.add_failure(erring, ERROR_SCORE)
+        ratio = took * threads / (work or request.cost)
+        latency = ratio / self.baseline_latency[request.kind]
+        self.latency_ratios[request.kind].add(ratio, threads)
+        engine.normalized_latencies.add(latency, threads)
+        self.normalized_latencies.add(latency, threads)
+        self.median_latency = max(1.0, pooled(self.normalized_latencies, 1.0))
+        engine.normalized_latency = pooled(engine.normalized_latencies, self.median_latency)
+        if engine.half_open_probe and latency < OUTLIER_LATENCY_RATIO:
+            engine.half_open_probe = False
+            self.adapter.log(f"engine {engine.number} back, pace {latency:.2f}")
+        # Far slower than its peers: a faulty machine, a noisy neighbour. All slow at once moves the median.
+        elif engine.normalized_latency > OUTLIER_LATENCY_RATIO * self.median_latency:
+            self.eject(engine, f"pace {engine.normalized_latency:.1f} of {self.median_latency:.1f}")
+
+    def add_failure(self, engine: Engine, weight: float) -> None:
+        """Raise the failure score, and eject at EJECTION_SCORE or if the probe of an ejected engine fails.
+
+        Covers a crash, a broken link, and an engine that fails all it gets, whatever the list says.
+        """
+        engine.failure_score, engine.last_failure = engine.failure_score + weight, self.now
+        if engine.failure_score >= EJECTION_SCORE or (engine.half_open_probe and weight > RESET_SCORE):
+            self.eject(engine, f"strikes {engine.failure_score:.1f}")
+            if weight == UNREACHED_SCORE:  # it will be cold, even if the list does not say so
+                since = max(self.now, engine.ejected_until)
+                engine.begin_slow_start(
+                    max(engine.slow_start_until, engine.ejected_until + self.slow_start_ms),
+                    since,
+                    self.chance.draw(),
+                )
+
+    def eject(self, engine: Engine, why: str) -> None:
+        """Eject an engine for a fixed and a random time, and cancel its idempotent attempts.
+
+        Fewer than half of the ready engines are ejected at any time.
+        """
+        peers = [peer for peer in self.ready if peer.ejected_until > self.now or peer.half_open_probe]
+        if engine.ejected_until > self.now or (
+            not engine.half_open_probe and 2 * (len(peers) + 1) >= len(self.ready)
+        ):
             return
-        e.start_over(e.start)
-        e.aside_until, e.trial = self.now + ASIDE + ASIDE_RANDOM * self.chance.draw(), True
-        self.adapter.log(f"engine {e.number} aside: {why}, {len(e.out)} out, {len(aside)} others aside")
-        self.cancel_attempts([t for t in e.out.values() if t.request.workload.effect == Effect.IDEMPOTENT])
-
-    def see_calm(self) -> None:
-        """Rough estimates alone spread paces: the calmest middle tells by how much. An interval in which more
-        was asked for than lets all in is no calm one."""
-        if self.pace.total >= BEST_SAMPLES:
-            bounds = sum(e.bound for e in self.ready)
-            if self.demand * TICK / INTERVAL <= UNSEEN * bounds + self.spare:
-                self.calmest = min(self.middle, self.calmest * CALM_DRIFT) if self.calmest else self.middle
-            self.pressing = PRESSURE * min(PRESSURE, self.calmest or 1.0)
-        self.demand = 0.0
+        engine.reset_statistics(engine.initial_limit)
+        engine.ejected_until, engine.half_open_probe = (
+            self.now + EJECTION_MS + EJECTION_JITTER_MS * self.chance.draw(),
+            True,
+        )
+        self.adapter.log(
+            f"engine {engine.number} aside: {why}, {len(engine.open_attempts)} out, {len(peers)} others aside"
+        )
+        self.cancel_attempts(
+            [
+                attempt
+                for attempt in engine.open_attempts.values()
+                if attempt.request.workload.effect == Effect.IDEMPOTENT
+            ]
+        )
+
+    def update_pressure_threshold(self) -> None:
+        """Learn the lowest median latency of calm intervals, and set the pressure threshold by it.
+
+        Rough estimates alone spread latencies: that median tells by how much. An interval is calm if the
+        demand was no more than what is admitted without pressure.
+        """
+        if self.normalized_latencies.total >= MIN_BASELINE_WEIGHT:
+            limits = sum(engine.concurrency_limit for engine in self.ready)
+            if self.thread_demand * TICK_MS / INTERVAL_MS <= BURST_RATIO * limits + self.burst_allowance:
+                self.calm_median = (
+                    min(self.median_latency, self.calm_median * CALM_MEDIAN_DRIFT)
+                    if self.calm_median
+                    else self.median_latency
+                )
+            self.pressure_threshold = PRESSURE_RATIO * min(PRESSURE_RATIO, self.calm_median or 1.0)
+        self.thread_demand = 0.0
 
     def close_interval(self) -> None:
-        self.forget_times()
-        self.see_calm()
-        self.lines = {key: line for key, line in self.lines.items() if line}
-        self.rests = {key: rest for key, rest in self.rests.items() if rest > self.now}
-        self.engines = {n: e for n, e in self.engines.items() if e.out or e.ghosts or e.line.life > Life.GONE}
-        if self.all > 1.0:
-            self.own, self.all = self.own / 2, self.all / 2
-        self.pace.halve()
+        """Close an interval: fade statistics, move the concurrency limits, renew the baselines.
+
+        Every limit moves with this dispatcher's share of all sends, and then by one step of hill climbing;
+        the step is the widest request over all dispatchers.
+        """
+        self.trim_retry_window()
+        self.update_pressure_threshold()
+        self.ordered_queues = {key: queue for key, queue in self.ordered_queues.items() if queue}
+        self.key_paused_until = {
+            key: until for key, until in self.key_paused_until.items() if until > self.now
+        }
+        self.engines = {
+            number: engine
+            for number, engine in self.engines.items()
+            if engine.open_attempts or engine.abandoned_work or engine.listed.life > Life.GONE
+        }
+        if self.fleet_in_flight > 1.0:
+            self.own_in_flight, self.fleet_in_flight = self.own_in_flight / 2, self.fleet_in_flight / 2
+        self.normalized_latencies.halve()
         first, count = self.chance.draw(), len(self.engines)
-        # Held ones are not sends: one that holds would take its share for smaller and smaller.
-        share = max(self.own / self.all, self.share if self.held else 0.0)
-        # Where nothing reports what engines hold: all dispatchers together send no more work than engines do.
-        self.asked_in += INTERVAL
+        # Queued requests are not sends: a dispatcher that queues would see its share shrink more and more.
+        share = max(self.own_in_flight / self.fleet_in_flight, self.even_share if self.wait_queue else 0.0)
+        # Where no report tells what engines hold: all dispatchers together send no more than engines can do.
+        self.offered_work_time += INTERVAL_MS
         if self.load_field is None and not self.pages and self.ready:
-            share = max(share, self.asked / (BUSY * self.asked_in * sum(e.cores for e in self.ready)))
-        self.asked, self.asked_in = self.asked / 2, self.asked_in / 2
-        # Luck lies even over the engines, so that in each interval as many are open as chance means.
-        for place, e in enumerate(sorted(self.engines.values(), key=lambda _: self.chance.draw())):
-            e.luck, moved = (first + place / count) % 1.0, START_THREADS * e.cores * share - e.start
-            e.start, e.bound, e.before = (
-                max(FLOOR * (e.start + moved), n + moved) for n in (e.start, e.bound, e.before)
+            share = max(
+                share,
+                self.offered_work
+                / (OFFERED_LOAD_RATIO * self.offered_work_time * sum(engine.cores for engine in self.ready)),
             )
-            e.pace.halve()
-            e.slowness, e.errors = pooled(e.pace, self.middle), e.errors / 2
-            if self.now >= e.aside_until and not e.trial:
-                e.move_bound(self.widest * share)
-                if self.pages and e.slowness > JAM:  # once memory has run over, a jam feeds itself
-                    e.bound = e.before = max(e.start / 2, e.bound - e.start / 4)
-        for kind, paces in enumerate(self.paces):
-            if paces.total >= BEST_SAMPLES:
-                low = paces.quantile(BEST_SHARE)
-                self.best[kind] = min(low, self.best[kind] * BEST_DRIFT) if self.best[kind] != 1.0 else low
-            paces.halve()
-        self.further_won.halve()
-        n, own, held = sum(e.bound for e in self.ready), sum(e.threads for e in self.ready), len(self.held)
-        self.adapter.log(f"n* {n:.1f} own {own} held {held} pace {self.middle:.2f}")
+        self.offered_work, self.offered_work_time = self.offered_work / 2, self.offered_work_time / 2
+        # The draws lie evenly over the engines, so that in each interval as many admit as chance means.
+        for place, engine in enumerate(sorted(self.engines.values(), key=lambda _: self.chance.draw())):
+            engine.admission_draw, moved = (
+                (first + place / count) % 1.0,
+                INITIAL_LIMIT_PER_CORE * engine.cores * share - engine.initial_limit,
+            )
+            engine.initial_limit, engine.concurrency_limit, engine.previous_limit = (
+                max(MIN_LIMIT_SHARE * (engine.initial_limit + moved), limit + moved)
+                for limit in (engine.initial_limit, engine.concurrency_limit, engine.previous_limit)
+            )
+            engine.normalized_latencies.halve()
+            engine.normalized_latency, engine.recent_errors = (
+                pooled(engine.normalized_latencies, self.median_latency),
+                engine.recent_errors / 2,
+            )
+            if self.now >= engine.ejected_until and not engine.half_open_probe:
+                engine.adjust_limit(self.widest_request * share)
+                # Once an engine's memory has run over, an overload feeds itself.
+                if self.pages and engine.normalized_latency > PAGING_LATENCY_RATIO:
+                    engine.concurrency_limit = engine.previous_limit = max(
+                        engine.initial_limit / 2, engine.concurrency_limit - engine.initial_limit / 4
+                    )
+        for kind, ratios in enumerate(self.latency_ratios):
+            if ratios.total >= MIN_BASELINE_WEIGHT:
+                low = ratios.quantile(BASELINE_QUANTILE)
+                self.baseline_latency[kind] = (
+                    min(low, self.baseline_latency[kind] * BASELINE_DRIFT)
+                    if self.baseline_latency[kind] != 1.0
+                    else low
+                )
+            ratios.halve()
+        self.retry_successes.halve()
+        limits, threads, queued = (
+            sum(engine.concurrency_limit for engine in self.ready),
+            sum(engine.in_flight_threads for engine in self.ready),
+            len(self.wait_queue),
+        )
+        self.adapter.log(f"n* {limits:.1f} own {threads} held {queued} pace {self.median_latency:.2f}")
--- a/spurdeal/vrrp/guard.py
+++ b/spurdeal/vrrp/guard.py
@@ -148,7 +148,7 @@
     def is_cold(self, engine: int) -> bool:
         """Whether that engine is in the list, and not warm yet."""
         found = self.adapter.rules.engines.get(engine)
-        return found is not None and found.warm_at > self.adapter.clock()
+        return found is not None and found.slow_start_until > self.adapter.clock()
 
     def recent(self, engine: int, now: float) -> list[ColdSend]:
         """What we have sent to a cold engine within a window."""
@@ -168,9 +168,9 @@
             engine = rules.engines.get(place)
             if engine is None:
                 continue
-            if engine.warm_at > unix and ident in self.adapter.endpoints:
+            if engine.slow_start_until > unix and ident in self.adapter.endpoints:
                 work = sum(row.work for row in self.recent(place, now))
                 cold.append((ident, self.adapter.endpoints[ident].started, work))
-            if engine.aside_until > unix:
-                aside.append((ident, engine.aside_until - unix))
+            if engine.ejected_until > unix:
+                aside.append((ident, engine.ejected_until - unix))
         return Facts(number, held, cold, aside)
--- a/spurdeal/vrrp/station.py
+++ b/spurdeal/vrrp/station.py
@@ -192,7 +192,7 @@
         unix = self.adapter.clock()
         stale = (self.reactor.seconds() - self.service.names.answered_at) * 1000 > self.vrrp.stale_after
         conditions = ["list_stale"] if stale and now - self.began > self.vrrp.stale_after else []
-        if not any(engine.aside_until <= unix for engine in self.adapter.rules.ready):
+        if not any(engine.ejected_until <= unix for engine in self.adapter.rules.ready):
             conditions.append("no_engine")
         if self.shut_out():
             conditions.append("shut_out")
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -363,7 +363,7 @@
         caller.post(8)
         world.peer().up()
         self.assertEqual([f"{8:016x}"], [record.ident for record in self.entries(Kind.SENT)])
-        self.assertEqual(0.0, world.service.adapter.rules.cold_budget)
+        self.assertEqual(0.0, world.service.adapter.rules.slow_start_budget)
 
     def test_each_list_is_a_version_and_one_of_the_same_number_a_clash(self) -> None:
         world = self.world()
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -160,10 +160,10 @@
     def test_every_submission_of_the_bench_is_sent(self) -> None:
         bench = request_path.Bench(40)
         bench.submit_many(10)
-        self.assertEqual(10, len(bench.adapter.sent) + len(bench.rules.held))
+        self.assertEqual(10, len(bench.adapter.sent) + len(bench.rules.wait_queue))
         self.assertGreater(len(bench.adapter.sent), 0)
         bench.deliver_all()
-        self.assertEqual(0, len(bench.rules.open))
+        self.assertEqual(0, len(bench.rules.open_requests))
 
     def test_a_list_is_applied_whole(self) -> None:
         adapter, clock = request_path.empty_adapter()
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -257,14 +257,14 @@
 
         adapter.counters.must = must  # type: ignore[method-assign]
         rules.choose = lambda *_, **__: None  # all wait in the queue
-        rules.watch_held = lambda: None  # the decisions miss a deadline, and the link answers for them
+        rules.check_wait_queue = lambda: None  # the decisions miss a deadline, and the link answers for them
         callers = [Caller(world) for _ in range(3)]
         for number, caller in enumerate(callers):
             caller.post(number, "load", wait=400 if number == 1 else 15000)
         world.go(500)
         self.assertEqual([status for status, _, _ in callers[1].answers()], [500])
         self.assertEqual(missed, ["answer_in_time"])
-        del rules.choose, rules.watch_held
+        del rules.choose, rules.check_wait_queue
         world.go(300)
         peers = [world.peer(place).up() for place in range(len(world.reactor.tcpClients))]
         served = [said[1] for peer in peers for said in peer.heard() if said[0] == "serve"]
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -31,14 +31,14 @@
 SHORT = (Phase(JOIN_AT + 1_500.0, 0.7),)
 
 
-class IgnoresItsPart(Dispatcher):
+class IgnoresItsShare(Dispatcher):
     """A planted fault: every request may go to a cold engine, whatever is there."""
 
-    def bears(self, engine: Engine, work: float) -> bool:
+    def fits_slow_start(self, engine: Engine, work: float) -> bool:
         return True
 
-    def admits(self, engine: Engine, threads: int, calm: bool, even: bool) -> bool:
-        return engine.warm_at > self.now or super().admits(engine, threads, calm, even)
+    def admits(self, engine: Engine, threads: int, calm: bool, within: bool) -> bool:
+        return engine.slow_start_until > self.now or super().admits(engine, threads, calm, within)
 
 
 class Meters(unittest.TestCase):
@@ -127,7 +127,7 @@
     def test_dispatchers_that_ignore_their_parts_are_found(self) -> None:
         for name, dispatchers in (("released_queue", 2), ("released_queue", 30), ("no_estimates", 30)):
             with self.subTest(scenario=name, dispatchers=dispatchers):
-                self.assertTrue(play(BY_NAME[name], dispatchers, 1, IgnoresItsPart).broken)
+                self.assertTrue(play(BY_NAME[name], dispatchers, 1, IgnoresItsShare).broken)
 
     def test_half_of_the_dispatchers_have_not_been_told(self) -> None:
         world = ColdWorld(BY_NAME["half_is_told"], 4, 1)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -198,7 +198,7 @@
         world = World(self)
         rules = world.service.adapter.rules
         engine = rules.engines[0]
-        engine.be_cold(world.now() + 15_000, world.now(), 1.0)
+        engine.begin_slow_start(world.now() + 15_000, world.now(), 1.0)
         engine.cold_sends.clear()
         Caller(world).post(1, Req_Cost="1.0")
         chosen = engine.cold_sends[-1][0]
@@ -210,8 +210,8 @@
     def test_an_engine_taken_for_cold_while_it_was_dialled_for(self) -> None:
         world = World(self, engines=2)
         Caller(world).post(1)
-        engine = next(e for e in world.service.adapter.rules.engines.values() if e.out)
-        engine.be_cold(world.now() + 15_000, world.now(), 0.0)
+        engine = next(e for e in world.service.adapter.rules.engines.values() if e.open_attempts)
+        engine.begin_slow_start(world.now() + 15_000, world.now(), 0.0)
         self.assertEqual(world.peer().up().heard(), [])
         self.assertEqual(len(world.peer(1).up().heard()), 1)
 
@@ -738,7 +738,7 @@
         for ident, (owner, value) in enumerate(zip(("A & B", "õ", "nobody known", ""), kept, strict=True)):
             for more in ("1", "2") if owner == "A & B" else ("1",):
                 Caller(world).post(10 * ident + int(more), **more_of("Req_Owner", owner))
-            request = list(world.service.adapter.rules.open.values())[-1]
+            request = list(world.service.adapter.rules.open_requests.values())[-1]
             self.assertEqual(request.value, value, owner)
 
     def test_those_of_one_key_run_in_turn(self) -> None:
--- a/tests/test_extproc.py
+++ b/tests/test_extproc.py
@@ -263,12 +263,12 @@
         return self.world.service.adapter.rules.engines
 
     def out(self) -> int:
-        return sum(len(engine.out) for engine in self.engines().values())
+        return sum(len(engine.open_attempts) for engine in self.engines().values())
 
     def hold(self) -> None:
         """All engines rest, so that what comes is held."""
         for engine in self.engines().values():
-            engine.aside_until = self.world.now() + 60_000
+            engine.ejected_until = self.world.now() + 60_000
 
     def test_small_writes_are_not_held_back(self) -> None:
         self.assertTrue(Proxy(self).pipe.no_delay)
@@ -299,7 +299,7 @@
         proxy.ask(1)
         proxy.ask(2)
         caller.post(3)
-        self.assertEqual(sum(engine.threads for engine in self.engines().values()), 3)
+        self.assertEqual(sum(engine.in_flight_threads for engine in self.engines().values()), 3)
 
     def test_cancelled_while_it_is_held_nothing_ran(self) -> None:
         proxy = Proxy(self)
@@ -308,7 +308,7 @@
         self.assertIsNone(proxy.answer(stream))
         proxy.reset(stream)
         for engine in self.engines().values():
-            engine.aside_until = 0.0
+            engine.ejected_until = 0.0
         again = proxy.ask(1, "load")
         self.assertIsInstance(proxy.answer(again), str)
 
--- a/tests/test_gone_clients.py
+++ b/tests/test_gone_clients.py
@@ -219,7 +219,7 @@
             rules.choose = lambda *_, **__: None  # type: ignore[method-assign]
             client = steps.client()
             client.post(LOOKUP)
-            steps.until(lambda: rules.held)
+            steps.until(lambda: rules.wait_queue)
             del rules.choose
             return Waiting(client, steps.service.adapter.run_batch)
 
@@ -277,10 +277,10 @@
             steps.until(talk.heard)
             talk.say(LOOKUP, "503", "-", b"")
             rules = steps.service.adapter.rules
-            steps.until(lambda: rules.held)
+            steps.until(lambda: rules.wait_queue)
             engine = rules.engines[0]
-            self.assertGreater(engine.aside_until, steps.clock())
-            engine.aside_until = engine.pressed_until = 0.0  # its rest is over
+            self.assertGreater(engine.ejected_until, steps.clock())
+            engine.ejected_until = engine.pressure_until = 0.0  # its rest is over
             return Waiting(client, steps.service.adapter.run_batch)
 
         self.check_each_way(bring)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -162,7 +162,7 @@
         caller.leave()
         adapter = world.service.adapter
         self.assertEqual(len(peer.heard()), 1)
-        self.assertEqual((list(adapter.open_requests), adapter.rules.engines[0].threads), ([0], 1))
+        self.assertEqual((list(adapter.open_requests), adapter.rules.engines[0].in_flight_threads), ([0], 1))
 
     def test_bad_messages_cost_their_connection_only(self) -> None:
         world = World(self)
@@ -269,7 +269,9 @@
             crowded.say(int(ident, 16), "200")
         crowded.raw(b"nonsense\r\n")
         self.assertEqual([len(caller.answers()) for caller in callers].count(1), 1)
-        self.assertEqual(max(engine.strikes for engine in world.service.adapter.rules.engines.values()), 0.5)
+        self.assertEqual(
+            max(engine.failure_score for engine in world.service.adapter.rules.engines.values()), 0.5
+        )
         world.go(21_000)
         self.assertTrue(all(peer.pipe.disconnecting for peer in peers))  # idle for half of the engines' time
 
@@ -379,12 +381,12 @@
         world.go(60)
         self.assertEqual(peer.heard()[1:], [["weigh", f"{1:016x}", "2"]])
         peer.say(1, "200", "parts=1,stats=rif:9;q:0")
-        self.assertEqual(adapter.rules.all, 10.0)
+        self.assertEqual(adapter.rules.fleet_in_flight, 10.0)
         Caller(world).post(2)
         peer.say(2, "200", "parts=1,stats=q:0")  # one is missing: no report
         Caller(world).post(3)
         peer.say(3, "200", "parts=1,stats=rif:nan;q:0")
-        self.assertEqual((adapter.rules.all, peer.pipe.aborted), (10.0, True))
+        self.assertEqual((adapter.rules.fleet_in_flight, peer.pipe.aborted), (10.0, True))
 
     def test_a_late_start_of_a_call_has_its_own_time(self) -> None:
         world = World(self)
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Plays the files of scenarios/ against the rules. The notation is described in scenarios/README.md."""
+"""Plays the files of scenarios/ against the rules; scenarios/README.md describes the notation."""
 
 import unittest
 from collections.abc import Iterator
@@ -19,7 +19,7 @@
 from spurdeal.rules import Dispatcher
 
 FOLDER = Path(__file__).parent / "scenarios"
-SITE: dict[str, Any] = dict(
+DEFAULTS: dict[str, Any] = dict(
     index=0,
     dispatchers=1,
     zone=0,
@@ -46,10 +46,10 @@
     cold_multiple=3.0,
     cold_window=2000.0,
 )
-LINE = ListedEngine(0, 0, 0, 0, Life.READY, 1.0, 0.0)
-KINDS: tuple[Any, ...] = (Effect, Ending, Life, Reach, ProgressKind)
+ENTRY = ListedEngine(0, 0, 0, 0, Life.READY, 1.0, 0.0)
+ENUMS: tuple[Any, ...] = (Effect, Ending, Life, Reach, ProgressKind)
 # The notation of the scenario files has names of its own for some members and fields.
-WORDS: dict[str, Any] = {word.name.lower(): word for kind in KINDS for word in kind} | {
+VALUES: dict[str, Any] = {member.name.lower(): member for enum in ENUMS for member in enum} | {
     "redoable": Effect.IDEMPOTENT,
     "labelled": Effect.IDEMPOTENT_BY_KEY,
     "irreversible": Effect.NON_IDEMPOTENT,
@@ -75,58 +75,71 @@
     "over_share_utility": "over_share_value",
     "utility": "value",
 }
+# Attributes of an engine that `set` and `set_all` name.
+ENGINE_FIELDS = {
+    "answered": "last_response",
+    "aside_until": "ejected_until",
+    "bound": "concurrency_limit",
+    "cold_part": "initial_cold_credit",
+    "errors": "recent_errors",
+    "luck": "admission_draw",
+    "most": "peak_threads",
+    "pressed_until": "pressure_until",
+    "strikes": "failure_score",
+    "threads": "in_flight_threads",
+}
 
 
 def value(text: str) -> Any:
     if "," in text:
         return tuple(value(part) for part in text.split(",") if part)
-    return WORDS[text] if text in WORDS else float(text) if "." in text else int(text)
+    return VALUES[text] if text in VALUES else float(text) if "." in text else int(text)
 
 
 class Script:
-    """One scenario: it is the rules' link, and keeps what they ask for as words."""
+    """Plays one scenario: the adapter of the rules, which records what they ask for as words."""
 
     def __init__(self, case: unittest.TestCase) -> None:
         self.case, self.now = case, 0.0
-        self.site, self.workloads = dict(SITE), list[Workload]()
-        self.did: list[str] = []
-        self.wakes: list[tuple[float, int]] = []
+        self.settings, self.workloads = dict(DEFAULTS), list[Workload]()
+        self.actions: list[str] = []
+        self.timers: list[tuple[float, int]] = []
         self.engine_of: dict[tuple[int, int], int] = {}
-        self.made: dict[int, int] = {}
-        self.lines: dict[int, ListedEngine] = {}
-        self.began: Dispatcher | None = None
+        self.attempts_made: dict[int, int] = {}
+        self.entries: dict[int, ListedEngine] = {}
+        self.dispatcher: Dispatcher | None = None
 
     @property
     def rules(self) -> Dispatcher:
-        if self.began is None:
-            site = Deployment(workloads=tuple(self.workloads), **self.site)
-            self.began = Dispatcher(site, 1, self, self.now)
-        return self.began
+        if self.dispatcher is None:
+            site = Deployment(workloads=tuple(self.workloads), **self.settings)
+            self.dispatcher = Dispatcher(site, 1, self, self.now)
+        return self.dispatcher
 
     # What the rules ask for.
 
     def send(self, number: int, engine: int, time_limit: float) -> None:
-        self.engine_of[number, self.made.get(number, 0)] = engine
-        self.made[number] = self.made.get(number, 0) + 1
-        self.did.append(f"send {number} {engine}")
+        self.engine_of[number, self.attempts_made.get(number, 0)] = engine
+        self.attempts_made[number] = self.attempts_made.get(number, 0) + 1
+        self.actions.append(f"send {number} {engine}")
 
     def shed(self, number: int, retry_after: float, reason: EndReason) -> None:
-        self.did.append(f"shed {number}")
+        self.actions.append(f"shed {number}")
 
     def fail_request(self, number: int, reason: EndReason) -> None:
-        self.did.append(f"break {number}")
+        self.actions.append(f"break {number}")
 
     def cancel_attempt(self, number: int, attempt: int) -> None:
-        self.did.append(f"call_off {number}")
+        self.actions.append(f"call_off {number}")
 
     def set_timer(self, delay: float, token: int) -> None:
-        self.wakes.append((self.now + delay, token))
+        self.timers.append((self.now + delay, token))
 
     def terms(self, number: int, memory: float, priority: int) -> None:
         pass
 
     def watch(self) -> None:
-        self.did.append("watch")
+        self.actions.append("watch")
 
     def log(self, line: str) -> None:
         pass
@@ -144,7 +157,7 @@
             self.expect([] if wanted.strip() == "nothing" else wanted.split(","))
 
     def do_site(self, **given: Any) -> None:
-        self.site |= given
+        self.settings |= given
 
     def do_workload(self, **given: Any) -> None:
         self.workloads.append(
@@ -158,17 +171,17 @@
 
     def do_engines(self, count: str, **given: Any) -> None:
         for engine in range(int(count)):
-            self.lines[engine] = LINE._replace(engine=engine, **given)
-        self.rules.list_changed(self.now, list(self.lines.values()), True)
+            self.entries[engine] = ENTRY._replace(engine=engine, **given)
+        self.rules.list_changed(self.now, list(self.entries.values()), True)
 
     def do_engine(self, engine: str, **given: Any) -> None:
-        line = self.lines.get(int(engine), LINE._replace(engine=int(engine)))
-        self.lines[int(engine)] = line._replace(**given)
-        self.rules.list_changed(self.now, [self.lines[int(engine)]], False)
+        line = self.entries.get(int(engine), ENTRY._replace(engine=int(engine)))
+        self.entries[int(engine)] = line._replace(**given)
+        self.rules.list_changed(self.now, [self.entries[int(engine)]], False)
 
     def do_unlist(self, engine: str) -> None:
-        del self.lines[int(engine)]
-        self.rules.list_changed(self.now, list(self.lines.values()), True)
+        del self.entries[int(engine)]
+        self.rules.list_changed(self.now, list(self.entries.values()), True)
 
     def do_stop(self, until: str) -> None:
         self.rules.shutdown_started(self.now, float(until))
@@ -177,9 +190,9 @@
         self.rules.list_failed(self.now)
 
     def do_at(self, when: str) -> None:
-        while self.wakes and min(self.wakes)[0] <= float(when):
-            due = min(self.wakes)
-            self.wakes.remove(due)
+        while self.timers and min(self.timers)[0] <= float(when):
+            due = min(self.timers)
+            self.timers.remove(due)
             self.now = max(self.now, due[0])
             self.rules.timer_fired(self.now, due[1])
             self.rules.end_batch(self.now)
@@ -218,39 +231,45 @@
         self.rules.request_withdrawn(self.now, int(number))
 
     def do_interval(self, engine: str, served: float, work: float = 0.0, most: float = 99.0) -> None:
-        e = self.rules.engines[int(engine)]
-        e.served, e.work, e.most = served, work, most
-        e.move_bound(self.rules.widest * self.rules.own / self.rules.all)
+        measured = self.rules.engines[int(engine)]
+        measured.served_threads, measured.served_work, measured.peak_threads = served, work, most
+        measured.adjust_limit(
+            self.rules.widest_request * self.rules.own_in_flight / self.rules.fleet_in_flight
+        )
 
     def do_set(self, engine: str, **given: Any) -> None:
         for name, new in given.items():
-            setattr(self.rules.engines[int(engine)], name, new)
+            setattr(self.rules.engines[int(engine)], ENGINE_FIELDS[name], new)
 
     def do_set_all(self, **given: Any) -> None:
         for engine in self.rules.engines:
             self.do_set(str(engine), **given)
 
     def do_bound(self, engine: str, wanted: str) -> None:
-        self.case.assertAlmostEqual(self.rules.engines[int(engine)].bound, float(wanted))
+        self.case.assertAlmostEqual(self.rules.engines[int(engine)].concurrency_limit, float(wanted))
 
     def do_pressing(self, wanted: str) -> None:
-        self.case.assertAlmostEqual(self.rules.pressing, float(wanted), 2)
+        self.case.assertAlmostEqual(self.rules.pressure_threshold, float(wanted), 2)
 
     def do_cold(self, engine: str) -> None:
-        self.case.assertGreater(self.rules.engines[int(engine)].warm_at, self.now)
+        self.case.assertGreater(self.rules.engines[int(engine)].slow_start_until, self.now)
 
     def do_warm(self, engine: str) -> None:
-        self.case.assertLessEqual(self.rules.engines[int(engine)].warm_at, self.now)
+        self.case.assertLessEqual(self.rules.engines[int(engine)].slow_start_until, self.now)
 
     def do_aside(self, *engines: str) -> None:
-        aside = [str(e.number) for e in self.rules.engines.values() if e.aside_until > self.now]
+        aside = [
+            str(engine.number) for engine in self.rules.engines.values() if engine.ejected_until > self.now
+        ]
         self.case.assertEqual(aside, list(engines))
 
     def do_aside_only(self, count: str) -> None:
-        self.case.assertEqual(sum(e.aside_until > self.now for e in self.rules.engines.values()), int(count))
+        self.case.assertEqual(
+            sum(engine.ejected_until > self.now for engine in self.rules.engines.values()), int(count)
+        )
 
     def expect(self, wanted: list[str]) -> None:
-        got, self.did = [asked.split() for asked in self.did], []
+        got, self.actions = [asked.split() for asked in self.actions], []
         self.case.assertEqual(len(got), len(wanted), f"at {self.now}: {got} where {wanted} was expected")
         for asked, words in zip(got, [part.split() for part in wanted], strict=True):
             asked = [*asked[:2], "?"] if words[-1] == "?" else asked
--- a/tests/test_station.py
+++ b/tests/test_station.py
@@ -115,12 +115,12 @@
         pair.go(2500)
         rules = one.service.adapter.rules
         self.assertEqual([one.holds(), pair.sides["n2"].holds()], [False, True])
-        self.assertEqual({engine.warm_at > pair.unix() for engine in rules.engines.values()}, {True})
+        self.assertEqual({engine.slow_start_until > pair.unix() for engine in rules.engines.values()}, {True})
         pair.names.silent = False
         pair.go(1000)
         self.assertEqual([one.holds(), pair.sides["n2"].holds()], [True, False])
         cold = {
-            ident: rules.engines[place].warm_at > pair.unix()
+            ident: rules.engines[place].slow_start_until > pair.unix()
             for ident, place in one.service.adapter.index.places.items()
         }
         self.assertEqual(cold, {"s-1": False, "s-9": True})
--- a/tests/test_system_faults.py
+++ b/tests/test_system_faults.py
@@ -646,7 +646,7 @@
         for error in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL):
             with self.subTest(errno.errorcode[error]):
                 world, engine = self.refused_by(error)
-                self.assertEqual((engine.strikes, engine.errors), (0.0, 0.0))
+                self.assertEqual((engine.failure_score, engine.recent_errors), (0.0, 0.0))
                 self.assertEqual(world.count("dials_failed_here"), 1)
                 self.assertEqual(len(world.peer(1).up().heard()), 1)
 
@@ -654,7 +654,7 @@
         for error in (errno.EHOSTUNREACH, errno.ENETUNREACH, errno.ETIMEDOUT):
             with self.subTest(errno.errorcode[error]):
                 world, engine = self.refused_by(error)
-                self.assertEqual((engine.strikes, engine.errors), (1.0, 1.0))
+                self.assertEqual((engine.failure_score, engine.recent_errors), (1.0, 1.0))
                 self.assertEqual(world.count("dials_not_up"), 1)
 
 
@@ -722,7 +722,7 @@
         peers = [world.peer(place).up() for place in range(len(world.reactor.tcpClients))]
         served = [said[1] for peer in peers for said in peer.heard() if said[0] == "serve"]
         self.assertEqual(sorted(served), [f"{number:016x}" for number in (0, 2, 3)])
-        self.assertEqual([request.number for request in rules.held], [])
+        self.assertEqual([request.number for request in rules.wait_queue], [])
 
     def test_the_one_that_failed_is_answered_at_its_deadline(self) -> None:
         world = World(self)
@@ -750,7 +750,7 @@
         self.assertEqual(
             ([status for status, _, _ in caller.answers()], released), ([500], ["answer_in_time"])
         )
-        self.assertEqual((rules.open, world.service.adapter.open_requests), ({}, {}))
+        self.assertEqual((rules.open_requests, world.service.adapter.open_requests), ({}, {}))
 
     def test_decisions_that_send_twice_are_not_followed(self) -> None:
         """Whatever the decisions' fault: what must not run twice has one attempt out at most."""
@@ -768,7 +768,7 @@
                 caller = Caller(world)
                 caller.post(7, workload)
                 peer = world.peer().up()
-                (request,) = rules.open.values()
+                (request,) = rules.open_requests.values()
                 request.engine = rules.engines[1]
                 adapter.gather(lambda now, rules=rules, request=request: rules.attempt_stage(request))
                 world.go(50)
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -429,9 +429,9 @@
         callers = [Caller(world) for _ in range(60)]
         for ident, caller in enumerate(callers, 1):
             caller.post(ident, "load", Req_Key=f"k{ident % 20}")
-        self.assertEqual((len(rules.held), len(rules.lines)), (60, 20))
-        usual = rules.allowed
-        rules.allowed = lambda s: weighed.append(s.number) or usual(s)  # type: ignore[method-assign, func-returns-value]
+        self.assertEqual((len(rules.wait_queue), len(rules.ordered_queues)), (60, 20))
+        usual = rules.eligible_engines
+        rules.eligible_engines = lambda request: weighed.append(request.number) or usual(request)  # type: ignore[method-assign, func-returns-value]
         rules.end_batch(world.now())
         self.assertEqual(weighed, [0])
 
