--- a/tests/steps.py
+++ b/tests/steps.py
@@ -1,5 +1,8 @@
-"""A dispatcher on real sockets whose loop the test turns by hand: between two rounds, anything can be made to
-happen. Its clock stands still but for `ms`; loopback delivers before `send` returns."""
+"""A dispatcher on real sockets, whose event loop the test runs round by round.
+
+Between two rounds a test can make anything happen. The clock moves only where the test moves it; loopback
+delivers before `send` returns.
+"""
 
 import io
 import json
@@ -21,14 +24,12 @@
 
 HOST, LEAST_BUFFER = Network.of_this_process().host(63, 1), 4096
 ROW = b"a\t1\tx\n"
-QUESTION_WITHIN, STEP = (
-    500,
-    10,
-)  # ms until the next question has left, and of each step
+# ms within which the next query to the name service leaves; and ms of each step while waiting for it.
+QUERY_WITHIN, STEP = 500, 10
 
 
-class ByHand(EPollReactor):
-    """Twisted's own, on a clock that the test moves."""
+class ManualReactor(EPollReactor):
+    """Twisted's epoll reactor, on a clock that the test moves."""
 
     now = 1000.0
 
@@ -37,96 +38,106 @@
 
 
 class Engine:
-    """An engine's listening socket, its connections in the order accepted."""
+    """An engine: its listening socket, and its connections in the order accepted."""
 
     def __init__(self, steps: "Steps", small: bool) -> None:
-        self.steps, self.talks = steps, list["Talk"]()
+        self.steps, self.peers = steps, list["PeerSocket"]()
         self.listening = socket.socket()
         self.listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        if small:  # what is sent there soon fills its window
+        if small:  # a few messages fill its receive window
             self.listening.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, LEAST_BUFFER)
         self.listening.bind((HOST, 0))
         self.listening.listen(16)
         self.listening.settimeout(0)
         self.port = self.listening.getsockname()[1]
 
-    def accept(self) -> "Talk | None":
+    def accept(self) -> "PeerSocket | None":
+        """The next connection in the backlog, if there is one."""
         try:
-            self.talks.append(Talk(self.listening.accept()[0]))
+            self.peers.append(PeerSocket(self.listening.accept()[0]))
         except BlockingIOError:
             return None
-        return self.talks[-1]
+        return self.peers[-1]
 
 
-class Talk:
-    """The far side of one connection, of an engine's or a client's."""
+class PeerSocket:
+    """The test's end of one connection: as an engine, or as a client."""
 
-    def __init__(self, talk: socket.socket) -> None:
-        self.socket, self.parser = talk, ArrayParser()
-        talk.settimeout(0)
+    def __init__(self, connected: socket.socket) -> None:
+        self.socket, self.parser = connected, ArrayParser()
+        connected.settimeout(0)
 
     def read(self) -> bytes | None:
-        """What has come: None for nothing, b"" for an end. ConnectionResetError where it was reset."""
-        got = b""
+        """The bytes received: None if there are none, b"" at the end of the stream.
+
+        Raises:
+            ConnectionResetError: the connection was reset.
+        """
+        received = b""
         try:
             while data := self.socket.recv(1 << 20):
-                got += data
-            return got
+                received += data
+            return received
         except BlockingIOError:
-            return got or None
+            return received or None
 
     def heard(self) -> list[list[str]]:
+        """The commands received since the last call, as their parts."""
         self.parser.feed(self.read() or b"")
-        found = []
+        commands = []
         while (parts := self.parser.take()) is not None:
-            found.append([bytes(part).decode() for part in parts])
-        return found
+            commands.append([bytes(part).decode() for part in parts])
+        return commands
 
     def say(self, ident: int, word: str = "200", fields: str = "parts=1", body: bytes = ROW) -> None:
+        """Answer an attempt, as an engine."""
         self.socket.sendall(command(f"{ident:016x}".encode(), word.encode(), fields.encode(), body))
 
     def post(self, ident: int, workload: str = "lookup", wait: int = 5000, body: bytes = b"S") -> None:
+        """Send a request, as a client."""
         self.socket.sendall(
             b"POST /ops/%b HTTP/1.1\r\nReq-Id: %016x\r\nReq-Wait-Ms: %d\r\n"
             b"Content-Length: %d\r\n\r\n" % (workload.encode(), ident, wait, len(body)) + body
         )
 
     def reset(self) -> None:
-        """Gone at once (SO_LINGER 0)."""
+        """Reset the connection (SO_LINGER 0)."""
         self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.socket.close()
 
     def status(self) -> int | None:
-        """Of the answer that has come."""
-        got = self.read()
-        return int(got.split()[1]) if got else None
+        """The HTTP status of the answer received, if one was."""
+        received = self.read()
+        return int(received.split()[1]) if received else None
 
 
 class Steps:
+    """A dispatcher's whole service, with engines, clients and a name service that the test plays."""
+
     def __init__(self, case: unittest.TestCase, engines: int = 1, small: bool = False, **more: Any) -> None:
-        self.reactor: Any = ByHand()
+        self.reactor: Any = ManualReactor()
         self.engines = [Engine(self, small) for _ in range(engines)]
         self.names = socket.socket(type=socket.SOCK_DGRAM)
         self.names.bind((HOST, 0))
         self.names.settimeout(0)
         self.names_silent = False
-        told = (
+        given = (
             configuration(
                 engines, listen=f"{HOST}:{free_port()}", nameserver=f"{HOST}:{self.names.getsockname()[1]}"
             )
             | more
         )
-        for number, instance in enumerate(told["known"]["items"][0]["roster"]["instances"]):
+        for number, instance in enumerate(given["known"]["items"][0]["roster"]["instances"]):
             instance["hostPort"] = f"{HOST}:{self.engines[number].port}"
-        self.told = read_configuration(json.dumps(told))
-        self.done = list[float]()
-        self.clients = list[Talk]()
+        self.configuration = read_configuration(json.dumps(given))
+        self.stopped_at = list[float]()
+        self.clients = list[PeerSocket]()
         self.service = Service(
-            self.told,
+            self.configuration,
             self.reactor,
             self.clock,
             logger("n1", io.StringIO()),
-            lambda: self.done.append(self.clock()),
+            lambda: self.stopped_at.append(self.clock()),
         )
         self.service.start()
         self.case = case
@@ -137,79 +148,83 @@
         return float(BASE + (self.reactor.now - 1000.0) * 1000)
 
     def close(self) -> None:
+        """Close all sockets; fails the test if the service counted a fault of its own."""
         faults = {
             name: count
             for name, count in self.service.counters.sums.items()
             if name in ("faults", "unhandled") or name.startswith("must_")
         }
-        for thing in [*self.reactor.getReaders(), *self.reactor.getWriters()]:
-            if hasattr(thing, "socket"):
-                thing.socket.close()
+        for descriptor in [*self.reactor.getReaders(), *self.reactor.getWriters()]:
+            if hasattr(descriptor, "socket"):
+                descriptor.socket.close()
         self.names.close()
-        for talk in [*self.clients, *(talk for engine in self.engines for talk in engine.talks)]:
-            talk.socket.close()
+        for peer in [*self.clients, *(peer for engine in self.engines for peer in engine.peers)]:
+            peer.socket.close()
         for engine in self.engines:
             engine.listening.close()
         self.reactor._poller.close()
         self.case.assertEqual(faults, {})
 
     def round(self) -> None:
-        """One round of the loop: timers that are due, then what is ready on the sockets."""
+        """Run one iteration of the loop: the timers that are due, then the sockets that are ready."""
         if not self.names_silent:
             self.confirm_list()
         self.reactor.iterate(0)
 
     def confirm_list(self) -> None:
-        """The name service answers all questions: it knows of no change."""
+        """Answer all queries to the name service: nothing has changed."""
         with suppress(BlockingIOError):
             while True:
-                question, asker = self.names.recvfrom(9000)
+                query, source = self.names.recvfrom(9000)
                 service = self.service.names
-                answer = names.answer(question, service.number, *told_records(service))
-                self.names.sendto(answer, asker)
+                answer = names.answer(query, service.number, *told_records(service))
+                self.names.sendto(answer, source)
 
     def go(self, ms: float = 0.0, rounds: int = 12) -> None:
+        """Run the loop for so many ms of its clock, in steps of 10 ms; or for some rounds at one time."""
         for _ in range(max(1, round(ms / 10))):
             self.reactor.now += min(ms, 10.0) / 1000
             for _ in range(rounds if not ms else 3):
                 self.round()
 
-    def until(self, holds: Callable[[], Any]) -> Any:
+    def until(self, condition: Callable[[], Any]) -> Any:
+        """Run the loop until the condition gives something true, and return that."""
         for _ in range(200):
-            if found := holds():
+            if found := condition():
                 return found
             self.round()
-        self.case.fail("it does not come")
+        self.case.fail("the condition did not come true")
 
-    def client(self) -> Talk:
-        self.clients.append(Talk(socket.create_connection((HOST, self.told.port))))
+    def client(self) -> PeerSocket:
+        """A new connection to the dispatcher."""
+        self.clients.append(PeerSocket(socket.create_connection((HOST, self.configuration.port))))
         return self.clients[-1]
 
-    def served(self, ident: int, workload: str = "lookup", engine: int = 0) -> Talk:
-        """One call answered: the connection to that engine rests from here on. Its client's talk."""
+    def served(self, ident: int, workload: str = "lookup", engine: int = 0) -> PeerSocket:
+        """Run one request to its answer; the connection to that engine is then idle. Returns its client."""
         client = self.client()
         client.post(ident, workload)
-        talk = self.until(self.engines[engine].accept)
-        self.until(talk.heard)
-        talk.say(ident)
+        peer = self.until(self.engines[engine].accept)
+        self.until(peer.heard)
+        peer.say(ident)
         self.case.assertEqual(self.until(client.status), 200)
         return client
 
-    def next_question(self) -> tuple[bytes, Any]:
-        """The next question to the name service, and who asks; those that wait stay without an answer."""
+    def next_query(self) -> tuple[bytes, Any]:
+        """The next query to the name service and its source; queries that came before stay unanswered."""
         with suppress(BlockingIOError):
             while True:
                 self.names.recvfrom(9000)
-        for _ in range(QUESTION_WITHIN // STEP):
+        for _ in range(QUERY_WITHIN // STEP):
             self.go(STEP)
             with suppress(BlockingIOError):
                 return self.names.recvfrom(9000)
-        self.case.fail("no question")
+        self.case.fail("no query to the name service")
 
     def list(self, serial: int, *draining: int) -> None:
-        """The name service's answer to its next question: all engines, these draining."""
+        """Answer the next query to the name service: all engines, with these draining."""
         self.names_silent = True
-        question, asked = self.next_question()
+        query, source = self.next_query()
         endpoints = [
             (
                 f"s-{number}.east.hosts",
@@ -219,19 +234,20 @@
             )
             for number, engine in enumerate(self.engines)
         ]
-        self.names.sendto(names.answer(question, serial, *endpoints), asked)
+        self.names.sendto(names.answer(query, serial, *endpoints), source)
         self.names_silent = False
         self.go()
 
 
 def free_port() -> int:
-    with socket.socket() as found:
-        found.bind((HOST, 0))
-        return int(found.getsockname()[1])
+    """A TCP port that nothing listens on."""
+    with socket.socket() as free:
+        free.bind((HOST, 0))
+        return int(free.getsockname()[1])
 
 
 def settings(**more: Any) -> dict[str, Any]:
-    """The usual ones, with other parts."""
+    """The settings of most tests, with some parts replaced."""
     return SETTINGS | {
         name: SETTINGS.get(name, {}) | part if isinstance(part, dict) else part for name, part in more.items()
     }
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -1,4 +1,4 @@
-"""The bench of cold starts: its meter, its table, a planted fault, and small runs with fixed seeds."""
+"""The bench of slow starts: its meter, its table, a planted fault, and small runs with fixed seeds."""
 
 import unittest
 from dataclasses import replace
@@ -32,7 +32,7 @@
 
 
 class IgnoresItsShare(Dispatcher):
-    """A planted fault: every request may go to a cold engine, whatever is there."""
+    """A planted fault: a cold engine gets every request, without regard to the slow-start budget."""
 
     def fits_slow_start(self, engine: Engine, work: float) -> bool:
         return True
@@ -41,11 +41,11 @@
         return engine.slow_start_until > self.now or super().admits(engine, threads, calm, within)
 
 
-class Meters(unittest.TestCase):
+class MeterTests(unittest.TestCase):
     def meter(self) -> Meter:
         return Meter(allowed=900.0, mean_work=100.0, window=1_000.0)  # N = 9: 9 + 2 x 3 + 2 = 17 requests
 
-    def test_the_engine_falls_beyond_n_and_twice_its_root_and_two(self) -> None:
+    def test_the_engine_falls_beyond_n_plus_twice_its_root_plus_two(self) -> None:
         for work, fell in ((1_700.0, False), (1_701.0, True)):
             meter = self.meter()
             meter.reached(Attempt(0.0, work, True))
@@ -59,7 +59,7 @@
         meter.reached(Attempt(1_999.0, 1_000.0, True))
         self.assertTrue(meter.fell)
 
-    def test_a_fall_is_a_break_if_over_two_thirds_came_from_told_ones(self) -> None:
+    def test_a_fall_counts_as_a_break_if_over_two_thirds_came_from_told_dispatchers(self) -> None:
         for told, broken in ((1_200.0, False), (1_300.0, True)):
             meter = self.meter()
             meter.reached(Attempt(0.0, 1_800.0 - told, False))
@@ -73,7 +73,7 @@
         self.assertEqual((meter.fell, meter.broken, meter.total), (True, False, 1_800.0))
 
 
-class Tables(unittest.TestCase):
+class SummaryTests(unittest.TestCase):
     def test_wilson_interval(self) -> None:
         low, high = wilson(0, 200)
         self.assertEqual(low, 0.0)
@@ -82,7 +82,7 @@
         self.assertAlmostEqual(low, 0.2993, 4)
         self.assertAlmostEqual(high, 0.7007, 4)
 
-    def test_a_row(self) -> None:
+    def test_a_row_counts_breaks_and_falls_and_averages_use(self) -> None:
         verdicts = [Verdict(True, True, 1.25, 0.5), Verdict(False, True, 1.0, 0.3)]
         row = summary(BY_NAME["steady"], 20, verdicts)
         self.assertEqual((row["breaks"], row["share"], row["falls"]), (1, 0.5, 2))
@@ -97,8 +97,8 @@
         self.assertIn('"scenario": "steady"', done.output)
 
 
-class Means(unittest.TestCase):
-    def test_the_guess_stands_until_the_first_sample_and_samples_count_alike(self) -> None:
+class RunningMeanTests(unittest.TestCase):
+    def test_the_guess_holds_until_the_first_sample_and_samples_count_alike(self) -> None:
         mean = RunningMean(300.0, 4)
         self.assertEqual(mean.value, 300.0)
         self.assertEqual([mean.add(sample) for sample in (10.0, 20.0, 30.0)], [10.0, 15.0, 20.0])
@@ -110,7 +110,7 @@
         self.assertEqual(mean.add(50.0), 20.0)
 
 
-class Ramps(unittest.TestCase):
+class SlowStartTests(unittest.TestCase):
     def test_no_break_at_small_size(self) -> None:
         small = [(name, 2) for name in ("steady", "too_few_declared", "third_restarts", "heavy_tail")]
         small += [(name, 20) for name in ("busy", "released_queue", "no_estimates")]
@@ -120,11 +120,11 @@
                 self.assertFalse(verdict.broken)
                 self.assertGreater(verdict.use, 0.0)
 
-    def test_a_burst_after_an_idle_time_does_not_release_all_parts_at_once(self) -> None:
+    def test_a_burst_after_an_idle_time_does_not_release_all_shares_at_once(self) -> None:
         verdict = play(Scenario("idle", IDLE_THEN_BURST, LIGHT_ONLY), 120, 1)
         self.assertFalse(verdict.fell, verdict)
 
-    def test_dispatchers_that_ignore_their_parts_are_found(self) -> None:
+    def test_dispatchers_that_ignore_their_shares_are_found(self) -> None:
         for name, dispatchers in (("released_queue", 2), ("released_queue", 30), ("no_estimates", 30)):
             with self.subTest(scenario=name, dispatchers=dispatchers):
                 self.assertTrue(play(BY_NAME[name], dispatchers, 1, IgnoresItsShare).broken)
@@ -142,7 +142,7 @@
         scenario = replace(BY_NAME["third_restarts"], phases=SHORT)
         self.assertEqual(play(scenario, 6, 3), play(scenario, 6, 3))
 
-    def test_a_restarted_engine_is_metered_with_what_is_in_its_window(self) -> None:
+    def test_a_restarted_engine_is_metered_with_the_work_in_its_window(self) -> None:
         world = ColdWorld(BY_NAME["cold_again"], 2, 1)
         world.run((JOIN_AT + 900.0) / 1000)
         before = world.meter.total
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -15,7 +15,7 @@
 from spurdeal.lab.loopback import Network
 from spurdeal.net.start import Configuration, Unusable, read_configuration
 from tests.helpers import AGREED, SETTINGS, Caller, World, configuration
-from tests.steps import Steps, Talk, settings
+from tests.steps import PeerSocket, Steps, settings
 
 ROOT = Path(__file__).parent.parent
 SHED, BROKEN = 503, 500
@@ -29,7 +29,7 @@
 class LeavingClients(unittest.TestCase):
     """A request whose client has left is not sent on, wherever it waits."""
 
-    def sent(self, steps: Steps, talk: Talk) -> list[str]:
+    def sent(self, steps: Steps, talk: PeerSocket) -> list[str]:
         steps.go()
         return [said[1] for said in talk.heard() if said[0] == "serve"]
 
@@ -46,7 +46,7 @@
                     client.socket.close()
                 else:
                     client.reset()
-                self.assertEqual(self.sent(steps, steps.engines[0].talks[0]), [])
+                self.assertEqual(self.sent(steps, steps.engines[0].peers[0]), [])
                 self.assertEqual(steps.service.adapter.open_requests, {})
 
     def test_between_the_reading_and_the_turn(self) -> None:
@@ -56,7 +56,7 @@
         client.post(2)
         steps.until(lambda: steps.service.adapter.inbox)
         client.socket.close()
-        self.assertEqual(self.sent(steps, steps.engines[0].talks[0]), [])
+        self.assertEqual(self.sent(steps, steps.engines[0].peers[0]), [])
         self.assertEqual(steps.service.counters.sums["trips_whose_client_left"], 1)
 
     def test_withdrawn_before_its_call_has_come(self) -> None:
@@ -68,11 +68,11 @@
         self.assertEqual(steps.until(first.status), 404)
         client = steps.client()
         client.post(2)
-        self.assertEqual(self.sent(steps, steps.engines[0].talks[0]), [])
+        self.assertEqual(self.sent(steps, steps.engines[0].peers[0]), [])
         self.assertEqual(client.read(), b"")
         again = steps.client()
         again.post(2)
-        self.assertEqual(self.sent(steps, steps.engines[0].talks[0]), [f"{2:016x}"])
+        self.assertEqual(self.sent(steps, steps.engines[0].peers[0]), [f"{2:016x}"])
 
     def test_what_was_withdrawn_early_is_forgotten(self) -> None:
         world = World(self)
@@ -313,7 +313,7 @@
         client = steps.served(1)
         client.post(2, "load")
         steps.until(lambda: steps.service.adapter.inbox)
-        steps.engines[0].talks[0].socket.close()
+        steps.engines[0].peers[0].socket.close()
         talk = steps.until(steps.engines[0].accept)
         steps.until(talk.heard)
         talk.say(2)
@@ -455,13 +455,13 @@
         client.post(1)
         steps.reactor.now += 0.06  # the end's look comes before the door is read
         talk = steps.until(steps.engines[0].accept)
-        self.assertEqual(steps.done, [])
+        self.assertEqual(steps.stopped_at, [])
         steps.until(talk.heard)
         talk.say(1)
         self.assertEqual(steps.until(client.status), 200)
         client.socket.close()
         steps.go(200)
-        self.assertEqual(len(steps.done), 1)
+        self.assertEqual(len(steps.stopped_at), 1)
         with self.assertRaises(OSError):
             steps.client()
 
@@ -487,7 +487,7 @@
         steps.service.stop()
         client.post(2)
         steps.go()
-        steps.engines[0].talks[0].say(2)
+        steps.engines[0].peers[0].say(2)
         answer = steps.until(client.read)
         self.assertIn(b"\r\nConnection: close\r\n", answer)
         self.assertEqual(client.read(), b"")
@@ -500,7 +500,7 @@
         steps.service.clients.close_idle()
         client.post(2)
         steps.go(60)
-        self.assertEqual(steps.engines[0].talks[0].heard(), [])
+        self.assertEqual(steps.engines[0].peers[0].heard(), [])
 
     def test_a_reader_that_holds_up_its_answer_does_not_hold_up_the_end(self) -> None:
         world = World(self)
--- a/tests/test_gone_clients.py
+++ b/tests/test_gone_clients.py
@@ -15,22 +15,22 @@
 from spurdeal.net.connection import ABANDONED_WITHIN
 from spurdeal.net.link import LEFT_LATE
 from tests.helpers import Caller, Peer, World
-from tests.steps import HOST, ROW, Steps, Talk
+from tests.steps import HOST, ROW, PeerSocket, Steps
 
 LOOKUP, OTHER = 2, 3  # ids: the request that is watched, one of another client
 HALF_A_CALL = b"POST /ops/lookup HTTP/1.1\r\nReq-Id: 00"
 WHOLE_CALL = b"POST /ops/lookup HTTP/1.1\r\nReq-Id: %016x\r\nReq-Wait-Ms: 5000\r\n\r\n" % 77
 
 
-def close(client: Talk) -> None:
+def close(client: PeerSocket) -> None:
     client.socket.close()
 
 
-def half_close(client: Talk) -> None:
+def half_close(client: PeerSocket) -> None:
     client.socket.shutdown(socket.SHUT_WR)
 
 
-def reset(client: Talk) -> None:
+def reset(client: PeerSocket) -> None:
     client.reset()
 
 
@@ -40,7 +40,7 @@
 class Waiting(NamedTuple):
     """A request where it waits: its client, and what lets it go on from there."""
 
-    client: Talk
+    client: PeerSocket
     go_on: Callable[[], object]
 
 
@@ -49,9 +49,9 @@
     """How a client leaves: what it still sends ahead, and how its connection ends."""
 
     ahead: bytes
-    end: Callable[[Talk], None]
+    end: Callable[[PeerSocket], None]
 
-    def __call__(self, steps: Steps, client: Talk) -> None:
+    def __call__(self, steps: Steps, client: PeerSocket) -> None:
         if self.ahead:
             client.socket.sendall(self.ahead)
         self.end(client)
@@ -60,13 +60,13 @@
         return f"{self.end.__name__} behind {len(self.ahead)} bytes"
 
 
-def cancel(steps: Steps, client: Talk) -> None:
+def cancel(steps: Steps, client: PeerSocket) -> None:
     """On another connection, the first; read before the request goes on."""
     steps.clients[0].socket.sendall(b"DELETE /ops/lookup/%016x HTTP/1.1\r\n\r\n" % LOOKUP)
     next(iter(steps.service.clients.connections)).transport.doRead()
 
 
-Leave = Callable[[Steps, Talk], None]
+Leave = Callable[[Steps, PeerSocket], None]
 AHEAD = (b"", HALF_A_CALL, WHOLE_CALL)
 ENDED: list[Leave] = [Leaving(ahead, end) for ahead in AHEAD for end in ENDS]
 WAYS = [cancel, *ENDED]
@@ -78,7 +78,7 @@
     for engine in steps.engines:
         while engine.accept():
             pass
-        for talk in engine.talks:
+        for talk in engine.peers:
             with contextlib.suppress(ConnectionResetError):
                 found += sum(said[:2] == wanted for said in talk.heard())
     return found
@@ -89,13 +89,13 @@
     steps.reactor.runUntilCurrent()
 
 
-def after_another(steps: Steps) -> Talk:
+def after_another(steps: Steps) -> PeerSocket:
     """A client, and a connection to the engine that rests since it served another's request."""
     steps.served(1)
     return steps.client()
 
 
-def connected_to_both(steps: Steps) -> list[Talk]:
+def connected_to_both(steps: Steps) -> list[PeerSocket]:
     """Two calls at once, then answered: a connection rests at each of two engines. Their far sides."""
     callers = [steps.client(), steps.client()]
     for ident, caller in enumerate(callers, 10):
@@ -341,7 +341,7 @@
         self.assertEqual(attempts(steps), 1)
         client.socket.close()
         steps.go()
-        self.assertEqual([said[0] for said in steps.engines[0].talks[0].heard()], ["cancel"])
+        self.assertEqual([said[0] for said in steps.engines[0].peers[0].heard()], ["cancel"])
         self.assertEqual(counted(steps, "attempts_after_client_left"), 0)
 
     def test_where_a_guard_keeps_a_journal_it_leaves_behind_its_turn(self) -> None:
@@ -369,7 +369,7 @@
             client.post(ident)
         steps.until(lambda: len(steps.service.adapter.inbox) == 2)
         only_timers(steps)
-        said = [words[1] for words in steps.engines[0].talks[0].heard()]
+        said = [words[1] for words in steps.engines[0].peers[0].heard()]
         self.assertEqual(said, [f"{LOOKUP:016x}", f"{OTHER:016x}"])
 
     def test_a_connection_lost_before_the_journal_is_written(self) -> None:
@@ -398,7 +398,7 @@
         steps.round()
         self.assertNotIn(b"%016x" % LOOKUP, steps.service.adapter.by_ident)
         steps.round()
-        self.assertEqual([said[0] for said in steps.engines[0].talks[0].heard()], ["serve", "cancel"])
+        self.assertEqual([said[0] for said in steps.engines[0].peers[0].heard()], ["serve", "cancel"])
 
     def stuck(self) -> tuple[World, Peer]:
         """An engine that does not read: one byte of an attempt leaves, the rest stays. Its client leaves."""
@@ -538,7 +538,7 @@
         steps.served(1)
         sent = WHOLE_CALL.replace(b"%016x" % 77, b"%016x" % LOOKUP)
         with subprocess.Popen(
-            [sys.executable, "-c", text, str(steps.told.port)],
+            [sys.executable, "-c", text, str(steps.configuration.port)],
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
         ) as process:
--- a/tests/test_new_days.py
+++ b/tests/test_new_days.py
@@ -1,4 +1,4 @@
-"""Narrow moments of the operators' days, each forced: what arrives late, in pieces, or as something ends."""
+"""Races of daily operation, each forced: input that arrives late, in pieces, or while something ends."""
 
 import json
 import socket
@@ -16,13 +16,13 @@
 from spurdeal.net.link import Failed
 from spurdeal.net.start import read_configuration
 from tests.helpers import RETURNED, SETTLED, Caller, Peer, World, configuration, started_process
-from tests.steps import HOST, ROW, Steps, Talk, free_port
+from tests.steps import HOST, ROW, PeerSocket, Steps, free_port
 
 ROOT = Path(__file__).parent.parent
-OLD, NEW = ("127.0.8.9", 5300), ("127.0.8.10", 5301)  # addresses of name services
+OLD, NEW = ("127.0.8.9", 5300), ("127.0.8.10", 5301)  # name services before and after a reload
 
 
-def call(ident: int) -> bytes:
+def request(ident: int) -> bytes:
     return b"POST /ops/lookup HTTP/1.1\r\nReq-Id: %016x\r\nReq-Wait-Ms: 5000\r\n\r\n" % ident
 
 
@@ -34,47 +34,47 @@
     return {ident: endpoint.life.name for ident, endpoint in world.service.adapter.endpoints.items()}
 
 
-def accepted(steps: Steps) -> Talk:
-    """The next connection to an engine, whichever that is."""
+def accepted(steps: Steps) -> PeerSocket:
+    """The next connection that any engine accepts."""
 
-    def first() -> Talk | None:
-        return next((talk for engine in steps.engines if (talk := engine.accept())), None)
+    def first() -> PeerSocket | None:
+        return next((peer for engine in steps.engines if (peer := engine.accept())), None)
 
-    found: Talk = steps.until(first)
+    found: PeerSocket = steps.until(first)
     return found
 
 
-def served(steps: Steps, ident: int) -> Talk:
-    """One call answered by whichever engine it came to. Its client's talk."""
+def served(steps: Steps, ident: int) -> PeerSocket:
+    """Run one request to its answer by whichever engine got it; returns its client."""
     client = steps.client()
     client.post(ident)
-    talk = accepted(steps)
-    steps.until(talk.heard)
-    talk.say(ident)
+    peer = accepted(steps)
+    steps.until(peer.heard)
+    peer.say(ident)
     steps.until(client.status)
     return client
 
 
 class LateLists(unittest.TestCase):
-    """The name service is silent for long, and then says all at once."""
+    """The name service does not answer for long, and then answers all queries at once."""
 
     def silent(self, ms: int) -> tuple[World, list[bytes]]:
-        """The questions that nobody has answered."""
+        """A world, and the queries to its name service that stay unanswered for so long."""
         world = World(self, engines=2)
-        asked, world.names_silent = len(world.names), True
+        before, world.names_silent = len(world.names), True
         world.go(ms)
-        return world, world.names[asked:]
+        return world, world.names[before:]
 
-    def answer(self, world: World, question: bytes, serial: int, *draining: int) -> None:
+    def answer(self, world: World, query: bytes, serial: int, *draining: int) -> None:
         endpoints = [record(number, number in draining) for number in range(2)]
-        world.service.names.datagramReceived(names.answer(question, serial, *endpoints), OLD)
+        world.service.names.datagramReceived(names.answer(query, serial, *endpoints), OLD)
 
-    def test_all_late_answers_in_one_round_the_newest_holds(self) -> None:
+    def test_of_late_answers_in_one_round_the_newest_applies(self) -> None:
         for order in ((2, 4, 3), (4, 2, 3), (3, 2, 4)):
             with self.subTest(order):
-                world, questions = self.silent(13_000)
-                for question, serial in zip(questions[-3:], order, strict=True):
-                    self.answer(world, question, serial, *((0,) if serial == 4 else (1,)))
+                world, queries = self.silent(13_000)
+                for query, serial in zip(queries[-3:], order, strict=True):
+                    self.answer(world, query, serial, *((0,) if serial == 4 else (1,)))
                 world.go()
                 self.assertEqual(lives(world)["s-0"], "DRAINING")
                 self.assertEqual(world.service.names.number, 4)
@@ -83,12 +83,12 @@
                 self.assertEqual(lives(world), {"s-0": "DRAINING", "s-1": "READY"})
                 self.assertEqual(world.service.names.number, 4)
 
-    def test_an_answer_after_six_seconds_of_others_is_foreign(self) -> None:
-        world, questions = self.silent(13_000)
-        self.answer(world, questions[0], 9, 0, 1)
+    def test_an_answer_after_six_seconds_of_later_queries_is_foreign(self) -> None:
+        world, queries = self.silent(13_000)
+        self.answer(world, queries[0], 9, 0, 1)
         self.assertEqual((world.count("names_foreign"), world.service.names.number), (1, 1))
 
-    def test_nothing_is_dialled_for_by_a_list_that_is_older_than_news_may_take(self) -> None:
+    def test_nothing_is_dialled_on_a_list_that_is_older_than_a_change_may_take(self) -> None:
         world, _ = self.silent(13_000)
         Caller(world).post(1)
         world.go(1000)
@@ -100,7 +100,7 @@
         world.go(SETTLED)
         self.assertEqual([client[0] for client in world.reactor.tcpClients], ["127.0.9.1"])
 
-    def test_a_drain_in_the_first_answer_takes_back_what_is_dialled_for(self) -> None:
+    def test_a_drain_in_the_first_answer_moves_a_request_that_is_being_dialled(self) -> None:
         world, _ = self.silent(100)
         Caller(world).post(1)
         world.go(200)
@@ -110,44 +110,44 @@
         self.assertEqual(world.peer().up().heard(), [])
         self.assertEqual([said[1] for said in world.peer(1).up().heard()], [f"{1:016x}"])
 
-    def test_a_drain_and_a_call_in_the_same_round(self) -> None:
-        """Whichever is read first: the turn that sends has both, and does not even dial."""
+    def test_a_drain_and_a_request_in_the_same_round(self) -> None:
+        """Whichever is read first: the batch that sends has both, and does not dial the draining engine."""
         for draining, list_first in ((0, True), (1, True), (0, False), (1, False)):
             with self.subTest(draining=draining, list_first=list_first):
-                world, _ = self.silent(220)  # a question has left 20 ms ago
+                world, _ = self.silent(220)  # a query left 20 ms ago
                 caller = Caller(world)
                 if list_first:
                     self.answer(world, world.names[-1], 2, draining)
-                caller.protocol.dataReceived(call(1))
+                caller.protocol.dataReceived(request(1))
                 if not list_first:
                     self.answer(world, world.names[-1], 2, draining)
                 world.go()
                 (dialled,) = world.reactor.tcpClients
                 self.assertEqual(dialled[0], f"127.0.9.{1 - draining}")
 
-    def test_a_lost_answer_is_asked_for_again(self) -> None:
-        """After 40 ms, again and again, ever later, and each of the questions may still be answered."""
-        world, questions = self.silent(1_000)
-        self.assertEqual(len(questions), 7)
-        self.answer(world, questions[-1], 2, 1)
+    def test_a_query_whose_answer_is_lost_is_repeated(self) -> None:
+        """After 40 ms, then at growing intervals; an answer to any of the queries still counts."""
+        world, queries = self.silent(1_000)
+        self.assertEqual(len(queries), 7)
+        self.answer(world, queries[-1], 2, 1)
         self.assertEqual(lives(world), {"s-0": "READY", "s-1": "DRAINING"})
 
 
 class ReloadsAndDrains(unittest.TestCase):
-    """SIGHUP moves the name service while a drain is told: in either order, and overlapping."""
+    """SIGHUP changes the name service while an engine starts to drain: in either order, and overlapping."""
 
-    def told(self, serial: int = 1, draining: bool = False) -> Any:
+    def changed_configuration(self, serial: int = 1, draining: bool = False) -> Any:
         given = configuration(2, nameserver=f"{NEW[0]}:{NEW[1]}")
         given["known"]["no"] = given["known"]["items"][0]["no"] = serial
         if draining:
             given["known"]["items"][0]["roster"]["instances"][0]["lifecycle"] = "DRAINING"
         return read_configuration(json.dumps(given))
 
-    def reload(self, world: World, told: Any) -> None:
-        world.service.read_again(lambda: told)
+    def reload(self, world: World, reloaded: Any) -> None:
+        world.service.read_again(lambda: reloaded)
 
     def check(self, world: World, draining: bool = True) -> None:
-        """Whether engine 0 drains, and so gets nothing."""
+        """Check that engine 0 drains and gets nothing, or else that it gets requests."""
         self.assertEqual(lives(world)["s-0"], "DRAINING" if draining else "READY")
         before = len(world.reactor.tcpClients)
         for ident in range(20, 24):
@@ -158,23 +158,23 @@
     def test_the_drain_first_and_an_older_configuration_after_it(self) -> None:
         world = World(self, engines=2)
         world.list(5, record(0, draining=True), record(1))
-        self.reload(world, self.told(serial=4))
+        self.reload(world, self.changed_configuration(serial=4))
         self.check(world)
 
-    def test_the_move_first_and_the_drain_from_the_new_address(self) -> None:
+    def test_the_reload_first_and_the_drain_from_the_new_address(self) -> None:
         world = World(self, engines=2)
-        self.reload(world, self.told())
+        self.reload(world, self.changed_configuration())
         world.list(5, record(0, draining=True), record(1), source=NEW)
         self.check(world)
 
-    def test_a_drain_on_its_way_from_the_old_address(self) -> None:
-        """It counts as told when it was sent, so it is taken; one that answers no question of ours is not."""
+    def test_a_drain_in_flight_from_the_old_address(self) -> None:
+        """It answers a query from before the reload, so it applies; an answer without a query does not."""
         world = World(self, engines=2)
         world.names_silent = True
         world.go(200)
-        question = world.names[-1]
-        self.reload(world, self.told())
-        answer = names.answer(question, 5, record(0, draining=True), record(1))
+        query = world.names[-1]
+        self.reload(world, self.changed_configuration())
+        answer = names.answer(query, 5, record(0, draining=True), record(1))
         world.service.names.datagramReceived(answer, NEW)
         world.go()
         self.check(world, draining=False)
@@ -188,11 +188,11 @@
 
     def test_the_drain_is_in_the_configuration_itself(self) -> None:
         world = World(self, engines=2)
-        self.reload(world, self.told(serial=6, draining=True))
-        world.list(5, record(0), record(1), source=NEW)  # older than what the configuration says
+        self.reload(world, self.changed_configuration(serial=6, draining=True))
+        world.list(5, record(0), record(1), source=NEW)  # older than the list in the configuration
         self.check(world)
 
-    def test_while_a_request_is_dialled_for(self) -> None:
+    def test_while_a_connection_for_a_request_is_dialled(self) -> None:
         for moved_first in (True, False):
             with self.subTest(moved_first=moved_first):
                 world = World(self, engines=2)
@@ -200,42 +200,42 @@
                 dialled = int(world.peer().host[-1])
                 endpoints = [record(number, number == dialled) for number in range(2)]
                 if moved_first:
-                    self.reload(world, self.told())
+                    self.reload(world, self.changed_configuration())
                     world.list(5, *endpoints, source=NEW)
                 else:
                     world.list(5, *endpoints)
-                    self.reload(world, self.told())
+                    self.reload(world, self.changed_configuration())
                 self.assertEqual(world.peer().up().heard(), [])
                 self.assertEqual(len(world.peer(1).up().heard()), 1)
 
-    def test_the_first_answer_after_the_move_comes_at_once(self) -> None:
-        """The new address is asked with the reload and not with the next question."""
+    def test_the_new_address_is_queried_at_once(self) -> None:
+        """With the reload, and not only when the next query is due."""
         world = World(self, engines=2)
         world.go(90)
-        self.reload(world, self.told())
+        self.reload(world, self.changed_configuration())
         answer = names.answer(world.names[-1], 5, record(0, draining=True), record(1))
         world.service.names.datagramReceived(answer, NEW)
         self.check(world)
 
 
-class ToldToEnd(unittest.TestCase):
-    """SIGTERM right after an accept: what the machine has accepted is answered, wherever it lies."""
+class GracefulShutdown(unittest.TestCase):
+    """SIGTERM right after a connection was accepted: its request is answered, wherever it is by then."""
 
-    def check(self, steps: Steps, client: Talk) -> None:
-        talk = steps.until(steps.engines[0].accept)
-        steps.until(talk.heard)
-        talk.say(1)
+    def check(self, steps: Steps, client: PeerSocket) -> None:
+        peer = steps.until(steps.engines[0].accept)
+        steps.until(peer.heard)
+        peer.say(1)
         self.assertEqual(steps.until(client.status), 200)
-        self.assertEqual(client.read(), b"")  # and a clean end behind it
+        self.assertEqual(client.read(), b"")  # and the connection ends cleanly
 
-    def test_whole_in_the_backlog(self) -> None:
+    def test_a_request_in_the_backlog(self) -> None:
         steps = Steps(self)
         client = steps.client()
         client.post(1)
         steps.service.stop()
         self.check(steps, client)
 
-    def test_accepted_and_not_read(self) -> None:
+    def test_a_request_that_is_accepted_and_not_read(self) -> None:
         steps = Steps(self)
         client = steps.client()
         steps.until(lambda: steps.service.clients.connections)
@@ -243,7 +243,7 @@
         steps.service.stop()
         self.check(steps, client)
 
-    def test_read_and_before_its_turn(self) -> None:
+    def test_a_request_that_is_read_and_waits_for_its_batch(self) -> None:
         steps = Steps(self)
         client = steps.client()
         client.post(1)
@@ -251,8 +251,8 @@
         steps.service.stop()
         self.check(steps, client)
 
-    def test_accepted_and_sent_late(self) -> None:
-        """On an open connection up to 0.6 s later."""
+    def test_a_request_sent_late_on_an_accepted_connection(self) -> None:
+        """Up to 0.6 s after the shutdown began."""
         steps = Steps(self)
         client = steps.client()
         steps.until(lambda: steps.service.clients.connections)
@@ -261,24 +261,24 @@
         client.post(1)
         self.check(steps, client)
 
-    def test_half_read_and_the_rest_sent_late(self) -> None:
-        """Also where the end would have come by then: a call that has begun is waited for."""
+    def test_a_request_whose_second_half_is_sent_late(self) -> None:
+        """Also after the process could have ended: a request that has begun is waited for."""
         for ms in (600, 950):
             with self.subTest(ms=ms):
                 steps = Steps(self)
                 client = steps.client()
-                client.socket.sendall(call(1)[:40])
+                client.socket.sendall(request(1)[:40])
                 steps.go()
                 steps.service.stop()
                 steps.go(ms)
-                client.socket.sendall(call(1)[40:])
+                client.socket.sendall(request(1)[40:])
                 self.check(steps, client)
 
-    def test_a_process_told_to_end_right_after_it_accepted(self) -> None:
+    def test_a_process_that_gets_sigterm_right_after_it_accepted(self) -> None:
         with (
             tempfile.TemporaryDirectory() as folder,
             socket.socket() as engine,
-            socket.socket(type=socket.SOCK_DGRAM) as silent,  # a name service of its own that says nothing
+            socket.socket(type=socket.SOCK_DGRAM) as silent,  # a name service that never answers
         ):
             silent.bind((HOST, 0))
             engine.bind((HOST, 0))
@@ -294,33 +294,33 @@
                 assert process.stderr is not None
                 next(line for line in process.stderr if "event=ready" in line)
                 with socket.create_connection((HOST, port), timeout=20) as raw:
-                    client = Talk(raw)
+                    client = PeerSocket(raw)
                     client.post(1)
                     process.send_signal(SIGTERM)
                     with engine.accept()[0] as accepted:
                         accepted.settimeout(20)
                         self.assertIn(b"%016x" % 1, accepted.recv(4096))
                         accepted.settimeout(0)
-                        Talk(accepted).say(1)
+                        PeerSocket(accepted).say(1)
                         raw.settimeout(20)
                         self.assertIn(b" 200 OK", raw.recv(4096))
                         self.assertEqual(raw.recv(4096), b"")
                 self.assertTrue(any("event=stopped" in line for line in process.stderr))
 
 
-class Pieces(unittest.TestCase):
-    """A request that comes in pieces, with pauses between them."""
+class RequestsInPieces(unittest.TestCase):
+    """A request arrives in pieces, with pauses between them."""
 
     BODY = b"SELECT a FROM s_3.t"
 
-    def call(self, ident: int, wait: int = 1500) -> bytes:
+    def request(self, ident: int, wait: int = 1500) -> bytes:
         return (
             b"POST /ops/lookup HTTP/1.1\r\nReq-Id: %016x\r\nReq-Wait-Ms: %d\r\n"
             b"Content-Length: %d\r\n\r\n" % (ident, wait, len(self.BODY)) + self.BODY
         )
 
     def served(self, world: World, peer: Peer, caller: Caller, ident: int) -> str:
-        """Answers the request that came last, and gives the fields with which it came."""
+        """Answer the request that came last; returns the fields with which it came."""
         (said,) = peer.heard()
         self.assertEqual((said[1], said[3]), (f"{ident:016x}", self.BODY.decode()))
         peer.say(ident, "200", "parts=1", ROW)
@@ -337,77 +337,77 @@
         caller.answers()
         return world, caller, peer
 
-    def test_each_boundary_with_a_pause_there(self) -> None:
-        """Its time counts from the last byte, wherever the pause was."""
+    def test_a_request_in_two_pieces_split_at_each_byte(self) -> None:
+        """The time that the client waits counts from the last byte, wherever the pause was."""
         world, caller, peer = self.started()
-        for place in range(1, len(self.call(1))):
+        for place in range(1, len(self.request(1))):
             with self.subTest(place):
-                call = self.call(place)
-                caller.say(call[:place])
+                whole = self.request(place)
+                caller.say(whole[:place])
                 world.go(100)
                 self.assertEqual(peer.heard(), [])
-                caller.say(call[place:])
+                caller.say(whole[place:])
                 self.assertIn("wait=1460,", self.served(world, peer, caller, place))
 
     def test_each_byte_alone(self) -> None:
-        """More pieces than are timed one by one, over longer than the request may wait."""
+        """More pieces than are timed one by one, over a longer time than the client waits for its answer."""
         world, caller, peer = self.started()
-        for byte in self.call(1):
+        for byte in self.request(1):
             world.go(20)
             caller.say(bytes([byte]))
         self.assertIn("wait=1460,", self.served(world, peer, caller, 1))
 
-    def test_a_slow_writer_is_let_be_while_it_writes(self) -> None:
+    def test_a_client_that_writes_slowly_is_not_cut_off(self) -> None:
         world, caller, peer = self.started()
-        pieces = [self.call(1)[place : place + 30] for place in range(0, len(self.call(1)), 30)]
+        pieces = [self.request(1)[place : place + 30] for place in range(0, len(self.request(1)), 30)]
         for piece in pieces:
             world.go(1800)
             caller.say(piece)
         self.assertIn("wait=1460,", self.served(world, peer, caller, 1))
 
-    def test_half_a_call_behind_an_open_one_has_its_pause_from_that_ones_answer(self) -> None:
+    def test_the_read_timeout_of_a_pipelined_half_begins_with_the_answer_before_it(self) -> None:
         world, caller, peer = self.started()
-        caller.say(self.call(1, wait=5000) + self.call(2)[:50])
+        caller.say(self.request(1, wait=5000) + self.request(2)[:50])
         world.go(2200)
         self.served(world, peer, caller, 1)
         world.go(1500)
-        caller.say(self.call(2)[50:])
+        caller.say(self.request(2)[50:])
         self.served(world, peer, caller, 2)
 
-    def test_half_a_call_read_before_its_client_read_no_more(self) -> None:
-        """Its pause counts from when it reads again, as it was not read from until then."""
+    def test_the_read_timeout_of_a_half_begins_when_reading_resumes(self) -> None:
+        """Nothing was read from the client while it did not read its answers."""
         world, caller, peer = self.started()
-        caller.say(self.call(1)[:50])
+        caller.say(self.request(1)[:50])
         caller.protocol.pauseProducing()
         world.go(3000)
         caller.protocol.resumeProducing()
         world.go(1500)
-        caller.say(self.call(1)[50:])
+        caller.say(self.request(1)[50:])
         self.served(world, peer, caller, 1)
 
-    def test_one_that_writes_for_ever_is_not(self) -> None:
+    def test_a_client_that_never_finishes_its_request_is_cut_off(self) -> None:
         world, caller, _ = self.started()
         for _ in range(8):
             world.go(1500)
             caller.say(b"X")
         self.assertEqual([status for status, _, _ in caller.answers()], [408])
 
-    def test_a_pipelined_call_in_pieces_behind_an_open_one(self) -> None:
+    def test_a_pipelined_request_in_pieces_behind_an_open_one(self) -> None:
         world, caller, peer = self.started()
-        caller.say(self.call(1))
-        call = self.call(2)
-        for piece in (call[:50], call[50:90], call[90:]):
+        caller.say(self.request(1))
+        whole = self.request(2)
+        for piece in (whole[:50], whole[50:90], whole[90:]):
             world.go(100)
             caller.say(piece)
         world.go(300)
         self.served(world, peer, caller, 1)
         self.assertIn("wait=1160,", peer.heard()[0][2])
 
-    def test_an_answer_at_each_boundary(self) -> None:
+    def test_an_answer_in_two_pieces_split_at_each_byte(self) -> None:
         world, caller, peer = self.started()
         for place in range(1, 40):
             with self.subTest(place):
-                caller.say(self.call(place))
+                caller.say(self.request(place))
                 peer.heard()
                 whole = b"*4\r\n$16\r\n%016x\r\n$3\r\n200\r\n$7\r\nparts=1\r\n$6\r\n" % place + ROW + b"\r\n"
                 peer.raw(whole[:place])
@@ -417,8 +417,8 @@
                 self.assertEqual([status for status, _, _ in caller.answers()], [200])
 
 
-class SecondAnswers(unittest.TestCase):
-    """An engine answers twice, the second time some milliseconds late."""
+class DuplicateAnswers(unittest.TestCase):
+    """An engine answers one attempt twice, the second time some milliseconds later."""
 
     def test_on_a_connection_that_has_another_attempt_by_then(self) -> None:
         for word, fields, body in (("200", "parts=1", ROW), ("200", "parts=3", ROW), ("503", "-", b"")):
@@ -438,7 +438,7 @@
                 self.assertEqual(len(first.answers()), 1)
                 self.assertEqual((world.count("answers_crossed"), peer.pipe.aborted), (1, False))
 
-    def test_after_a_refusal_and_while_the_retry_is_out_elsewhere(self) -> None:
+    def test_after_a_refusal_while_the_retry_runs_on_another_engine(self) -> None:
         world = World(self, engines=2)
         caller = Caller(world)
         caller.post(1)
@@ -451,7 +451,7 @@
         self.assertEqual([value for _, _, value in caller.answers()], [{"result": [["a", "1", "x"]]}])
 
     def test_its_id_is_not_sent_on_the_same_connection_again(self) -> None:
-        """Or its second answer would be taken for the first of the other."""
+        """Else the second answer would be taken for the first one of the new attempt."""
         world = World(self)
         caller = Caller(world)
         caller.post(1)
@@ -462,8 +462,8 @@
         self.assertEqual(len(caller.answers()), 1)
         self.assertEqual(len(world.reactor.tcpClients), 2)
 
-    def test_half_of_it_when_the_next_attempt_is_chosen(self) -> None:
-        """Read or unread: an attempt that stood behind it would go down with what never ends."""
+    def test_half_a_duplicate_when_the_next_attempt_is_chosen(self) -> None:
+        """Read or unread: an attempt on that connection would fail with an answer that never ends."""
         for read in (True, False):
             with self.subTest(read=read):
                 world = World(self)
@@ -483,7 +483,7 @@
                 world.go(SETTLED)
                 self.assertEqual(peer.pipe.aborted, read)  # half an answer is bounded in time
 
-    def test_half_of_it_where_no_other_connection_may_be_had(self) -> None:
+    def test_half_a_duplicate_where_no_other_connection_is_allowed(self) -> None:
         whole = b"*4\r\n$16\r\n%016x\r\n$3\r\n200\r\n$1\r\n-\r\n$0\r\n\r\n" % 1
         for read in (True, False):
             with self.subTest(read=read):
@@ -505,51 +505,51 @@
                 self.assertEqual([status for status, _, _ in caller.answers()], [200, 200])
 
 
-class Ends(unittest.TestCase):
-    """Bytes arrive as a connection is shut or closed."""
+class ClosingConnections(unittest.TestCase):
+    """Bytes arrive while a connection is shut down or closed."""
 
     def test_half_a_line_from_an_engine_as_its_connection_is_closed(self) -> None:
-        """Idle for too long, or its engine drains: nothing waits there, and nothing else is harmed."""
+        """Idle for too long, or its engine drains: no attempt is there, and no other is affected."""
         for ender in ("sweep", "drain"):
             with self.subTest(ender):
                 steps = Steps(self, engines=2)
                 served(steps, 1)
-                engine = next(engine for engine in steps.engines if engine.talks)
-                engine.talks[0].socket.sendall(b"*4\r\n$16\r\n0000")
+                engine = next(engine for engine in steps.engines if engine.peers)
+                engine.peers[0].socket.sendall(b"*4\r\n$16\r\n0000")
                 if ender == "sweep":
                     steps.reactor.now += 16.0
                     steps.service.engines.sweep()
-                    steps.list(2)  # after so long without a question, the list holds with its next answer
+                    steps.list(2)  # after so long without a query, the list is confirmed by the next answer
                 else:
                     steps.list(2, steps.engines.index(engine))
                 steps.go()
                 client = steps.client()
                 client.post(2)
-                talk = accepted(steps)
-                steps.until(talk.heard)
-                talk.say(2)
+                peer = accepted(steps)
+                steps.until(peer.heard)
+                peer.say(2)
                 self.assertEqual(steps.until(client.status), 200)
 
-    def test_an_answer_as_its_request_is_given_up(self) -> None:
-        """Its time is up in the round in which the answer comes: one final answer."""
+    def test_an_answer_in_the_round_of_its_deadline(self) -> None:
+        """The client gets one final answer."""
         steps = Steps(self)
         client = steps.client()
         client.post(1, wait=500)
-        talk = steps.until(steps.engines[0].accept)
-        steps.until(talk.heard)
+        peer = steps.until(steps.engines[0].accept)
+        steps.until(peer.heard)
         steps.go(450)
-        talk.say(1)
+        peer.say(1)
         steps.reactor.now += 0.020
         steps.go()
         answer = client.read() or b""
         self.assertEqual(answer.count(b"HTTP/1.1 "), 1)
 
-    def test_a_call_on_a_resting_connection_as_the_shutdown_is_sent(self) -> None:
-        """Unread behind the last answer: dropped, and its client sees the end and not a reset."""
+    def test_a_request_on_an_idle_connection_that_is_being_shut_down(self) -> None:
+        """It is dropped unread, and its client sees the end of the stream and not a reset."""
         steps = Steps(self)
         client = served(steps, 1)
         (connection,) = steps.service.clients.connections
-        connection.close()  # the look has found nothing
+        connection.close()  # as after a check that found nothing to read
         client.post(2)
         steps.go()
         self.assertEqual(client.read(), b"")
@@ -559,11 +559,11 @@
         self.assertEqual(steps.service.clients.connections, {})
 
 
-class ManyAtOnce(unittest.TestCase):
-    def test_forty_calls_in_one_piece_are_answered_in_their_order(self) -> None:
+class PipelinedRequests(unittest.TestCase):
+    def test_forty_requests_in_one_piece_are_answered_in_order(self) -> None:
         world = World(self)
         caller = Caller(world)
-        caller.say(b"".join(call(ident) for ident in range(1, 41)))
+        caller.say(b"".join(request(ident) for ident in range(1, 41)))
         peer = world.peer().up()
         for ident in range(1, 41):
             self.assertEqual([said[1] for said in peer.heard()], [f"{ident:016x}"])
@@ -571,35 +571,35 @@
         rows = [value["result"][0] for _, _, value in caller.answers()]
         self.assertEqual([row[0] for row in rows], [str(ident) for ident in range(1, 41)])
 
-    def test_a_thousand_that_are_answered_at_once(self) -> None:
-        """As those are that a guard knows: one does not stand on the other's stack."""
+    def test_a_thousand_requests_that_are_answered_at_once(self) -> None:
+        """As a guard answers requests that it knows: answering one must not recurse into the next."""
         world = World(self)
         guard = Mock()
         guard.door.return_value = Failed()
         world.service.adapter.guard = guard
         caller = Caller(world)
-        caller.say(b"".join(call(ident) for ident in range(1, 1001)))
+        caller.say(b"".join(request(ident) for ident in range(1, 1001)))
         world.go(50)
         self.assertEqual([status for status, _, _ in caller.answers()], [500] * 1000)
 
-    def test_forty_calls_in_one_piece_and_gone(self) -> None:
+    def test_a_client_that_sends_forty_requests_and_leaves(self) -> None:
         for end in ("close", "shutdown"):
             with self.subTest(end):
                 steps = Steps(self)
                 served(steps, 100)
                 client = steps.client()
-                client.socket.sendall(b"".join(call(ident) for ident in range(1, 41)))
+                client.socket.sendall(b"".join(request(ident) for ident in range(1, 41)))
                 client.socket.close() if end == "close" else client.socket.shutdown(socket.SHUT_WR)
                 steps.go(200)
-                self.assertEqual(steps.engines[0].talks[0].heard(), [])
+                self.assertEqual(steps.engines[0].peers[0].heard(), [])
                 self.assertEqual(steps.service.adapter.by_ident, {})
 
 
-class SignalsAroundTheLoop(unittest.TestCase):
-    """Those that come before the program's first line, and between two of its steps."""
+class SignalsOutsideTheLoop(unittest.TestCase):
+    """Signals before the program's first line, and between two iterations of its loop."""
 
     def sent_before_the_first_line(self, number: Signals) -> int:
-        """By the shell of `run`, whose program is replaced by one that gets the signal first of all."""
+        """Run the shell of `run` with a program that first of all sends itself this signal; its exit code."""
         run = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
         shell, _, program = run.partition("exec ")
         self.assertTrue(program)
@@ -610,11 +610,11 @@
     def test_a_hangup_before_the_first_line_changes_nothing(self) -> None:
         self.assertEqual(self.sent_before_the_first_line(SIGHUP), 0)
 
-    def test_told_to_end_before_the_first_line_it_ends(self) -> None:
+    def test_a_sigterm_before_the_first_line_ends_the_process(self) -> None:
         self.assertEqual(self.sent_before_the_first_line(SIGTERM), -SIGTERM)
 
     def test_the_loop_never_waits_for_long(self) -> None:
-        """A signal that comes just before the loop waits is carried out behind that wait."""
+        """A signal that comes just before the loop waits is handled after that wait."""
         steps = Steps(self)
         waits = []
 
@@ -633,7 +633,7 @@
 
 
 class SmallWrites(unittest.TestCase):
-    """TCP_NODELAY: a small write that the system held back would go with a reset."""
+    """TCP_NODELAY is set: a small write that the system held back would be lost with a reset."""
 
     def test_on_each_socket_of_clients_and_engines(self) -> None:
         steps = Steps(self)
--- a/tests/test_system_faults.py
+++ b/tests/test_system_faults.py
@@ -345,7 +345,7 @@
 
     def wait_told(self, steps: Steps, ident: int) -> int:
         """What the engine is told for a request; it is answered."""
-        talk = steps.engines[0].talks[0] if steps.engines[0].talks else steps.until(steps.engines[0].accept)
+        talk = steps.engines[0].peers[0] if steps.engines[0].peers else steps.until(steps.engines[0].accept)
         (said,) = steps.until(talk.heard)
         talk.say(ident)
         return int(said[2].split("wait=")[1].split(",")[0])
@@ -673,7 +673,7 @@
                 client.post(1)
                 steps.go(60)  # the end would have come by now
                 steps.service.counters.sums.pop("unhandled", None)  # Twisted's own line of the error
-                self.assertEqual(steps.done, [])
+                self.assertEqual(steps.stopped_at, [])
                 port.socket.times = 0
                 talk = steps.until(steps.engines[0].accept)
                 steps.until(talk.heard)
@@ -682,7 +682,7 @@
                 client.socket.close()
                 steps.go(200)
                 steps.service.counters.sums.pop("unhandled", None)
-                self.assertEqual(len(steps.done), 1)
+                self.assertEqual(len(steps.stopped_at), 1)
 
 
 class OneStepFails(unittest.TestCase):
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -13,7 +13,7 @@
 from spurdeal.net.pending import count_waiting_connections
 from spurdeal.net.watch import AcceptWatch, LoopWatch
 from tests.helpers import Caller, World
-from tests.steps import Steps, Talk, settings
+from tests.steps import PeerSocket, Steps, settings
 
 STALL = 800.0  # ms
 ANSWER_WAY = 40  # ms that the dispatcher keeps for the way back
@@ -27,7 +27,7 @@
     steps.reactor.now += ms / 1000
 
 
-def wait_told(talk: Talk) -> list[int]:
+def wait_told(talk: PeerSocket) -> list[int]:
     """The time that engines were told, of each attempt that has come on this connection."""
     return [
         int(dict(pair.split("=") for pair in said[2].split(","))["wait"])
@@ -39,11 +39,11 @@
 class Stalls(unittest.TestCase):
     """What is read after a stall may have come at its beginning: its time counts from there."""
 
-    def resting(self, **more: Any) -> tuple[Steps, Talk, Talk]:
+    def resting(self, **more: Any) -> tuple[Steps, PeerSocket, PeerSocket]:
         """A dispatcher, a client's connection and an engine's, both in use before."""
         steps = Steps(self, **more)
         client = steps.served(1)
-        return steps, client, steps.engines[0].talks[0]
+        return steps, client, steps.engines[0].peers[0]
 
     def test_on_an_open_connection(self) -> None:
         steps, client, engine = self.resting()
@@ -170,7 +170,7 @@
         clients = self.steps.service.clients
         clients.bound(most=40, accepts=ACCEPTS_A_ROUND, memory_mb=64.0)
         self.steps.go()
-        self.silent = deque[Talk]()
+        self.silent = deque[PeerSocket]()
         self.come(WAITING_CLIENTS)
 
     def come(self, count: int) -> None:
