--- a/spurdeal/rules.py
+++ b/spurdeal/rules.py
@@ -150,6 +150,8 @@
 
     Attributes:
         listed: its entry in the list of engines.
+        concurrency_limit: the most of our threads in flight there under pressure; before adjust_limit() moved
+            it last, it was previous_limit, and at its start initial_limit.
         in_flight_threads: threads of open attempts that run, and of abandoned work.
         overdue_threads: of these, threads of attempts over the pressure threshold.
         last_response: when it last showed that it works; or when an attempt was sent to it while it had none.
@@ -161,7 +163,8 @@
         cold_sends: time and work of each send within the slow start's window.
         abandoned_work: until when the threads of timed-out attempts that cannot be stopped count as in
             flight.
-        slow_start_until: it is cold before that time.
+        pressure_until: under pressure before that time.
+        slow_start_began, slow_start_until: it is cold between these times.
         initial_cold_credit: the part of the next light request, drawn by chance, that was credited at the
             start.
         cold_work_sent: work sent there in slow start and credit that has expired; credit is what accrued less
@@ -226,8 +229,7 @@
         further as long as throughput rises. A limit above the demand falls to the demand, so that it does not
         grow while nothing tests it.
         """
-        # Fewer but heavier requests are no loss: where no less work was served, throughput counts as not
-        # fallen.
+        # Fewer but heavier requests are no loss: if no less work was served, throughput has not fallen.
         served = (
             max(self.served_threads, self.previous_served_threads)
             if self.served_work >= self.previous_served_work > 0
@@ -263,8 +265,8 @@
     """The decisions of one dispatcher, from its start to its end; implements interface.Rules.
 
     Attributes:
-        even_share: this dispatcher's part of all dispatchers' work, as configured or as
-            capacity_shares_changed told.
+        configured_share: this dispatcher's part of all dispatchers' work, as configured or as set by
+            capacity_shares_changed().
         own_in_flight, fleet_in_flight: requests of ours and of all that engines hold, as their reports say;
             the quotient is our share of the sends.
         widest_request: the most threads of any workload.
@@ -287,6 +289,7 @@
         latency_ratios: per workload, time taken over time expected.
         normalized_latencies, median_latency: the latency ratios over their baselines, and their median; at
             least 1.
+        pressure_until: all engines count as under pressure before that time.
         calm_median: the lowest such median of calm intervals; 0 until there is one.
         pressure_threshold: normalized latency beyond which attempts and engines show pressure.
         thread_demand: threads in flight and queued, summed over the interval's ticks.
@@ -303,17 +306,17 @@
             float("inf"),
         )
         self.workloads, self.cores = site.workloads, site.cores or (1,)
-        self.even_share, self.retry_budget = 1.0 / site.dispatchers, MAX_RETRY_BUDGET
+        self.configured_share, self.retry_budget = 1.0 / site.dispatchers, MAX_RETRY_BUDGET
         self.load_field, self.priorities, self.own_in_flight, self.fleet_in_flight = (
             site.load_field,
             site.priorities,
-            self.even_share,
+            self.configured_share,
             1.0,
         )
         self.widest_request = float(max(workload.threads for workload in site.workloads))
         # Engines that page admit everything: nothing beyond the limit may be sent there by chance.
         self.burst_allowance = 0.0 if site.pages else BURST_REQUESTS * self.widest_request
-        self.quotas = [quota * self.even_share / 1000 for quota in site.quotas]
+        self.quotas = [quota * self.configured_share / 1000 for quota in site.quotas]
         self.quota_credit, self.over_quota_value = (
             [quota * 1000 for quota in self.quotas],
             site.over_share_value,
@@ -335,7 +338,7 @@
         )
         cold_capacity = site.cold_multiple * site.cold_share * USABLE_CAPACITY * MIN_ENGINE_SPEED
         self.fleet_slow_start_budget = cold_capacity * site.cold_window * COLD_SAFETY_FACTOR
-        self.slow_start_budget = self.fleet_slow_start_budget * self.even_share
+        self.slow_start_budget = self.fleet_slow_start_budget * self.configured_share
         self.mean_work = [
             RunningMean(max(1.0, workload.objective / 4), MEAN_WORK_SAMPLES) for workload in site.workloads
         ]
@@ -411,8 +414,8 @@
     def capacity_shares_changed(self, now: float, cold: float, start: float) -> None:
         """Set our parts of slow-start budgets and initial limits: dispatchers stand in for one another."""
         self.now, self.slow_start_budget = now, self.fleet_slow_start_budget * cold
-        if start != self.even_share:  # the next interval moves each limit by the difference
-            self.even_share, self.own_in_flight, self.fleet_in_flight = start, start, 1.0
+        if start != self.configured_share:  # the next interval moves each limit by the difference
+            self.configured_share, self.own_in_flight, self.fleet_in_flight = start, start, 1.0
 
     def engine_suspected(self, now: float, number: int, left: float) -> None:
         """Eject an engine that the previous holder of our address had ejected, until a probe succeeds."""
@@ -1194,7 +1197,9 @@
         self.normalized_latencies.halve()
         first, count = self.chance.draw(), len(self.engines)
         # Queued requests are not sends: a dispatcher that queues would see its share shrink more and more.
-        share = max(self.own_in_flight / self.fleet_in_flight, self.even_share if self.wait_queue else 0.0)
+        share = max(
+            self.own_in_flight / self.fleet_in_flight, self.configured_share if self.wait_queue else 0.0
+        )
         # Where no report tells what engines hold: all dispatchers together send no more than engines can do.
         self.offered_work_time += INTERVAL_MS
         if self.load_field is None and not self.pages and self.ready:
