--- a/spurdeal/net/answers.py
+++ b/spurdeal/net/answers.py
@@ -22,4 +22,4 @@
 
 
 Answer = Delivered | Shed | Failed | Granted
-COUNTED = {Delivered: "delivered", Shed: "shed", Failed: "broken_off", Granted: "granted"}
+COUNTER_NAMES = {Delivered: "delivered", Shed: "shed", Failed: "broken_off", Granted: "granted"}
--- a/spurdeal/net/client.py
+++ b/spurdeal/net/client.py
@@ -16,11 +16,11 @@
 from . import immediate
 from .arrival_times import ArrivalTimes
 from .fields import IDEMPOTENCY_KEY, IDENT, key_of, last_part, number_field, rows_of
-from .http import BadMessage, RequestParser, response
+from .http import BadRequest, RequestParser, response
 from .link import Answer, Delivered, Failed, Shed
-from .patient_socket import make_patient
-from .pending import may_have_come
-from .statement import group_of
+from .patient_socket import wrap_socket
+from .pending import may_have_input
+from .statement import table_group
 
 if TYPE_CHECKING:
     from .clients import Clients
@@ -78,7 +78,7 @@
     # Twisted's calls.
 
     def connectionMade(self) -> None:
-        make_patient(self.transport, self.clients.adapter.loop)
+        wrap_socket(self.transport, self.clients.adapter.loop)
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
         self.clients.came(self)
@@ -103,13 +103,13 @@
                 self.transport.abortConnection()
             return
         self.last_read = self.clients.clock()
-        if not self.parser.left():
+        if not self.parser.remaining():
             self.since = self.last_read
         elif self.call is None and not self.is_advancing():
             self.arrivals.clear()  # one unfinished call: its time counts from its last byte
         self.parser.feed(data)
         self.arrivals.add(len(data))
-        if self.call is not None and self.parser.left() > self.clients.ahead:
+        if self.call is not None and self.parser.remaining() > self.clients.ahead:
             self.clients.counters.add("client_ran_ahead")
             self.withdraw()
             self.transport.abortConnection()
@@ -196,12 +196,12 @@
             handled += 1
             try:
                 taken = self.parser.take()
-                self.arrivals.forget_before(self.parser.left())
+                self.arrivals.forget_before(self.parser.remaining())
                 if taken is None:
                     return
                 self.since = self.clients.clock()
                 self.handle(*taken)
-            except BadMessage as fault:
+            except BadRequest as fault:
                 self.clients.counters.add("client_bad_messages")
                 self.answer(fault.status, {"fault": str(fault)}, False)
 
@@ -224,7 +224,7 @@
         ):
             try:
                 taken = self.parser.take()
-            except BadMessage:
+            except BadRequest:
                 return  # told in its turn
             if taken is None:
                 return
@@ -261,15 +261,15 @@
         """
         kind = self.clients.workload_of(path)
         if kind is None:
-            raise BadMessage(404, "the workload is not known")
+            raise BadRequest(404, "the workload is not known")
         ident, wait = bytes(fields.get(b"req-id", b"")), number_field(fields, b"req-wait-ms")
         cost, memory = number_field(fields, b"req-cost", 0.0), number_field(fields, b"x-est-mb", 0.0)
         if not IDENT.fullmatch(ident) or wait <= 0:
-            raise BadMessage(400, "req-id or req-wait-ms cannot be used")
+            raise BadRequest(400, "req-id or req-wait-ms cannot be used")
         statement = bytes(body)  # outlives the buffer: further attempts may need it
         owner, idempotency_key = bytes(fields.get(b"req-owner", b"")), bytes(fields.get(b"req-token", b""))
         if idempotency_key and not IDEMPOTENCY_KEY.fullmatch(idempotency_key):
-            raise BadMessage(400, "req-token cannot be used")
+            raise BadRequest(400, "req-token cannot be used")
         call = self.clients.adapter.take(
             ident,
             self.clients.names[kind],
@@ -277,7 +277,7 @@
             wait - self.arrivals.waited(self.clients.clock()),
             cost,
             memory,
-            group_of(statement),
+            table_group(statement),
             statement,
             here=self.is_here,
             tenant=self.clients.tenants.get(owner),
@@ -285,7 +285,7 @@
             idempotency_key=idempotency_key,
         )
         if call is None:
-            raise BadMessage(400, "a submission with this id is open")
+            raise BadRequest(400, "a submission with this id is open")
         self.call, self.brought = call, True
         call.addCallbacks(self.concluded, self.withdrawn, (keep,))
 
@@ -307,7 +307,7 @@
                 self.answer(503, {"fault": "TryLater"}, keep, wait)
             case Failed():
                 self.answer(500, {"fault": "Aborted"}, keep)
-        if self.parser.left() or self.cancelled_ahead:
+        if self.parser.remaining() or self.cancelled_ahead:
             self.advance()
         self.clients.call_ended()
 
@@ -339,7 +339,7 @@
 
     def close_if_idle(self) -> bool:
         """A call whose bytes have come and were not read yet is not closed over."""
-        idle = self.is_idle() and not may_have_come(self.transport)
+        idle = self.is_idle() and not may_have_input(self.transport)
         if idle:
             self.close()
         return idle
@@ -363,20 +363,20 @@
 
     def is_unfinished(self) -> bool:
         """Whether part of a request has come, and the rest is to be read."""
-        return not self.clogged and not self.closing and self.parser.left() > 0
+        return not self.clogged and not self.closing and self.parser.remaining() > 0
 
     def expire(self) -> None:
         """What waits for nothing is closed; what does not read is cut.
 
         Bytes that came and were not read yet, as after a pause of the process, are read first."""
-        if self.is_unfinished() and may_have_come(self.transport):
+        if self.is_unfinished() and may_have_input(self.transport):
             return
         self.clients.counters.add(f"client_closed_{self.state_at_close()}")
         if self.written:
             self.transport.loseConnection()
         elif self.clogged or self.closing:
             self.transport.abortConnection()
-        elif self.parser.left():
+        elif self.parser.remaining():
             self.answer(408, {"fault": "Unfinished"}, False)
         else:
             self.close_if_idle()
@@ -387,7 +387,7 @@
             return "lingering"
         if self.clogged or self.closing:
             return "unread"
-        return "unfinished" if self.parser.left() else "idle"
+        return "unfinished" if self.parser.remaining() else "idle"
 
     def refuse_unfinished(self) -> None:
         """Its descriptor is needed: what has come of a call is dropped, and it may come again."""
@@ -396,4 +396,4 @@
 
     def is_idle(self) -> bool:
         """Whether it rests between two requests."""
-        return self.is_free() and not self.parser.left()
+        return self.is_free() and not self.parser.remaining()
--- a/spurdeal/net/clients.py
+++ b/spurdeal/net/clients.py
@@ -11,9 +11,9 @@
 
 from .client import Client
 from .counters import Counters
-from .eviction import LEAST_AGE, evict
+from .eviction import MIN_AGE, evict
 from .link import SocketAdapter
-from .patient_socket import ACCEPT_AGAIN, PatientListener
+from .patient_socket import ACCEPT_RETRY_DELAY, RetryingListener
 from .pending import count_waiting_connections, has_waiting_connections
 from .watch import AcceptWatch, Unpolled
 
@@ -30,12 +30,12 @@
 
     Attributes:
         connections: Those open, in the order in which they came.
-        most: How many there may be.
+        max_connections: How many there may be.
         accepts: How many are accepted in one round of the event loop, and how many eviction keeps free.
         ahead: How many bytes a client may send ahead of its answer.
         names: The workloads' names by index.
         port: The listening port, once there is one.
-        held_elsewhere: How many descriptors the process holds that are not clients'.
+        other_descriptors: How many descriptors the process holds that are not clients'.
         fleet: What is known of the fleet, where there is one.
         ready: Whether the list of the start is in force.
         paused: Whether accepting is paused; later connections wait in the backlog.
@@ -55,14 +55,14 @@
         log: logging.Logger,
     ) -> None:
         self.adapter, self.workloads = adapter, workloads
-        self.most, self.accepts, self.ahead = 0, 1, MOST_AHEAD
+        self.max_connections, self.accepts, self.ahead = 0, 1, MOST_AHEAD
         self.names = {kind: name for name, kind in workloads.items()}
         self.tenants, self.slashes = tenants, max(name.count(b"/") for name in workloads)
         self.clock, self.counters, self.log = clock, counters, log
         self.connections: dict[Client, None] = {}
         self.port: Any = None
         self.settling: Any = None  # the delayed call
-        self.held_elsewhere: Callable[[], int] = lambda: 0
+        self.other_descriptors: Callable[[], int] = lambda: 0
         self.fleet: Callable[[], object] | None = None
         self.pause_logged_at = float("-inf")
         self.ready = self.paused = self.ending = self.accept_ended = False
@@ -70,26 +70,26 @@
             adapter.loop, BACKLOG + 1, self.count_waiting
         )  # Linux lets one more wait
 
-    def bound(self, most: int, accepts: int, memory_mb: float) -> None:
+    def set_limits(self, max_connections: int, accepts: int, memory_mb: float) -> None:
         """Sets how many connections there may be, how many are accepted a round, and the memory for all."""
-        self.most, self.accepts = most, accepts
-        ahead = MEMORY_PART * memory_mb * 1_048_576 / self.most
+        self.max_connections, self.accepts = max_connections, accepts
+        ahead = MEMORY_PART * memory_mb * 1_048_576 / self.max_connections
         self.ahead = int(min(MOST_AHEAD, max(LEAST_AHEAD, ahead)))
         if self.port is not None:
             self.settle_soon()
 
-    def take_port(self, port: Any) -> None:
+    def set_port(self, port: Any) -> None:
         """The listening port, whose accepts may fail for a moment."""
         self.port = port
         real = getattr(port, "socket", None)  # none on a transport in memory
         if real is not None:
-            port.socket = PatientListener(real, self.counters, self.pause_after_error)
+            port.socket = RetryingListener(real, self.counters, self.pause_after_error)
 
     def pause_after_error(self) -> None:
         """An accept has failed; what waits in the backlog stays there."""
         self.accepting.failed()
         self.port.stopReading()
-        self.adapter.reactor.callLater(ACCEPT_AGAIN, self.resume_after_error)
+        self.adapter.reactor.callLater(ACCEPT_RETRY_DELAY, self.resume_after_error)
 
     def resume_after_error(self) -> None:
         """Unless accepting is paused for another reason, or over."""
@@ -157,10 +157,10 @@
         unread, and whole calls with them."""
         self.settling = None
         self.note_descriptors()
-        excess = len(self.connections) + self.accepts - self.most
+        excess = len(self.connections) + self.accepts - self.max_connections
         if excess > 0 and self.evict_idle(excess) < excess:
-            self.settle_within(LEAST_AGE / 1000)  # what is too new to be given up will not be then
-        self.admit()
+            self.settle_within(MIN_AGE / 1000)  # what is too new to be given up will not be then
+        self.apply_accept_limit()
 
     def evict_idle(self, count: int = 1) -> int:
         evicted = evict(self.connections, count, self.clock())
@@ -168,11 +168,11 @@
         return evicted
 
     def note_descriptors(self) -> None:
-        self.counters.most("most_descriptors", len(self.connections) + self.held_elsewhere())
+        self.counters.most("most_descriptors", len(self.connections) + self.other_descriptors())
 
-    def admit(self) -> None:
+    def apply_accept_limit(self) -> None:
         """Sets how many connections the next round accepts; with no room, others wait in the backlog."""
-        room = self.most - len(self.connections)
+        room = self.max_connections - len(self.connections)
         if self.accept_ended or self.port is None:
             return
         if room > 0:
@@ -233,13 +233,13 @@
         """Accepts until the backlog is empty, or there is no room for more."""
         came = self.counters.sums["client_connections"]
         for _ in range(MOST_WAITING if self.port.connected else 0):
-            if (room := self.most - len(self.connections)) <= 0:
+            if (room := self.max_connections - len(self.connections)) <= 0:
                 break
             self.port.numberAccepts = room
             self.port.doRead()
             if came == (came := self.counters.sums["client_connections"]):
                 break
-        self.admit()  # Twisted would accept 20 more than these in the same round
+        self.apply_accept_limit()  # Twisted would accept 20 more than these in the same round
 
     def sweep(self) -> None:
         """Closes the connections that have held a descriptor for nothing for too long."""
--- a/spurdeal/net/configuration.py
+++ b/spurdeal/net/configuration.py
@@ -10,7 +10,7 @@
 from ..deployment import deployment, reported, without_nulls
 from ..interface import Deployment
 from .engine_list import Address, KnownList, known_list, read_address
-from .transient_errors import READING_MAY_PASS
+from .transient_errors import TRANSIENT_FILE_ERRORS
 
 DEFAULT_DESCRIPTORS = 1024
 DEFAULT_MEMORY_MB = 192.0
@@ -32,7 +32,7 @@
 
     def __init__(self, path: str, fault: OSError) -> None:
         super().__init__(f"configuration: {fault.strerror}: {path}")
-        self.may_pass = fault.errno in READING_MAY_PASS
+        self.may_pass = fault.errno in TRANSIENT_FILE_ERRORS
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
--- a/spurdeal/net/connection.py
+++ b/spurdeal/net/connection.py
@@ -18,8 +18,8 @@
 from ..interface import Ending
 from . import engine_answers, immediate
 from .attempts import Attempt, Outcome, SendTerms
-from .patient_socket import make_patient
-from .pending import pending
+from .patient_socket import wrap_socket
+from .pending import peek
 from .resp import ArrayParser, BadAnswer, command
 
 if TYPE_CHECKING:
@@ -59,7 +59,7 @@
     def connectionMade(self) -> None:
         self.up, self.opened = True, self.engines.clock()
         self.used = self.opened
-        make_patient(self.transport, self.engines.watch)
+        wrap_socket(self.transport, self.engines.watch)
         self.transport.setTcpNoDelay(True)
         self.engines.counters.add("engine_connections")
         self.flush()
@@ -67,7 +67,7 @@
 
     def dataReceived(self, data: bytes) -> None:
         self.heard = self.engine.heard = self.engines.clock()
-        if not self.parser.left():
+        if not self.parser.remaining():
             self.begun = self.heard
         self.parser.feed(data)
         try:
@@ -76,8 +76,8 @@
                 self.answered(parts)
         except (BadAnswer, ValueError) as fault:
             self.cut(str(fault))
-        self.unread = bool(self.parser.left())
-        if self.up and self.parser.left():
+        self.unread = bool(self.parser.remaining())
+        if self.up and self.parser.remaining():
             self.bound_answer()
 
     def cut(self, why: str) -> None:
@@ -111,9 +111,9 @@
     def stall(self) -> None:
         """An answer has begun and does not end: the rest is lost or trickles, or its length was wrong."""
         self.bounding = None
-        if self.up and self.parser.left() and self.patience() > 0.0:  # another one by now
+        if self.up and self.parser.remaining() and self.patience() > 0.0:  # another one by now
             self.bounding = self.engines.reactor.callLater(self.patience() / 1000, self.stall)
-        elif self.up and self.parser.left():
+        elif self.up and self.parser.remaining():
             self.cut("an answer stopped short")
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
@@ -287,7 +287,7 @@
 
         Its far side's end has come, or bytes that no attempt waits for: these may never become an answer, and
         spoil what follows."""
-        waiting = pending(self.transport) if self.up and not self.attempts else None
+        waiting = peek(self.transport) if self.up and not self.attempts else None
         ended, unread = waiting == b"", bool(waiting)
         news = (ended and not self.ended) or (unread and not self.unread)
         self.ended |= ended  # that is to be read next
--- a/spurdeal/net/datagram_reading.py
+++ b/spurdeal/net/datagram_reading.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from .counters import Counters
-from .transient_errors import name_of
+from .transient_errors import errno_name
 
 READ_AGAIN = 0.02  # seconds after an error
 MOST_ERRORS = 25  # in a row, where another socket can be opened: this one is given up then
@@ -78,7 +78,7 @@
 
     def tell(self, event: str, fault: OSError) -> None:
         """Log an error on reading, by the name of its number."""
-        figures = {"error": name_of(fault), "in_a_row": self.errors}
+        figures = {"error": errno_name(fault), "in_a_row": self.errors}
         self.log.warning(event, extra={"figures": figures})
 
     def resume(self) -> None:
--- a/spurdeal/net/dial.py
+++ b/spurdeal/net/dial.py
@@ -10,7 +10,7 @@
 
 from ..interface import Ending
 from .connection import Connection
-from .transient_errors import OWN_SHORTAGE
+from .transient_errors import LOCAL_RESOURCE_ERRORS
 
 
 class Dial(ClientFactory):
@@ -32,7 +32,7 @@
         """Refused or never up: either way not a byte of an attempt has left."""
         if isinstance(reason.value, ConnectionRefusedError):
             counter, ending = "dials_refused", Ending.UNREACHED
-        elif getattr(reason.value, "osError", None) in OWN_SHORTAGE:
+        elif getattr(reason.value, "osError", None) in LOCAL_RESOURCE_ERRORS:
             counter, ending = "dials_failed_here", Ending.MOOT
         else:
             counter, ending = "dials_not_up", Ending.CONNECT_TIMEOUT
--- a/spurdeal/net/eviction.py
+++ b/spurdeal/net/eviction.py
@@ -6,12 +6,12 @@
 from enum import IntEnum
 from typing import TYPE_CHECKING
 
-from .pending import may_have_come
+from .pending import may_have_input
 
 if TYPE_CHECKING:
     from .client import Client
 
-LEAST_AGE = 25.0  # ms that a new connection has for its first bytes, and a message to become whole
+MIN_AGE = 25.0  # ms that a new connection has for its first bytes, and a message to become whole
 LONGEST_ENDING = 1000.0  # ms in which a last answer has to leave
 
 
@@ -32,7 +32,7 @@
         return None
     if not client.brought:
         return EvictionRank.UNPROVEN
-    return EvictionRank.UNFINISHED if client.parser.left() else EvictionRank.IDLE
+    return EvictionRank.UNFINISHED if client.parser.remaining() else EvictionRank.IDLE
 
 
 def evict(clients: Iterable[Client], count: int, now: float) -> int:
@@ -61,9 +61,9 @@
             return False
         client.expire()
         return True
-    if (rank is not EvictionRank.IDLE and age < LEAST_AGE) or may_have_come(client.transport):
+    if (rank is not EvictionRank.IDLE and age < MIN_AGE) or may_have_input(client.transport):
         return False
-    if client.parser.left():
+    if client.parser.remaining():
         client.refuse_unfinished()
     else:
         client.close()
--- a/spurdeal/net/fields.py
+++ b/spurdeal/net/fields.py
@@ -4,7 +4,7 @@
 from collections.abc import Mapping
 from hashlib import blake2b
 
-from .http import BadMessage
+from .http import BadRequest
 
 IDENT = re.compile(rb"[0-9a-fA-F]{16}")
 IDEMPOTENCY_KEY = re.compile(rb"[0-9a-zA-Z_.-]{1,64}")  # it goes on as it is, among fields parted by commas
@@ -21,7 +21,7 @@
         return default
     text = fields.get(name, b"")
     if not NUMBER.fullmatch(text):
-        raise BadMessage(400, f"{name.decode()} is missing or no number")
+        raise BadRequest(400, f"{name.decode()} is missing or no number")
     return float(text)
 
 
--- a/spurdeal/net/http.py
+++ b/spurdeal/net/http.py
@@ -2,10 +2,10 @@
 
 import re
 
-from .unread import Unread
+from .unread import ReadBuffer
 
-LARGEST_HEAD = 8192
-LARGEST_BODY = 65536
+MAX_HEAD_SIZE = 8192
+MAX_BODY_SIZE = 65536
 REASONS = {
     200: "OK",
     400: "Bad Request",
@@ -25,7 +25,7 @@
 DIGITS = re.compile(rb"[0-9]+")
 
 
-class BadMessage(Exception):
+class BadRequest(Exception):
     """A request that cannot be used; it gets this status, and its connection ends."""
 
     def __init__(self, status: int, why: str) -> None:
@@ -33,7 +33,7 @@
         self.status = status
 
 
-class RequestParser(Unread):
+class RequestParser(ReadBuffer):
     """Takes requests off a connection's bytes. Bodies and fields are slices of what was read."""
 
     def next_is(self, method: bytes) -> bool:
@@ -49,27 +49,27 @@
     def take(self) -> tuple[bytes, bytes, dict[bytes, memoryview], memoryview, bool] | None:
         """Method, target, fields by lower-case name, body, and whether the connection is kept."""
         self.skip_empty_lines()
-        end = self.buffer.find(b"\r\n\r\n", self.at, self.at + LARGEST_HEAD)
+        end = self.buffer.find(b"\r\n\r\n", self.at, self.at + MAX_HEAD_SIZE)
         if end < 0:
-            if self.left() >= LARGEST_HEAD:
-                raise BadMessage(431, "the head is too long")
+            if self.remaining() >= MAX_HEAD_SIZE:
+                raise BadRequest(431, "the head is too long")
             return None
         line = REQUEST_LINE.match(self.buffer, self.at, end + 2)
         if line is None:
-            raise BadMessage(400, "the request line cannot be read")
+            raise BadRequest(400, "the request line cannot be read")
         whole = memoryview(self.buffer)
         fields = self.fields(whole, line.end(), end + 2)
         if b"transfer-encoding" in fields:
-            raise BadMessage(400, "bodies come by length here")
+            raise BadRequest(400, "bodies come by length here")
         length = fields.get(b"content-length", b"0")
         if not DIGITS.fullmatch(length):
-            raise BadMessage(400, "the length is not a number")
-        if len(length) > 9 or int(bytes(length)) > LARGEST_BODY:
-            raise BadMessage(413, "the body is too long")
+            raise BadRequest(400, "the length is not a number")
+        if len(length) > 9 or int(bytes(length)) > MAX_BODY_SIZE:
+            raise BadRequest(413, "the body is too long")
         start, stop = end + 4, end + 4 + int(bytes(length))
         if len(self.buffer) < stop:
             return None
-        self.took(stop)
+        self.consume(stop)
         keep = line[3] == b"1" and bytes(fields.get(b"connection", b"")).lower() != b"close"
         return line[1], line[2], fields, whole[start:stop], keep
 
@@ -78,7 +78,7 @@
         while at < end:
             field = FIELD.match(self.buffer, at, end)
             if field is None:
-                raise BadMessage(400, "a field cannot be read")
+                raise BadRequest(400, "a field cannot be read")
             name, value = field[1].lower(), whole[slice(*field.span(2))]
             # Repeated fields are a list by the standard: one number twice is then no number.
             found[name] = memoryview(b", ".join((found[name], value))) if name in found else value
--- a/spurdeal/net/link.py
+++ b/spurdeal/net/link.py
@@ -12,7 +12,7 @@
 from ..interface import NEVER_RAN, Deployment, Ending, EndReason, Life, Verdict
 from ..rules import Dispatcher
 from ..slow_start import StartTimes
-from .answers import COUNTED, Answer, Delivered, Failed, Granted, Shed
+from .answers import COUNTER_NAMES, Answer, Delivered, Failed, Granted, Shed
 from .attempts import Outcome, SendTerms
 from .batches import EventBatches
 from .counters import Counters
@@ -99,11 +99,11 @@
             return fail(CancelledError())
         if self.guard is not None and (known := self.guard.door(kind, ident)) is not None:
             self.counters.add("taken")
-            self.counters.add(COUNTED[type(known)])
+            self.counters.add(COUNTER_NAMES[type(known)])
             return succeed(known)
         now, number = self.clock(), next(self.numbers)
         if key and self.in_order[kind]:
-            wait -= self.ordered.held_back(key, now, wait)
+            wait -= self.ordered.hold_time(key, now, wait)
         deadline = min(now + wait - ANSWER_WAY, self.until)
         answer: Deferred[Answer] = Deferred(lambda _: self.left(number))
         request = OpenRequest(
@@ -421,7 +421,7 @@
 
     def conclude(self, request: OpenRequest, answer: Answer) -> None:
         if not request.answered:
-            self.counters.add(COUNTED[type(answer)])
+            self.counters.add(COUNTER_NAMES[type(answer)])
             self.concluded(request)
             if self.guard is not None:
                 self.guard.answered(request, answer)
--- a/spurdeal/net/names.py
+++ b/spurdeal/net/names.py
@@ -14,7 +14,7 @@
 from . import dns
 from .counters import Counters
 from .engine_list import Address, Endpoint, KnownList, answered_endpoints
-from .transient_errors import name_of
+from .transient_errors import errno_name
 
 SERVICE = "_api._tcp.svc.local"
 ASK_EVERY = 0.2  # seconds; an answer lost is then made good well before changes count as told
@@ -184,7 +184,7 @@
         self.counters.add(f"names_not_sent_errno_{fault.errno}")
         self.unsent += 1
         if self.unsent == 1:
-            self.log.warning("discovery_not_asked", extra={"figures": {"error": name_of(fault)}})
+            self.log.warning("discovery_not_asked", extra={"figures": {"error": errno_name(fault)}})
 
     def watch_silence(self) -> None:
         """Tells, once, that the list in force may be out of date."""
--- a/spurdeal/net/ordered.py
+++ b/spurdeal/net/ordered.py
@@ -31,7 +31,7 @@
         self.rest = rest
         self.runs: dict[int, Run] = {}
 
-    def held_back(self, key: int, now: float, wait: float) -> float:
+    def hold_time(self, key: int, now: float, wait: float) -> float:
         """One more of this key has come: ms for which it may have been held back, so far as is counted."""
         run = self.runs.pop(key, None)
         first = run.first if run is not None and now - run.last <= self.rest else now
--- a/spurdeal/net/patient_socket.py
+++ b/spurdeal/net/patient_socket.py
@@ -17,10 +17,10 @@
 from .transient_errors import TRANSIENT
 from .watch import LoopWatch
 
-ACCEPT_AGAIN = 0.01  # seconds after an error until connections are accepted again
+ACCEPT_RETRY_DELAY = 0.01  # seconds after an error until connections are accepted again
 
 
-class PatientSocket:
+class RetryingSocket:
     """Takes the place of a connected, non-blocking socket; all but recv and send are the socket's own."""
 
     def __init__(self, real: Any, watch: LoopWatch) -> None:
@@ -43,7 +43,7 @@
             if fault.errno in TRANSIENT and fault.errno != errno.EAGAIN:
                 self.failing = True
                 self.watch.counters.add(f"recv_failed_errno_{fault.errno}")
-                self.watch.delayed(self)
+                self.watch.read_failed(self)
             elif self.failing:
                 self.recovered()
             raise as_blocking(fault) from None
@@ -54,7 +54,7 @@
     def recovered(self) -> None:
         """Reading works again."""
         self.failing = False
-        self.watch.caught_up(self)
+        self.watch.read_recovered(self)
 
     def send(self, data: bytes, flags: int = 0) -> int:
         """Write; see socket.send. Raises as `recv` does."""
@@ -68,11 +68,11 @@
 
     def close(self) -> None:
         """See socket.close."""
-        self.watch.caught_up(self)
+        self.watch.read_recovered(self)
         self.real.close()
 
 
-class PatientListener:
+class RetryingListener:
     """Takes the place of a listening, non-blocking socket; all but accept are the socket's own.
 
     failed: called after an error; it pauses accepting, so that a lasting one does not keep the loop busy.
@@ -107,8 +107,8 @@
     return fault
 
 
-def make_patient(transport: Any, watch: LoopWatch) -> None:
+def wrap_socket(transport: Any, watch: LoopWatch) -> None:
     """Let a transport's connection outlive calls that fail for a moment; those without a socket are left."""
     real = getattr(transport, "socket", None)
     if real is not None:
-        transport.socket = PatientSocket(real, watch)
+        transport.socket = RetryingSocket(real, watch)
--- a/spurdeal/net/pending.py
+++ b/spurdeal/net/pending.py
@@ -12,7 +12,7 @@
 LISTENING = 10  # TCP_LISTEN, a state of net/tcp_states.h
 
 
-def pending(transport: Any) -> bytes | None:
+def peek(transport: Any) -> bytes | None:
     """The first byte that waits there, b"" where the far side has ended it, None where nothing has come.
 
     Takes nothing (recv(2), MSG_PEEK). An end behind bytes is not seen before they are read."""
@@ -24,9 +24,9 @@
         return b""
 
 
-def may_have_come(transport: Any) -> bool:
+def may_have_input(transport: Any) -> bool:
     """Whether bytes or an end wait there, or reading fails just now, so that they may."""
-    return pending(transport) is not None or bool(getattr(transport.getHandle(), "failing", False))
+    return peek(transport) is not None or bool(getattr(transport.getHandle(), "failing", False))
 
 
 def has_waiting_connections(port: Any) -> bool:
--- a/spurdeal/net/resp.py
+++ b/spurdeal/net/resp.py
@@ -1,6 +1,6 @@
 """RESP as engines speak it: arrays of bulk strings, read and written."""
 
-from .unread import Unread
+from .unread import ReadBuffer
 
 MOST_PARTS = 16
 LARGEST_PART = 65536
@@ -11,7 +11,7 @@
     """Bytes from an engine that are no array of bulk strings."""
 
 
-class ArrayParser(Unread):
+class ArrayParser(ReadBuffer):
     """Takes arrays off a connection's bytes; their parts are slices of what was read."""
 
     def take(self) -> list[memoryview] | None:
@@ -31,7 +31,7 @@
                 raise BadAnswer("a string does not end where it said")
             parts.append(whole[at : at + size])
             at += size + 2
-        self.took(at)
+        self.consume(at)
         return parts
 
     def first_part(self) -> bytes | None:
--- a/spurdeal/net/retrying_poller.py
+++ b/spurdeal/net/retrying_poller.py
@@ -14,14 +14,16 @@
 
 from .transient_errors import TRANSIENT
 
-RETRY_EVERY = 20.0  # ms
+RETRY_INTERVAL = 20.0  # ms
 ALWAYS_REPORTED = select.EPOLLERR | select.EPOLLHUP
 
 
-UNWANTED_REST = 0.002  # seconds after a poll that told of nothing wanted, which would return at once again
+UNWANTED_EVENT_PAUSE = (
+    0.002  # seconds after a poll that told of nothing wanted, which would return at once again
+)
 
 
-class Refused(NamedTuple):
+class PendingChange(NamedTuple):
     """A change that the system has refused.
 
     Attributes:
@@ -39,13 +41,13 @@
     clock: tells ms.
 
     Attributes:
-        refused: By descriptor, what is wanted of it.
+        pending_changes: By descriptor, what is wanted of it.
     """
 
     def __init__(self, poller: Any, clock: Callable[[], float]) -> None:
         self.poller, self.clock = poller, clock
         self.close = poller.close
-        self.refused: dict[int, Refused] = {}
+        self.pending_changes: dict[int, PendingChange] = {}
         self.next_try = 0.0
 
     def register(self, descriptor: int, events: int) -> None:
@@ -54,20 +56,20 @@
         Raises:
             OSError: The system cannot, and will not a moment later.
         """
-        self.change(descriptor, Refused(events, watched=False))
+        self.change(descriptor, PendingChange(events, watched=False))
 
     def modify(self, descriptor: int, events: int) -> None:
         """Change what a descriptor is watched for. Raises as `register` does."""
-        self.change(descriptor, Refused(events, watched=True))
+        self.change(descriptor, PendingChange(events, watched=True))
 
     def unregister(self, descriptor: int) -> None:
         """Watch a descriptor no more. Raises as `register` does."""
-        self.change(descriptor, Refused(0, watched=True))
+        self.change(descriptor, PendingChange(0, watched=True))
 
-    def change(self, descriptor: int, wanted: Refused) -> None:
+    def change(self, descriptor: int, wanted: PendingChange) -> None:
         """Make a change at once, or note it."""
-        if (before := self.refused.get(descriptor)) is not None:
-            self.refused[descriptor] = wanted._replace(watched=before.watched)
+        if (before := self.pending_changes.get(descriptor)) is not None:
+            self.pending_changes[descriptor] = wanted._replace(watched=before.watched)
             self.try_again(descriptor)
             return
         try:
@@ -75,9 +77,9 @@
         except OSError as fault:
             if fault.errno not in TRANSIENT:
                 raise
-            self.refused[descriptor] = wanted
+            self.pending_changes[descriptor] = wanted
 
-    def call(self, descriptor: int, wanted: Refused) -> None:
+    def call(self, descriptor: int, wanted: PendingChange) -> None:
         """Ask the system for a change.
 
         Raises:
@@ -94,17 +96,17 @@
         """Bring the system in line with what is wanted of a descriptor, as far as it lets us.
 
         A descriptor that was closed meanwhile is watched no more, and may be another's by now."""
-        wanted = self.refused[descriptor]
+        wanted = self.pending_changes[descriptor]
         try:
             self.call(descriptor, wanted)
         except FileNotFoundError:
             if wanted.events:
-                self.refused[descriptor] = wanted._replace(watched=False)
+                self.pending_changes[descriptor] = wanted._replace(watched=False)
                 return
         except OSError as fault:
             if fault.errno in TRANSIENT:
                 return
-        del self.refused[descriptor]  # done, or closed
+        del self.pending_changes[descriptor]  # done, or closed
 
     def poll(self, timeout: float, most: int) -> list[tuple[int, int]]:
         """What is ready; changes that were refused are tried again first.
@@ -113,27 +115,27 @@
             timeout: In seconds; below 0 for none.
             most: How many descriptors are told at most.
         """
-        if not self.refused:
+        if not self.pending_changes:
             found: list[tuple[int, int]] = self.poller.poll(timeout, most)
             return found
         if self.clock() >= self.next_try:
-            self.next_try = self.clock() + RETRY_EVERY
-            for descriptor in list(self.refused):
+            self.next_try = self.clock() + RETRY_INTERVAL
+            for descriptor in list(self.pending_changes):
                 self.try_again(descriptor)
-        if self.refused:
-            longest = RETRY_EVERY / 1000
+        if self.pending_changes:
+            longest = RETRY_INTERVAL / 1000
             timeout = longest if timeout < 0 else min(timeout, longest)
         found = self.poller.poll(timeout, most)
         wanted = self.wanted(found)
         if found and not wanted:
-            time.sleep(UNWANTED_REST)
+            time.sleep(UNWANTED_EVENT_PAUSE)
         return wanted
 
     def wanted(self, found: list[tuple[int, int]]) -> list[tuple[int, int]]:
         """Without what the system still tells of descriptors that are not to be watched for it any more."""
         left = []
         for descriptor, events in found:
-            refused = self.refused.get(descriptor)
+            refused = self.pending_changes.get(descriptor)
             wanted = events if refused is None else refused.events
             told = events & (wanted | ALWAYS_REPORTED) if wanted else 0
             if told:
--- a/spurdeal/net/service.py
+++ b/spurdeal/net/service.py
@@ -75,7 +75,7 @@
         self.clients = Clients(
             self.adapter, configuration.workloads, configuration.tenants, clock, self.counters, log
         )
-        self.clients.held_elsewhere = self.held_elsewhere
+        self.clients.other_descriptors = self.held_elsewhere
         self.bound(configuration)
         self.names = NameService(
             reactor,
@@ -113,7 +113,7 @@
             self.budget.engines,
             configuration.site.drain_grace,
         )
-        self.clients.bound(self.budget.clients, self.budget.accepts, configuration.memory_mb)
+        self.clients.set_limits(self.budget.clients, self.budget.accepts, configuration.memory_mb)
 
     def read_again(self, read: Callable[[], Configuration], tries: int = 0) -> None:
         """Reads the configuration again: name service, newer events and limits are in force at once.
@@ -178,12 +178,12 @@
         Raises:
             CannotListenError: Its address cannot be listened on. It can be started again then.
         """
-        self.clients.take_port(
+        self.clients.set_port(
             self.reactor.listenTCP(
                 self.configuration.port, self.clients, backlog=BACKLOG, interface=self.configuration.host
             )
         )
-        self.clients.admit()
+        self.clients.apply_accept_limit()
         self.adapter.list_known(self.configured_at)
         self.discovery.open()
         self.adapter.apply_list(self.endpoints)
--- a/spurdeal/net/statement.py
+++ b/spurdeal/net/statement.py
@@ -69,7 +69,7 @@
             yield found["other"], False
 
 
-def group_of(statement: bytes) -> int:
+def table_group(statement: bytes) -> int:
     """The number behind the underscore of the first schema that is read or written; -1 without one."""
     words = list(tokens(statement.decode("utf-8", "replace")))
     lists: list[bool] = [False]  # by depth of brackets: whether a comma leads to another table
--- a/spurdeal/net/transient_errors.py
+++ b/spurdeal/net/transient_errors.py
@@ -2,7 +2,7 @@
 
 import errno
 
-OWN_SHORTAGE = {  # of descriptors, memory, buffers or ports on our machine
+LOCAL_RESOURCE_ERRORS = {  # of descriptors, memory, buffers or ports on our machine
     errno.EMFILE,
     errno.ENFILE,
     errno.ENOBUFS,
@@ -11,10 +11,10 @@
     errno.EADDRNOTAVAIL,
     errno.EAGAIN,
 }
-TRANSIENT = OWN_SHORTAGE | {errno.EINTR}
-READING_MAY_PASS = TRANSIENT | {errno.EIO}  # of a file
+TRANSIENT = LOCAL_RESOURCE_ERRORS | {errno.EINTR}
+TRANSIENT_FILE_ERRORS = TRANSIENT | {errno.EIO}  # of a file
 
 
-def name_of(fault: OSError) -> str:
+def errno_name(fault: OSError) -> str:
     """The name of an error's number, for the log."""
     return errno.errorcode.get(fault.errno or 0, str(fault.errno))
--- a/spurdeal/net/unread.py
+++ b/spurdeal/net/unread.py
@@ -1,7 +1,7 @@
 """What was read from a connection and not yet taken off it."""
 
 
-class Unread:
+class ReadBuffer:
     """The bytes and the place in them; messages are handed out as slices of these bytes."""
 
     def __init__(self) -> None:
@@ -12,11 +12,11 @@
         left = self.buffer[self.at :]
         self.buffer, self.at = left + data if left else data, 0
 
-    def took(self, at: int) -> None:
+    def consume(self, at: int) -> None:
         """All before this place is taken; an idle connection holds on to no bytes."""
         self.at = at
         if at == len(self.buffer):
             self.buffer, self.at = b"", 0
 
-    def left(self) -> int:
+    def remaining(self) -> int:
         return len(self.buffer) - self.at
--- a/spurdeal/net/watch.py
+++ b/spurdeal/net/watch.py
@@ -14,7 +14,7 @@
 from .counters import Counters
 from .limited_log import LimitedLog
 from .retrying_poller import RetryingPoller
-from .transient_errors import name_of
+from .transient_errors import errno_name
 
 COUNTED_GAP = 100.0  # ms between two polls from which on waiting bytes are dated back; timers come every 50
 LOGGED_GAP = 200.0  # ms
@@ -40,8 +40,8 @@
         self.lines = LimitedLog(log, clock)
         self.batch_time, self.batch_events = 0.0, 0  # of the turns since the last poll
         self.poller: RetryingPoller | None = None
-        self.delays: dict[object, float] = {}  # since when reading from each source fails
-        self.over: set[object] = set()  # those that were read in this round
+        self.failing_since: dict[object, float] = {}  # since when reading from each source fails
+        self.recovered: set[object] = set()  # those that were read in this round
         self.gap_since: float | None = None  # the beginning of a gap that ended with the last poll
 
     def install(self, reactor: Any) -> None:
@@ -62,37 +62,37 @@
         before, self.gap_since = self.gap_since, self.polled_at if gap > COUNTED_GAP else None
         known = [since for since in (before, self.gap_since) if since is not None]
         self.readable_since = min(known, default=now)
-        self.date_back()
+        self.apply_backdating()
         self.polled_at = now
         self.round += 1
         if gap > COUNTED_GAP:
             self.report(now, gap)
         self.batch_time, self.batch_events = 0.0, 0
 
-    def delayed(self, source: object) -> None:
+    def read_failed(self, source: object) -> None:
         """Reading from a source fails: what comes there waits since the poll of this round."""
-        self.delays.setdefault(source, self.readable_since)
-        self.over.discard(source)
+        self.failing_since.setdefault(source, self.readable_since)
+        self.recovered.discard(source)
 
-    def caught_up(self, source: object) -> None:
+    def read_recovered(self, source: object) -> None:
         """Reading from a source works again: what is read after this round did not wait."""
-        if source in self.delays:
-            self.over.add(source)
+        if source in self.failing_since:
+            self.recovered.add(source)
 
-    def date_back(self) -> None:
+    def apply_backdating(self) -> None:
         """Which source is read next is not known: while one is delayed, all that is read counts from then."""
-        for source in self.over:
-            del self.delays[source]
-        self.over.clear()
-        if self.poller is not None and self.poller.refused:
-            self.delayed(self.poller)
-        elif self.poller in self.delays:
-            self.over.add(self.poller)
+        for source in self.recovered:
+            del self.failing_since[source]
+        self.recovered.clear()
+        if self.poller is not None and self.poller.pending_changes:
+            self.read_failed(self.poller)
+        elif self.poller in self.failing_since:
+            self.recovered.add(self.poller)
         oldest = self.polled_at - MOST_DELAY
-        self.delays = {source: since for source, since in self.delays.items() if since > oldest}
-        self.over &= self.delays.keys()
-        if self.delays:
-            self.readable_since = min(self.readable_since, *self.delays.values())
+        self.failing_since = {source: since for source, since in self.failing_since.items() if since > oldest}
+        self.recovered &= self.failing_since.keys()
+        if self.failing_since:
+            self.readable_since = min(self.readable_since, *self.failing_since.values())
 
     def batch_ended(self, took: float, events: int) -> None:
         """A turn of the dispatcher is over."""
@@ -110,7 +110,7 @@
     def refused(self, call: str, descriptor: int, fault: OSError) -> None:
         """A call on the poller has failed."""
         self.counters.add(f"{call}_failed_errno_{fault.errno}")
-        self.lines.write("poller_call_failed", call=call, descriptor=descriptor, error=name_of(fault))
+        self.lines.write("poller_call_failed", call=call, descriptor=descriptor, error=errno_name(fault))
 
     def arrival(self, unpolled: Unpolled | None = None) -> float:
         """The earliest time at which bytes that are read now can have come, on a socket that was not always
@@ -163,11 +163,11 @@
         return found
 
 
-class QueueLook(NamedTuple):
-    """A look at the accept queue: what is accepted later than `newer_from` entered the queue after `at`."""
+class QueueSample(NamedTuple):
+    """A look at the accept queue: what is accepted later than `first_newer` entered the queue after `at`."""
 
     at: float
-    newer_from: int  # the first connection of which that is known, counted from the first accepted as 0
+    first_newer: int  # the first connection of which that is known, counted from the first accepted as 0
 
 
 class AcceptWatch:
@@ -188,16 +188,16 @@
         self.round, self.since = -1, 0.0
         self.count, self.most = 0, 0  # accepted in that round, and how many could be
         self.total = 0
-        self.looks = deque[QueueLook]()  # since the queue was last empty, those that date nothing yet
-        self.is_told = False  # whether the system has told of a connection that waits
+        self.samples = deque[QueueSample]()  # since the queue was last empty, those that date nothing yet
+        self.count_supported = False  # whether the system has told of a connection that waits
 
     def accepted(self, most: int) -> Unpolled:
         """One more, of so many at most in this round."""
         if self.loop.round != self.round:
             self.begin_round(most)
-            self.look(self.total + 1)
-        while self.looks and self.total >= self.looks[0].newer_from:
-            self.since = max(self.since, self.looks.popleft().at)
+            self.sample_queue(self.total + 1)
+        while self.samples and self.total >= self.samples[0].first_newer:
+            self.since = max(self.since, self.samples.popleft().at)
         self.count += 1
         self.total += 1
         return Unpolled(self.since, self.round + 1)
@@ -206,26 +206,26 @@
         """The first accept of a round of the loop, or the first that failed in it."""
         if self.loop.round > self.round + 1 or self.count < self.most:
             self.since = self.loop.arrival()
-            self.looks.clear()
+            self.samples.clear()
         self.round, self.count, self.most = self.loop.round, 0, most
 
-    def look(self, taken: int) -> None:
+    def sample_queue(self, taken: int) -> None:
         """Notes how many connections wait now that so many were taken off the queue.
 
         A count of 0 is believed only where a system has told of more before: it may not count them."""
         at, waiting = self.loop.clock(), self.waiting()
-        self.is_told = self.is_told or bool(waiting)
-        if waiting is None or not self.is_told:
+        self.count_supported = self.count_supported or bool(waiting)
+        if waiting is None or not self.count_supported:
             at, taken, waiting = self.loop.arrival(), self.total, self.queue_length
-        while self.looks and self.looks[-1].newer_from >= taken + waiting:
-            self.looks.pop()  # the new one dates all of its connections, and dates them later
-        self.looks.append(QueueLook(at, taken + waiting))
+        while self.samples and self.samples[-1].first_newer >= taken + waiting:
+            self.samples.pop()  # the new one dates all of its connections, and dates them later
+        self.samples.append(QueueSample(at, taken + waiting))
 
     def failed(self) -> None:
         """An accept has failed: the queue is not empty."""
         if self.loop.round != self.round:
             self.begin_round(0)
-            self.look(self.total)
+            self.sample_queue(self.total)
         self.count = self.most = 0
 
     def resumed(self) -> None:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -19,7 +19,7 @@
     ProcessDescriptors,
     count_open_descriptors,
 )
-from spurdeal.net.eviction import LEAST_AGE
+from spurdeal.net.eviction import MIN_AGE
 from tests.crowds import Crowd, Habit
 from tests.helpers import Caller, World
 from tests.processes import Addresses, ProcessCase, counters_at_exit
@@ -84,7 +84,7 @@
 
     def setUp(self) -> None:
         self.world = World(self)
-        self.world.service.clients.bound(most=7, accepts=2, memory_mb=64.0)
+        self.world.service.clients.set_limits(max_connections=7, accepts=2, memory_mb=64.0)
         self.calls = 0
 
     def served(self, ident: int) -> Caller:
@@ -109,7 +109,7 @@
         for _ in range(count):
             self.world.go(10)
             callers.append(Caller(self.world))
-        self.world.go(LEAST_AGE)
+        self.world.go(MIN_AGE)
         return callers
 
     def test_silent_ones_go_first_the_oldest_of_them(self) -> None:
@@ -124,7 +124,7 @@
         half = Caller(self.world)
         half.say(HALF_A_HEAD)
         self.busy(4)
-        self.world.go(LEAST_AGE)
+        self.world.go(MIN_AGE)
         status, fields, value = half.answers()[0]
         self.assertEqual((status, fields["Connection"], value), (503, "close", {"fault": "TryLater"}))
         self.assertTrue(half.pipe.disconnecting)
@@ -150,13 +150,13 @@
         callers += self.crowd(1)
         self.assertEqual([caller.pipe.disconnecting for caller in callers], [False] * 6)
         first.pipe.unread = b""
-        self.world.go(LEAST_AGE)
+        self.world.go(MIN_AGE)
         callers += self.crowd(1)
         self.assertEqual([caller.pipe.disconnecting for caller in callers], [True, True] + [False] * 5)
 
     def test_a_new_connection_has_time_to_say_something(self) -> None:
         callers = [Caller(self.world) for _ in range(7)]
-        self.world.go(LEAST_AGE - 5.0)
+        self.world.go(MIN_AGE - 5.0)
         self.assertFalse(any(caller.pipe.disconnecting for caller in callers))
         self.assertFalse(self.world.door.open)
         self.world.go(10.0)
@@ -171,7 +171,7 @@
         for caller in half:
             caller.say(HALF_A_HEAD)
         self.busy(2)
-        self.world.go(LEAST_AGE)
+        self.world.go(MIN_AGE)
         self.assertEqual([len(caller.answers()) for caller in half], [1, 0, 0])
         self.busy(1)
         self.world.go(1000.0)
@@ -196,7 +196,7 @@
     def test_the_round_that_takes_it_in_accepts_no_more_than_there_is_room_for(self) -> None:
         steps = Steps(self)
         clients = steps.service.clients
-        clients.bound(most=self.MOST, accepts=2, memory_mb=64.0)
+        clients.set_limits(max_connections=self.MOST, accepts=2, memory_mb=64.0)
         steps.go()
         waiting = [steps.client() for _ in range(self.WAITING)]
         steps.reactor.callLater(0, clients.drain_backlog)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -233,7 +233,9 @@
 
     def test_a_full_door_closes_and_opens(self) -> None:
         world = World(self)
-        world.service.clients.bound(most=33, accepts=2, memory_mb=64.0)  # eviction begins at 32
+        world.service.clients.set_limits(
+            max_connections=33, accepts=2, memory_mb=64.0
+        )  # eviction begins at 32
         served = Caller(world)
         served.post(98)
         world.peer().up().say(98, "200", "parts=1", ROW)
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -5,9 +5,9 @@
 
 from spurdeal.lab.names import answer as name_answer
 from spurdeal.net import dns
-from spurdeal.net.http import LARGEST_BODY, LARGEST_HEAD, BadMessage, RequestParser
+from spurdeal.net.http import MAX_BODY_SIZE, MAX_HEAD_SIZE, BadRequest, RequestParser
 from spurdeal.net.resp import LARGEST_PART, MOST_PARTS, ArrayParser, BadAnswer, command
-from spurdeal.net.statement import NO_GROUP, group_of
+from spurdeal.net.statement import NO_GROUP, table_group
 
 POST = b"POST /ops/report HTTP/1.1\r\nHost: o\r\nReq-Id:  9b1f \t\r\nContent-Length: 5\r\n\r\nab\r\nc"
 GET = b"GET /alive HTTP/1.1\r\n\r\n"
@@ -32,7 +32,7 @@
         for place in range(len(POST)):
             parser.feed(POST[place : place + 1])
             found += parser.take() is not None
-        self.assertEqual((found, parser.left()), (1, 0))
+        self.assertEqual((found, parser.remaining()), (1, 0))
 
     def test_what_cannot_be_used(self) -> None:
         for text, status in (
@@ -49,26 +49,26 @@
             (b"POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n", 400),
             (b"POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab", 400),
             (b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400),
-            (b"POST / HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % (LARGEST_BODY + 1), 413),
+            (b"POST / HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % (MAX_BODY_SIZE + 1), 413),
             (b"POST / HTTP/1.1\r\nContent-Length: 99999999999999999999\r\n\r\n", 413),
-            (b"GET / HTTP/1.1\r\nA: " + b"a" * LARGEST_HEAD + b"\r\n\r\n", 431),
-            (b"a" * LARGEST_HEAD, 431),
+            (b"GET / HTTP/1.1\r\nA: " + b"a" * MAX_HEAD_SIZE + b"\r\n\r\n", 431),
+            (b"a" * MAX_HEAD_SIZE, 431),
             (b"GET / HTTP/1.1\r\nA:" + b" \t" * 4000 + b"\0\r\n\r\n", 400),
         ):
             with self.subTest(text[:40]):
                 parser = RequestParser()
                 parser.feed(text)
-                with self.assertRaises(BadMessage) as caught:
+                with self.assertRaises(BadRequest) as caught:
                     parser.take()
                 self.assertEqual(caught.exception.status, status)
 
     def test_the_largest_body_and_a_closing_call(self) -> None:
         parser = RequestParser()
-        parser.feed(b"POST / HTTP/1.1\r\nConnection: Close\r\nContent-Length: %d\r\n\r\n" % LARGEST_BODY)
-        parser.feed(b"x" * LARGEST_BODY)
+        parser.feed(b"POST / HTTP/1.1\r\nConnection: Close\r\nContent-Length: %d\r\n\r\n" % MAX_BODY_SIZE)
+        parser.feed(b"x" * MAX_BODY_SIZE)
         taken = parser.take()
         assert taken is not None
-        self.assertEqual((len(taken[3]), taken[4]), (LARGEST_BODY, False))
+        self.assertEqual((len(taken[3]), taken[4]), (MAX_BODY_SIZE, False))
 
 
 class Resp(unittest.TestCase):
@@ -221,8 +221,8 @@
             ("\xff\0;..,", NO_GROUP),
         ):
             with self.subTest(text):
-                self.assertEqual(group_of(text.encode()), group)
+                self.assertEqual(table_group(text.encode()), group)
 
     def test_long_nonsense_ends_soon(self) -> None:
         for text in ("'" * 65535, "$a" * 32000, "/*" * 32000, '"' * 65535, "e'\\" * 20000, "(" * 65000):
-            self.assertEqual(group_of(text.encode()), NO_GROUP)
+            self.assertEqual(table_group(text.encode()), NO_GROUP)
--- a/tests/test_retrying_poller.py
+++ b/tests/test_retrying_poller.py
@@ -8,7 +8,7 @@
 import unittest
 from typing import Any
 
-from spurdeal.net.retrying_poller import RETRY_EVERY, UNWANTED_REST, RetryingPoller
+from spurdeal.net.retrying_poller import RETRY_INTERVAL, UNWANTED_EVENT_PAUSE, RetryingPoller
 
 IN, OUT = select.EPOLLIN, select.EPOLLOUT
 
@@ -54,7 +54,7 @@
 
     def found(self) -> list[tuple[int, int]]:
         """What is ready when the next try of what was refused is due."""
-        self.now += RETRY_EVERY
+        self.now += RETRY_INTERVAL
         return self.poller.poll(-1, 16)
 
     def refuse(self, call: str, times: int = 1, error: int = errno.ENOMEM) -> None:
@@ -65,10 +65,10 @@
         self.refuse("register", times=3)
         self.poller.register(self.descriptor, IN)
         self.assertEqual(self.found(), [])
-        self.assertEqual(self.system.timeouts[-1], RETRY_EVERY / 1000)
+        self.assertEqual(self.system.timeouts[-1], RETRY_INTERVAL / 1000)
         self.assertEqual(self.found(), [])
         self.assertEqual(self.found(), [(self.descriptor, IN)])
-        self.assertEqual(self.poller.refused, {})
+        self.assertEqual(self.poller.pending_changes, {})
         self.found()
         self.assertEqual(self.system.timeouts[-1], -1)
 
@@ -80,7 +80,7 @@
         self.assertEqual(self.found(), [])
         self.far.send(b"x")
         self.assertEqual(self.found(), [(self.descriptor, IN)])
-        self.assertEqual(self.poller.refused, {})
+        self.assertEqual(self.poller.pending_changes, {})
 
     def test_an_end_that_fails_is_not_seen_and_made_later(self) -> None:
         self.poller.register(self.descriptor, IN)
@@ -89,7 +89,7 @@
         self.poller.unregister(self.descriptor)
         self.assertEqual(self.found(), [])
         self.assertEqual(self.found(), [])
-        self.assertEqual(self.poller.refused, {})
+        self.assertEqual(self.poller.pending_changes, {})
         self.poller.register(self.descriptor, IN)
         self.assertEqual(self.found(), [(self.descriptor, IN)])
 
@@ -102,7 +102,7 @@
         for _ in range(20):  # it would be told of OUT at once each time
             self.assertEqual(self.poller.poll(-1, 16), [])
         self.assertEqual(len(self.system.errors), 1)
-        self.assertGreaterEqual(time.monotonic() - began, 20 * UNWANTED_REST)
+        self.assertGreaterEqual(time.monotonic() - began, 20 * UNWANTED_EVENT_PAUSE)
 
     def test_one_that_became_anothers_is_registered(self) -> None:
         """Closed while a change was refused: the system watches it no more, and its number is used again."""
@@ -119,7 +119,7 @@
         self.refuse("unregister", times=1)
         self.poller.unregister(self.descriptor)
         self.poller.register(self.descriptor, IN)
-        self.assertEqual(self.poller.refused, {})
+        self.assertEqual(self.poller.pending_changes, {})
         self.assertEqual(self.found(), [(self.descriptor, IN)])
 
     def test_a_descriptor_that_was_closed_meanwhile_is_forgotten(self) -> None:
@@ -134,9 +134,9 @@
             else:
                 self.poller.unregister(self.descriptor)
                 self.near.close()
-            self.assertEqual(len(self.poller.refused), 1)
+            self.assertEqual(len(self.poller.pending_changes), 1)
             self.assertEqual(self.found(), [])
-            self.assertEqual(self.poller.refused, {})
+            self.assertEqual(self.poller.pending_changes, {})
 
     def test_other_errors_are_raised_as_they_come(self) -> None:
         for error in (errno.EBADF, errno.EPERM, errno.EINVAL):
@@ -144,7 +144,7 @@
             with self.assertRaises(OSError) as raised:
                 self.poller.register(self.descriptor, IN)
             self.assertEqual(raised.exception.errno, error)
-        self.assertEqual(self.poller.refused, {})
+        self.assertEqual(self.poller.pending_changes, {})
 
 
 if __name__ == "__main__":
--- a/tests/test_system_faults.py
+++ b/tests/test_system_faults.py
@@ -361,7 +361,7 @@
         steps.go(50)
         client.post(2)
         self.assertGreaterEqual(self.wait_told(steps, 2), 4900)
-        self.assertEqual(steps.service.adapter.loop.delays, {})
+        self.assertEqual(steps.service.adapter.loop.failing_since, {})
 
     def test_in_the_backlog_while_accept_fails(self) -> None:
         for error in (errno.ECONNABORTED, errno.ENFILE, errno.ENOBUFS, errno.EPROTO, errno.EHOSTUNREACH):
@@ -415,7 +415,7 @@
 
     def test_a_delay_without_end_dates_back_by_no_more_than_the_bound(self) -> None:
         steps = Steps(self)
-        steps.service.adapter.loop.delayed("a source that is not read again")
+        steps.service.adapter.loop.read_failed("a source that is not read again")
         steps.go(4000)
         steps.client().post(1, wait=8000)
         self.assertGreaterEqual(self.wait_told(steps, 1), 8000 - 100)
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -97,9 +97,11 @@
         """Accepting was paused; the one that waited there was first read after that."""
         steps = Steps(self)
         clients = steps.service.clients
-        clients.bound(most=4, accepts=1, memory_mb=64.0)  # so few that none is shed for being too many
+        clients.set_limits(
+            max_connections=4, accepts=1, memory_mb=64.0
+        )  # so few that none is shed for being too many
         steps.go()
-        open_ones = [steps.client() for _ in range(clients.most)]
+        open_ones = [steps.client() for _ in range(clients.max_connections)]
         for ident, client in enumerate(open_ones, 1):
             client.post(ident, wait=4000)
         steps.go()
@@ -123,7 +125,7 @@
             dated += [watch.accepted(2).since for _ in range(2)]
         now = steps.clock()
         self.assertAlmostEqual(now - dated[-1], 30.0, places=3)  # three rounds of two
-        self.assertLessEqual(len(watch.looks), 4)
+        self.assertLessEqual(len(watch.samples), 4)
         steps.go(10)
         steps.go(10)  # a round with no accept: it was empty
         self.assertAlmostEqual(steps.clock() - watch.accepted(2).since, 0.0, places=3)
@@ -168,7 +170,7 @@
     def __init__(self, case: unittest.TestCase) -> None:
         self.steps = Steps(case)
         clients = self.steps.service.clients
-        clients.bound(most=40, accepts=ACCEPTS_A_ROUND, memory_mb=64.0)
+        clients.set_limits(max_connections=40, accepts=ACCEPTS_A_ROUND, memory_mb=64.0)
         self.steps.go()
         self.silent = deque[Talk]()
         self.come(WAITING_CLIENTS)
@@ -235,7 +237,7 @@
             steps.reactor.now += ROUND / 1000
             steps.round()
             ages.append(round(steps.clock() - watch.accepted(1).since))
-            kept.append(len(watch.looks))
+            kept.append(len(watch.samples))
         self.assertEqual(ages, [0, 10, 20, 30, 40, 30, 30, 30])
         self.assertEqual(kept, [1, 2, 1, 2, 3, 3, 3, 3])
 
@@ -396,9 +398,9 @@
     def test_runs_are_bounded_and_forgotten(self) -> None:
         ordered = self.world.service.adapter.ordered
         for key in range(1, 5000):
-            ordered.held_back(key, 0.0, 5000.0)
+            ordered.hold_time(key, 0.0, 5000.0)
         self.assertEqual(len(ordered.runs), 1024)
-        ordered.held_back(1, 1000.0, 5000.0)
+        ordered.hold_time(1, 1000.0, 5000.0)
         self.assertEqual(list(ordered.runs), [1])
 
 
