--- a/spurdeal/net/answers.py
+++ b/spurdeal/net/answers.py
@@ -1,4 +1,4 @@
-"""How a request is answered."""
+"""The answers that a request can have."""
 
 from __future__ import annotations
 
@@ -6,19 +6,23 @@
 
 
 class Delivered(NamedTuple):
+    """The result of the query, as the pages of an engine's answer."""
+
     pages: tuple[bytes, ...]
 
 
 class Shed(NamedTuple):
-    come_back: float
+    """Rejected to limit load; the client may retry after so many ms (0: not told)."""
+
+    retry_after: float
 
 
 class Failed(NamedTuple):
-    pass
+    """Ended without a result; the client gets an error."""
 
 
 class Granted(NamedTuple):
-    """A caller carries it from here on; its attempt's outcome comes later, or never."""
+    """The caller sends the query itself; the outcome of its attempt is reported later, or never."""
 
 
 Answer = Delivered | Shed | Failed | Granted
--- a/spurdeal/net/arrival_times.py
+++ b/spurdeal/net/arrival_times.py
@@ -1,4 +1,4 @@
-"""When the bytes of a connection came, by their place in all that it has sent."""
+"""Arrival times of a connection's bytes, by their offset in its stream."""
 
 from __future__ import annotations
 
@@ -6,41 +6,41 @@
 
 from .watch import LoopWatch, Unpolled
 
-MOST_ARRIVALS = 32  # times kept of what one connection has sent ahead
+MAX_ARRIVALS = 32  # kept per connection
 
 
 class ArrivalTimes:
-    """The times, in ms of the dispatcher's clock, at which the bytes came that are not taken yet.
+    """Arrival times, in ms of the dispatcher's clock, of the bytes that were not consumed yet.
 
-    unpolled: Since when the connection was not polled before its first read.
+    unpolled: Since when the connection had not been polled before its first read.
     """
 
     def __init__(self, loop: LoopWatch, unpolled: Unpolled) -> None:
         self.loop, self.unpolled = loop, unpolled
-        self.received = 0  # bytes
-        self.times = deque[tuple[int, float]]()  # bytes received by then
+        self.received = 0  # bytes so far
+        self.times = deque[tuple[int, float]]()  # (offset of the end, time) of each read
 
     def add(self, size: int) -> None:
-        """So many bytes more were read."""
+        """Records a read of this many bytes."""
         self.received += size
-        came_at = self.loop.arrival(self.unpolled)
-        if len(self.times) >= MOST_ARRIVALS:  # in ever smaller pieces: the last counts from its first
-            came_at = self.times.pop()[1]
-        self.times.append((self.received, came_at))
+        arrived_at = self.loop.arrival(self.unpolled)
+        if len(self.times) >= MAX_ARRIVALS:  # many small reads: merged into the last entry, with its time
+            arrived_at = self.times.pop()[1]
+        self.times.append((self.received, arrived_at))
 
     def resume(self, paused_at: float) -> None:
-        """Reading goes on after a pause: what the next round of the loop reads may have come in it."""
+        """Reading resumes after a pause: what the next round reads may have arrived during it."""
         self.unpolled = Unpolled(paused_at, self.loop.round + 1)
 
     def forget_before(self, left: int) -> None:
-        """All bytes but the last so many are taken; the time of the last one taken is kept."""
+        """Drops the times of consumed bytes, all but the last `left`; keeps that of the last consumed one."""
         while self.times and self.times[0][0] < self.received - left:
             self.times.popleft()
 
     def clear(self) -> None:
-        """What has come so far counts from when the next bytes come."""
+        """Drops all times: bytes received so far count from the arrival of the next ones."""
         self.times.clear()
 
     def waited(self, now: float) -> float:
-        """How long ago the last byte taken came, in ms."""
+        """Time since the last consumed byte arrived, in ms."""
         return max(0.0, now - self.times[0][1]) if self.times else 0.0
--- a/spurdeal/net/client.py
+++ b/spurdeal/net/client.py
@@ -1,4 +1,4 @@
-"""One client's connection: HTTP/1.1 requests taken off it, and answers written."""
+"""One client's HTTP/1.1 connection: reads pipelined requests and writes their responses in order."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 from . import immediate
 from .arrival_times import ArrivalTimes
-from .fields import IDEMPOTENCY_KEY, IDENT, key_of, last_part, number_field, rows_of
+from .fields import IDEMPOTENCY_KEY, IDENT, key_hash, last_segment, number_field, result_rows
 from .http import BadRequest, RequestParser, response
 from .link import Answer, Delivered, Failed, Shed
 from .patient_socket import wrap_socket
@@ -25,29 +25,38 @@
 if TYPE_CHECKING:
     from .clients import Clients
 
-LONGEST_SILENT = 2000.0  # ms; one who never says a word is owed an end within 3 s
-LONGEST_PAUSE, LONGEST_UNFINISHED = 2000.0, 10_000.0  # ms between two pieces of one call; from first to last
-LONGEST_IDLE, LONGEST_UNREAD = 5000.0, 10_000.0  # ms; clients close after 4 s, but some keep theirs for good
-LONGEST_LINGER, MOST_DROPPED = 1000.0, 262_144  # ms and bytes that are read and dropped after our last answer
-MOST_SHORT_READS = 512  # behind one another, for one request
-MOST_CANCELLED_AHEAD = 16  # DELETEs behind an open call that are carried out before their turn
-MOST_IN_A_ROW = 16  # calls that one connection may have handled before others have their turn
+FIRST_REQUEST_TIMEOUT = 2000.0  # ms; a connection without any request must be closed within 3 s
+READ_TIMEOUT, REQUEST_TIMEOUT = (
+    2000.0,
+    10_000.0,
+)  # ms between two reads of one request; from its first byte to its last
+IDLE_TIMEOUT, WRITE_TIMEOUT = (
+    5000.0,
+    10_000.0,
+)  # ms; clients close idle connections after 4 s, but some never do
+# Of a lingering close: ms that it takes, and bytes that are read and discarded in it.
+LINGER_TIMEOUT, MAX_LINGER_BYTES = 1000.0, 262_144
+MAX_READS_PER_REQUEST = 512  # consecutive reads of one call of dataReceived
+MAX_CANCELLED_AHEAD = 16  # pipelined DELETEs that are carried out while the call before them is open
+MAX_REQUESTS_PER_ROUND = 16  # of one connection in one round of the event loop, for fairness
 
 
 class Phase(Enum):
-    """How far the end of a connection has come."""
+    """The phase of a connection's life."""
 
-    OPEN = "requests are taken"
-    CLOSING = "none is taken any more; what is written last is on its way"
-    LINGERING = "the write side is shut; what still comes is dropped"
+    OPEN = "requests are read"
+    CLOSING = "no more requests are read; the last response is being sent"
+    LINGERING = "the write side is shut down; further input is discarded"
 
 
 @implementer(IPushProducer, IHalfCloseableProtocol)
 class Client(Protocol):
-    """One client's connection: one call at a time, each with one answer.
+    """A client's connection: handles one request at a time and writes one response for each.
 
-    Ours to end, it lingers: closed over unread bytes, the system would reset it, and the last answer with it.
-    So its write side is shut behind that answer, and what still comes is dropped until the client ends it."""
+    When the dispatcher closes it, it uses a lingering close: closing a socket with unread bytes makes the
+    system send a reset, which can destroy the last response. So only the write side is shut down after that
+    response, and further input is discarded until the client closes the connection.
+    """
 
     transport: Any
 
@@ -55,61 +64,68 @@
         self.clients, self.parser = clients, RequestParser()
         self.call: Deferred[Answer] | None = None
         self.phase = Phase.OPEN
-        self.clogged = False  # its answers go unread, and nothing is read from it
-        self.brought = False  # it has sent a request
-        self.draining = False  # its next answer is its last
-        self.since = self.last_read = clients.clock()
-        self.dropped = 0  # bytes
+        self.write_blocked = (
+            False  # the client does not read its responses, so nothing is read from it either
+        )
+        self.has_sent_request = False  # a query that was accepted, at least once
+        self.draining = False  # it is closed after its next response
+        self.state_since = self.last_read = clients.clock()
+        self.dropped_bytes = 0  # while lingering
         self.arrivals = ArrivalTimes(clients.adapter.loop, clients.accepted())
-        self.cancelled_ahead = deque[tuple[int, bool]]()  # status and whether the connection is kept
-        self.advancing: Any = None
-        self.taking = False  # requests, within `advance`: one that is answered at once does not nest
+        self.cancelled_ahead = deque[
+            tuple[int, bool]
+        ]()  # of the response to each, and whether the connection is kept alive
+        self.next_advance: Any = None  # the delayed call
+        self.in_advance = False  # guards `advance` against recursion by a request that is answered at once
 
     @property
     def closing(self) -> bool:
-        """Whether nothing more is taken from it."""
+        """Whether no more requests are read from it."""
         return self.phase is not Phase.OPEN
 
     @property
-    def written(self) -> bool:
-        """Whether all that is owed to it has left."""
+    def lingering(self) -> bool:
+        """Whether its last response was sent and its write side is shut down."""
         return self.phase is Phase.LINGERING
 
-    # Twisted's calls.
+    # Called by Twisted.
 
     def connectionMade(self) -> None:
+        """Registers the connection and its flow control."""
         wrap_socket(self.transport, self.clients.adapter.loop)
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
-        self.clients.came(self)
+        self.clients.connection_opened(self)
 
     def dataReceived(self, data: bytes) -> None:
-        """Takes what was read, and the rest of an unfinished request that waits behind it.
+        """Processes what was read, then reads the rest of a partial request from the socket.
 
-        A read may be short of what has come: the rest would count from when it is read."""
+        A read may return less than the socket holds. Without the further reads, the wait of the request would
+        be counted only from the round of the event loop that reads the rest.
+        """
         self.take_data(data)
-        for _ in range(MOST_SHORT_READS):
+        for _ in range(MAX_READS_PER_REQUEST):
             if self.call is not None or not self.is_unfinished():
                 return
             if not (more := immediate.receive(self.transport)):
-                return  # nothing, or an end, which the transport finds as well
+                return  # no input, or end of stream, which the transport detects itself
             self.take_data(more)
 
     def take_data(self, data: bytes) -> None:
-        """Takes what was read."""
+        """Processes the bytes of one read."""
         if self.closing:
-            self.dropped += len(data)
-            if self.dropped > MOST_DROPPED:
+            self.dropped_bytes += len(data)
+            if self.dropped_bytes > MAX_LINGER_BYTES:
                 self.transport.abortConnection()
             return
         self.last_read = self.clients.clock()
         if not self.parser.remaining():
-            self.since = self.last_read
-        elif self.call is None and not self.is_advancing():
-            self.arrivals.clear()  # one unfinished call: its time counts from its last byte
+            self.state_since = self.last_read
+        elif self.call is None and not self.is_advance_scheduled():
+            self.arrivals.clear()  # a partial request: its wait counts from its last byte
         self.parser.feed(data)
         self.arrivals.add(len(data))
-        if self.call is not None and self.parser.remaining() > self.clients.ahead:
+        if self.call is not None and self.parser.remaining() > self.clients.max_read_ahead:
             self.clients.counters.add("client_ran_ahead")
             self.withdraw()
             self.transport.abortConnection()
@@ -117,35 +133,39 @@
         self.advance()
 
     def readConnectionLost(self) -> None:
-        """Its end, or that of its sending: it has left, also where an answer is still on its way."""
+        """Treats a half-closed connection as closed: the client has left, even if a response is pending."""
         self.withdraw()
         self.transport.unregisterProducer()
         self.transport.loseConnection()
 
     def writeConnectionLost(self) -> None:
-        self.phase, self.since = Phase.LINGERING, self.clients.clock()
+        """Starts to linger: the last response was sent and the write side is shut down."""
+        self.phase, self.state_since = Phase.LINGERING, self.clients.clock()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
+        """Cancels the open request and removes the connection."""
         self.withdraw()
-        if self.is_advancing():
-            self.advancing.cancel()
-        self.clients.went(self)
+        if self.is_advance_scheduled():
+            self.next_advance.cancel()
+        self.clients.connection_closed(self)
 
     def withdraw(self) -> None:
-        """It has gone: no answer is owed any more, and its open call ends."""
-        self.stop_taking()
+        """Cancels the open request: its client has left, and needs no response."""
+        self.stop_requests()
         call, self.call = self.call, None
         if call is not None:
             call.cancel()
 
-    def stop_taking(self) -> None:
+    def stop_requests(self) -> None:
+        """Reads no more requests from this connection."""
         if self.phase is Phase.OPEN:
             self.phase = Phase.CLOSING
 
-    def is_here(self) -> bool:
-        """Whether it has not ended the connection, as far as has arrived.
+    def is_connected(self) -> bool:
+        """Whether the client has not closed the connection, as far as the socket shows.
 
-        All that it has sent ahead is read for this, up to the bound on that: an end may stand behind it."""
+        Reads all pipelined input up to the read-ahead limit, since an end of stream may follow it.
+        """
         while not self.closing:
             data = immediate.receive(self.transport)
             if data is None:
@@ -153,45 +173,47 @@
             if data:
                 self.dataReceived(data)
             else:
-                self.withdraw()  # the transport finds the end as well, and closes
+                self.withdraw()  # the transport detects the end itself, and closes
         return False
 
     def pauseProducing(self) -> None:
-        """Its answers go unread: nothing more is taken from it until they are."""
-        self.clogged, self.since = True, self.clients.clock()
+        """Stops reading, as the client does not read its responses (write buffer full)."""
+        self.write_blocked, self.state_since = True, self.clients.clock()
         self.transport.pauseProducing()
 
     def resumeProducing(self) -> None:
-        self.clogged, self.last_read = False, self.clients.clock()
-        self.arrivals.resume(self.since)
+        """Reads again, as the write buffer has drained."""
+        self.write_blocked, self.last_read = False, self.clients.clock()
+        self.arrivals.resume(self.state_since)
         self.transport.resumeProducing()
         self.advance()
 
     def stopProducing(self) -> None:
-        self.stop_taking()
+        """Reads no more requests, as the transport cannot write any more."""
+        self.stop_requests()
 
-    # Calls and answers.
+    # Requests and responses.
 
     def advance(self) -> None:
-        """Takes what has come whole, unless that is being done."""
-        if not self.taking:
-            self.taking = True
+        """Handles all whole requests in the buffer, unless a caller up the stack does so already."""
+        if not self.in_advance:
+            self.in_advance = True
             try:
-                self.take_requests()
+                self.handle_requests()
             finally:
-                self.taking = False
+                self.in_advance = False
             self.cancel_ahead()
 
-    def take_requests(self) -> None:
-        """One that sends many at once waits for the loop's next round between."""
+    def handle_requests(self) -> None:
+        """Handles buffered requests up to MAX_REQUESTS_PER_ROUND; the others wait for the next round."""
         while self.cancelled_ahead and self.is_free():
             status, keep = self.cancelled_ahead.popleft()
             self.answer(status, {}, keep)
         handled = 0
         while self.is_free():
-            if handled >= MOST_IN_A_ROW:
-                if not self.is_advancing():
-                    self.advancing = self.clients.adapter.reactor.callLater(0, self.advance)
+            if handled >= MAX_REQUESTS_PER_ROUND:
+                if not self.is_advance_scheduled():
+                    self.next_advance = self.clients.adapter.reactor.callLater(0, self.advance)
                 return
             handled += 1
             try:
@@ -199,49 +221,51 @@
                 self.arrivals.forget_before(self.parser.remaining())
                 if taken is None:
                     return
-                self.since = self.clients.clock()
+                self.state_since = self.clients.clock()
                 self.handle(*taken)
             except BadRequest as fault:
                 self.clients.counters.add("client_bad_messages")
                 self.answer(fault.status, {"fault": str(fault)}, False)
 
     def is_free(self) -> bool:
-        """Whether the next request may be taken."""
-        return self.call is None and not self.closing and not self.clogged
+        """Whether the next request may be handled."""
+        return self.call is None and not self.closing and not self.write_blocked
 
-    def is_advancing(self) -> bool:
-        """Whether whole calls wait for the loop's next round."""
-        return self.advancing is not None and self.advancing.active()
+    def is_advance_scheduled(self) -> bool:
+        """Whether buffered requests wait for the loop's next round."""
+        return self.next_advance is not None and self.next_advance.active()
 
     def cancel_ahead(self) -> None:
-        """Carries out the DELETEs that stand behind an open call: that call may be the one they cancel.
+        """Carries out DELETEs that are pipelined behind an open call, as they may cancel that very call.
 
-        Their answers wait for their turn; where the open call was cancelled, nothing more is answered."""
+        Their responses are written in order, after that of the open call; if that call was cancelled, none
+        is written.
+        """
         while (
             self.call is not None
-            and len(self.cancelled_ahead) < MOST_CANCELLED_AHEAD
+            and len(self.cancelled_ahead) < MAX_CANCELLED_AHEAD
             and self.parser.next_is(b"DELETE")
         ):
             try:
                 taken = self.parser.take()
             except BadRequest:
-                return  # told in its turn
+                return  # reported when its turn comes
             if taken is None:
                 return
             _, target, _, _, keep = taken
             self.cancelled_ahead.append((self.cancel(target), keep))
 
     def cancel(self, target: bytes) -> int:
-        """Withdraws the request whose id a path ends with; the status of the answer."""
-        return 200 if self.clients.adapter.withdraw(last_part(target)) else 404
+        """Withdraws the request whose id ends the path; returns the status of the response."""
+        return 200 if self.clients.adapter.withdraw(last_segment(target)) else 404
 
     def handle(
         self, method: bytes, target: bytes, fields: dict[bytes, memoryview], body: memoryview, keep: bool
     ) -> None:
-        """Carries one whole request out, or opens a call with it."""
-        path, last = target.partition(b"?")[0], last_part(target)
+        """Dispatches one whole request by method and path."""
+        path, last = target.partition(b"?")[0], last_segment(target)
         if method == b"POST":
-            self.submit(path, fields, body, keep)
+            self.open_request(path, fields, body, keep)
         elif method == b"DELETE":
             self.answer(self.cancel(target), {}, keep)
         elif method == b"GET" and last == b"alive":
@@ -253,11 +277,13 @@
         else:
             self.answer(404 if method == b"GET" else 405, {"fault": "NotKnown"}, keep)
 
-    def submit(self, path: bytes, fields: dict[bytes, memoryview], body: memoryview, keep: bool) -> None:
-        """Hands a request to the link, and keeps the call open until that has its answer.
+    def open_request(
+        self, path: bytes, fields: dict[bytes, memoryview], body: memoryview, keep: bool
+    ) -> None:
+        """Submits a query to the adapter; the call stays open until the adapter answers it.
 
         Raises:
-            BadMessage: its workload, id or figures cannot be used, or its id is open.
+            BadRequest: its workload, id or numbers are invalid, or a request with this id is open.
         """
         kind = self.clients.workload_of(path)
         if kind is None:
@@ -266,7 +292,7 @@
         cost, memory = number_field(fields, b"req-cost", 0.0), number_field(fields, b"x-est-mb", 0.0)
         if not IDENT.fullmatch(ident) or wait <= 0:
             raise BadRequest(400, "req-id or req-wait-ms cannot be used")
-        statement = bytes(body)  # outlives the buffer: further attempts may need it
+        statement = bytes(body)  # a copy that outlives the read buffer, for retries
         owner, idempotency_key = bytes(fields.get(b"req-owner", b"")), bytes(fields.get(b"req-token", b""))
         if idempotency_key and not IDEMPOTENCY_KEY.fullmatch(idempotency_key):
             raise BadRequest(400, "req-token cannot be used")
@@ -279,31 +305,31 @@
             memory,
             table_group(statement),
             statement,
-            here=self.is_here,
+            here=self.is_connected,
             tenant=self.clients.tenants.get(owner),
-            key=key_of(fields.get(b"req-key", b"")),
+            key=key_hash(fields.get(b"req-key", b"")),
             idempotency_key=idempotency_key,
         )
         if call is None:
             raise BadRequest(400, "a submission with this id is open")
-        self.call, self.brought = call, True
-        call.addCallbacks(self.concluded, self.withdrawn, (keep,))
+        self.call, self.has_sent_request = call, True
+        call.addCallbacks(self.answer_received, self.request_cancelled, (keep,))
 
-    def leave(self) -> None:
-        """Its address is held elsewhere now: what is open is answered, and nothing more is taken."""
+    def start_draining(self) -> None:
+        """Closes the connection after its open call, as another dispatcher holds its address now."""
         self.draining = True
         self.close_if_idle()
 
-    def concluded(self, answer: Answer, keep: bool) -> None:
-        """Writes the answer to the open call, then takes what has come behind it."""
+    def answer_received(self, answer: Answer, keep: bool) -> None:
+        """Writes the response to the open call, then handles pipelined requests."""
         if not self.clients.counters.must(self.call is not None and not self.closing, "answer_to_a_call"):
             return
         self.call = None
         match answer:
             case Delivered(pages):
-                self.answer(200, {"result": rows_of(pages)}, keep)
-            case Shed(come_back):
-                wait = (("Srv-Wait-Ms", f"{come_back:.0f}"),) if come_back > 0 else ()
+                self.answer(200, {"result": result_rows(pages)}, keep)
+            case Shed(retry_after):
+                wait = (("Srv-Wait-Ms", f"{retry_after:.0f}"),) if retry_after > 0 else ()
                 self.answer(503, {"fault": "TryLater"}, keep, wait)
             case Failed():
                 self.answer(500, {"fault": "Aborted"}, keep)
@@ -311,8 +337,8 @@
             self.advance()
         self.clients.call_ended()
 
-    def withdrawn(self, failure: Failure) -> None:
-        """Its open call was cancelled, by itself or on another connection: there is nothing to answer."""
+    def request_cancelled(self, failure: Failure) -> None:
+        """Closes the connection: its open call was cancelled, on this or another one, so has no response."""
         if not isinstance(failure.value, CancelledError):
             failure.raiseException()
         self.call = None
@@ -320,61 +346,63 @@
             self.close()
 
     def answer(self, status: int, value: object, keep: bool, extra: tuple[tuple[str, str], ...] = ()) -> None:
-        """Writes one answer; the connection ends with it unless it may be kept."""
+        """Writes one response; closes the connection after it unless keep-alive is allowed."""
         self.clients.counters.add(f"answers_{status}")
-        self.since, keep = self.clients.clock(), keep and not self.draining and not self.clients.ending
+        self.state_since, keep = self.clients.clock(), keep and not self.draining and not self.clients.ending
         body = json.dumps(value, ensure_ascii=False, separators=(",", ":")).encode()
         self.transport.write(response(status, body, keep, extra))
         if not keep:
             self.close()
 
     def close(self) -> None:
-        """Lingers: see above; what it has not read yet leaves first."""
-        self.stop_taking()
-        self.since = self.clients.clock()
+        """Starts a lingering close, see the class; unsent responses are sent first."""
+        self.stop_requests()
+        self.state_since = self.clients.clock()
         self.arrivals.clear()
         self.transport.unregisterProducer()
         self.transport.resumeProducing()
         self.transport.loseWriteConnection()
 
     def close_if_idle(self) -> bool:
-        """A call whose bytes have come and were not read yet is not closed over."""
+        """Closes the connection if it is idle and its socket holds no input; returns whether it did."""
         idle = self.is_idle() and not may_have_input(self.transport)
         if idle:
             self.close()
         return idle
 
     def timed_out(self, now: float) -> bool:
-        """Unread answers, unfinished messages, silence and idleness each hold a descriptor for nothing."""
+        """Whether the timeout of its present state has passed. No timeout applies while a call is open."""
         if self.call is not None:
             return False
-        paused = self.is_unfinished() and now - max(self.last_read, self.since) > LONGEST_PAUSE
-        return paused or now - self.since > self.longest()
-
-    def longest(self) -> float:
-        """ms for which it may stay as it is, counted from `since`."""
-        if self.written:
-            return LONGEST_LINGER
-        if self.clogged or self.closing:
-            return LONGEST_UNREAD
+        paused = self.is_unfinished() and now - max(self.last_read, self.state_since) > READ_TIMEOUT
+        return paused or now - self.state_since > self.state_timeout()
+
+    def state_timeout(self) -> float:
+        """The timeout of its present state, in ms from `state_since`."""
+        if self.lingering:
+            return LINGER_TIMEOUT
+        if self.write_blocked or self.closing:
+            return WRITE_TIMEOUT
         if self.is_unfinished():
-            return LONGEST_UNFINISHED
-        return LONGEST_IDLE if self.brought else LONGEST_SILENT
+            return REQUEST_TIMEOUT
+        return IDLE_TIMEOUT if self.has_sent_request else FIRST_REQUEST_TIMEOUT
 
     def is_unfinished(self) -> bool:
-        """Whether part of a request has come, and the rest is to be read."""
-        return not self.clogged and not self.closing and self.parser.remaining() > 0
+        """Whether part of a request was read and the rest is awaited."""
+        return not self.write_blocked and not self.closing and self.parser.remaining() > 0
 
     def expire(self) -> None:
-        """What waits for nothing is closed; what does not read is cut.
+        """Closes a connection whose timeout has passed; aborts it if the client does not read.
 
-        Bytes that came and were not read yet, as after a pause of the process, are read first."""
+        A partial request is left alone while its socket holds input that was not read yet, as after a pause
+        of the process.
+        """
         if self.is_unfinished() and may_have_input(self.transport):
             return
         self.clients.counters.add(f"client_closed_{self.state_at_close()}")
-        if self.written:
+        if self.lingering:
             self.transport.loseConnection()
-        elif self.clogged or self.closing:
+        elif self.write_blocked or self.closing:
             self.transport.abortConnection()
         elif self.parser.remaining():
             self.answer(408, {"fault": "Unfinished"}, False)
@@ -382,18 +410,18 @@
             self.close_if_idle()
 
     def state_at_close(self) -> str:
-        """In what state it is closed by us, as the counters name it."""
-        if self.written:
+        """The state in which the dispatcher closes it, as the counters name it."""
+        if self.lingering:
             return "lingering"
-        if self.clogged or self.closing:
+        if self.write_blocked or self.closing:
             return "unread"
         return "unfinished" if self.parser.remaining() else "idle"
 
     def refuse_unfinished(self) -> None:
-        """Its descriptor is needed: what has come of a call is dropped, and it may come again."""
+        """Rejects a partial request to free its descriptor; the client may try again."""
         self.clients.counters.add("unfinished_refused")
         self.answer(503, {"fault": "TryLater"}, False)
 
     def is_idle(self) -> bool:
-        """Whether it rests between two requests."""
+        """Whether it waits for the next request, with nothing buffered."""
         return self.is_free() and not self.parser.remaining()
--- a/spurdeal/net/clients.py
+++ b/spurdeal/net/clients.py
@@ -1,4 +1,4 @@
-"""All clients' connections: accepted within a bound on their number, swept, and closed at the end."""
+"""The listener for clients: accepts connections within a limit, times them out, and closes them at exit."""
 
 from __future__ import annotations
 
@@ -17,30 +17,30 @@
 from .pending import count_waiting_connections, has_waiting_connections
 from .watch import AcceptWatch, Unpolled
 
-# Connections that may wait to be accepted. Past it the system drops a first packet, sent again after 1 s.
+# Length of the accept queue. Beyond it the system drops SYNs, which clients send again only after 1 s.
 BACKLOG = 4096
-LEAST_AHEAD, MOST_AHEAD = 16_384, 131_072  # bytes that a client may send ahead of its answer
-MEMORY_PART = 0.25  # of the memory, for what clients send ahead
-MOST_WAITING = BACKLOG  # rounds of accepting at the end, at most: as many as the backlog holds connections
-LEAST_BETWEEN_LINES = 1000.0  # ms between two log lines of a paused accept
+MIN_READ_AHEAD, MAX_READ_AHEAD = 16_384, 131_072  # bytes buffered for one client whose call is open
+READ_AHEAD_MEMORY_SHARE = 0.25  # of the memory, for the read-ahead of all clients
+MAX_ACCEPT_ROUNDS = BACKLOG  # at exit: at worst, each round accepts one connection of the backlog
+LOG_INTERVAL = 1000.0  # ms between two "accept_paused" log lines, at least
 
 
 class Clients(ServerFactory):
-    """All clients' connections, within a bound on their number.
+    """Accepts clients' connections and keeps their number within a limit.
 
     Attributes:
-        connections: Those open, in the order in which they came.
-        max_connections: How many there may be.
-        accepts: How many are accepted in one round of the event loop, and how many eviction keeps free.
-        ahead: How many bytes a client may send ahead of its answer.
+        connections: Open connections, in the order in which they were accepted.
+        max_connections: Limit on their number.
+        accepts: Connections accepted per round of the event loop, and free slots that eviction maintains.
+        max_read_ahead: Bytes that a client may pipeline behind its open call.
         names: The workloads' names by index.
-        port: The listening port, once there is one.
-        other_descriptors: How many descriptors the process holds that are not clients'.
-        fleet: What is known of the fleet, where there is one.
-        ready: Whether the list of the start is in force.
-        paused: Whether accepting is paused; later connections wait in the backlog.
-        ending: Whether the process was told to end: each answer closes its connection.
-        accept_ended: Whether the port was closed for good.
+        port: The listening port; None until it is opened.
+        other_descriptors: Returns how many descriptors the process holds for other uses.
+        fleet: Returns the state of the fleet for GET /fleet; None without a fleet.
+        ready: Whether the initial engine list is in force; GET /alive reports it.
+        paused: Whether accepting is paused for want of slots; new connections wait in the backlog.
+        ending: Whether shutdown has begun: each response closes its connection.
+        accept_ended: Whether the port was closed for the exit.
     """
 
     noisy = False
@@ -55,44 +55,43 @@
         log: logging.Logger,
     ) -> None:
         self.adapter, self.workloads = adapter, workloads
-        self.max_connections, self.accepts, self.ahead = 0, 1, MOST_AHEAD
+        self.max_connections, self.accepts, self.max_read_ahead = 0, 1, MAX_READ_AHEAD
         self.names = {kind: name for name, kind in workloads.items()}
         self.tenants, self.slashes = tenants, max(name.count(b"/") for name in workloads)
         self.clock, self.counters, self.log = clock, counters, log
         self.connections: dict[Client, None] = {}
         self.port: Any = None
-        self.settling: Any = None  # the delayed call
+        self.admission_call: Any = None  # the delayed call
         self.other_descriptors: Callable[[], int] = lambda: 0
         self.fleet: Callable[[], object] | None = None
         self.pause_logged_at = float("-inf")
         self.ready = self.paused = self.ending = self.accept_ended = False
-        self.accepting = AcceptWatch(
-            adapter.loop, BACKLOG + 1, self.count_waiting
-        )  # Linux lets one more wait
+        # Linux queues one connection more than the backlog.
+        self.accepting = AcceptWatch(adapter.loop, BACKLOG + 1, self.count_waiting)
 
     def set_limits(self, max_connections: int, accepts: int, memory_mb: float) -> None:
-        """Sets how many connections there may be, how many are accepted a round, and the memory for all."""
+        """Sets the limits on connections and on accepts per round, and derives the read-ahead from memory."""
         self.max_connections, self.accepts = max_connections, accepts
-        ahead = MEMORY_PART * memory_mb * 1_048_576 / self.max_connections
-        self.ahead = int(min(MOST_AHEAD, max(LEAST_AHEAD, ahead)))
+        ahead = READ_AHEAD_MEMORY_SHARE * memory_mb * 1_048_576 / self.max_connections
+        self.max_read_ahead = int(min(MAX_READ_AHEAD, max(MIN_READ_AHEAD, ahead)))
         if self.port is not None:
-            self.settle_soon()
+            self.schedule_admission()
 
     def set_port(self, port: Any) -> None:
-        """The listening port, whose accepts may fail for a moment."""
+        """Sets the listening port, and makes its socket survive transient errors of accept."""
         self.port = port
-        real = getattr(port, "socket", None)  # none on a transport in memory
+        real = getattr(port, "socket", None)  # None on an in-memory transport
         if real is not None:
             port.socket = RetryingListener(real, self.counters, self.pause_after_error)
 
     def pause_after_error(self) -> None:
-        """An accept has failed; what waits in the backlog stays there."""
+        """Pauses accepting after an error; waiting connections stay in the backlog."""
         self.accepting.failed()
         self.port.stopReading()
         self.adapter.reactor.callLater(ACCEPT_RETRY_DELAY, self.resume_after_error)
 
     def resume_after_error(self) -> None:
-        """Unless accepting is paused for another reason, or over."""
+        """Resumes accepting, unless it is paused for another reason or has ended."""
         if not self.paused and not self.accept_ended and self.port.connected:
             self.accepting.resumed()
             self.port.startReading()
@@ -100,8 +99,9 @@
     def workload_of(self, path: bytes) -> int | None:
         """The index of the workload that a path names, or None.
 
-        Its last part is the name, as it is or escaped; a name with slashes is several parts, and the longest
-        known counts."""
+        The name is the last segment of the path, as it is or percent-encoded. A name with slashes spans
+        several segments; the longest known name wins.
+        """
         if (kind := self.workloads.get(path.rpartition(b"/")[2])) is not None and not self.slashes:
             return kind
         parts = path.rsplit(b"/", self.slashes + 1)[1:]
@@ -113,65 +113,74 @@
         return None
 
     def buildProtocol(self, addr: Any) -> Client:
+        """The protocol of a connection that was accepted."""
         return Client(self)
 
     def count_waiting(self) -> int | None:
-        """How many connections wait in the backlog, where the system tells."""
+        """How many connections wait in the accept queue; None if the system does not report it."""
         return count_waiting_connections(getattr(self.port, "socket", None))
 
     def accepted(self) -> Unpolled:
+        """Since when a connection that is accepted now may have been waiting."""
         return self.accepting.accepted(getattr(self.port, "numberAccepts", 0))
 
-    def came(self, client: Client) -> None:
+    def connection_opened(self, client: Client) -> None:
+        """Registers a new connection."""
         self.connections[client] = None
         self.counters.add("client_connections")
         self.counters.most("most_client_connections", len(self.connections))
-        self.settle_soon()
+        self.schedule_admission()
 
-    def went(self, client: Client) -> None:
+    def connection_closed(self, client: Client) -> None:
+        """Removes a connection; its descriptor may be used by one that waits."""
         self.connections.pop(client, None)
         if self.paused:
-            self.settle_soon()
+            self.schedule_admission()
 
     def call_ended(self) -> None:
-        """Its connection may be idle now, and another may be waiting for a descriptor."""
+        """A connection may have become idle; if others wait for a descriptor, it may be evicted."""
         if self.paused:
-            self.settle_soon()
+            self.schedule_admission()
 
-    def settle_soon(self) -> None:
-        """Once a round: connections have come or gone, so what the next round may accept has changed."""
-        self.settle_within(0.0)
+    def schedule_admission(self) -> None:
+        """Schedules `update_admission` for the next round of the loop, once for all changes in this one."""
+        self.schedule_admission_within(0.0)
 
-    def settle_within(self, seconds: float) -> None:
-        """Lets `settle` run by then; it may be due earlier already."""
+    def schedule_admission_within(self, seconds: float) -> None:
+        """Schedules `update_admission` within this time, unless it is due earlier already."""
         reactor = self.adapter.reactor
-        if self.settling is None:
-            self.settling = reactor.callLater(seconds, self.settle)
-        elif self.settling.getTime() > reactor.seconds() + seconds:
-            self.settling.reset(seconds)
-
-    def settle(self) -> None:
-        """Keeps room for the next round's connections by eviction; accepts no more than there is room for.
-
-        Left alone, Twisted accepts ever more a round; past the limit it closes all that wait in the backlog,
-        unread, and whole calls with them."""
-        self.settling = None
-        self.note_descriptors()
+        if self.admission_call is None:
+            self.admission_call = reactor.callLater(seconds, self.update_admission)
+        elif self.admission_call.getTime() > reactor.seconds() + seconds:
+            self.admission_call.reset(seconds)
+
+    def update_admission(self) -> None:
+        """Evicts connections to keep slots free for the next round, and limits accepts to the free slots.
+
+        Otherwise Twisted accepts more and more per round; once descriptors run out, it accepts and closes all
+        connections of the backlog unread, with whole requests among them.
+        """
+        self.admission_call = None
+        self.record_descriptors()
         excess = len(self.connections) + self.accepts - self.max_connections
         if excess > 0 and self.evict_idle(excess) < excess:
-            self.settle_within(MIN_AGE / 1000)  # what is too new to be given up will not be then
+            self.schedule_admission_within(
+                MIN_AGE / 1000
+            )  # connections too new to be evicted now can be evicted by then
         self.apply_accept_limit()
 
     def evict_idle(self, count: int = 1) -> int:
+        """Evicts at most `count` connections; returns how many were closed."""
         evicted = evict(self.connections, count, self.clock())
         self.counters.add("clients_evicted", evicted)
         return evicted
 
-    def note_descriptors(self) -> None:
+    def record_descriptors(self) -> None:
+        """Updates the high-water mark of open descriptors."""
         self.counters.most("most_descriptors", len(self.connections) + self.other_descriptors())
 
     def apply_accept_limit(self) -> None:
-        """Sets how many connections the next round accepts; with no room, others wait in the backlog."""
+        """Sets how many connections the next round accepts; pauses accepting if no slot is free."""
         room = self.max_connections - len(self.connections)
         if self.accept_ended or self.port is None:
             return
@@ -185,38 +194,39 @@
             self.pause_accepting()
 
     def pause_accepting(self) -> None:
+        """Stops reading the listener, so that new connections wait in the backlog."""
         self.paused = True
         self.port.stopReading()
         self.counters.add("accept_paused")
         now = self.clock()
-        if now - self.pause_logged_at >= LEAST_BETWEEN_LINES:
+        if now - self.pause_logged_at >= LOG_INTERVAL:
             self.pause_logged_at = now
             self.log.warning("accept_paused", extra={"figures": {"connections": len(self.connections)}})
 
     def drain(self, host: str) -> None:
-        """Closes the connections to an address that was given up, once their open calls are answered."""
+        """Closes the connections to an address that is no longer held here, after their open calls."""
         for client in list(self.connections):
             if client.transport.getHost().host == host:
-                client.leave()
+                client.start_draining()
 
     def close_idle(self) -> bool:
-        """Closes the connections without an open call.
+        """Closes connections without an open call.
 
         Returns:
-            Whether there are connections still.
+            Whether connections remain.
         """
         for client in list(self.connections):
             client.close_if_idle()
         return bool(self.connections)
 
     def stop_accepting(self) -> bool:
-        """Accepts what waits in the backlog, and closes the port.
+        """Accepts the connections in the backlog, then closes the port.
 
-        Closing a port resets the connections that wait in its backlog, and whole calls with them. So it stays
-        open while the system does not hand them over.
+        Closing a port resets the connections in its backlog, with whole requests among them. So it stays open
+        while accept fails.
 
         Returns:
-            Whether there may be connections that were not looked at yet.
+            Whether there may be connections that were not handled yet.
         """
         if self.accept_ended:
             return False
@@ -225,29 +235,29 @@
             self.counters.add("accept_failed_at_exit")
             return True
         self.accept_ended = True
-        self.adapter.reactor.callLater(0, self.drain_backlog)  # just before the port's own end
+        self.adapter.reactor.callLater(0, self.drain_backlog)  # runs just before the port is closed
         self.port.stopListening()
         return True
 
     def drain_backlog(self) -> None:
-        """Accepts until the backlog is empty, or there is no room for more."""
+        """Accepts until the backlog is empty or no slot is free."""
         came = self.counters.sums["client_connections"]
-        for _ in range(MOST_WAITING if self.port.connected else 0):
+        for _ in range(MAX_ACCEPT_ROUNDS if self.port.connected else 0):
             if (room := self.max_connections - len(self.connections)) <= 0:
                 break
             self.port.numberAccepts = room
             self.port.doRead()
             if came == (came := self.counters.sums["client_connections"]):
                 break
-        self.apply_accept_limit()  # Twisted would accept 20 more than these in the same round
+        self.apply_accept_limit()  # else Twisted accepts up to 20 more in the same round
 
     def sweep(self) -> None:
-        """Closes the connections that have held a descriptor for nothing for too long."""
-        self.note_descriptors()
+        """Closes the connections whose timeout has passed."""
+        self.record_descriptors()
         now = self.clock()
         for client in list(self.connections):
             if client.timed_out(now):
                 self.counters.add("client_timed_out")
                 client.expire()
         if self.paused:
-            self.settle_soon()
+            self.schedule_admission()
--- a/spurdeal/net/descriptors.py
+++ b/spurdeal/net/descriptors.py
@@ -1,4 +1,4 @@
-"""How the descriptors of a process are shared out among clients, engines and the process itself."""
+"""The file descriptor budget: how a process's limit is divided among clients, engines and the process."""
 
 from __future__ import annotations
 
@@ -8,27 +8,26 @@
 
 OPEN_DESCRIPTORS = "/proc/self/fd"
 TYPICAL_HELD = 6  # standard streams, the event loop's epoll and its wake-up pipe
-OPENED_AT_START = 3  # listener, name service, and the one that Twisted's accept keeps in reserve
-OPENED_FOR_NAMES = 3  # further sockets to the name service, while it is silent
-OPENED_LATER = (
-    OPENED_AT_START + OPENED_FOR_NAMES + 2
-)  # the configuration read again, a listing of the descriptors
-OWN_MOST_PART = 1 / 4  # a limit so low that this binds leaves nothing to spare
-CLIENTS_PART = 1 / 2
-CLIENTS_LEAST_PART = 1 / 3  # what the protocol lets clients hold
-CLIENTS_LEAST = 8
-ENGINES_PART = 2 / 5
-ACCEPTS_PART = 1 / 6  # of the clients' part
-MOST_ACCEPTS = 64
+OPENED_AT_START = 3  # listener, name service, and the descriptor that Twisted keeps in reserve for accept
+OPENED_FOR_NAMES = 3  # more sockets to the name service, opened while it does not answer
+# Plus two: one to reload the configuration, one to list the open descriptors.
+OPENED_LATER = OPENED_AT_START + OPENED_FOR_NAMES + 2
+MAX_OWN_SHARE = 1 / 4  # binds only for limits that are too low for all parts
+MAX_CLIENT_SHARE = 1 / 2
+MIN_CLIENT_SHARE = 1 / 3  # clients may hold a third of the limit by the protocol
+MIN_CLIENTS = 8
+MAX_ENGINE_SHARE = 2 / 5
+ACCEPT_SHARE = 1 / 6  # of the clients' share
+MAX_ACCEPTS = 64
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessDescriptors:
-    """What the process that a dispatcher runs in has to do with descriptors.
+    """The descriptors of the process before the dispatcher opens its sockets.
 
     Attributes:
-        allowed: How many it may hold, as the system enforces it; None where that is not known.
-        held: How many it held before the dispatcher opened its sockets.
+        allowed: The limit that the system enforces (RLIMIT_NOFILE); None if there is none or it is unknown.
+        held: Descriptors that are open already.
     """
 
     allowed: int | None = None
@@ -36,30 +35,31 @@
 
     @classmethod
     def of_this_process(cls) -> ProcessDescriptors:
+        """Reads the soft limit and counts the open descriptors of this process."""
         soft_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
         allowed = None if soft_limit == resource.RLIM_INFINITY else soft_limit
         return cls(allowed, max(TYPICAL_HELD, count_open_descriptors()))
 
 
 def count_open_descriptors() -> int:
-    """How many descriptors this process holds; 0 where the system does not tell."""
+    """How many descriptors this process has open; 0 if the system does not report it."""
     try:
-        return len(os.listdir(OPEN_DESCRIPTORS)) - 1  # less the one that the listing itself held
+        return len(os.listdir(OPEN_DESCRIPTORS)) - 1  # without the one that listdir itself had open
     except OSError:
         return 0
 
 
 @dataclass(frozen=True, slots=True)
 class DescriptorBudget:
-    """The parts of a limit. They add up to no more than the limit where that is 48 or more.
+    """The shares of a limit on descriptors. Their sum stays within the limit if it is 48 or more.
 
     Attributes:
-        limit: How many descriptors there are.
+        limit: All descriptors.
         own: Reserved for the process: its streams, event loop, listener, name service, files.
-        clients: Clients' connections at most.
-        engines: Connections to engines at most.
-        accepts: How many connections are accepted in one round of the event loop at most, and how many
-            of the clients' part eviction keeps free for the next.
+        clients: Limit on connections from clients.
+        engines: Limit on connections to engines.
+        accepts: Connections accepted per round of the event loop at most, which is also the number of
+            slots of the clients' share that eviction keeps free for the next round.
     """
 
     limit: int
@@ -70,14 +70,15 @@
 
     @classmethod
     def from_limit(cls, configured: int, process: ProcessDescriptors) -> DescriptorBudget:
-        """Shares out the configured limit, or the system's where that is lower.
+        """Divides the configured limit, or the system's if that is lower.
 
-        The process's own come first, then the third that clients may hold by the protocol, then engines; what
-        is left goes to clients again, up to half of the limit."""
+        The process's own descriptors come first, then the third that clients may hold by the protocol, then
+        engines; the remainder goes to clients, up to half of the limit.
+        """
         limit = configured if process.allowed is None else min(configured, process.allowed)
-        own = min(process.held + OPENED_LATER, int(limit * OWN_MOST_PART))
-        clients_least = int(limit * CLIENTS_LEAST_PART)
-        engines = max(1, min(int(limit * ENGINES_PART), limit - own - clients_least))
-        clients = max(CLIENTS_LEAST, min(int(limit * CLIENTS_PART), limit - own - engines))
-        accepts = max(1, min(MOST_ACCEPTS, int(clients * ACCEPTS_PART)))
+        own = min(process.held + OPENED_LATER, int(limit * MAX_OWN_SHARE))
+        min_clients = int(limit * MIN_CLIENT_SHARE)
+        engines = max(1, min(int(limit * MAX_ENGINE_SHARE), limit - own - min_clients))
+        clients = max(MIN_CLIENTS, min(int(limit * MAX_CLIENT_SHARE), limit - own - engines))
+        accepts = max(1, min(MAX_ACCEPTS, int(clients * ACCEPT_SHARE)))
         return cls(limit, own, clients, engines, accepts)
--- a/spurdeal/net/eviction.py
+++ b/spurdeal/net/eviction.py
@@ -1,4 +1,4 @@
-"""Which of the clients' connections are closed first where descriptors are scarce."""
+"""Eviction: which client connections are closed first when descriptors are scarce."""
 
 from __future__ import annotations
 
@@ -11,53 +11,56 @@
 if TYPE_CHECKING:
     from .client import Client
 
-MIN_AGE = 25.0  # ms that a new connection has for its first bytes, and a message to become whole
-LONGEST_ENDING = 1000.0  # ms in which a last answer has to leave
+MIN_AGE = 25.0  # ms; a new connection may take this long to send its first bytes, a request to complete
+CLOSING_TIMEOUT = 1000.0  # ms for sending the last response
 
 
 class EvictionRank(IntEnum):
-    """States in which a connection can be given up, the first to go first."""
+    """States in which a connection may be evicted, in the order of eviction."""
 
-    ENDING = 0  # nothing more is taken from it: its last answer is on its way, or it lingers behind that
-    UNPROVEN = 1  # it has never brought a whole request: nothing, or part of one
-    IDLE = 2  # it has brought requests, and no call is open on it
-    UNFINISHED = 3  # it has brought requests, and part of another call
+    CLOSING = 0  # no more requests are read: its last response is being sent, or it lingers
+    NO_REQUEST = 1  # it never submitted a query: it sent nothing, part of a request, or others such as GET
+    IDLE = 2  # it submitted queries before, and has no open call
+    UNFINISHED = 3  # it submitted queries before, and sent part of another request
 
 
 def eviction_rank(client: Client) -> EvictionRank | None:
-    """None for one that must stay: a call is open on it, or its answers are not read."""
+    """The rank of a connection; None if it must stay, with an open call or with unread responses."""
     if client.closing:
-        return EvictionRank.ENDING
-    if client.call is not None or client.clogged:
+        return EvictionRank.CLOSING
+    if client.call is not None or client.write_blocked:
         return None
-    if not client.brought:
-        return EvictionRank.UNPROVEN
+    if not client.has_sent_request:
+        return EvictionRank.NO_REQUEST
     return EvictionRank.UNFINISHED if client.parser.remaining() else EvictionRank.IDLE
 
 
 def evict(clients: Iterable[Client], count: int, now: float) -> int:
-    """Gives up `count` connections at most, within a rank those unchanged for longest first.
+    """Evicts at most `count` connections: by rank, and within a rank those longest in their state first.
 
-    One that cannot be given up just now, but soon, counts as well: while there are enough of a rank, none of
-    the next rank goes.
+    A connection that can be evicted soon but not yet counts towards `count`: while a rank has enough
+    candidates, none of the next rank is evicted.
 
     Returns:
-        How many were given up just now.
+        How many were evicted now.
     """
     ranked = [
-        (rank, client.since, client) for client in clients if (rank := eviction_rank(client)) is not None
+        (rank, client.state_since, client)
+        for client in clients
+        if (rank := eviction_rank(client)) is not None
     ]
     ranked.sort(key=lambda entry: entry[:2])
-    return sum(give_up(client, rank, now) for rank, _, client in ranked[:count])
+    return sum(evict_one(client, rank, now) for rank, _, client in ranked[:count])
 
 
-def give_up(client: Client, rank: EvictionRank, now: float) -> bool:
-    """Gives a connection up if that can be done now.
+def evict_one(client: Client, rank: EvictionRank, now: float) -> bool:
+    """Evicts a connection, if that is possible now; returns whether it was.
 
-    Not one that has just come, nor one whose bytes were not read yet: a whole call may be among them."""
-    age = now - client.since
-    if rank is EvictionRank.ENDING:
-        if not client.written and age < LONGEST_ENDING:
+    New connections are spared, and those with unread input in their socket, as that may be a whole request.
+    """
+    age = now - client.state_since
+    if rank is EvictionRank.CLOSING:
+        if not client.lingering and age < CLOSING_TIMEOUT:
             return False
         client.expire()
         return True
--- a/spurdeal/net/fields.py
+++ b/spurdeal/net/fields.py
@@ -1,4 +1,4 @@
-"""The parts of a client's request and of its answer: ids, numbers, keys, rows."""
+"""Fields of a client's request and of its response: ids, numbers, keys, rows."""
 
 import re
 from collections.abc import Mapping
@@ -7,15 +7,15 @@
 from .http import BadRequest
 
 IDENT = re.compile(rb"[0-9a-fA-F]{16}")
-IDEMPOTENCY_KEY = re.compile(rb"[0-9a-zA-Z_.-]{1,64}")  # it goes on as it is, among fields parted by commas
+IDEMPOTENCY_KEY = re.compile(rb"[0-9a-zA-Z_.-]{1,64}")  # forwarded unescaped in a comma-separated list
 NUMBER = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,12})?")
 
 
 def number_field(fields: Mapping[bytes, memoryview], name: bytes, default: float | None = None) -> float:
-    """The value of a field that holds a number.
+    """The value of a numeric field.
 
     Raises:
-        BadMessage: the field is missing and has no default, or holds no number.
+        BadRequest: the field is missing and has no default, or is not a number.
     """
     if name not in fields and default is not None:
         return default
@@ -25,17 +25,17 @@
     return float(text)
 
 
-def last_part(target: bytes) -> bytes:
-    """Of a request's path, without its query."""
+def last_segment(target: bytes) -> bytes:
+    """The last segment of a request target's path, without the query string."""
     return target.partition(b"?")[0].rpartition(b"/")[2]
 
 
-def key_of(text: bytes | memoryview) -> int:
-    """A number for a key, the same at any time; 0 for none. Nothing need be kept of keys."""
+def key_hash(text: bytes | memoryview) -> int:
+    """A stable, non-zero 64-bit hash of a key, so that keys need not be stored; 0 for an empty key."""
     return int.from_bytes(blake2b(text, digest_size=8).digest(), "big") | 1 if text else 0
 
 
-def rows_of(pages: tuple[bytes, ...]) -> list[list[str]]:
-    """A result's rows from its pages: a tab between columns, a line feed behind each row."""
+def result_rows(pages: tuple[bytes, ...]) -> list[list[str]]:
+    """Parses the rows of a result: columns are separated by tabs, each row ends with a line feed."""
     text = b"".join(pages).decode("utf-8")
     return [row.split("\t") for row in text.split("\n")[:-1]]
--- a/spurdeal/net/http.py
+++ b/spurdeal/net/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 as clients speak it: requests read with a body by length, answers written."""
+"""HTTP/1.1: parses requests with a Content-Length body, and formats responses."""
 
 import re
 
@@ -18,15 +18,15 @@
     503: "Service Unavailable",
 }
 TOKEN = rb"[!#$%&'*+.^_`|~0-9A-Za-z-]+"
-# A workload's name comes in the target as it is: with spaces and letters of any script. What follows the last
-# space is the version, so none of this is ambiguous.
+# Clients put a workload's name into the target unescaped, with spaces and non-ASCII letters. This is not
+# ambiguous: what follows the last space of the line is the version.
 REQUEST_LINE = re.compile(rb"(%b) (/[^\x00-\x1f\x7f]*) HTTP/1\.([01])\r\n" % TOKEN)
 FIELD = re.compile(rb"(%b):[ \t]*((?:[^\x00-\x08\x0a-\x1f\x7f \t]|[ \t]++(?!\r))*+)[ \t]*\r\n" % TOKEN)
 DIGITS = re.compile(rb"[0-9]+")
 
 
 class BadRequest(Exception):
-    """A request that cannot be used; it gets this status, and its connection ends."""
+    """An invalid request: it is answered with this status, and its connection is closed."""
 
     def __init__(self, status: int, why: str) -> None:
         super().__init__(why)
@@ -34,20 +34,27 @@
 
 
 class RequestParser(ReadBuffer):
-    """Takes requests off a connection's bytes. Bodies and fields are slices of what was read."""
+    """Parses pipelined requests. Bodies and field values are slices of the read buffer, without a copy."""
 
     def next_is(self, method: bytes) -> bool:
-        """Whether the next request has begun and is one of this method."""
+        """Whether the next request has begun and uses this method."""
         self.skip_empty_lines()
         return self.buffer.startswith(method + b" ", self.at)
 
     def skip_empty_lines(self) -> None:
-        """Some clients end a body with one."""
+        """Skips empty lines before a request: some clients send one after a body."""
         while self.buffer.startswith(b"\r\n", self.at):
             self.at += 2
 
     def take(self) -> tuple[bytes, bytes, dict[bytes, memoryview], memoryview, bool] | None:
-        """Method, target, fields by lower-case name, body, and whether the connection is kept."""
+        """Removes the next whole request from the buffer; None if it is not complete yet.
+
+        Returns:
+            Method, target, fields by lower-case name, body, and whether the connection is kept alive.
+
+        Raises:
+            BadRequest: it is malformed or too large.
+        """
         self.skip_empty_lines()
         end = self.buffer.find(b"\r\n\r\n", self.at, self.at + MAX_HEAD_SIZE)
         if end < 0:
@@ -74,19 +81,21 @@
         return line[1], line[2], fields, whole[start:stop], keep
 
     def fields(self, whole: memoryview, at: int, end: int) -> dict[bytes, memoryview]:
+        """Parses the header fields between two positions of the buffer."""
         found: dict[bytes, memoryview] = {}
         while at < end:
             field = FIELD.match(self.buffer, at, end)
             if field is None:
                 raise BadRequest(400, "a field cannot be read")
             name, value = field[1].lower(), whole[slice(*field.span(2))]
-            # Repeated fields are a list by the standard: one number twice is then no number.
+            # Repeated fields form a list (RFC 9110, 5.3), so a repeated Content-Length is no valid number.
             found[name] = memoryview(b", ".join((found[name], value))) if name in found else value
             at = field.end()
         return found
 
 
 def response(status: int, body: bytes, keep: bool, extra: tuple[tuple[str, str], ...] = ()) -> bytes:
+    """Formats a response with a JSON body and extra header fields; closes the connection unless `keep`."""
     lines = [
         f"HTTP/1.1 {status} {REASONS[status]}",
         "Content-Type: application/json",
--- a/spurdeal/net/ordered.py
+++ b/spurdeal/net/ordered.py
@@ -9,8 +9,8 @@
 
 from typing import NamedTuple
 
-MOST_PART = 0.2  # of the wait that a request tells
-MOST_RUNS = 1024
+MAX_WAIT_SHARE = 0.2  # of the wait that a request tells
+MAX_RUNS = 1024
 
 
 class Run(NamedTuple):
@@ -27,18 +27,18 @@
         rest: ms; requests of one key that come no further apart may be a run. 0: none is.
     """
 
-    def __init__(self, rest: float) -> None:
-        self.rest = rest
+    def __init__(self, max_gap: float) -> None:
+        self.max_gap = max_gap
         self.runs: dict[int, Run] = {}
 
     def hold_time(self, key: int, now: float, wait: float) -> float:
         """One more of this key has come: ms for which it may have been held back, so far as is counted."""
         run = self.runs.pop(key, None)
-        first = run.first if run is not None and now - run.last <= self.rest else now
+        first = run.first if run is not None and now - run.last <= self.max_gap else now
         self.runs[key] = Run(first, now)
-        self.forget(now)
-        return min(now - first, MOST_PART * wait)
+        self.expire(now)
+        return min(now - first, MAX_WAIT_SHARE * wait)
 
-    def forget(self, now: float) -> None:
-        while len(self.runs) > MOST_RUNS or next(iter(self.runs.values())).last < now - self.rest:
+    def expire(self, now: float) -> None:
+        while len(self.runs) > MAX_RUNS or next(iter(self.runs.values())).last < now - self.max_gap:
             del self.runs[next(iter(self.runs))]
--- a/spurdeal/net/patient_socket.py
+++ b/spurdeal/net/patient_socket.py
@@ -45,13 +45,13 @@
                 self.watch.counters.add(f"recv_failed_errno_{fault.errno}")
                 self.watch.read_failed(self)
             elif self.failing:
-                self.recovered()
-            raise as_blocking(fault) from None
+                self.end_of_failure()
+            raise to_blocking_error(fault) from None
         if self.failing:
-            self.recovered()
+            self.end_of_failure()
         return received
 
-    def recovered(self) -> None:
+    def end_of_failure(self) -> None:
         """Reading works again."""
         self.failing = False
         self.watch.read_recovered(self)
@@ -63,7 +63,7 @@
         except OSError as fault:
             if fault.errno in TRANSIENT and fault.errno != errno.EAGAIN:
                 self.watch.counters.add(f"send_failed_errno_{fault.errno}")
-            raise as_blocking(fault) from None
+            raise to_blocking_error(fault) from None
         return sent
 
     def close(self) -> None:
@@ -100,7 +100,7 @@
             raise BlockingIOError(errno.EWOULDBLOCK, str(fault)) from None
 
 
-def as_blocking(fault: OSError) -> OSError:
+def to_blocking_error(fault: OSError) -> OSError:
     """The error as Twisted is to see it."""
     if fault.errno in TRANSIENT and not isinstance(fault, BlockingIOError):
         return BlockingIOError(errno.EWOULDBLOCK, str(fault))
--- a/spurdeal/net/statement.py
+++ b/spurdeal/net/statement.py
@@ -12,10 +12,10 @@
     |(?P<other>.)""",
     re.VERBOSE | re.DOTALL,
 )
-COMMENT_MARKS = re.compile(r"/\*|\*/")
-GROUP = re.compile(r".*_(\d{1,9})", re.DOTALL)
-BEFORE_TABLE = {"from", "join", "into", "update", "table", "copy", "using", "only", "truncate", "merge"}
-ENDS_TABLES = {
+COMMENT_DELIMITERS = re.compile(r"/\*|\*/")
+GROUP_SCHEMA = re.compile(r".*_(\d{1,9})", re.DOTALL)
+TABLE_KEYWORDS = {"from", "join", "into", "update", "table", "copy", "using", "only", "truncate", "merge"}
+CLAUSE_KEYWORDS = {
     "where",
     "group",
     "order",
@@ -34,29 +34,29 @@
     "offset",
     "for",
 }
-QUERIES = {"select", "with", "("}
+QUERY_STARTS = {"select", "with", "("}
 STAGING = "staging"
 NO_GROUP = -1
 
 
 def tokens(text: str) -> Iterator[tuple[str, bool]]:
     """Names and marks, with whether a name was quoted. Comments nest."""
-    at = 0
-    while at < len(text):
-        found = TOKENS.match(text, at)
+    position = 0
+    while position < len(text):
+        found = TOKENS.match(text, position)
         assert found is not None
-        at = found.end()
+        position = found.end()
         if found["comment"]:
             depth = 1
-            while depth and (mark := COMMENT_MARKS.search(text, at)):
-                depth, at = depth + (1 if mark[0] == "/*" else -1), mark.end()
+            while depth and (delimiter := COMMENT_DELIMITERS.search(text, position)):
+                depth, position = depth + (1 if delimiter[0] == "/*" else -1), delimiter.end()
             if depth:
                 return
         elif found["dollar"]:
-            closed = text.find(found["dollar"], at)
+            closed = text.find(found["dollar"], position)
             if closed < 0:
                 return
-            at = closed + len(found["dollar"])
+            position = closed + len(found["dollar"])
         elif found["quoted"] is not None:
             yield found["quoted"].replace('""', '"'), True
         elif found["ticked"] is not None:
@@ -71,17 +71,17 @@
 
 def table_group(statement: bytes) -> int:
     """The number behind the underscore of the first schema that is read or written; -1 without one."""
-    words = list(tokens(statement.decode("utf-8", "replace")))
+    tokenized = list(tokens(statement.decode("utf-8", "replace")))
     lists: list[bool] = [False]  # by depth of brackets: whether a comma leads to another table
     calls: list[bool] = [False]  # by depth: whether it is no query, so that FROM there names no table
-    table, fallback, place, before = False, NO_GROUP, 0, ""
-    while place < len(words):
-        word, quoted = words[place]
+    table, fallback, index, before = False, NO_GROUP, 0, ""
+    while index < len(tokenized):
+        word, quoted = tokenized[index]
         lower = word if quoted else word.lower()
-        place, before, last = place + 1, lower, before
+        index, before, last = index + 1, lower, before
         if not quoted and lower == "(":
             lists.append(table)
-            calls.append(place < len(words) and words[place][0].lower() not in QUERIES)
+            calls.append(index < len(tokenized) and tokenized[index][0].lower() not in QUERY_STARTS)
         elif not quoted and lower == ")":
             lists, calls = lists[:-1] or [False], calls[:-1] or [False]
             table = False
@@ -89,17 +89,19 @@
             table = False  # extract(day from a.b), a is distinct from b.c
         elif not quoted and lower == ",":
             table = lists[-1]
-        elif not quoted and lower in BEFORE_TABLE:
+        elif not quoted and lower in TABLE_KEYWORDS:
             table = True
             lists[-1] = lists[-1] or lower in ("from", "using", "truncate", "table")
-        elif not quoted and lower in ENDS_TABLES:
+        elif not quoted and lower in CLAUSE_KEYWORDS:
             table = lists[-1] = False
         elif quoted or word[0].isalpha() or word[0] == "_":
             parts = [lower]
-            while place + 1 < len(words) and words[place] == (".", False):
-                parts.append(words[place + 1][0])
-                place += 2
-            schema = GROUP.fullmatch(parts[-2]) if len(parts) > 1 and parts[-2].lower() != STAGING else None
+            while index + 1 < len(tokenized) and tokenized[index] == (".", False):
+                parts.append(tokenized[index + 1][0])
+                index += 2
+            schema = (
+                GROUP_SCHEMA.fullmatch(parts[-2]) if len(parts) > 1 and parts[-2].lower() != STAGING else None
+            )
             if schema and table:
                 return int(schema[1])
             if schema and fallback == NO_GROUP:
--- a/spurdeal/net/unread.py
+++ b/spurdeal/net/unread.py
@@ -1,22 +1,27 @@
-"""What was read from a connection and not yet taken off it."""
+"""The read buffer of a connection."""
 
 
 class ReadBuffer:
-    """The bytes and the place in them; messages are handed out as slices of these bytes."""
+    """Bytes that were read and the position of the next message; messages are slices of these bytes.
+
+    A buffer is never modified in place, so slices stay valid after later reads.
+    """
 
     def __init__(self) -> None:
         self.buffer = b""
         self.at = 0
 
     def feed(self, data: bytes) -> None:
+        """Appends the bytes of one read."""
         left = self.buffer[self.at :]
         self.buffer, self.at = left + data if left else data, 0
 
     def consume(self, at: int) -> None:
-        """All before this place is taken; an idle connection holds on to no bytes."""
+        """Moves on to this position; an empty buffer is released, so idle connections hold no bytes."""
         self.at = at
         if at == len(self.buffer):
             self.buffer, self.at = b"", 0
 
     def remaining(self) -> int:
+        """How many bytes were not consumed yet."""
         return len(self.buffer) - self.at
--- a/spurdeal/net/watch.py
+++ b/spurdeal/net/watch.py
@@ -16,9 +16,11 @@
 from .retrying_poller import RetryingPoller
 from .transient_errors import errno_name
 
-COUNTED_GAP = 100.0  # ms between two polls from which on waiting bytes are dated back; timers come every 50
-LOGGED_GAP = 200.0  # ms
-MOST_DELAY = 3000.0  # ms by which failing reads date back at most; nothing waits longer for an answer then
+MIN_GAP = 100.0  # ms between two polls from which on waiting bytes are dated back; timers come every 50
+MIN_LOGGED_GAP = 200.0  # ms
+MAX_BACKDATING = (
+    3000.0  # ms by which failing reads date back at most; nothing waits longer for an answer then
+)
 LOG_INTERVAL = 1000.0  # ms between two log lines
 
 
@@ -59,13 +61,13 @@
         So what came in a gap may be found by the next poll only."""
         now = self.clock()
         gap = now - self.polled_at
-        before, self.gap_since = self.gap_since, self.polled_at if gap > COUNTED_GAP else None
+        before, self.gap_since = self.gap_since, self.polled_at if gap > MIN_GAP else None
         known = [since for since in (before, self.gap_since) if since is not None]
         self.readable_since = min(known, default=now)
         self.apply_backdating()
         self.polled_at = now
         self.round += 1
-        if gap > COUNTED_GAP:
+        if gap > MIN_GAP:
             self.report(now, gap)
         self.batch_time, self.batch_events = 0.0, 0
 
@@ -88,7 +90,7 @@
             self.read_failed(self.poller)
         elif self.poller in self.failing_since:
             self.recovered.add(self.poller)
-        oldest = self.polled_at - MOST_DELAY
+        oldest = self.polled_at - MAX_BACKDATING
         self.failing_since = {source: since for source, since in self.failing_since.items() if since > oldest}
         self.recovered &= self.failing_since.keys()
         if self.failing_since:
@@ -102,7 +104,7 @@
     def report(self, now: float, gap: float) -> None:
         self.counters.add("poll_gaps")
         self.counters.most("longest_poll_gap_ms", gap)
-        if gap > LOGGED_GAP and now >= self.next_log:
+        if gap > MIN_LOGGED_GAP and now >= self.next_log:
             self.next_log = now + LOG_INTERVAL
             figures = {"ms": gap, "turns_ms": self.batch_time, "events": self.batch_events}
             self.log.warning("poll_gap", extra={"figures": figures})
--- a/tests/crowds.py
+++ b/tests/crowds.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Habit:
+class Behavior:
     """What each client of a crowd does once it is connected."""
 
     first: bytes = b""
@@ -35,8 +35,8 @@
 class Crowd:
     """`size` clients of one habit. Use as a context manager: leaving it ends the thread and its sockets."""
 
-    def __init__(self, address: tuple[str, int], size: int, habit: Habit) -> None:
-        self.address, self.habit = address, habit
+    def __init__(self, address: tuple[str, int], size: int, behavior: Behavior) -> None:
+        self.address, self.behavior = address, behavior
         self.clients = [CrowdClient() for _ in range(size)]
         self.selector = selectors.DefaultSelector()
         self.stopping = threading.Event()
@@ -65,9 +65,9 @@
                 if ended:
                     self.ends += 1
                     self.close(key.data)
-                    if self.habit.reconnects:
+                    if self.behavior.reconnects:
                         waiting.append(key.data)
-            if self.habit.trickles:
+            if self.behavior.trickles:
                 self.trickle(time.monotonic())
 
     def connect(self, client: CrowdClient) -> None:
@@ -86,8 +86,8 @@
             if events & selectors.EVENT_WRITE:  # connected
                 self.selector.modify(client.socket, selectors.EVENT_READ, client)
                 client.next_byte_at = time.monotonic() + TRICKLE_EVERY
-                if self.habit.first:
-                    client.socket.send(self.habit.first)
+                if self.behavior.first:
+                    client.socket.send(self.behavior.first)
             return bool(events & selectors.EVENT_READ) and client.socket.recv(4096) == b""
         except BlockingIOError:
             return False
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -20,7 +20,7 @@
     count_open_descriptors,
 )
 from spurdeal.net.eviction import MIN_AGE
-from tests.crowds import Crowd, Habit
+from tests.crowds import Behavior, Crowd
 from tests.helpers import Caller, World
 from tests.processes import Addresses, ProcessCase, counters_at_exit
 from tests.steps import Steps
@@ -31,7 +31,7 @@
 WORKING_CALLS = 6  # on a kept connection, and as many on new ones
 WAIT_MS = 3000
 PAUSE = 0.1  # seconds between two calls
-HALF_A_HEAD = b"POST /ops/lookup HTTP/1.1\r\nHost: origin.svc\r\n"
+PARTIAL_HEAD = b"POST /ops/lookup HTTP/1.1\r\nHost: origin.svc\r\n"
 LEAST_WHOLE_BUDGET = 48
 
 
@@ -122,7 +122,7 @@
     def test_half_a_call_is_refused_before_a_client_that_worked_is_closed(self) -> None:
         served = self.served(1)
         half = Caller(self.world)
-        half.say(HALF_A_HEAD)
+        half.say(PARTIAL_HEAD)
         self.busy(4)
         self.world.go(MIN_AGE)
         status, fields, value = half.answers()[0]
@@ -169,7 +169,7 @@
         served = self.served(1)
         half = [Caller(self.world) for _ in range(3)]
         for caller in half:
-            caller.say(HALF_A_HEAD)
+            caller.say(PARTIAL_HEAD)
         self.busy(2)
         self.world.go(MIN_AGE)
         self.assertEqual([len(caller.answers()) for caller in half], [1, 0, 0])
@@ -253,12 +253,12 @@
         self.assertEqual(answer.status, 200)
         self.assertLess(time.monotonic() - sent_at, WAIT_MS / 1000)
 
-    def serve_beside(self, habit: Habit, size: int = CROWD) -> dict[str, int]:
+    def serve_beside(self, behavior: Behavior, size: int = CROWD) -> dict[str, int]:
         """Calls on one kept connection and on new ones while a crowd is there; the counters of the exit."""
         kept = self.connection()
         self.call(kept)
         kept_socket = kept.sock
-        with Crowd((self.addresses.dispatcher, self.addresses.port), size, habit) as crowd:
+        with Crowd((self.addresses.dispatcher, self.addresses.port), size, behavior) as crowd:
             for _ in range(WORKING_CALLS):
                 self.note_descriptors()
                 self.call(self.connection())
@@ -286,36 +286,36 @@
 
     def test_silent_clients(self) -> None:
         self.start_all()
-        self.assertGreater(self.serve_beside(Habit())["clients_evicted"], CROWD // 2)
+        self.assertGreater(self.serve_beside(Behavior())["clients_evicted"], CROWD // 2)
 
     def test_silent_clients_that_come_again_at_once(self) -> None:
         self.start_all()
-        self.serve_beside(Habit(reconnects=True))
+        self.serve_beside(Behavior(reconnects=True))
 
     def test_half_a_head(self) -> None:
         self.start_all()
-        counters = self.serve_beside(Habit(first=HALF_A_HEAD))
+        counters = self.serve_beside(Behavior(first=PARTIAL_HEAD))
         self.assertGreater(counters["unfinished_refused"], CROWD // 2)
 
     def test_half_a_head_again_and_again(self) -> None:
         self.start_all()
-        self.serve_beside(Habit(first=HALF_A_HEAD, reconnects=True))
+        self.serve_beside(Behavior(first=PARTIAL_HEAD, reconnects=True))
 
     def test_a_byte_each_second(self) -> None:
         self.start_all()
-        self.serve_beside(Habit(trickles=True, reconnects=True))
+        self.serve_beside(Behavior(trickles=True, reconnects=True))
 
     def test_the_system_enforces_no_limit(self) -> None:
         self.start_all(allowed=None)
-        self.serve_beside(Habit(reconnects=True))
+        self.serve_beside(Behavior(reconnects=True))
 
     def test_the_system_allows_less_than_is_configured(self) -> None:
         self.start_all(configured=1024, allowed=TIGHT_LIMIT)
-        self.serve_beside(Habit(reconnects=True), SMALL_CROWD)
+        self.serve_beside(Behavior(reconnects=True), SMALL_CROWD)
 
     def test_the_configuration_is_read_again_amid_a_crowd(self) -> None:
         self.start_all()
-        with Crowd((self.addresses.dispatcher, self.addresses.port), CROWD, Habit(reconnects=True)):
+        with Crowd((self.addresses.dispatcher, self.addresses.port), CROWD, Behavior(reconnects=True)):
             self.call(self.connection())
             self.dispatcher.send_signal(signal.SIGHUP)
             self.call(self.connection())
@@ -329,7 +329,7 @@
 
     def test_it_ends_in_time_amid_a_crowd(self) -> None:
         self.start_all()
-        with Crowd((self.addresses.dispatcher, self.addresses.port), CROWD, Habit(reconnects=True)):
+        with Crowd((self.addresses.dispatcher, self.addresses.port), CROWD, Behavior(reconnects=True)):
             self.call(self.connection())
             self.end()
 
--- a/tests/test_gone_clients.py
+++ b/tests/test_gone_clients.py
@@ -18,8 +18,8 @@
 from tests.steps import HOST, ROW, Steps, Talk
 
 LOOKUP, OTHER = 2, 3  # ids: the request that is watched, one of another client
-HALF_A_CALL = b"POST /ops/lookup HTTP/1.1\r\nReq-Id: 00"
-WHOLE_CALL = b"POST /ops/lookup HTTP/1.1\r\nReq-Id: %016x\r\nReq-Wait-Ms: 5000\r\n\r\n" % 77
+PARTIAL_REQUEST = b"POST /ops/lookup HTTP/1.1\r\nReq-Id: 00"
+WHOLE_REQUEST = b"POST /ops/lookup HTTP/1.1\r\nReq-Id: %016x\r\nReq-Wait-Ms: 5000\r\n\r\n" % 77
 
 
 def close(client: Talk) -> None:
@@ -67,7 +67,7 @@
 
 
 Leave = Callable[[Steps, Talk], None]
-AHEAD = (b"", HALF_A_CALL, WHOLE_CALL)
+AHEAD = (b"", PARTIAL_REQUEST, WHOLE_REQUEST)
 ENDED: list[Leave] = [Leaving(ahead, end) for ahead in AHEAD for end in ENDS]
 WAYS = [cancel, *ENDED]
 
@@ -315,7 +315,7 @@
             self.assertEqual(steps.until(client.status), 200)
             connection = list(steps.service.clients.connections)[-1]
             connection.pauseProducing()
-            connection.dataReceived(WHOLE_CALL.replace(b"%016x" % 77, b"%016x" % LOOKUP))
+            connection.dataReceived(WHOLE_REQUEST.replace(b"%016x" % 77, b"%016x" % LOOKUP))
             self.assertEqual(steps.service.adapter.by_ident, {})
 
             def client_reads() -> None:
@@ -536,14 +536,14 @@
         )
         steps = Steps(self)
         steps.served(1)
-        sent = WHOLE_CALL.replace(b"%016x" % 77, b"%016x" % LOOKUP)
+        sent = WHOLE_REQUEST.replace(b"%016x" % 77, b"%016x" % LOOKUP)
         with subprocess.Popen(
             [sys.executable, "-c", text, str(steps.told.port)],
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
         ) as process:
             assert process.stdin is not None and process.stdout is not None
-            process.stdin.write(sent + HALF_A_CALL)
+            process.stdin.write(sent + PARTIAL_REQUEST)
             process.stdin.close()
             self.assertEqual(process.stdout.readline(), b"sent\n")
             steps.until(lambda: steps.service.adapter.inbox)
