--- a/spurdeal/net/immediate.py
+++ b/spurdeal/net/immediate.py
@@ -1,7 +1,8 @@
-"""Reads and writes made on a connection's socket at once, ahead of the transport's own turn in the loop.
+"""Non-blocking reads and writes on a transport's socket, made at once instead of in the loop's next round.
 
-The transport stays in charge: what is not read or written here it reads or writes in its next round, and it
-finds and reports an end or an error. Its sockets do not block."""
+The transport still reads and writes what is left in its next round, and still detects and reports end of
+stream and errors.
+"""
 
 from typing import Any
 
@@ -9,7 +10,7 @@
 
 
 def receive(transport: Any) -> bytes | None:
-    """What has arrived and was not read: b"" where the far side has ended it, None where nothing has come."""
+    """Reads pending input: b"" at end of stream or on an error, None if there is no input."""
     try:
         return bytes(transport.getHandle().recv(READ_SIZE))
     except BlockingIOError:
@@ -19,7 +20,7 @@
 
 
 def send(transport: Any, message: bytes) -> int:
-    """How many bytes the system has taken. The transport itself must hold none that go before them."""
+    """Writes; returns how many bytes the system accepted. The transport's own write buffer must be empty."""
     try:
         return int(transport.getHandle().send(message))
     except OSError:
--- a/spurdeal/net/ordered.py
+++ b/spurdeal/net/ordered.py
@@ -1,30 +1,32 @@
-"""Requests that must keep an order by key: for how long a client may have held one back.
+"""Requests ordered by key: estimates for how long a client may have held back a request before sending it.
 
-Clients send the requests of one key some distance apart, so that their order is plain. One that has to wait
-for those before it waits at its client, unseen, while its time runs, and still tells the whole wait as its
-own. It was made after the first of its run, or it would have been sent before that. A run ends where a key
-has rested for as long as the settings let it rest after a doubtful end (`order_settle`)."""
+Clients space out the requests of one key to make their order unambiguous. A request that has to wait for
+earlier ones waits at its client, invisible to the dispatcher; its time runs, but it still reports its whole
+wait budget (`Req-Wait-Ms`). It was created after the first request of its run, or else it would have been
+sent before that. A run ends when a key has had no request for as long as the settings let it rest after an
+attempt of unknown outcome (`order_settle`).
+"""
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-MAX_WAIT_SHARE = 0.2  # of the wait that a request tells
+MAX_WAIT_SHARE = 0.2  # of the wait that a request reports
 MAX_RUNS = 1024
 
 
 class Run(NamedTuple):
-    """Requests of one key, each close behind the one before."""
+    """A series of requests with one key, each soon after the previous: times of the first and the last."""
 
     first: float
     last: float
 
 
 class OrderedArrivals:
-    """The runs that may still go on, the one longest without a request first.
+    """The runs that may continue, ordered by their last request.
 
     Attributes:
-        rest: ms; requests of one key that come no further apart may be a run. 0: none is.
+        max_gap: ms between two requests of one run, at most. 0: there are no runs.
     """
 
     def __init__(self, max_gap: float) -> None:
@@ -32,7 +34,7 @@
         self.runs: dict[int, Run] = {}
 
     def hold_time(self, key: int, now: float, wait: float) -> float:
-        """One more of this key has come: ms for which it may have been held back, so far as is counted."""
+        """Records a request; returns for how many ms it may have been held back, up to MAX_WAIT_SHARE."""
         run = self.runs.pop(key, None)
         first = run.first if run is not None and now - run.last <= self.max_gap else now
         self.runs[key] = Run(first, now)
@@ -40,5 +42,6 @@
         return min(now - first, MAX_WAIT_SHARE * wait)
 
     def expire(self, now: float) -> None:
+        """Drops runs that have ended, and the oldest ones beyond MAX_RUNS."""
         while len(self.runs) > MAX_RUNS or next(iter(self.runs.values())).last < now - self.max_gap:
             del self.runs[next(iter(self.runs))]
--- a/spurdeal/net/patient_socket.py
+++ b/spurdeal/net/patient_socket.py
@@ -1,10 +1,10 @@
-"""Stream sockets on which a call that fails for a moment reads as one that would block.
+"""Stream sockets that report transient errors of system calls as EWOULDBLOCK, so that they are retried.
 
-Twisted ends a connection at the first error of recv or send, and with it the requests that are open there;
-for want of descriptors it accepts connections only to close them. An error that tells of a shortage on our
-own machine says nothing of the far side: the call is made again, as the poller tells of the socket for as
-long as something waits there. What waited meanwhile counts from when the errors began, see `watch.LoopWatch`,
-and connections from what is known of the accept queue, see `watch.AcceptWatch`.
+Twisted closes a connection, with its open requests, at the first error of recv or send; when it runs out of
+descriptors, it accepts connections only to close them. But a shortage of local resources says nothing about
+the peer. The call is retried, as the level-triggered poller reports the socket while input waits. Input that
+waited meanwhile is dated from the first error, see `watch.LoopWatch`, and connections by what is known of
+the accept queue, see `watch.AcceptWatch`.
 """
 
 from __future__ import annotations
@@ -17,25 +17,25 @@
 from .transient_errors import TRANSIENT
 from .watch import LoopWatch
 
-ACCEPT_RETRY_DELAY = 0.01  # seconds after an error until connections are accepted again
+ACCEPT_RETRY_DELAY = 0.01  # seconds after a failed accept
 
 
 class RetryingSocket:
-    """Takes the place of a connected, non-blocking socket; all but recv and send are the socket's own."""
+    """Wraps a connected, non-blocking socket; delegates all but recv, send and close."""
 
     def __init__(self, real: Any, watch: LoopWatch) -> None:
         self.real, self.watch = real, watch
-        self.failing = False  # the last read
+        self.failing = False  # whether the last read failed with a transient error
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.real, name)
 
     def recv(self, size: int, flags: int = 0) -> bytes:
-        """Read; see socket.recv.
+        """Reads; see socket.recv.
 
         Raises:
-            BlockingIOError: There is nothing to read, or not just now.
-            OSError: The connection has ended.
+            BlockingIOError: There is no input, or a transient error.
+            OSError: The connection has failed.
         """
         try:
             received: bytes = self.real.recv(size, flags)
@@ -52,12 +52,12 @@
         return received
 
     def end_of_failure(self) -> None:
-        """Reading works again."""
+        """Records that reading works again."""
         self.failing = False
         self.watch.read_recovered(self)
 
     def send(self, data: bytes, flags: int = 0) -> int:
-        """Write; see socket.send. Raises as `recv` does."""
+        """Writes; see socket.send. Raises as `recv` does."""
         try:
             sent: int = self.real.send(data, flags)
         except OSError as fault:
@@ -67,15 +67,15 @@
         return sent
 
     def close(self) -> None:
-        """See socket.close."""
+        """Closes the socket, and ends the backdating for its failing reads."""
         self.watch.read_recovered(self)
         self.real.close()
 
 
 class RetryingListener:
-    """Takes the place of a listening, non-blocking socket; all but accept are the socket's own.
+    """Wraps a listening, non-blocking socket; delegates all but accept.
 
-    failed: called after an error; it pauses accepting, so that a lasting one does not keep the loop busy.
+    failed: Called after an error; it pauses accepting, so that a lasting error does not make the loop spin.
     """
 
     def __init__(self, real: Any, counters: Counters, failed: Callable[[], None]) -> None:
@@ -85,10 +85,10 @@
         return getattr(self.real, name)
 
     def accept(self) -> Any:
-        """The next connection; see socket.accept.
+        """Accepts a connection; see socket.accept.
 
         Raises:
-            BlockingIOError: None waits, or it cannot be had just now.
+            BlockingIOError: None is waiting, or accept has failed.
         """
         try:
             return self.real.accept()
@@ -101,14 +101,14 @@
 
 
 def to_blocking_error(fault: OSError) -> OSError:
-    """The error as Twisted is to see it."""
+    """The error as Twisted sees it: a transient one becomes EWOULDBLOCK."""
     if fault.errno in TRANSIENT and not isinstance(fault, BlockingIOError):
         return BlockingIOError(errno.EWOULDBLOCK, str(fault))
     return fault
 
 
 def wrap_socket(transport: Any, watch: LoopWatch) -> None:
-    """Let a transport's connection outlive calls that fail for a moment; those without a socket are left."""
+    """Wraps a transport's socket to survive transient errors; in-memory transports are left as they are."""
     real = getattr(transport, "socket", None)
     if real is not None:
         transport.socket = RetryingSocket(real, watch)
--- a/spurdeal/net/retrying_poller.py
+++ b/spurdeal/net/retrying_poller.py
@@ -1,8 +1,8 @@
-"""A poller whose calls may fail for a moment: what was asked of it holds, and is tried again.
+"""A poller that retries registrations which fail with a transient error.
 
-Twisted takes a call on epoll that fails for a bug, and forgets the descriptor: a socket is never read again,
-or a connection that was just accepted is dropped. The system may refuse such a call for want of memory, and
-take it some milliseconds later.
+Twisted treats a failed call on epoll as a bug and forgets the descriptor: a socket is never read again, or a
+connection that was just accepted is dropped. But the system may reject such a call for lack of memory, and
+accept it some milliseconds later.
 """
 
 from __future__ import annotations
@@ -16,19 +16,16 @@
 
 RETRY_INTERVAL = 20.0  # ms
 ALWAYS_REPORTED = select.EPOLLERR | select.EPOLLHUP
-
-
-UNWANTED_EVENT_PAUSE = (
-    0.002  # seconds after a poll that told of nothing wanted, which would return at once again
-)
+# Seconds after a poll that reported only events which are not wanted, as the next would return at once too.
+UNWANTED_EVENT_PAUSE = 0.002
 
 
 class PendingChange(NamedTuple):
-    """A change that the system has refused.
+    """A change that the system has rejected and that is to be retried.
 
     Attributes:
-        events: What the descriptor is to be watched for; 0 for nothing any more.
-        watched: Whether the system watches it already, as far as is known.
+        events: The events to watch the descriptor for; 0 to stop watching it.
+        watched: Whether the system watches the descriptor already, as far as is known.
     """
 
     events: int
@@ -36,12 +33,12 @@
 
 
 class RetryingPoller:
-    """Takes the place of an epoll object, and keeps what the system has refused until it accepts it.
+    """Wraps an epoll object, and retries changes that the system has rejected until it accepts them.
 
-    clock: tells ms.
+    clock: Returns ms.
 
     Attributes:
-        pending_changes: By descriptor, what is wanted of it.
+        pending_changes: By descriptor, the change to retry.
     """
 
     def __init__(self, poller: Any, clock: Callable[[], float]) -> None:
@@ -51,26 +48,26 @@
         self.next_try = 0.0
 
     def register(self, descriptor: int, events: int) -> None:
-        """Watch a descriptor.
+        """Starts to watch a descriptor.
 
         Raises:
-            OSError: The system cannot, and will not a moment later.
+            OSError: The system has rejected it, with an error that is not transient.
         """
         self.change(descriptor, PendingChange(events, watched=False))
 
     def modify(self, descriptor: int, events: int) -> None:
-        """Change what a descriptor is watched for. Raises as `register` does."""
+        """Changes the events for which a descriptor is watched. Raises as `register` does."""
         self.change(descriptor, PendingChange(events, watched=True))
 
     def unregister(self, descriptor: int) -> None:
-        """Watch a descriptor no more. Raises as `register` does."""
+        """Stops watching a descriptor. Raises as `register` does."""
         self.change(descriptor, PendingChange(0, watched=True))
 
     def change(self, descriptor: int, wanted: PendingChange) -> None:
-        """Make a change at once, or note it."""
+        """Makes a change at once, or keeps it for a retry if the error is transient."""
         if (before := self.pending_changes.get(descriptor)) is not None:
             self.pending_changes[descriptor] = wanted._replace(watched=before.watched)
-            self.try_again(descriptor)
+            self.retry(descriptor)
             return
         try:
             self.call(descriptor, wanted)
@@ -80,10 +77,10 @@
             self.pending_changes[descriptor] = wanted
 
     def call(self, descriptor: int, wanted: PendingChange) -> None:
-        """Ask the system for a change.
+        """Makes the system call for a change.
 
         Raises:
-            OSError: It cannot.
+            OSError: The system has rejected it.
         """
         if not wanted.events:
             self.poller.unregister(descriptor)
@@ -92,10 +89,11 @@
         else:
             self.poller.register(descriptor, wanted.events)
 
-    def try_again(self, descriptor: int) -> None:
-        """Bring the system in line with what is wanted of a descriptor, as far as it lets us.
+    def retry(self, descriptor: int) -> None:
+        """Retries the change of a descriptor; it stays pending after another transient error.
 
-        A descriptor that was closed meanwhile is watched no more, and may be another's by now."""
+        A descriptor that was closed meanwhile is not watched any more, and its number may have been reused.
+        """
         wanted = self.pending_changes[descriptor]
         try:
             self.call(descriptor, wanted)
@@ -106,14 +104,14 @@
         except OSError as fault:
             if fault.errno in TRANSIENT:
                 return
-        del self.pending_changes[descriptor]  # done, or closed
+        del self.pending_changes[descriptor]  # done, or the descriptor was closed
 
     def poll(self, timeout: float, most: int) -> list[tuple[int, int]]:
-        """What is ready; changes that were refused are tried again first.
+        """Waits for events, after retrying the pending changes.
 
         Args:
-            timeout: In seconds; below 0 for none.
-            most: How many descriptors are told at most.
+            timeout: In seconds; negative for no timeout.
+            most: Maximum number of events.
         """
         if not self.pending_changes:
             found: list[tuple[int, int]] = self.poller.poll(timeout, most)
@@ -121,23 +119,23 @@
         if self.clock() >= self.next_try:
             self.next_try = self.clock() + RETRY_INTERVAL
             for descriptor in list(self.pending_changes):
-                self.try_again(descriptor)
+                self.retry(descriptor)
         if self.pending_changes:
             longest = RETRY_INTERVAL / 1000
             timeout = longest if timeout < 0 else min(timeout, longest)
         found = self.poller.poll(timeout, most)
-        wanted = self.wanted(found)
+        wanted = self.filter_wanted(found)
         if found and not wanted:
             time.sleep(UNWANTED_EVENT_PAUSE)
         return wanted
 
-    def wanted(self, found: list[tuple[int, int]]) -> list[tuple[int, int]]:
-        """Without what the system still tells of descriptors that are not to be watched for it any more."""
+    def filter_wanted(self, found: list[tuple[int, int]]) -> list[tuple[int, int]]:
+        """Filters out events that a descriptor is no longer watched for, while its change is pending."""
         left = []
         for descriptor, events in found:
-            refused = self.pending_changes.get(descriptor)
-            wanted = events if refused is None else refused.events
-            told = events & (wanted | ALWAYS_REPORTED) if wanted else 0
-            if told:
-                left.append((descriptor, told))
+            pending = self.pending_changes.get(descriptor)
+            wanted = events if pending is None else pending.events
+            reported = events & (wanted | ALWAYS_REPORTED) if wanted else 0
+            if reported:
+                left.append((descriptor, reported))
         return left
--- a/spurdeal/net/statement.py
+++ b/spurdeal/net/statement.py
@@ -1,4 +1,4 @@
-"""Reads from a statement which group of tables it uses."""
+"""Extracts from an SQL statement the group of tables that it uses."""
 
 import re
 from collections.abc import Iterator
@@ -40,7 +40,7 @@
 
 
 def tokens(text: str) -> Iterator[tuple[str, bool]]:
-    """Names and marks, with whether a name was quoted. Comments nest."""
+    """Yields names and punctuation, each with whether it is a quoted name. Comments may be nested."""
     position = 0
     while position < len(text):
         found = TOKENS.match(text, position)
@@ -64,16 +64,22 @@
         elif found["name"]:
             yield found["name"], False
         elif found["other"]:
-            if found["other"] in "'\"`":  # never closed: nothing behind it can be told from a string
+            if found["other"] in "'\"`":  # an unterminated quote: the rest may all be a string
                 return
             yield found["other"], False
 
 
 def table_group(statement: bytes) -> int:
-    """The number behind the underscore of the first schema that is read or written; -1 without one."""
+    """The number at the end of the name of the first schema that is read or written, as 17 of `sales_17`.
+
+    Returns NO_GROUP without one. The schema `staging` does not count; one outside of a table position
+    counts only if no table has one.
+    """
     tokenized = list(tokens(statement.decode("utf-8", "replace")))
-    lists: list[bool] = [False]  # by depth of brackets: whether a comma leads to another table
-    calls: list[bool] = [False]  # by depth: whether it is no query, so that FROM there names no table
+    lists: list[bool] = [False]  # by depth of parentheses: whether a comma is followed by another table
+    calls: list[bool] = [
+        False
+    ]  # by depth: whether it is a function call, in which FROM is not followed by a table
     table, fallback, index, before = False, NO_GROUP, 0, ""
     while index < len(tokenized):
         word, quoted = tokenized[index]
--- a/spurdeal/net/transient_errors.py
+++ b/spurdeal/net/transient_errors.py
@@ -1,8 +1,8 @@
-"""Errors of system calls that may be over within a moment, and say nothing of the far side."""
+"""Transient errors of system calls: they may pass soon, and say nothing about the peer."""
 
 import errno
 
-LOCAL_RESOURCE_ERRORS = {  # of descriptors, memory, buffers or ports on our machine
+LOCAL_RESOURCE_ERRORS = {  # shortage of descriptors, memory, buffers or ports on this machine
     errno.EMFILE,
     errno.ENFILE,
     errno.ENOBUFS,
@@ -12,9 +12,9 @@
     errno.EAGAIN,
 }
 TRANSIENT = LOCAL_RESOURCE_ERRORS | {errno.EINTR}
-TRANSIENT_FILE_ERRORS = TRANSIENT | {errno.EIO}  # of a file
+TRANSIENT_FILE_ERRORS = TRANSIENT | {errno.EIO}  # when reading a file
 
 
 def errno_name(fault: OSError) -> str:
-    """The name of an error's number, for the log."""
+    """The symbolic name of an error's errno, for the log."""
     return errno.errorcode.get(fault.errno or 0, str(fault.errno))
--- a/spurdeal/net/watch.py
+++ b/spurdeal/net/watch.py
@@ -1,8 +1,8 @@
-"""Watches the event loop: how long it went without polling its sockets, and since when what it now reads may
-have waited there.
+"""Measures event loop gaps, times without a poll, and dates input by when it may have arrived.
 
-Level-triggered polling reports each readable socket each time. So bytes that one round of the loop reads were
-not there when the poll of the round before returned."""
+Polling is level-triggered: each poll reports every readable socket. So bytes that are read in one round of
+the loop arrived after the poll of the previous round had returned.
+"""
 
 from __future__ import annotations
 
@@ -16,23 +16,22 @@
 from .retrying_poller import RetryingPoller
 from .transient_errors import errno_name
 
-MIN_GAP = 100.0  # ms between two polls from which on waiting bytes are dated back; timers come every 50
-MIN_LOGGED_GAP = 200.0  # ms
-MAX_BACKDATING = (
-    3000.0  # ms by which failing reads date back at most; nothing waits longer for an answer then
-)
+MIN_GAP = 100.0  # ms between two polls from which input is backdated; timers wake the loop every 50 ms
+MIN_LOGGED_GAP = 200.0  # ms between two polls from which the gap is logged
+# ms by which failing reads backdate input at most; no request waits longer for its answer then.
+MAX_BACKDATING = 3000.0
 LOG_INTERVAL = 1000.0  # ms between two log lines
 
 
 class Unpolled(NamedTuple):
-    """A socket was not polled from this time on; it is first read in this round of the loop, or was empty."""
+    """A socket that was not polled from `since` on, and is read by round `last_round`, or was empty then."""
 
     since: float
     last_round: int
 
 
 class LoopWatch:
-    """Dates what is read. Without an instrumented reactor, bytes count as come when they are read."""
+    """Dates input by arrival. Without an instrumented reactor, input counts as arrived when it is read."""
 
     def __init__(self, clock: Callable[[], float], counters: Counters, log: logging.Logger) -> None:
         self.clock, self.counters, self.log = clock, counters, log
@@ -40,25 +39,27 @@
         self.polled_at = self.readable_since = clock()
         self.next_log = 0.0
         self.lines = LimitedLog(log, clock)
-        self.batch_time, self.batch_events = 0.0, 0  # of the turns since the last poll
+        self.batch_time, self.batch_events = 0.0, 0  # of the batches since the last poll
         self.poller: RetryingPoller | None = None
-        self.failing_since: dict[object, float] = {}  # since when reading from each source fails
-        self.recovered: set[object] = set()  # those that were read in this round
-        self.gap_since: float | None = None  # the beginning of a gap that ended with the last poll
+        self.failing_since: dict[object, float] = {}  # by source: since when reading from it fails
+        self.recovered: set[object] = set()  # failing sources that were read again in this round
+        self.gap_since: float | None = None  # the start of a gap that ended with the last poll
 
     def install(self, reactor: Any) -> None:
-        """Times each poll of Twisted's epoll reactor, and outlives calls on it that fail for a moment.
+        """Instruments the poller of Twisted's epoll reactor, and makes it retry calls that fail transiently.
 
-        Other reactors are left as they are."""
+        Other reactors are left as they are.
+        """
         if hasattr(reactor, "_poller"):
             reactor._poller = self.poller = RetryingPoller(TimedPoller(reactor._poller, self), self.clock)
             self.installed, self.polled_at = True, self.clock()
 
     def polled(self) -> None:
-        """A poll has returned.
+        """Records the return of a poll.
 
-        On a busy machine the process may have lost its core behind the system's look, before Python returns.
-        So what came in a gap may be found by the next poll only."""
+        On a busy machine the process may be descheduled after the system has checked the sockets and before
+        Python returns. So input that arrived in a gap may be reported only by the following poll.
+        """
         now = self.clock()
         gap = now - self.polled_at
         before, self.gap_since = self.gap_since, self.polled_at if gap > MIN_GAP else None
@@ -72,17 +73,17 @@
         self.batch_time, self.batch_events = 0.0, 0
 
     def read_failed(self, source: object) -> None:
-        """Reading from a source fails: what comes there waits since the poll of this round."""
+        """Reading from a source has failed: its input counts as arrived since the poll of this round."""
         self.failing_since.setdefault(source, self.readable_since)
         self.recovered.discard(source)
 
     def read_recovered(self, source: object) -> None:
-        """Reading from a source works again: what is read after this round did not wait."""
+        """Reading from a source works again: input that is read after this round is not backdated."""
         if source in self.failing_since:
             self.recovered.add(source)
 
     def apply_backdating(self) -> None:
-        """Which source is read next is not known: while one is delayed, all that is read counts from then."""
+        """Backdates all input while any source fails, as it is not known which source is read next."""
         for source in self.recovered:
             del self.failing_since[source]
         self.recovered.clear()
@@ -97,11 +98,12 @@
             self.readable_since = min(self.readable_since, *self.failing_since.values())
 
     def batch_ended(self, took: float, events: int) -> None:
-        """A turn of the dispatcher is over."""
+        """Records a batch: its duration in ms and its number of events."""
         self.batch_time += took
         self.batch_events += events
 
     def report(self, now: float, gap: float) -> None:
+        """Counts a gap, and logs it if it is long, at most once per LOG_INTERVAL."""
         self.counters.add("poll_gaps")
         self.counters.most("longest_poll_gap_ms", gap)
         if gap > MIN_LOGGED_GAP and now >= self.next_log:
@@ -110,13 +112,15 @@
             self.log.warning("poll_gap", extra={"figures": figures})
 
     def refused(self, call: str, descriptor: int, fault: OSError) -> None:
-        """A call on the poller has failed."""
+        """Counts and logs a failed call on the poller."""
         self.counters.add(f"{call}_failed_errno_{fault.errno}")
         self.lines.write("poller_call_failed", call=call, descriptor=descriptor, error=errno_name(fault))
 
     def arrival(self, unpolled: Unpolled | None = None) -> float:
-        """The earliest time at which bytes that are read now can have come, on a socket that was not always
-        polled before."""
+        """The earliest time at which bytes that are read now can have arrived.
+
+        unpolled: Given for a socket that was not polled for some time before.
+        """
         if not self.installed:
             return self.clock()
         if unpolled is not None and self.round <= unpolled.last_round:
@@ -125,29 +129,29 @@
 
 
 class TimedPoller:
-    """A reactor's poller that tells the watch when it was asked."""
+    """Wraps a reactor's poller, and reports its polls and errors to the watch."""
 
     def __init__(self, poller: Any, watch: LoopWatch) -> None:
         self.poller, self.watch = poller, watch
         self.close = poller.close
 
     def register(self, descriptor: int, events: int) -> None:
-        """Watch a descriptor."""
+        """Starts to watch a descriptor."""
         self.control("add", descriptor, self.poller.register, events)
 
     def modify(self, descriptor: int, events: int) -> None:
-        """Change what a descriptor is watched for."""
+        """Changes the events for which a descriptor is watched."""
         self.control("mod", descriptor, self.poller.modify, events)
 
     def unregister(self, descriptor: int) -> None:
-        """Watch a descriptor no more."""
+        """Stops watching a descriptor."""
         self.control("del", descriptor, self.poller.unregister)
 
     def control(self, call: str, descriptor: int, change: Callable[..., None], *events: int) -> None:
-        """Make a change; an error is counted and told, then raised as it came.
+        """Makes a change; counts and logs an error before raising it unchanged.
 
         Raises:
-            OSError: The system has refused it.
+            OSError: The system has rejected it.
         """
         try:
             change(descriptor, *events)
@@ -156,6 +160,7 @@
             raise
 
     def poll(self, timeout: float, most: int) -> list[tuple[int, int]]:
+        """Waits for events, and records the return of the poll."""
         try:
             found: list[tuple[int, int]] = self.poller.poll(timeout, most)
         except OSError as fault:
@@ -166,21 +171,21 @@
 
 
 class QueueSample(NamedTuple):
-    """A look at the accept queue: what is accepted later than `first_newer` entered the queue after `at`."""
+    """A sample of the accept queue: connections from `first_newer` on entered the queue after `at`."""
 
     at: float
-    first_newer: int  # the first connection of which that is known, counted from the first accepted as 0
+    first_newer: int  # index of a connection, in the order of accepting, from 0
 
 
 class AcceptWatch:
-    """Dates connections: since when one that is accepted now may have waited, with bytes of its own.
+    """Dates connections: since when one that is accepted now may have been waiting, with input of its own.
 
     The accept queue is first in, first out. So a connection entered it after it was last empty, and after any
-    look at it once as many were accepted as waited then. Where the system does not tell how many wait, a full
-    queue is assumed.
+    sample of its length once that many connections were accepted. If the system does not report the length,
+    the queue is assumed to be full.
 
-    waiting: tells how many connections the queue holds, or None.
-    queue_length: How many it holds at most.
+    waiting: Returns the present length of the queue, or None.
+    queue_length: Its maximum length.
     """
 
     def __init__(
@@ -188,13 +193,15 @@
     ) -> None:
         self.loop, self.queue_length, self.waiting = loop, queue_length, waiting
         self.round, self.since = -1, 0.0
-        self.count, self.most = 0, 0  # accepted in that round, and how many could be
-        self.total = 0
-        self.samples = deque[QueueSample]()  # since the queue was last empty, those that date nothing yet
-        self.count_supported = False  # whether the system has told of a connection that waits
+        self.count, self.most = 0, 0  # accepted in that round, and the limit on them
+        self.total = 0  # accepted so far
+        self.samples = deque[
+            QueueSample
+        ]()  # since the queue was last empty; those that date no connection yet
+        self.count_supported = False  # whether the system has ever reported a waiting connection
 
     def accepted(self, most: int) -> Unpolled:
-        """One more, of so many at most in this round."""
+        """Records an accept, of at most `most` in this round; returns since when the connection may wait."""
         if self.loop.round != self.round:
             self.begin_round(most)
             self.sample_queue(self.total + 1)
@@ -205,16 +212,17 @@
         return Unpolled(self.since, self.round + 1)
 
     def begin_round(self, most: int) -> None:
-        """The first accept of a round of the loop, or the first that failed in it."""
+        """Starts a round of the loop, at its first accept, whether that succeeded or failed."""
         if self.loop.round > self.round + 1 or self.count < self.most:
             self.since = self.loop.arrival()
             self.samples.clear()
         self.round, self.count, self.most = self.loop.round, 0, most
 
     def sample_queue(self, taken: int) -> None:
-        """Notes how many connections wait now that so many were taken off the queue.
+        """Samples the queue's length after `taken` connections were removed from it.
 
-        A count of 0 is believed only where a system has told of more before: it may not count them."""
+        A length of 0 is trusted only if the system has reported more before, as some do not count at all.
+        """
         at, waiting = self.loop.clock(), self.waiting()
         self.count_supported = self.count_supported or bool(waiting)
         if waiting is None or not self.count_supported:
@@ -224,12 +232,12 @@
         self.samples.append(QueueSample(at, taken + waiting))
 
     def failed(self) -> None:
-        """An accept has failed: the queue is not empty."""
+        """Records a failed accept: the queue is not empty."""
         if self.loop.round != self.round:
             self.begin_round(0)
             self.sample_queue(self.total)
         self.count = self.most = 0
 
     def resumed(self) -> None:
-        """Accepting goes on after a pause: what waits may have done so since the last was accepted."""
+        """Accepting resumes after a pause: connections may have been waiting since the last accept."""
         self.round, self.count, self.most = self.loop.round, 0, 0
