--- a/tests/crowds.py
+++ b/tests/crowds.py
@@ -1,4 +1,4 @@
-"""Clients that connect in great number and bring nothing, on real sockets, in a thread of their own."""
+"""A flood of clients that connect and send no whole request, on real sockets in a thread of their own."""
 
 import contextlib
 import errno
@@ -9,14 +9,14 @@
 from dataclasses import dataclass
 
 TRICKLED = b"POST /ops/lookup HTTP/1.1\r\nHost: origin.svc\r\nReq-Id: "
-TRICKLE_EVERY = 1.0  # seconds between two bytes of one client
-POLL_FOR = 0.02  # seconds
-CONNECTS_A_ROUND = 200  # so that the thread looks at its clients' ends in between
+TRICKLE_EVERY = 1.0  # seconds between two bytes that one client sends
+POLL_FOR = 0.02  # seconds; the timeout of a poll
+CONNECTS_A_ROUND = 200  # so that connections which were closed are noticed in between
 
 
 @dataclass(frozen=True, slots=True)
 class Behavior:
-    """What each client of a crowd does once it is connected."""
+    """What each client of a crowd does once it is connected: first bytes, slow sending, reconnecting."""
 
     first: bytes = b""
     trickles: bool = False
@@ -24,7 +24,7 @@
 
 
 class CrowdClient:
-    """One client of a crowd: its socket, and how far its trickle has come."""
+    """One client of a crowd: its socket, and how many bytes it has sent slowly."""
 
     def __init__(self) -> None:
         self.socket: socket.socket | None = None
@@ -33,7 +33,7 @@
 
 
 class Crowd:
-    """`size` clients of one habit. Use as a context manager: leaving it ends the thread and its sockets."""
+    """`size` clients of the same behavior. A context manager; its exit stops them."""
 
     def __init__(self, address: tuple[str, int], size: int, behavior: Behavior) -> None:
         self.address, self.behavior = address, behavior
@@ -80,7 +80,7 @@
         self.selector.register(client.socket, selectors.EVENT_READ | selectors.EVENT_WRITE, client)
 
     def serve(self, client: CrowdClient, events: int) -> bool:
-        """Acts on a client's events; True when its connection has ended."""
+        """Handles a client's events; returns whether its connection has ended."""
         assert client.socket is not None
         try:
             if events & selectors.EVENT_WRITE:  # connected
@@ -100,7 +100,7 @@
                 client.next_byte_at = now + TRICKLE_EVERY
                 at = client.sent % len(TRICKLED)
                 client.sent += 1
-                with contextlib.suppress(OSError):  # its end is read by `serve`
+                with contextlib.suppress(OSError):  # `serve` detects the end
                     client.socket.send(TRICKLED[at : at + 1])
 
     def close(self, client: CrowdClient) -> None:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,4 +1,7 @@
-"""Descriptors: how a limit is shared out, and working clients beside a crowd that fills all of it."""
+"""The descriptor budget, eviction, and service to working clients during a flood of connections.
+
+Guards against idle or partial connections that use up all descriptors, so that clients which work are
+refused, cannot be answered, or engines cannot be reached."""
 
 import errno
 import json
@@ -28,11 +31,11 @@
 CROWDED_LIMIT = 256  # of the dispatcher's process
 TIGHT_LIMIT = 96
 CROWD, SMALL_CROWD = 2000, 500
-WORKING_CALLS = 6  # on a kept connection, and as many on new ones
+WORKING_CALLS = 6  # on a keep-alive connection, and as many on new ones
 WAIT_MS = 3000
 PAUSE = 0.1  # seconds between two calls
 PARTIAL_HEAD = b"POST /ops/lookup HTTP/1.1\r\nHost: origin.svc\r\n"
-LEAST_WHOLE_BUDGET = 48
+LEAST_WHOLE_BUDGET = 48  # the shares of smaller limits may exceed them
 
 
 class Budget(unittest.TestCase):
@@ -80,7 +83,7 @@
 
 
 class Eviction(unittest.TestCase):
-    """Which connections go, on in-memory transports. Of seven, eviction keeps two free."""
+    """Which connections are evicted, on in-memory transports. Of seven slots, eviction keeps two free."""
 
     def setUp(self) -> None:
         self.world = World(self)
@@ -96,7 +99,7 @@
         return caller
 
     def busy(self, count: int) -> list[Caller]:
-        """Clients with a call open each."""
+        """Clients with an open call each."""
         callers = []
         for _ in range(count):
             self.calls += 1
@@ -112,14 +115,14 @@
         self.world.go(MIN_AGE)
         return callers
 
-    def test_silent_ones_go_first_the_oldest_of_them(self) -> None:
+    def test_silent_connections_are_evicted_first_the_oldest_of_them(self) -> None:
         served = self.served(1)
         silent = self.crowd(5)
         self.assertEqual([caller.pipe.disconnecting for caller in silent], [True] + [False] * 4)
         self.assertFalse(served.pipe.disconnecting)
         self.assertTrue(self.world.door.open)
 
-    def test_half_a_call_is_refused_before_a_client_that_worked_is_closed(self) -> None:
+    def test_a_partial_request_is_rejected_before_a_client_that_worked_is_evicted(self) -> None:
         served = self.served(1)
         half = Caller(self.world)
         half.say(PARTIAL_HEAD)
@@ -136,7 +139,7 @@
         self.assertFalse(self.world.door.open)
         self.assertFalse(any(caller.pipe.disconnecting for caller in busy))
 
-    def test_an_answered_call_makes_room_at_once_where_others_wait(self) -> None:
+    def test_an_answered_call_frees_a_slot_at_once_if_others_wait(self) -> None:
         busy = self.busy(7)
         self.world.peer(0).up().say(1001, "200", "parts=1", b"a\t1\tx\n")
         self.assertEqual([status for status, _, _ in busy[0].answers()], [200])
@@ -154,7 +157,7 @@
         callers += self.crowd(1)
         self.assertEqual([caller.pipe.disconnecting for caller in callers], [True, True] + [False] * 5)
 
-    def test_a_new_connection_has_time_to_say_something(self) -> None:
+    def test_a_new_connection_has_time_for_its_first_bytes(self) -> None:
         callers = [Caller(self.world) for _ in range(7)]
         self.world.go(MIN_AGE - 5.0)
         self.assertFalse(any(caller.pipe.disconnecting for caller in callers))
@@ -165,7 +168,7 @@
             caller.leave()
         self.assertTrue(self.world.door.open)
 
-    def test_while_others_are_ending_none_that_worked_is_closed(self) -> None:
+    def test_while_others_are_closing_none_that_worked_is_evicted(self) -> None:
         served = self.served(1)
         half = [Caller(self.world) for _ in range(3)]
         for caller in half:
@@ -189,11 +192,11 @@
 
 
 class BacklogAtTheEnd(unittest.TestCase):
-    """What waits in the backlog is taken in before the port is closed, within the bound on connections."""
+    """Connections in the backlog are accepted before the port is closed, within the limit on connections."""
 
     MOST, WAITING = 8, 60
 
-    def test_the_round_that_takes_it_in_accepts_no_more_than_there_is_room_for(self) -> None:
+    def test_the_round_that_accepts_it_accepts_no_more_than_the_limit(self) -> None:
         steps = Steps(self)
         clients = steps.service.clients
         clients.set_limits(max_connections=self.MOST, accepts=2, memory_mb=64.0)
@@ -211,7 +214,7 @@
 
 
 class Crowded(ProcessCase):
-    """A dispatcher whose descriptors the kernel limits, before a crowd of 2,000."""
+    """A dispatcher whose descriptors the kernel limits, under 2,000 connections of idle or slow clients."""
 
     addresses = Addresses.in_subnet(65)
 
@@ -239,7 +242,7 @@
         self.most_descriptors = max(self.most_descriptors, held)
 
     def call(self, connection: HTTPConnection) -> None:
-        """One statement, which has to be answered with 200 within its time."""
+        """Submits one statement, which has to be answered with 200 before its deadline."""
         self.call_number += 1
         fields = {"Req-Id": f"{self.call_number:016x}", "Req-Wait-Ms": str(WAIT_MS)}
         sent_at = time.monotonic()
@@ -253,8 +256,8 @@
         self.assertEqual(answer.status, 200)
         self.assertLess(time.monotonic() - sent_at, WAIT_MS / 1000)
 
-    def serve_beside(self, behavior: Behavior, size: int = CROWD) -> dict[str, int]:
-        """Calls on one kept connection and on new ones while a crowd is there; the counters of the exit."""
+    def serve_during_crowd(self, behavior: Behavior, size: int = CROWD) -> dict[str, int]:
+        """Makes calls on a keep-alive connection and new ones during a crowd; returns the final counters."""
         kept = self.connection()
         self.call(kept)
         kept_socket = kept.sock
@@ -277,7 +280,7 @@
         self.assertNotIn(errno.errorcode[errno.EMFILE], said)
         self.assertNotIn("event=unhandled", said)
         counters = counters_at_exit(said)
-        # What is reserved for engines was never touched by clients.
+        # Clients never used the descriptors reserved for engines.
         self.assertLessEqual(self.most_descriptors, self.budget.limit - self.budget.engines + 2)
         self.assertLessEqual(counters["most_client_connections"], self.budget.clients)
         self.assertLessEqual(counters["most_descriptors"], self.budget.limit)
@@ -286,32 +289,32 @@
 
     def test_silent_clients(self) -> None:
         self.start_all()
-        self.assertGreater(self.serve_beside(Behavior())["clients_evicted"], CROWD // 2)
+        self.assertGreater(self.serve_during_crowd(Behavior())["clients_evicted"], CROWD // 2)
 
-    def test_silent_clients_that_come_again_at_once(self) -> None:
+    def test_silent_clients_that_reconnect_at_once(self) -> None:
         self.start_all()
-        self.serve_beside(Behavior(reconnects=True))
+        self.serve_during_crowd(Behavior(reconnects=True))
 
-    def test_half_a_head(self) -> None:
+    def test_partial_heads(self) -> None:
         self.start_all()
-        counters = self.serve_beside(Behavior(first=PARTIAL_HEAD))
+        counters = self.serve_during_crowd(Behavior(first=PARTIAL_HEAD))
         self.assertGreater(counters["unfinished_refused"], CROWD // 2)
 
-    def test_half_a_head_again_and_again(self) -> None:
+    def test_partial_heads_on_ever_new_connections(self) -> None:
         self.start_all()
-        self.serve_beside(Behavior(first=PARTIAL_HEAD, reconnects=True))
+        self.serve_during_crowd(Behavior(first=PARTIAL_HEAD, reconnects=True))
 
     def test_a_byte_each_second(self) -> None:
         self.start_all()
-        self.serve_beside(Behavior(trickles=True, reconnects=True))
+        self.serve_during_crowd(Behavior(trickles=True, reconnects=True))
 
     def test_the_system_enforces_no_limit(self) -> None:
         self.start_all(allowed=None)
-        self.serve_beside(Behavior(reconnects=True))
+        self.serve_during_crowd(Behavior(reconnects=True))
 
     def test_the_system_allows_less_than_is_configured(self) -> None:
         self.start_all(configured=1024, allowed=TIGHT_LIMIT)
-        self.serve_beside(Behavior(reconnects=True), SMALL_CROWD)
+        self.serve_during_crowd(Behavior(reconnects=True), SMALL_CROWD)
 
     def test_the_configuration_is_read_again_amid_a_crowd(self) -> None:
         self.start_all()
@@ -327,7 +330,7 @@
             self.assertEqual(counters["configurations_read"], 1)
         self.end()
 
-    def test_it_ends_in_time_amid_a_crowd(self) -> None:
+    def test_it_exits_in_time_amid_a_crowd(self) -> None:
         self.start_all()
         with Crowd((self.addresses.dispatcher, self.addresses.port), CROWD, Behavior(reconnects=True)):
             self.call(self.connection())
--- a/tests/test_gone_clients.py
+++ b/tests/test_gone_clients.py
@@ -1,7 +1,8 @@
-"""A client that cancels its request or ends its connection has gone: no attempt of its begins after that.
+"""No attempt begins after its client has cancelled the request or closed the connection.
 
-Each test brings a request to a place where it waits, lets its client leave there, unseen, and turns the loop
-on. The places and the ways of leaving are the table in docs/crossings.md."""
+Each test brings a request to a stage at which it waits, makes its client leave there before the dispatcher
+has read that, and runs the loop on. The stages and the ways of leaving are the table in docs/crossings.md.
+"""
 
 import contextlib
 import socket
@@ -17,7 +18,7 @@
 from tests.helpers import Caller, Peer, World
 from tests.steps import HOST, ROW, Steps, Talk
 
-LOOKUP, OTHER = 2, 3  # ids: the request that is watched, one of another client
+LOOKUP, OTHER = 2, 3  # ids: the request under test, and one of another client
 PARTIAL_REQUEST = b"POST /ops/lookup HTTP/1.1\r\nReq-Id: 00"
 WHOLE_REQUEST = b"POST /ops/lookup HTTP/1.1\r\nReq-Id: %016x\r\nReq-Wait-Ms: 5000\r\n\r\n" % 77
 
@@ -34,11 +35,15 @@
     client.reset()
 
 
-ENDS = (close, half_close, reset)  # a process that dies ends its connections by the first or the last
+ENDS = (
+    close,
+    half_close,
+    reset,
+)  # the connections of a killed process end by the first or the last
 
 
 class Waiting(NamedTuple):
-    """A request where it waits: its client, and what lets it go on from there."""
+    """A request at the stage where it waits: its client, and a function that lets it proceed."""
 
     client: Talk
     go_on: Callable[[], object]
@@ -46,7 +51,7 @@
 
 @dataclass(frozen=True)
 class Leaving:
-    """How a client leaves: what it still sends ahead, and how its connection ends."""
+    """How a client leaves: what it still pipelines, and how its connection ends."""
 
     ahead: bytes
     end: Callable[[Talk], None]
@@ -61,7 +66,7 @@
 
 
 def cancel(steps: Steps, client: Talk) -> None:
-    """On another connection, the first; read before the request goes on."""
+    """Cancels on another connection, the first; this is read before the request proceeds."""
     steps.clients[0].socket.sendall(b"DELETE /ops/lookup/%016x HTTP/1.1\r\n\r\n" % LOOKUP)
     next(iter(steps.service.clients.connections)).transport.doRead()
 
@@ -73,7 +78,7 @@
 
 
 def attempts(steps: Steps, ident: int = LOOKUP) -> int:
-    """How many attempts of that request have come to the engines so far."""
+    """How many attempts of that request have reached the engines so far."""
     wanted, found = ["serve", f"{ident:016x}"], 0
     for engine in steps.engines:
         while engine.accept():
@@ -85,18 +90,18 @@
 
 
 def only_timers(steps: Steps) -> None:
-    """The first half of a round: what is due, and nothing is read or written by the loop."""
+    """Runs the first half of a round: due timers; the loop reads and writes nothing."""
     steps.reactor.runUntilCurrent()
 
 
 def after_another(steps: Steps) -> Talk:
-    """A client, and a connection to the engine that rests since it served another's request."""
+    """A new client; the engine has an idle connection that served another client's request."""
     steps.served(1)
     return steps.client()
 
 
 def connected_to_both(steps: Steps) -> list[Talk]:
-    """Two calls at once, then answered: a connection rests at each of two engines. Their far sides."""
+    """Makes an idle connection to each of two engines by two concurrent calls; returns the engines' ends."""
     callers = [steps.client(), steps.client()]
     for ident, caller in enumerate(callers, 10):
         caller.post(ident)
@@ -115,7 +120,7 @@
 
 
 class GoneClients(unittest.TestCase):
-    """One test for each place; each for every way of leaving."""
+    """One test for each stage; each for every way of leaving."""
 
     def check_each_way(
         self, bring: Callable[[Steps], Waiting], ways: Sequence[Leave] = WAYS, **more: Any
@@ -125,7 +130,7 @@
                 self.check(bring, way, Steps(self, **more))
 
     def check(self, bring: Callable[[Steps], Waiting], leave: Leave | None, steps: Steps) -> None:
-        steps.client()  # the one that cancels
+        steps.client()  # the client that cancels
         steps.until(lambda: steps.service.clients.connections)
         client, go_on = bring(steps)
         attempts(steps)
@@ -134,7 +139,7 @@
         go_on()
         steps.go()
         self.assertEqual(attempts(steps), 1 if leave is None else 0)
-        if leave is not None:  # else it stayed, and this is where its attempt begins
+        if leave is not None:  # a client that stays gets its attempt at this stage
             steps.go(200)
             self.assertEqual(attempts(steps), 0)
             self.assertNotIn(b"%016x" % LOOKUP, steps.service.adapter.by_ident)
@@ -150,7 +155,7 @@
         self.check_each_way(bring)
 
     def test_in_the_backlog_while_accepting_is_paused(self) -> None:
-        """Each connection has a call open. Its end needs no accepting; a cancel would wait as it does."""
+        """Every slot has an open call. A cancel would wait in the backlog too, so only ends are tested."""
 
         def bring(steps: Steps) -> Waiting:
             rules = steps.service.adapter.rules
@@ -184,7 +189,7 @@
 
         self.check_each_way(bring)
 
-    def test_read_and_before_its_turn(self) -> None:
+    def test_read_and_before_its_batch(self) -> None:
         def bring(steps: Steps) -> Waiting:
             client = after_another(steps)
             client.post(LOOKUP)
@@ -194,7 +199,7 @@
         self.check_each_way(bring)
 
     def test_behind_a_call_on_its_connection(self) -> None:
-        """The answer to the call before it is read in the round in which the client leaves."""
+        """The response to the previous call is read in the round in which the client leaves."""
 
         def bring(steps: Steps) -> Waiting:
             client = steps.client()
@@ -206,7 +211,7 @@
             def answer() -> None:
                 connection = steps.service.engines.engines[0].connections[0]
                 talk.say(1)
-                connection.transport.doRead()  # before the client's socket is
+                connection.transport.doRead()  # before the client's socket is read
 
             return Waiting(client, answer)
 
@@ -256,7 +261,7 @@
         self.check_each_way(bring)
 
     def test_before_its_retry(self) -> None:
-        """The first engine is full, which was read; the next attempt is due."""
+        """The answer of the first engine, which is full, was read; the next attempt is due."""
 
         def bring(steps: Steps) -> Waiting:
             talks = connected_to_both(steps)
@@ -280,7 +285,7 @@
             steps.until(lambda: rules.held)
             engine = rules.engines[0]
             self.assertGreater(engine.aside_until, steps.clock())
-            engine.aside_until = engine.pressed_until = 0.0  # its rest is over
+            engine.aside_until = engine.pressed_until = 0.0  # its backoff is over
             return Waiting(client, steps.service.adapter.run_batch)
 
         self.check_each_way(bring)
@@ -293,7 +298,7 @@
             steps.until(steps.engines[0].accept)
             connection = steps.service.engines.engines[0].connections[0]
             steps.until(lambda: connection.attempts and not connection.sending)
-            connection.sending = True  # its transport still holds a message
+            connection.sending = True  # its transport still buffers a message
             client = steps.client()
             client.post(LOOKUP)
             steps.until(lambda: connection.write_queue)
@@ -307,7 +312,7 @@
         self.check_each_way(bring)
 
     def test_parsed_while_its_client_does_not_read(self) -> None:
-        """Answers of its own unread: reading is paused, and the next call lies parsed behind them."""
+        """Its responses are unread: reading is paused, and the next request waits behind them."""
 
         def bring(steps: Steps) -> Waiting:
             client = after_another(steps)
@@ -327,11 +332,11 @@
         self.check_each_way(bring)
 
 
-class BetweenLookAndWrite(unittest.TestCase):
-    """After the last look nothing may hold an attempt back, or its client could leave before it begins."""
+class BetweenCheckAndWrite(unittest.TestCase):
+    """Nothing may delay an attempt after the check at send time, or its client could leave in between."""
 
-    def test_an_attempt_leaves_at_the_last_look(self) -> None:
-        """And not when the loop next comes to write: a round can take long on a busy machine."""
+    def test_an_attempt_is_written_at_the_check_at_send_time(self) -> None:
+        """Not in the loop's next round: a round can take long on a busy machine."""
         steps = Steps(self)
         steps.served(1)
         client = steps.client()
@@ -344,8 +349,8 @@
         self.assertEqual([said[0] for said in steps.engines[0].talks[0].heard()], ["cancel"])
         self.assertEqual(counted(steps, "attempts_after_client_left"), 0)
 
-    def test_where_a_guard_keeps_a_journal_it_leaves_behind_its_turn(self) -> None:
-        """What a turn has sent is in the journal when `turned` has returned; then it leaves, at once."""
+    def test_with_a_guard_that_keeps_a_journal_it_is_written_after_its_batch(self) -> None:
+        """Attempts of a batch are in the journal once `batch_ended` has returned; then they are written."""
         steps = Steps(self)
         client = after_another(steps)
         guard = SlowGuard()
@@ -357,8 +362,8 @@
         only_timers(steps)
         self.assertEqual(attempts(steps), 1)
 
-    def test_two_in_one_turn_on_a_connection_with_a_journal(self) -> None:
-        """The second leaves as the system has taken the first, with a look and a record of its own."""
+    def test_two_in_one_batch_on_a_connection_with_a_journal(self) -> None:
+        """The second is written when the system has accepted the first, with its own check and record."""
         steps = Steps(self)
         steps.service.engines.most_connections = 1
         after_another(steps)
@@ -401,7 +406,7 @@
         self.assertEqual([said[0] for said in steps.engines[0].talks[0].heard()], ["serve", "cancel"])
 
     def stuck(self) -> tuple[World, Peer]:
-        """An engine that does not read: one byte of an attempt leaves, the rest stays. Its client leaves."""
+        """An engine that does not read: only one byte of an attempt is sent. Its client leaves."""
         world = World(self)
         caller = Caller(world)
         caller.post(LOOKUP)
@@ -411,7 +416,7 @@
         caller.leave()
         return world, peer
 
-    def test_what_the_system_has_not_taken_is_cut_off(self) -> None:
+    def test_what_the_system_has_not_accepted_is_aborted(self) -> None:
         world, peer = self.stuck()
         world.go(40)
         self.assertFalse(peer.pipe.aborted)
@@ -420,8 +425,8 @@
         self.assertLess(ABANDONED_WITHIN, LEFT_LATE)
         self.assertEqual(world.count("attempts_after_client_left"), 0)
 
-    def test_what_the_system_takes_in_time_is_left_to_run(self) -> None:
-        """It is counted: its client had left, less than 100 ms before."""
+    def test_what_the_system_accepts_in_time_is_left_to_run(self) -> None:
+        """It is counted as sent after its client left, by less than 100 ms."""
         world, peer = self.stuck()
         world.go(30)
         peer.pipe.full = False
@@ -449,8 +454,8 @@
         self.assertEqual(world.count("attempts_after_client_left"), 0)
         self.assertEqual(world.count("trips_written"), 0)
 
-    def test_others_that_run_on_its_connection_are_not_cut(self) -> None:
-        """So it may come late there, and is counted as that."""
+    def test_others_that_run_on_its_connection_are_not_aborted(self) -> None:
+        """So the attempt may reach the engine late, and is counted as late."""
         world = World(self)
         world.service.engines.most_connections = 1
         kept, caller = Caller(world), Caller(world)
@@ -474,7 +479,7 @@
     DELETE = b"DELETE /ops/lookup/%016x HTTP/1.1\r\n\r\n"
 
     def test_behind_its_open_call(self) -> None:
-        """Its 200 would be read as the answer to that call, so none is written and the connection ends."""
+        """A 200 would be read as the response to that call, so none is written; the connection is closed."""
         world = World(self)
         caller = Caller(world)
         caller.post(LOOKUP)
@@ -483,7 +488,7 @@
         self.assertEqual((caller.answers(), caller.pipe.disconnecting), ([], True))
         self.assertEqual(world.peer().up().heard(), [])
 
-    def test_found_by_the_last_look(self) -> None:
+    def test_found_by_the_check_at_send_time(self) -> None:
         world = World(self)
         caller = Caller(world)
         caller.post(LOOKUP)
@@ -502,7 +507,7 @@
         self.assertEqual([said[1] for said in peer.heard() if said[0] == "serve"], [f"{1:016x}"])
         self.assertEqual([status for status, _, _ in caller.answers()], [200])
 
-    def test_that_of_another_is_answered_in_its_turn(self) -> None:
+    def test_that_of_another_is_answered_in_order(self) -> None:
         world = World(self)
         first, caller = Caller(world), Caller(world)
         first.post(1)
@@ -513,7 +518,7 @@
         world.peer(1).up().say(LOOKUP, "200", "parts=1", ROW)
         self.assertEqual([status for status, _, _ in caller.answers()], [200, 200, 404])
 
-    def test_many_and_bad_ones_wait_for_their_turn(self) -> None:
+    def test_many_and_bad_ones_are_answered_in_order(self) -> None:
         world = World(self)
         caller = Caller(world)
         caller.post(LOOKUP)
@@ -526,7 +531,7 @@
 
 class Processes(unittest.TestCase):
     def test_a_client_whose_process_is_killed(self) -> None:
-        """With its own call open, and half of the next one sent ahead."""
+        """With its own call open, and part of the next one pipelined."""
         text = (
             "import socket, sys\n"
             f"it = socket.create_connection(({HOST!r}, int(sys.argv[1])))\n"
@@ -571,8 +576,8 @@
 
 
 class SentAhead(unittest.TestCase):
-    def test_more_than_its_bound_found_by_the_last_look(self) -> None:
-        """Its connection is cut, and its request ends with that: not a round later."""
+    def test_more_than_its_limit_found_by_the_check_at_send_time(self) -> None:
+        """Its connection is aborted, and its request is cancelled at once, not a round later."""
         world = World(self)
         caller = Caller(world)
         caller.post(LOOKUP)
@@ -583,7 +588,7 @@
 
 
 class SlowGuard:
-    """A guard that keeps each verdict back."""
+    """A guard that withholds its decisions until the test releases them."""
 
     def __init__(self) -> None:
         self.verdicts: list[Callable[[bool | None], None]] = []
@@ -596,7 +601,7 @@
         return True
 
     def batch_ended(self) -> None:
-        """Nothing follows of it here."""
+        """Does nothing."""
 
     def __getattr__(self, name: str) -> Callable[..., Any]:
         return lambda *_: None
--- a/tests/test_holding.py
+++ b/tests/test_holding.py
@@ -1,4 +1,4 @@
-"""Holding an address: by a command, by listening, and two real processes that pass one between them."""
+"""Holding an address by a command or by listening, and its handover between two real processes."""
 
 import io
 import json
@@ -31,7 +31,7 @@
 
 
 class Spawner(Clock):
-    """Keeps what it is asked to run, and the ports it is asked to open."""
+    """A reactor that records the commands it is to run and the ports it is to open."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -79,7 +79,7 @@
             (len(commands.queue), counters.sums["commands_dropped"]), (MOST_COMMANDS, 2 * MOST_COMMANDS - 1)
         )
 
-    def test_a_port_in_use_is_tried_again_while_the_address_is_held(self) -> None:
+    def test_a_port_in_use_is_retried_while_the_address_is_held(self) -> None:
         reactor, counters, drained = Spawner(), Counters(), list[str]()
         listener = Listener(reactor, Served(ServerFactory(), 7001, drained.append), counters, SILENT)
         reactor.busy = 2
@@ -94,7 +94,7 @@
         reactor.advance(1)
         self.assertEqual(listener.ports, {})
 
-    def test_what_was_taken_at_an_address_that_is_left_is_answered_and_then_closed(self) -> None:
+    def test_connections_to_an_address_that_is_released_are_answered_and_then_closed(self) -> None:
         world = World(self)
         busy, idle, elsewhere = Caller(world), Caller(world), Caller(world)
         for caller, host in ((busy, "127.0.7.1"), (idle, "127.0.7.1"), (elsewhere, "127.0.8.1")):
@@ -158,7 +158,7 @@
         self.folder = Path(folder.name)
 
     def who(self, within: float, host: str = SHARED, port: int = 7301) -> dict[str, int]:
-        """The counters of whoever answers there, once somebody does."""
+        """The counters of the dispatcher that answers there; retries until one does."""
         until = time.monotonic() + within
         while True:
             try:
@@ -171,7 +171,7 @@
                 time.sleep(0.02)
 
     def until_other_answers(self, within: float) -> None:
-        """Whoever has read a bad file is leaving, and goes on answering until its signal has been handled."""
+        """Waits for the other dispatcher: that with the bad file still answers until it handles SIGTERM."""
         until = time.monotonic() + within
         while self.who(within).get("installations_unusable") is not None:
             self.assertLess(time.monotonic(), until)
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -1,4 +1,4 @@
-"""The parsers: every split, and what cannot be used."""
+"""Parsers: input split at every byte, and malformed input."""
 
 import struct
 import unittest
@@ -34,7 +34,7 @@
             found += parser.take() is not None
         self.assertEqual((found, parser.remaining()), (1, 0))
 
-    def test_what_cannot_be_used(self) -> None:
+    def test_malformed_input(self) -> None:
         for text, status in (
             (b"GET /a\r\n\r\n", 400),
             (b"GET  / HTTP/1.1\r\n\r\n", 400),
@@ -90,7 +90,7 @@
             found += parser.take() is not None
         self.assertEqual(found, 3)
 
-    def test_what_cannot_be_used(self) -> None:
+    def test_malformed_input(self) -> None:
         for text in (
             b"+OK\r\n",
             b"*x\r\n",
@@ -149,8 +149,8 @@
         assert isinstance(answer, tuple)
         self.assertEqual(len(answer[1]), 75)
 
-    def test_every_cut_and_every_changed_byte(self) -> None:
-        """Whatever comes, the reader ends, and says so or answers."""
+    def test_every_truncation_and_every_changed_byte(self) -> None:
+        """The parser terminates on any datagram, with a result or with BadDatagram."""
         datagram = name_answer(self.ASKED, 41, *self.ENDPOINTS)
         for place in range(len(datagram)):
             if place < dns.HEADER.size:
@@ -170,7 +170,7 @@
         self.assertIsNone(self.read(self.ASKED))
         other = dns.question(7, "_api._tcp.svc.locas", dns.SRV)
         self.assertIsNone(self.read(name_answer(self.ASKED, 1).replace(self.ASKED[12:-4], other[12:-4])))
-        for flags in (0x8403, 0x8600):  # no such name; cut short
+        for flags in (0x8403, 0x8600):  # NXDOMAIN; truncated
             with self.assertRaises(dns.BadDatagram):
                 self.read(name_answer(self.ASKED, 41, flags=flags))
         loop = struct.pack("!6H", 7, 0x8400, 1, 0, 0, 0) + struct.pack("!H", 0xC000 | 12)
@@ -223,6 +223,6 @@
             with self.subTest(text):
                 self.assertEqual(table_group(text.encode()), group)
 
-    def test_long_nonsense_ends_soon(self) -> None:
+    def test_long_malformed_statements_end_soon(self) -> None:
         for text in ("'" * 65535, "$a" * 32000, "/*" * 32000, '"' * 65535, "e'\\" * 20000, "(" * 65000):
             self.assertEqual(table_group(text.encode()), NO_GROUP)
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -1,4 +1,7 @@
-"""What a start waits for, and what it does not; on running dispatchers."""
+"""What a start waits for, and what it does not, on running dispatchers.
+
+Guards against a dispatcher that does not become ready without a name service, or that gives up on an
+address which its predecessor still holds."""
 
 import errno
 import json
@@ -75,7 +78,7 @@
 
 
 class Discovery(ProcessCase):
-    """`known` is all that a start needs of the list."""
+    """The configured `known` engines are enough to start; no list from discovery is needed."""
 
     addresses = Addresses.in_subnet(66)
 
@@ -84,7 +87,7 @@
         self.configure()
 
     def serves(self) -> None:
-        """It becomes ready, and answers a call by an engine of `known`."""
+        """Checks that it becomes ready, and answers a call by an engine of `known`."""
         child = self.start_dispatcher()
         self.await_ready(child)
         client = HTTPConnection(self.addresses.dispatcher, self.addresses.port, timeout=10)
@@ -94,7 +97,7 @@
         self.assertEqual(client.getresponse().status, 200)
 
     def name_service(self) -> socket.socket:
-        """The name service's socket, which the test holds."""
+        """A socket at the name service's address, held by the test."""
         names = socket.socket(type=socket.SOCK_DGRAM)
         self.addCleanup(names.close)
         names.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -102,7 +105,7 @@
         names.settimeout(10)
         return names
 
-    def test_nobody_at_the_name_services_address(self) -> None:
+    def test_no_name_service_at_its_address(self) -> None:
         self.start_stand_ins(with_names=False)
         self.serves()
 
@@ -127,7 +130,7 @@
 
 
 class AddressInUse(ProcessCase):
-    """The predecessor's listener, held by the test."""
+    """The listener of a predecessor is held by the test."""
 
     addresses = Addresses.in_subnet(67)
 
@@ -141,7 +144,7 @@
         self.predecessor.listen(16)
 
     def start_and_wait(self) -> subprocess.Popen[str]:
-        """A dispatcher that has found its address in use."""
+        """Starts a dispatcher and waits until it has found its address in use."""
         child = self.start_dispatcher()
         assert child.stderr is not None
         self.assertIn("event=address_in_use", child.stderr.readline())
@@ -152,7 +155,7 @@
         self.predecessor.close()
         self.await_ready(child)
 
-    def test_told_to_end_while_it_waits(self) -> None:
+    def test_shutdown_requested_while_it_waits(self) -> None:
         child = self.start_and_wait()
         child.send_signal(signal.SIGTERM)
         self.assertEqual(child.wait(30), 0)
@@ -172,7 +175,7 @@
 
 
 class StubService:
-    """Raises what it is given at each start, then starts."""
+    """Fails each start with the next of the given errors, then starts."""
 
     def __init__(self, *faults: int) -> None:
         self.faults = list(faults)
@@ -193,24 +196,24 @@
         stub = StubService(*faults)
         return stub, start_within(seconds, cast(Any, stub), end_asked)
 
-    def test_an_address_in_use_is_tried_again(self) -> None:
+    def test_an_address_in_use_is_retried(self) -> None:
         stub, started = self.run_with(errno.EADDRINUSE, errno.EADDRINUSE)
         self.assertEqual((stub.starts, started), (3, True))
 
-    def test_a_want_of_the_systems_is_tried_again(self) -> None:
+    def test_a_shortage_of_resources_is_retried(self) -> None:
         wants = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EAGAIN)
         stub, started = self.run_with(*wants)
         self.assertEqual((stub.starts, started), (len(wants) + 1, True))
 
-    def test_only_so_long(self) -> None:
+    def test_not_beyond_the_time_limit(self) -> None:
         with self.assertRaises(CannotListenError):
             self.run_with(errno.EADDRINUSE, seconds=0.0)
 
-    def test_another_fault_is_not_tried_again(self) -> None:
+    def test_another_error_is_not_retried(self) -> None:
         with self.assertRaises(CannotListenError):
             self.run_with(errno.EADDRNOTAVAIL)
 
-    def test_not_once_it_is_asked_to_end(self) -> None:
+    def test_not_after_shutdown_is_requested(self) -> None:
         stub, started = self.run_with(errno.EADDRINUSE, end_asked=lambda: True)
         self.assertEqual((stub.starts, started), (1, False))
 
--- a/tests/test_retrying_poller.py
+++ b/tests/test_retrying_poller.py
@@ -1,4 +1,6 @@
-"""A poller whose calls fail for a moment: what was asked of it holds as soon as the system lets it."""
+"""A poller whose calls fail transiently: each change takes effect as soon as the system accepts it.
+
+Guards against sockets that are never read again after epoll_ctl has failed with ENOMEM."""
 
 import errno
 import os
@@ -14,7 +16,7 @@
 
 
 class Failing:
-    """The system's epoll, of which the next calls of one kind fail."""
+    """An epoll object whose next calls of one kind fail."""
 
     def __init__(self) -> None:
         self.real = select.epoll()
@@ -53,7 +55,7 @@
         self.descriptor = self.near.fileno()
 
     def found(self) -> list[tuple[int, int]]:
-        """What is ready when the next try of what was refused is due."""
+        """Polls when the next retry is due."""
         self.now += RETRY_INTERVAL
         return self.poller.poll(-1, 16)
 
@@ -82,7 +84,7 @@
         self.assertEqual(self.found(), [(self.descriptor, IN)])
         self.assertEqual(self.poller.pending_changes, {})
 
-    def test_an_end_that_fails_is_not_seen_and_made_later(self) -> None:
+    def test_an_unregistration_that_fails_is_hidden_and_made_later(self) -> None:
         self.poller.register(self.descriptor, IN)
         self.far.send(b"x")
         self.refuse("unregister", times=2)
@@ -93,27 +95,27 @@
         self.poller.register(self.descriptor, IN)
         self.assertEqual(self.found(), [(self.descriptor, IN)])
 
-    def test_between_two_tries_the_system_is_not_asked(self) -> None:
+    def test_between_two_retries_no_system_call_is_made(self) -> None:
         self.poller.register(self.descriptor, IN | OUT)
         self.refuse("modify", times=3)
         self.poller.modify(self.descriptor, IN)
         self.found()
         began = time.monotonic()
-        for _ in range(20):  # it would be told of OUT at once each time
+        for _ in range(20):  # each would report OUT at once
             self.assertEqual(self.poller.poll(-1, 16), [])
         self.assertEqual(len(self.system.errors), 1)
         self.assertGreaterEqual(time.monotonic() - began, 20 * UNWANTED_EVENT_PAUSE)
 
-    def test_one_that_became_anothers_is_registered(self) -> None:
-        """Closed while a change was refused: the system watches it no more, and its number is used again."""
+    def test_a_reused_descriptor_is_registered(self) -> None:
+        """Closed while a change was pending: the system stops watching it, and its number is reused."""
         self.poller.register(self.descriptor, IN)
         self.refuse("modify")
         self.poller.modify(self.descriptor, OUT)
-        os.dup2(self.far.fileno(), self.descriptor)  # closes the one that was watched
+        os.dup2(self.far.fileno(), self.descriptor)  # closes the descriptor that was watched
         self.found()
         self.assertEqual(self.found(), [(self.descriptor, OUT | select.EPOLLHUP)])
 
-    def test_what_is_asked_last_holds(self) -> None:
+    def test_the_last_change_wins(self) -> None:
         self.far.send(b"x")
         self.poller.register(self.descriptor, IN)
         self.refuse("unregister", times=1)
@@ -122,7 +124,7 @@
         self.assertEqual(self.poller.pending_changes, {})
         self.assertEqual(self.found(), [(self.descriptor, IN)])
 
-    def test_a_descriptor_that_was_closed_meanwhile_is_forgotten(self) -> None:
+    def test_a_descriptor_that_was_closed_meanwhile_is_dropped(self) -> None:
         self.poller.register(self.descriptor, IN)
         for call, again in (("unregister", False), ("register", True)):
             self.refuse(call, times=1)
@@ -138,7 +140,7 @@
             self.assertEqual(self.found(), [])
             self.assertEqual(self.poller.pending_changes, {})
 
-    def test_other_errors_are_raised_as_they_come(self) -> None:
+    def test_other_errors_are_raised_unchanged(self) -> None:
         for error in (errno.EBADF, errno.EPERM, errno.EINVAL):
             self.refuse("register", error=error)
             with self.assertRaises(OSError) as raised:
