--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -305,7 +305,7 @@
         if before is not None:
             before(self.service, self)
         self.service.start()
-        self.service.clients.port = self.door = Port()
+        self.service.clients.port = self.listener = Port()
         case.addCleanup(self.check)
         self.go()
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -120,7 +120,7 @@
         silent = self.crowd(5)
         self.assertEqual([caller.pipe.disconnecting for caller in silent], [True] + [False] * 4)
         self.assertFalse(served.pipe.disconnecting)
-        self.assertTrue(self.world.door.open)
+        self.assertTrue(self.world.listener.open)
 
     def test_a_partial_request_is_rejected_before_a_client_that_worked_is_evicted(self) -> None:
         served = self.served(1)
@@ -136,7 +136,7 @@
 
     def test_open_calls_stay_and_later_connections_wait(self) -> None:
         busy = self.busy(7)
-        self.assertFalse(self.world.door.open)
+        self.assertFalse(self.world.listener.open)
         self.assertFalse(any(caller.pipe.disconnecting for caller in busy))
 
     def test_an_answered_call_frees_a_slot_at_once_if_others_wait(self) -> None:
@@ -145,7 +145,7 @@
         self.assertEqual([status for status, _, _ in busy[0].answers()], [200])
         self.assertTrue(busy[0].pipe.disconnecting)
         busy[0].leave()
-        self.assertTrue(self.world.door.open)
+        self.assertTrue(self.world.listener.open)
 
     def test_a_call_that_has_come_and_was_not_read_yet_is_not_closed_over(self) -> None:
         first, *_ = callers = self.crowd(5)
@@ -161,12 +161,12 @@
         callers = [Caller(self.world) for _ in range(7)]
         self.world.go(MIN_AGE - 5.0)
         self.assertFalse(any(caller.pipe.disconnecting for caller in callers))
-        self.assertFalse(self.world.door.open)
+        self.assertFalse(self.world.listener.open)
         self.world.go(10.0)
         self.assertEqual([caller.pipe.disconnecting for caller in callers], [True, True] + [False] * 5)
         for caller in callers[:2]:
             caller.leave()
-        self.assertTrue(self.world.door.open)
+        self.assertTrue(self.world.listener.open)
 
     def test_while_others_are_closing_none_that_worked_is_evicted(self) -> None:
         served = self.served(1)
@@ -184,9 +184,9 @@
         busy = self.busy(7)
         for _ in range(3):
             busy.pop().leave()
-            self.assertTrue(self.world.door.open)
+            self.assertTrue(self.world.listener.open)
             busy += self.busy(1)
-            self.assertFalse(self.world.door.open)
+            self.assertFalse(self.world.listener.open)
         self.assertEqual(self.world.log.getvalue().count("event=accept_paused"), 1)
         self.assertEqual(self.world.count("accept_paused"), 4)
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -245,18 +245,18 @@
             caller.post(ident)
         world.go(30)
         Caller(world).post(99)  # one that has brought nothing makes room
-        self.assertTrue(callers[0].pipe.disconnecting and world.door.open)
+        self.assertTrue(callers[0].pipe.disconnecting and world.listener.open)
         self.assertFalse(served.pipe.disconnecting)
         callers[0].leave()
         Caller(world).post(100)
-        self.assertTrue(served.pipe.disconnecting and world.door.open)
+        self.assertTrue(served.pipe.disconnecting and world.listener.open)
         served.leave()
         Caller(world).post(101)
-        self.assertTrue(world.door.open)
+        self.assertTrue(world.listener.open)
         Caller(world).post(102)  # all are busy
-        self.assertFalse(world.door.open)
+        self.assertFalse(world.listener.open)
         callers[1].leave()
-        self.assertTrue(world.door.open)
+        self.assertTrue(world.listener.open)
 
     def test_each_trip_on_a_connection_of_its_own_while_descriptors_last(self) -> None:
         """One that is spoilt takes down what is out on it, and costs its engine one strike."""
