--- a/spurdeal/net/client.py
+++ b/spurdeal/net/client.py
@@ -105,7 +105,7 @@
         """
         self.take_data(data)
         for _ in range(MAX_READS_PER_REQUEST):
-            if self.call is not None or not self.is_unfinished():
+            if self.call is not None or not self.has_partial_request():
                 return
             if not (more := immediate.receive(self.transport)):
                 return  # no input, or end of stream, which the transport detects itself
@@ -207,8 +207,8 @@
     def handle_requests(self) -> None:
         """Handles buffered requests up to MAX_REQUESTS_PER_ROUND; the others wait for the next round."""
         while self.cancelled_ahead and self.is_free():
-            status, keep = self.cancelled_ahead.popleft()
-            self.answer(status, {}, keep)
+            status, keep_alive = self.cancelled_ahead.popleft()
+            self.respond(status, {}, keep_alive)
         handled = 0
         while self.is_free():
             if handled >= MAX_REQUESTS_PER_ROUND:
@@ -217,15 +217,15 @@
                 return
             handled += 1
             try:
-                taken = self.parser.take()
+                request = self.parser.take()
                 self.arrivals.forget_before(self.parser.remaining())
-                if taken is None:
+                if request is None:
                     return
                 self.state_since = self.clients.clock()
-                self.handle(*taken)
-            except BadRequest as fault:
+                self.handle(*request)
+            except BadRequest as error:
                 self.clients.counters.add("client_bad_messages")
-                self.answer(fault.status, {"fault": str(fault)}, False)
+                self.respond(error.status, {"fault": str(error)}, False)
 
     def is_free(self) -> bool:
         """Whether the next request may be handled."""
@@ -247,46 +247,51 @@
             and self.parser.next_is(b"DELETE")
         ):
             try:
-                taken = self.parser.take()
+                request = self.parser.take()
             except BadRequest:
                 return  # reported when its turn comes
-            if taken is None:
+            if request is None:
                 return
-            _, target, _, _, keep = taken
-            self.cancelled_ahead.append((self.cancel(target), keep))
+            _, target, _, _, keep_alive = request
+            self.cancelled_ahead.append((self.cancel(target), keep_alive))
 
     def cancel(self, target: bytes) -> int:
         """Withdraws the request whose id ends the path; returns the status of the response."""
         return 200 if self.clients.adapter.withdraw(last_segment(target)) else 404
 
     def handle(
-        self, method: bytes, target: bytes, fields: dict[bytes, memoryview], body: memoryview, keep: bool
+        self,
+        method: bytes,
+        target: bytes,
+        fields: dict[bytes, memoryview],
+        body: memoryview,
+        keep_alive: bool,
     ) -> None:
         """Dispatches one whole request by method and path."""
         path, last = target.partition(b"?")[0], last_segment(target)
         if method == b"POST":
-            self.open_request(path, fields, body, keep)
+            self.open_request(path, fields, body, keep_alive)
         elif method == b"DELETE":
-            self.answer(self.cancel(target), {}, keep)
+            self.respond(self.cancel(target), {}, keep_alive)
         elif method == b"GET" and last == b"alive":
-            self.answer(200 if self.clients.ready else 503, {}, keep)
+            self.respond(200 if self.clients.ready else 503, {}, keep_alive)
         elif method == b"GET" and last == b"counters":
-            self.answer(200, self.clients.counters.figures(), keep)
+            self.respond(200, self.clients.counters.figures(), keep_alive)
         elif method == b"GET" and last == b"fleet" and self.clients.fleet is not None:
-            self.answer(200, self.clients.fleet(), keep)
+            self.respond(200, self.clients.fleet(), keep_alive)
         else:
-            self.answer(404 if method == b"GET" else 405, {"fault": "NotKnown"}, keep)
+            self.respond(404 if method == b"GET" else 405, {"fault": "NotKnown"}, keep_alive)
 
     def open_request(
-        self, path: bytes, fields: dict[bytes, memoryview], body: memoryview, keep: bool
+        self, path: bytes, fields: dict[bytes, memoryview], body: memoryview, keep_alive: bool
     ) -> None:
         """Submits a query to the adapter; the call stays open until the adapter answers it.
 
         Raises:
             BadRequest: its workload, id or numbers are invalid, or a request with this id is open.
         """
-        kind = self.clients.workload_of(path)
-        if kind is None:
+        workload = self.clients.workload_of(path)
+        if workload is None:
             raise BadRequest(404, "the workload is not known")
         ident, wait = bytes(fields.get(b"req-id", b"")), number_field(fields, b"req-wait-ms")
         cost, memory = number_field(fields, b"req-cost", 0.0), number_field(fields, b"x-est-mb", 0.0)
@@ -298,8 +303,8 @@
             raise BadRequest(400, "req-token cannot be used")
         call = self.clients.adapter.take(
             ident,
-            self.clients.names[kind],
-            kind,
+            self.clients.names[workload],
+            workload,
             wait - self.arrivals.waited(self.clients.clock()),
             cost,
             memory,
@@ -313,26 +318,26 @@
         if call is None:
             raise BadRequest(400, "a submission with this id is open")
         self.call, self.has_sent_request = call, True
-        call.addCallbacks(self.answer_received, self.request_cancelled, (keep,))
+        call.addCallbacks(self.answer_received, self.request_cancelled, (keep_alive,))
 
     def start_draining(self) -> None:
         """Closes the connection after its open call, as another dispatcher holds its address now."""
         self.draining = True
         self.close_if_idle()
 
-    def answer_received(self, answer: Answer, keep: bool) -> None:
+    def answer_received(self, answer: Answer, keep_alive: bool) -> None:
         """Writes the response to the open call, then handles pipelined requests."""
         if not self.clients.counters.must(self.call is not None and not self.closing, "answer_to_a_call"):
             return
         self.call = None
         match answer:
             case Delivered(pages):
-                self.answer(200, {"result": result_rows(pages)}, keep)
+                self.respond(200, {"result": result_rows(pages)}, keep_alive)
             case Shed(retry_after):
                 wait = (("Srv-Wait-Ms", f"{retry_after:.0f}"),) if retry_after > 0 else ()
-                self.answer(503, {"fault": "TryLater"}, keep, wait)
+                self.respond(503, {"fault": "TryLater"}, keep_alive, wait)
             case Failed():
-                self.answer(500, {"fault": "Aborted"}, keep)
+                self.respond(500, {"fault": "Aborted"}, keep_alive)
         if self.parser.remaining() or self.cancelled_ahead:
             self.advance()
         self.clients.call_ended()
@@ -345,13 +350,18 @@
         if not self.closing:
             self.close()
 
-    def answer(self, status: int, value: object, keep: bool, extra: tuple[tuple[str, str], ...] = ()) -> None:
+    def respond(
+        self, status: int, value: object, keep_alive: bool, extra: tuple[tuple[str, str], ...] = ()
+    ) -> None:
         """Writes one response; closes the connection after it unless keep-alive is allowed."""
         self.clients.counters.add(f"answers_{status}")
-        self.state_since, keep = self.clients.clock(), keep and not self.draining and not self.clients.ending
+        self.state_since, keep_alive = (
+            self.clients.clock(),
+            keep_alive and not self.draining and not self.clients.ending,
+        )
         body = json.dumps(value, ensure_ascii=False, separators=(",", ":")).encode()
-        self.transport.write(response(status, body, keep, extra))
-        if not keep:
+        self.transport.write(response(status, body, keep_alive, extra))
+        if not keep_alive:
             self.close()
 
     def close(self) -> None:
@@ -374,7 +384,7 @@
         """Whether the timeout of its present state has passed. No timeout applies while a call is open."""
         if self.call is not None:
             return False
-        paused = self.is_unfinished() and now - max(self.last_read, self.state_since) > READ_TIMEOUT
+        paused = self.has_partial_request() and now - max(self.last_read, self.state_since) > READ_TIMEOUT
         return paused or now - self.state_since > self.state_timeout()
 
     def state_timeout(self) -> float:
@@ -383,11 +393,11 @@
             return LINGER_TIMEOUT
         if self.write_blocked or self.closing:
             return WRITE_TIMEOUT
-        if self.is_unfinished():
+        if self.has_partial_request():
             return REQUEST_TIMEOUT
         return IDLE_TIMEOUT if self.has_sent_request else FIRST_REQUEST_TIMEOUT
 
-    def is_unfinished(self) -> bool:
+    def has_partial_request(self) -> bool:
         """Whether part of a request was read and the rest is awaited."""
         return not self.write_blocked and not self.closing and self.parser.remaining() > 0
 
@@ -397,7 +407,7 @@
         A partial request is left alone while its socket holds input that was not read yet, as after a pause
         of the process.
         """
-        if self.is_unfinished() and may_have_input(self.transport):
+        if self.has_partial_request() and may_have_input(self.transport):
             return
         self.clients.counters.add(f"client_closed_{self.state_at_close()}")
         if self.lingering:
@@ -405,7 +415,7 @@
         elif self.write_blocked or self.closing:
             self.transport.abortConnection()
         elif self.parser.remaining():
-            self.answer(408, {"fault": "Unfinished"}, False)
+            self.respond(408, {"fault": "Unfinished"}, False)
         else:
             self.close_if_idle()
 
@@ -417,10 +427,10 @@
             return "unread"
         return "unfinished" if self.parser.remaining() else "idle"
 
-    def refuse_unfinished(self) -> None:
+    def reject_partial_request(self) -> None:
         """Rejects a partial request to free its descriptor; the client may try again."""
         self.clients.counters.add("unfinished_refused")
-        self.answer(503, {"fault": "TryLater"}, False)
+        self.respond(503, {"fault": "TryLater"}, False)
 
     def is_idle(self) -> bool:
         """Whether it waits for the next request, with nothing buffered."""
--- a/spurdeal/net/clients.py
+++ b/spurdeal/net/clients.py
@@ -56,8 +56,8 @@
     ) -> None:
         self.adapter, self.workloads = adapter, workloads
         self.max_connections, self.accepts, self.max_read_ahead = 0, 1, MAX_READ_AHEAD
-        self.names = {kind: name for name, kind in workloads.items()}
-        self.tenants, self.slashes = tenants, max(name.count(b"/") for name in workloads)
+        self.names = {workload: name for name, workload in workloads.items()}
+        self.tenants, self.max_slashes = tenants, max(name.count(b"/") for name in workloads)
         self.clock, self.counters, self.log = clock, counters, log
         self.connections: dict[Client, None] = {}
         self.port: Any = None
@@ -102,9 +102,9 @@
         The name is the last segment of the path, as it is or percent-encoded. A name with slashes spans
         several segments; the longest known name wins.
         """
-        if (kind := self.workloads.get(path.rpartition(b"/")[2])) is not None and not self.slashes:
-            return kind
-        parts = path.rsplit(b"/", self.slashes + 1)[1:]
+        if (workload := self.workloads.get(path.rpartition(b"/")[2])) is not None and not self.max_slashes:
+            return workload
+        parts = path.rsplit(b"/", self.max_slashes + 1)[1:]
         for first in range(len(parts)):
             name = b"/".join(parts[first:])
             for each in (name, unquote_to_bytes(name)):
@@ -181,11 +181,11 @@
 
     def apply_accept_limit(self) -> None:
         """Sets how many connections the next round accepts; pauses accepting if no slot is free."""
-        room = self.max_connections - len(self.connections)
+        free_slots = self.max_connections - len(self.connections)
         if self.accept_ended or self.port is None:
             return
-        if room > 0:
-            self.port.numberAccepts = min(room, self.accepts)
+        if free_slots > 0:
+            self.port.numberAccepts = min(free_slots, self.accepts)
             if self.paused:
                 self.paused = False
                 self.accepting.resumed()
@@ -241,13 +241,13 @@
 
     def drain_backlog(self) -> None:
         """Accepts until the backlog is empty or no slot is free."""
-        came = self.counters.sums["client_connections"]
+        accepted_before = self.counters.sums["client_connections"]
         for _ in range(MAX_ACCEPT_ROUNDS if self.port.connected else 0):
-            if (room := self.max_connections - len(self.connections)) <= 0:
+            if (free_slots := self.max_connections - len(self.connections)) <= 0:
                 break
-            self.port.numberAccepts = room
+            self.port.numberAccepts = free_slots
             self.port.doRead()
-            if came == (came := self.counters.sums["client_connections"]):
+            if accepted_before == (accepted_before := self.counters.sums["client_connections"]):
                 break
         self.apply_accept_limit()  # else Twisted accepts up to 20 more in the same round
 
--- a/spurdeal/net/eviction.py
+++ b/spurdeal/net/eviction.py
@@ -21,7 +21,7 @@
     CLOSING = 0  # no more requests are read: its last response is being sent, or it lingers
     NO_REQUEST = 1  # it never submitted a query: it sent nothing, part of a request, or others such as GET
     IDLE = 2  # it submitted queries before, and has no open call
-    UNFINISHED = 3  # it submitted queries before, and sent part of another request
+    PARTIAL_REQUEST = 3  # it submitted queries before, and sent part of another request
 
 
 def eviction_rank(client: Client) -> EvictionRank | None:
@@ -32,7 +32,7 @@
         return None
     if not client.has_sent_request:
         return EvictionRank.NO_REQUEST
-    return EvictionRank.UNFINISHED if client.parser.remaining() else EvictionRank.IDLE
+    return EvictionRank.PARTIAL_REQUEST if client.parser.remaining() else EvictionRank.IDLE
 
 
 def evict(clients: Iterable[Client], count: int, now: float) -> int:
@@ -67,7 +67,7 @@
     if (rank is not EvictionRank.IDLE and age < MIN_AGE) or may_have_input(client.transport):
         return False
     if client.parser.remaining():
-        client.refuse_unfinished()
+        client.reject_partial_request()
     else:
         client.close()
     return True
--- a/spurdeal/net/http.py
+++ b/spurdeal/net/http.py
@@ -61,11 +61,11 @@
             if self.remaining() >= MAX_HEAD_SIZE:
                 raise BadRequest(431, "the head is too long")
             return None
-        line = REQUEST_LINE.match(self.buffer, self.at, end + 2)
-        if line is None:
+        request_line = REQUEST_LINE.match(self.buffer, self.at, end + 2)
+        if request_line is None:
             raise BadRequest(400, "the request line cannot be read")
-        whole = memoryview(self.buffer)
-        fields = self.fields(whole, line.end(), end + 2)
+        view = memoryview(self.buffer)
+        fields = self.fields(view, request_line.end(), end + 2)
         if b"transfer-encoding" in fields:
             raise BadRequest(400, "bodies come by length here")
         length = fields.get(b"content-length", b"0")
@@ -77,31 +77,31 @@
         if len(self.buffer) < stop:
             return None
         self.consume(stop)
-        keep = line[3] == b"1" and bytes(fields.get(b"connection", b"")).lower() != b"close"
-        return line[1], line[2], fields, whole[start:stop], keep
+        keep_alive = request_line[3] == b"1" and bytes(fields.get(b"connection", b"")).lower() != b"close"
+        return request_line[1], request_line[2], fields, view[start:stop], keep_alive
 
-    def fields(self, whole: memoryview, at: int, end: int) -> dict[bytes, memoryview]:
+    def fields(self, view: memoryview, at: int, end: int) -> dict[bytes, memoryview]:
         """Parses the header fields between two positions of the buffer."""
         found: dict[bytes, memoryview] = {}
         while at < end:
             field = FIELD.match(self.buffer, at, end)
             if field is None:
                 raise BadRequest(400, "a field cannot be read")
-            name, value = field[1].lower(), whole[slice(*field.span(2))]
+            name, value = field[1].lower(), view[slice(*field.span(2))]
             # Repeated fields form a list (RFC 9110, 5.3), so a repeated Content-Length is no valid number.
             found[name] = memoryview(b", ".join((found[name], value))) if name in found else value
             at = field.end()
         return found
 
 
-def response(status: int, body: bytes, keep: bool, extra: tuple[tuple[str, str], ...] = ()) -> bytes:
-    """Formats a response with a JSON body and extra header fields; closes the connection unless `keep`."""
+def response(status: int, body: bytes, keep_alive: bool, extra: tuple[tuple[str, str], ...] = ()) -> bytes:
+    """Formats a response with a JSON body and extra fields; with `Connection: close` unless `keep_alive`."""
     lines = [
         f"HTTP/1.1 {status} {REASONS[status]}",
         "Content-Type: application/json",
         f"Content-Length: {len(body)}",
         *(f"{name}: {value}" for name, value in extra),
     ]
-    if not keep:
+    if not keep_alive:
         lines.append("Connection: close")
     return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
--- a/spurdeal/net/patient_socket.py
+++ b/spurdeal/net/patient_socket.py
@@ -39,14 +39,14 @@
         """
         try:
             received: bytes = self.real.recv(size, flags)
-        except OSError as fault:
-            if fault.errno in TRANSIENT and fault.errno != errno.EAGAIN:
+        except OSError as error:
+            if error.errno in TRANSIENT and error.errno != errno.EAGAIN:
                 self.failing = True
-                self.watch.counters.add(f"recv_failed_errno_{fault.errno}")
+                self.watch.counters.add(f"recv_failed_errno_{error.errno}")
                 self.watch.read_failed(self)
             elif self.failing:
                 self.end_of_failure()
-            raise to_blocking_error(fault) from None
+            raise to_blocking_error(error) from None
         if self.failing:
             self.end_of_failure()
         return received
@@ -60,10 +60,10 @@
         """Writes; see socket.send. Raises as `recv` does."""
         try:
             sent: int = self.real.send(data, flags)
-        except OSError as fault:
-            if fault.errno in TRANSIENT and fault.errno != errno.EAGAIN:
-                self.watch.counters.add(f"send_failed_errno_{fault.errno}")
-            raise to_blocking_error(fault) from None
+        except OSError as error:
+            if error.errno in TRANSIENT and error.errno != errno.EAGAIN:
+                self.watch.counters.add(f"send_failed_errno_{error.errno}")
+            raise to_blocking_error(error) from None
         return sent
 
     def close(self) -> None:
@@ -94,17 +94,17 @@
             return self.real.accept()
         except BlockingIOError:
             raise
-        except OSError as fault:
-            self.counters.add(f"accept_failed_errno_{fault.errno}")
+        except OSError as error:
+            self.counters.add(f"accept_failed_errno_{error.errno}")
             self.failed()
-            raise BlockingIOError(errno.EWOULDBLOCK, str(fault)) from None
+            raise BlockingIOError(errno.EWOULDBLOCK, str(error)) from None
 
 
-def to_blocking_error(fault: OSError) -> OSError:
+def to_blocking_error(error: OSError) -> OSError:
     """The error as Twisted sees it: a transient one becomes EWOULDBLOCK."""
-    if fault.errno in TRANSIENT and not isinstance(fault, BlockingIOError):
-        return BlockingIOError(errno.EWOULDBLOCK, str(fault))
-    return fault
+    if error.errno in TRANSIENT and not isinstance(error, BlockingIOError):
+        return BlockingIOError(errno.EWOULDBLOCK, str(error))
+    return error
 
 
 def wrap_socket(transport: Any, watch: LoopWatch) -> None:
--- a/spurdeal/net/retrying_poller.py
+++ b/spurdeal/net/retrying_poller.py
@@ -71,8 +71,8 @@
             return
         try:
             self.call(descriptor, wanted)
-        except OSError as fault:
-            if fault.errno not in TRANSIENT:
+        except OSError as error:
+            if error.errno not in TRANSIENT:
                 raise
             self.pending_changes[descriptor] = wanted
 
@@ -101,20 +101,20 @@
             if wanted.events:
                 self.pending_changes[descriptor] = wanted._replace(watched=False)
                 return
-        except OSError as fault:
-            if fault.errno in TRANSIENT:
+        except OSError as error:
+            if error.errno in TRANSIENT:
                 return
         del self.pending_changes[descriptor]  # done, or the descriptor was closed
 
-    def poll(self, timeout: float, most: int) -> list[tuple[int, int]]:
+    def poll(self, timeout: float, max_events: int) -> list[tuple[int, int]]:
         """Waits for events, after retrying the pending changes.
 
         Args:
             timeout: In seconds; negative for no timeout.
-            most: Maximum number of events.
+            max_events: Maximum number of events.
         """
         if not self.pending_changes:
-            found: list[tuple[int, int]] = self.poller.poll(timeout, most)
+            found: list[tuple[int, int]] = self.poller.poll(timeout, max_events)
             return found
         if self.clock() >= self.next_try:
             self.next_try = self.clock() + RETRY_INTERVAL
@@ -123,7 +123,7 @@
         if self.pending_changes:
             longest = RETRY_INTERVAL / 1000
             timeout = longest if timeout < 0 else min(timeout, longest)
-        found = self.poller.poll(timeout, most)
+        found = self.poller.poll(timeout, max_events)
         wanted = self.filter_wanted(found)
         if found and not wanted:
             time.sleep(UNWANTED_EVENT_PAUSE)
@@ -131,11 +131,11 @@
 
     def filter_wanted(self, found: list[tuple[int, int]]) -> list[tuple[int, int]]:
         """Filters out events that a descriptor is no longer watched for, while its change is pending."""
-        left = []
+        kept = []
         for descriptor, events in found:
             pending = self.pending_changes.get(descriptor)
             wanted = events if pending is None else pending.events
             reported = events & (wanted | ALWAYS_REPORTED) if wanted else 0
             if reported:
-                left.append((descriptor, reported))
-        return left
+                kept.append((descriptor, reported))
+        return kept
--- a/spurdeal/net/transient_errors.py
+++ b/spurdeal/net/transient_errors.py
@@ -15,6 +15,6 @@
 TRANSIENT_FILE_ERRORS = TRANSIENT | {errno.EIO}  # when reading a file
 
 
-def errno_name(fault: OSError) -> str:
+def errno_name(error: OSError) -> str:
     """The symbolic name of an error's errno, for the log."""
-    return errno.errorcode.get(fault.errno or 0, str(fault.errno))
+    return errno.errorcode.get(error.errno or 0, str(error.errno))
--- a/spurdeal/net/watch.py
+++ b/spurdeal/net/watch.py
@@ -97,9 +97,9 @@
         if self.failing_since:
             self.readable_since = min(self.readable_since, *self.failing_since.values())
 
-    def batch_ended(self, took: float, events: int) -> None:
+    def batch_ended(self, duration: float, events: int) -> None:
         """Records a batch: its duration in ms and its number of events."""
-        self.batch_time += took
+        self.batch_time += duration
         self.batch_events += events
 
     def report(self, now: float, gap: float) -> None:
@@ -111,10 +111,10 @@
             figures = {"ms": gap, "turns_ms": self.batch_time, "events": self.batch_events}
             self.log.warning("poll_gap", extra={"figures": figures})
 
-    def refused(self, call: str, descriptor: int, fault: OSError) -> None:
+    def refused(self, call: str, descriptor: int, error: OSError) -> None:
         """Counts and logs a failed call on the poller."""
-        self.counters.add(f"{call}_failed_errno_{fault.errno}")
-        self.lines.write("poller_call_failed", call=call, descriptor=descriptor, error=errno_name(fault))
+        self.counters.add(f"{call}_failed_errno_{error.errno}")
+        self.lines.write("poller_call_failed", call=call, descriptor=descriptor, error=errno_name(error))
 
     def arrival(self, unpolled: Unpolled | None = None) -> float:
         """The earliest time at which bytes that are read now can have arrived.
@@ -155,16 +155,16 @@
         """
         try:
             change(descriptor, *events)
-        except OSError as fault:
-            self.watch.refused(f"epoll_{call}", descriptor, fault)
+        except OSError as error:
+            self.watch.refused(f"epoll_{call}", descriptor, error)
             raise
 
-    def poll(self, timeout: float, most: int) -> list[tuple[int, int]]:
+    def poll(self, timeout: float, limit: int) -> list[tuple[int, int]]:
         """Waits for events, and records the return of the poll."""
         try:
-            found: list[tuple[int, int]] = self.poller.poll(timeout, most)
-        except OSError as fault:
-            self.watch.refused("epoll_wait", -1, fault)
+            found: list[tuple[int, int]] = self.poller.poll(timeout, limit)
+        except OSError as error:
+            self.watch.refused("epoll_wait", -1, error)
             raise
         self.watch.polled()
         return found
@@ -193,17 +193,17 @@
     ) -> None:
         self.loop, self.queue_length, self.waiting = loop, queue_length, waiting
         self.round, self.since = -1, 0.0
-        self.count, self.most = 0, 0  # accepted in that round, and the limit on them
+        self.count, self.limit = 0, 0  # accepted in that round, and the limit on them
         self.total = 0  # accepted so far
         self.samples = deque[
             QueueSample
         ]()  # since the queue was last empty; those that date no connection yet
         self.count_supported = False  # whether the system has ever reported a waiting connection
 
-    def accepted(self, most: int) -> Unpolled:
-        """Records an accept, of at most `most` in this round; returns since when the connection may wait."""
+    def accepted(self, limit: int) -> Unpolled:
+        """Records an accept, of at most `limit` in this round; returns since when the connection may wait."""
         if self.loop.round != self.round:
-            self.begin_round(most)
+            self.begin_round(limit)
             self.sample_queue(self.total + 1)
         while self.samples and self.total >= self.samples[0].first_newer:
             self.since = max(self.since, self.samples.popleft().at)
@@ -211,33 +211,33 @@
         self.total += 1
         return Unpolled(self.since, self.round + 1)
 
-    def begin_round(self, most: int) -> None:
+    def begin_round(self, limit: int) -> None:
         """Starts a round of the loop, at its first accept, whether that succeeded or failed."""
-        if self.loop.round > self.round + 1 or self.count < self.most:
+        if self.loop.round > self.round + 1 or self.count < self.limit:
             self.since = self.loop.arrival()
             self.samples.clear()
-        self.round, self.count, self.most = self.loop.round, 0, most
+        self.round, self.count, self.limit = self.loop.round, 0, limit
 
-    def sample_queue(self, taken: int) -> None:
-        """Samples the queue's length after `taken` connections were removed from it.
+    def sample_queue(self, removed: int) -> None:
+        """Samples the queue's length after `removed` connections left it.
 
         A length of 0 is trusted only if the system has reported more before, as some do not count at all.
         """
         at, waiting = self.loop.clock(), self.waiting()
         self.count_supported = self.count_supported or bool(waiting)
         if waiting is None or not self.count_supported:
-            at, taken, waiting = self.loop.arrival(), self.total, self.queue_length
-        while self.samples and self.samples[-1].first_newer >= taken + waiting:
+            at, removed, waiting = self.loop.arrival(), self.total, self.queue_length
+        while self.samples and self.samples[-1].first_newer >= removed + waiting:
             self.samples.pop()  # the new one dates all of its connections, and dates them later
-        self.samples.append(QueueSample(at, taken + waiting))
+        self.samples.append(QueueSample(at, removed + waiting))
 
     def failed(self) -> None:
         """Records a failed accept: the queue is not empty."""
         if self.loop.round != self.round:
             self.begin_round(0)
             self.sample_queue(self.total)
-        self.count = self.most = 0
+        self.count = self.limit = 0
 
     def resumed(self) -> None:
         """Accepting resumes after a pause: connections may have been waiting since the last accept."""
-        self.round, self.count, self.most = self.loop.round, 0, 0
+        self.round, self.count, self.limit = self.loop.round, 0, 0
--- a/tests/test_gone_clients.py
+++ b/tests/test_gone_clients.py
@@ -46,7 +46,7 @@
     """A request at the stage where it waits: its client, and a function that lets it proceed."""
 
     client: Talk
-    go_on: Callable[[], object]
+    proceed: Callable[[], object]
 
 
 @dataclass(frozen=True)
@@ -89,7 +89,7 @@
     return found
 
 
-def only_timers(steps: Steps) -> None:
+def run_due_timers(steps: Steps) -> None:
     """Runs the first half of a round: due timers; the loop reads and writes nothing."""
     steps.reactor.runUntilCurrent()
 
@@ -132,11 +132,11 @@
     def check(self, bring: Callable[[Steps], Waiting], leave: Leave | None, steps: Steps) -> None:
         steps.client()  # the client that cancels
         steps.until(lambda: steps.service.clients.connections)
-        client, go_on = bring(steps)
+        client, proceed = bring(steps)
         attempts(steps)
         if leave is not None:
             leave(steps, client)
-        go_on()
+        proceed()
         steps.go()
         self.assertEqual(attempts(steps), 1 if leave is None else 0)
         if leave is not None:  # a client that stays gets its attempt at this stage
@@ -194,7 +194,7 @@
             client = after_another(steps)
             client.post(LOOKUP)
             steps.until(lambda: steps.service.adapter.inbox)
-            return Waiting(client, lambda: only_timers(steps))
+            return Waiting(client, lambda: run_due_timers(steps))
 
         self.check_each_way(bring)
 
@@ -240,7 +240,7 @@
 
             def connected() -> None:
                 while not connection.up:
-                    only_timers(steps)
+                    run_due_timers(steps)
                     for dialled in steps.reactor.getWriters():
                         dialled.doWrite()
 
@@ -251,7 +251,7 @@
     def test_while_a_guard_has_not_decided(self) -> None:
         def bring(steps: Steps) -> Waiting:
             steps.served(1)
-            guard = SlowGuard()
+            guard = DeferringGuard()
             steps.service.adapter.guard = guard
             client = steps.client()
             client.post(LOOKUP)
@@ -270,7 +270,7 @@
             talk = steps.until(lambda: next((talk for talk in talks if talk.heard()), None))
             talk.say(LOOKUP, "503", "-", b"")
             steps.until(lambda: steps.service.adapter.inbox)
-            return Waiting(client, lambda: only_timers(steps))
+            return Waiting(client, lambda: run_due_timers(steps))
 
         self.check_each_way(bring, engines=2)
 
@@ -325,7 +325,7 @@
 
             def client_reads() -> None:
                 connection.resumeProducing()
-                only_timers(steps)
+                run_due_timers(steps)
 
             return Waiting(client, client_reads)
 
@@ -342,7 +342,7 @@
         client = steps.client()
         client.post(LOOKUP)
         steps.until(lambda: steps.service.adapter.inbox)
-        only_timers(steps)
+        run_due_timers(steps)
         self.assertEqual(attempts(steps), 1)
         client.socket.close()
         steps.go()
@@ -353,13 +353,13 @@
         """Attempts of a batch are in the journal once `batch_ended` has returned; then they are written."""
         steps = Steps(self)
         client = after_another(steps)
-        guard = SlowGuard()
+        guard = DeferringGuard()
         guard.before = lambda *_: True  # type: ignore[method-assign]
         guard.batch_ended = lambda: self.assertEqual(attempts(steps), 0)  # type: ignore[method-assign]
         steps.service.adapter.guard = guard
         client.post(LOOKUP)
         steps.until(lambda: steps.service.adapter.inbox)
-        only_timers(steps)
+        run_due_timers(steps)
         self.assertEqual(attempts(steps), 1)
 
     def test_two_in_one_batch_on_a_connection_with_a_journal(self) -> None:
@@ -367,19 +367,19 @@
         steps = Steps(self)
         steps.service.engines.most_connections = 1
         after_another(steps)
-        guard = SlowGuard()
+        guard = DeferringGuard()
         guard.before = lambda *_: True  # type: ignore[method-assign]
         steps.service.adapter.guard = guard
         for ident, client in ((LOOKUP, steps.client()), (OTHER, steps.client())):
             client.post(ident)
         steps.until(lambda: len(steps.service.adapter.inbox) == 2)
-        only_timers(steps)
+        run_due_timers(steps)
         said = [words[1] for words in steps.engines[0].talks[0].heard()]
         self.assertEqual(said, [f"{LOOKUP:016x}", f"{OTHER:016x}"])
 
     def test_a_connection_lost_before_the_journal_is_written(self) -> None:
         world = World(self, engines=2)
-        guard = SlowGuard()
+        guard = DeferringGuard()
         guard.before = lambda *_: True  # type: ignore[method-assign]
         caller = Caller(world)
         caller.post(1)
@@ -554,7 +554,7 @@
             steps.until(lambda: steps.service.adapter.inbox)
             process.kill()
             process.wait()
-        only_timers(steps)
+        run_due_timers(steps)
         steps.go()
         self.assertEqual(attempts(steps), 0)
         self.assertEqual(counted(steps, "trips_whose_client_left"), 1)
@@ -587,7 +587,7 @@
         self.assertEqual(world.service.adapter.by_ident, {})
 
 
-class SlowGuard:
+class DeferringGuard:
     """A guard that withholds its decisions until the test releases them."""
 
     def __init__(self) -> None:
