--- a/spurdeal/net/client.py
+++ b/spurdeal/net/client.py
@@ -26,14 +26,10 @@
     from .clients import Clients
 
 FIRST_REQUEST_TIMEOUT = 2000.0  # ms; a connection without any request must be closed within 3 s
-READ_TIMEOUT, REQUEST_TIMEOUT = (
-    2000.0,
-    10_000.0,
-)  # ms between two reads of one request; from its first byte to its last
-IDLE_TIMEOUT, WRITE_TIMEOUT = (
-    5000.0,
-    10_000.0,
-)  # ms; clients close idle connections after 4 s, but some never do
+# Of a partial request: ms between two reads of it, and from its first byte to its last.
+READ_TIMEOUT, REQUEST_TIMEOUT = 2000.0, 10_000.0
+# ms for keep-alive (clients close idle connections after 4 s, but some never do), and for reading responses.
+IDLE_TIMEOUT, WRITE_TIMEOUT = 5000.0, 10_000.0
 # Of a lingering close: ms that it takes, and bytes that are read and discarded in it.
 LINGER_TIMEOUT, MAX_LINGER_BYTES = 1000.0, 262_144
 MAX_READS_PER_REQUEST = 512  # consecutive reads of one call of dataReceived
@@ -64,17 +60,14 @@
         self.clients, self.parser = clients, RequestParser()
         self.call: Deferred[Answer] | None = None
         self.phase = Phase.OPEN
-        self.write_blocked = (
-            False  # the client does not read its responses, so nothing is read from it either
-        )
+        self.write_blocked = False  # the client does not read responses, so nothing is read from it either
         self.has_sent_request = False  # a query that was accepted, at least once
         self.draining = False  # it is closed after its next response
         self.state_since = self.last_read = clients.clock()
         self.dropped_bytes = 0  # while lingering
         self.arrivals = ArrivalTimes(clients.adapter.loop, clients.accepted())
-        self.cancelled_ahead = deque[
-            tuple[int, bool]
-        ]()  # of the response to each, and whether the connection is kept alive
+        # Of each DELETE carried out ahead: the status of its response, and whether to keep the connection.
+        self.cancelled_ahead = deque[tuple[int, bool]]()
         self.next_advance: Any = None  # the delayed call
         self.in_advance = False  # guards `advance` against recursion by a request that is answered at once
 
--- a/spurdeal/net/patient_socket.py
+++ b/spurdeal/net/patient_socket.py
@@ -28,6 +28,7 @@
         self.failing = False  # whether the last read failed with a transient error
 
     def __getattr__(self, name: str) -> Any:
+        """Delegates to the wrapped socket."""
         return getattr(self.real, name)
 
     def recv(self, size: int, flags: int = 0) -> bytes:
@@ -82,6 +83,7 @@
         self.real, self.counters, self.failed = real, counters, failed
 
     def __getattr__(self, name: str) -> Any:
+        """Delegates to the wrapped socket."""
         return getattr(self.real, name)
 
     def accept(self) -> Any:
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -1,7 +1,8 @@
 """The descriptor budget, eviction, and service to working clients during a flood of connections.
 
 Guards against idle or partial connections that use up all descriptors, so that clients which work are
-refused, cannot be answered, or engines cannot be reached."""
+refused, cannot be answered, or engines cannot be reached.
+"""
 
 import errno
 import json
--- a/tests/test_gone_clients.py
+++ b/tests/test_gone_clients.py
@@ -35,11 +35,8 @@
     client.reset()
 
 
-ENDS = (
-    close,
-    half_close,
-    reset,
-)  # the connections of a killed process end by the first or the last
+# The connections of a killed process end by the first or the last.
+ENDS = (close, half_close, reset)
 
 
 class Waiting(NamedTuple):
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -1,7 +1,8 @@
 """What a start waits for, and what it does not, on running dispatchers.
 
 Guards against a dispatcher that does not become ready without a name service, or that gives up on an
-address which its predecessor still holds."""
+address which its predecessor still holds.
+"""
 
 import errno
 import json
--- a/tests/test_retrying_poller.py
+++ b/tests/test_retrying_poller.py
@@ -1,6 +1,7 @@
 """A poller whose calls fail transiently: each change takes effect as soon as the system accepts it.
 
-Guards against sockets that are never read again after epoll_ctl has failed with ENOMEM."""
+Guards against sockets that are never read again after epoll_ctl has failed with ENOMEM.
+"""
 
 import errno
 import os
