--- a/spurdeal/fleet/fleet.py
+++ b/spurdeal/fleet/fleet.py
@@ -108,7 +108,7 @@
         own = Record(self.name, *self.address, self.boot, 1, Life.ALIVE)
         self.members = Members(own, self.terms.period, self.terms.forget, self.chance, now)
         self.lease = Lease(self.terms.lease, self.terms.part)
-        self.lease.alone = not self.seeds
+        self.lease.sole_member = not self.seeds
         self.grantor = Grantor(self.terms.lease, now)
         self.heard: dict[str, Heard] = {}
         self.messenger, self.renewal = Messenger(self, now), LeaseRenewal(self, self.lease, now)
@@ -265,7 +265,7 @@
             if record.life <= Life.SUSPECT:
                 self.members.put(now, record, self.name)
         self.members.raise_incarnation(incarnation)
-        self.lease.alone = self.lease.alone and not self.members.others
+        self.lease.sole_member = self.lease.sole_member and not self.members.others
         self.ladder.returned += 1
         self.told.append(Told("rejoined", {"before": f"{before:016x}", "boot": f"{self.boot:016x}"}))
 
--- a/spurdeal/fleet/handlers.py
+++ b/spurdeal/fleet/handlers.py
@@ -12,7 +12,7 @@
 
 from . import wire
 from .bringing import ReceivedPiece
-from .lease import Term, Word
+from .lease import StopReport, Term
 from .members import Address, Life
 from .messenger import Relay, Request, RequestKind
 from .table_sync import TablePage
@@ -59,7 +59,7 @@
     return act
 
 
-def grant(fleet: Fleet, now: float, name: str, term: Term, following: Term | None) -> list[int]:
+def grant(fleet: Fleet, now: float, name: str, term: Term, proposed: Term | None) -> list[int]:
     """Our answer to one who asks for its lease: the newest of its terms heard of, and whether we grant."""
     boot = fleet.sessions[name].peer_boot
     record = fleet.members.others.get(name)
@@ -67,7 +67,7 @@
         fleet.grantor.refuse(name, boot)
     if fleet.leaving or fleet.twin:
         return [0, int(False)]
-    heard_of, granted = fleet.grantor.ask(now, name, boot, term, following)
+    heard_of, granted = fleet.grantor.on_request(now, name, boot, term, proposed)
     return [heard_of, int(granted)]
 
 
@@ -166,17 +166,17 @@
     return act
 
 
-def on_word_request(fleet: Fleet, message: Message) -> Act:
+def on_stop_query(fleet: Fleet, message: Message) -> Act:
     """The sender wants to rely on a member's stop: what we know of its lease, as one of its grantors."""
     now, unix, source, name, body = message
     sequence, subject = wire.whole(body.get("q")), wire.text(body.get("who"))
     boot = wire.whole(body.get("boot"))
 
     def act() -> None:
-        word = fleet.grantor.word(now, subject, boot)
-        if word is None:
+        report = fleet.grantor.report_stop(now, subject, boot)
+        if report is None:
             return
-        term, following, refused, left = word
+        term, proposed, refused, left = report
         fields = {
             "k": "W",
             "q": sequence,
@@ -185,26 +185,26 @@
             "r": int(refused),
             "left": left,
             "t": wire.term_written(term),
-            "f": wire.term_written(following) if following is not None else None,
+            "f": wire.term_written(proposed) if proposed is not None else None,
         }
         fleet.messenger.send_without_news(now, unix, name, fields, source)
 
     return act
 
 
-def on_word(fleet: Fleet, message: Message) -> Act:
+def on_stop_report(fleet: Fleet, message: Message) -> Act:
     """What a grantor knows of a member that is gone."""
     name, body = message.name, message.body
     subject, boot = wire.text(body.get("who")), wire.whole(body.get("boot"))
     refused, left = wire.whole(body.get("r"), 1), wire.figure(body.get("left"))
     term = wire.term(body.get("t"))
-    following = wire.term(body["f"]) if body.get("f") is not None else None
+    proposed = wire.term(body["f"]) if body.get("f") is not None else None
     found = fleet.messenger.answered(body, name, RequestKind.WORD)
 
     def act() -> None:
         inquiry = fleet.stops.inquiries.get(subject)
         if found is not None and inquiry is not None and inquiry.boot == boot:
-            inquiry.word(message.now, found.sent, name, Word(term, following, bool(refused), left))
+            inquiry.add_report(message.now, found.sent, name, StopReport(term, proposed, bool(refused), left))
 
     return act
 
@@ -256,8 +256,8 @@
     "y": on_relayed_ack,
     "j": on_table_request,
     "J": on_table_page,
-    "w": on_word_request,
-    "W": on_word,
+    "w": on_stop_query,
+    "W": on_stop_report,
     "f": on_piece_request,
     "F": on_piece,
 }
--- a/spurdeal/fleet/lease.py
+++ b/spurdeal/fleet/lease.py
@@ -29,7 +29,7 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-DRIFT = 0.01  # two clocks' rates differ by less
+MAX_CLOCK_DRIFT = 0.01  # two clocks' rates differ by less
 GRANTORS = 7
 NEVER = -math.inf
 
@@ -40,13 +40,13 @@
     number: int
     grantors: tuple[str, ...]
 
-    def needed(self, part: float) -> int:
+    def quorum(self, part: float) -> int:
         """How many must answer: a part of them, one at least where there are any."""
         return min(len(self.grantors), max(1, math.ceil(part * len(self.grantors) - 1e-9)))
 
-    def to_begin(self, part: float) -> int:
+    def quorum_to_acquire(self, part: float) -> int:
         """How many must answer one that has no lease: so many that nobody else can have enough."""
-        return len(self.grantors) - self.needed(part) + 1
+        return len(self.grantors) - self.quorum(part) + 1
 
 
 NO_TERM = Term(0, ())
@@ -57,27 +57,27 @@
 
     def __init__(self, lease: float, part: float) -> None:
         self.lease, self.part = lease, part
-        self.term, self.asked = NO_TERM, dict[str, float]()
-        self.next: Term | None = None
-        self.next_asked: dict[str, float] = {}
-        self.next_told: set[str] = set()  # grantors of the term in force who have heard of the next
-        self.refused: set[str] = set()
-        self.alone = True  # nobody else was ever known: nobody needs to answer
+        self.term, self.grants = NO_TERM, dict[str, float]()
+        self.proposed: Term | None = None
+        self.proposed_grants: dict[str, float] = {}
+        self.proposal_acked_by: set[str] = set()  # grantors of the term in force who have heard of the next
+        self.refused_by: set[str] = set()
+        self.sole_member = True  # nobody else was ever known: nobody needs to answer
         self.held = False  # once begun, until it is lost
 
-    def until(self) -> float:
+    def expires_at(self) -> float:
         """When it ends, if nobody answers from here on."""
         if not self.term.grantors:
-            return math.inf if self.alone else NEVER
-        times = sorted((self.asked.get(name, NEVER) for name in self.term.grantors), reverse=True)
-        return times[self.term.needed(self.part) - 1] + self.lease if self.held else NEVER
+            return math.inf if self.sole_member else NEVER
+        times = sorted((self.grants.get(name, NEVER) for name in self.term.grantors), reverse=True)
+        return times[self.term.quorum(self.part) - 1] + self.lease if self.held else NEVER
 
     def holds(self, now: float) -> bool:
         """Whether the lease is held at that moment."""
-        self.held = self.held and now < self.until()
-        return now < self.until()
+        self.held = self.held and now < self.expires_at()
+        return now < self.expires_at()
 
-    def live(self, now: float, asked: dict[str, float]) -> int:
+    def live_grants(self, now: float, asked: dict[str, float]) -> int:
         """How many of these grants count yet, by the moments at which they were asked for."""
         return sum(at + self.lease > now for at in asked.values())
 
@@ -86,38 +86,38 @@
         wanted = tuple(sorted(grantors))
         if not wanted:
             return
-        self.alone = False
-        newest = self.next or self.term
-        if wanted == newest.grantors and not self.refused:
+        self.sole_member = False
+        newest = self.proposed or self.term
+        if wanted == newest.grantors and not self.refused_by:
             return
-        self.next = Term(newest.number + 1, wanted)
-        self.next_asked, self.next_told, self.refused = {}, set(), set()
+        self.proposed = Term(newest.number + 1, wanted)
+        self.proposed_grants, self.proposal_acked_by, self.refused_by = {}, set(), set()
 
-    def whom(self) -> list[str]:
+    def grantors_to_ask(self) -> list[str]:
         """All who are to be asked."""
-        return sorted({*self.term.grantors, *(self.next.grantors if self.next is not None else ())})
+        return sorted({*self.term.grantors, *(self.proposed.grantors if self.proposed is not None else ())})
 
     def answered(self, now: float, name: str, asked: float, heard_of: int, granted: bool) -> None:
         """A grantor's answer to what we asked at `asked`: the highest term of ours that it has heard of."""
         self.holds(now)  # what was lost meanwhile is to be begun anew
-        newest = self.next or self.term
+        newest = self.proposed or self.term
         if not granted:
             if heard_of == newest.number and name in newest.grantors:
-                self.refused.add(name)
+                self.refused_by.add(name)
         elif name in self.term.grantors:
-            self.asked[name] = max(asked, self.asked.get(name, NEVER))
-            self.held |= self.live(now, self.asked) >= self.term.to_begin(self.part)
-        if self.next is None or heard_of < self.next.number:
+            self.grants[name] = max(asked, self.grants.get(name, NEVER))
+            self.held |= self.live_grants(now, self.grants) >= self.term.quorum_to_acquire(self.part)
+        if self.proposed is None or heard_of < self.proposed.number:
             return
         if name in self.term.grantors:
-            self.next_told.add(name)
-        if granted and name in self.next.grantors:
-            self.next_asked[name] = max(asked, self.next_asked.get(name, NEVER))
-        told = self.term.needed(self.part) if self.term.grantors else 0
-        enough = self.next.needed(self.part) if self.held else self.next.to_begin(self.part)
-        if len(self.next_told) >= told and self.live(now, self.next_asked) >= enough:
-            self.term, self.asked, self.next, self.held = self.next, self.next_asked, None, True
-            self.next_asked, self.next_told = {}, set()
+            self.proposal_acked_by.add(name)
+        if granted and name in self.proposed.grantors:
+            self.proposed_grants[name] = max(asked, self.proposed_grants.get(name, NEVER))
+        told = self.term.quorum(self.part) if self.term.grantors else 0
+        enough = self.proposed.quorum(self.part) if self.held else self.proposed.quorum_to_acquire(self.part)
+        if len(self.proposal_acked_by) >= told and self.live_grants(now, self.proposed_grants) >= enough:
+            self.term, self.grants, self.proposed, self.held = self.proposed, self.proposed_grants, None, True
+            self.proposed_grants, self.proposal_acked_by = {}, set()
 
 
 class Grant(NamedTuple):
@@ -125,15 +125,15 @@
 
     boot: int
     term: Term  # in force, as it said
-    following: Term | None  # proposed
-    until: float  # by our clock: our answers count no longer
-    refused: int  # up to that term we answer no more
-    barred: float  # until then we answer nothing, since others rely on its stop
+    proposed: Term | None  # proposed
+    valid_until: float  # by our clock: our answers count no longer
+    refused_term: int  # up to that term we answer no more
+    barred_until: float  # until then we answer nothing, since others rely on its stop
 
     @property
     def newest(self) -> int:
         """The number of the newest term that was heard of."""
-        return (self.following or self.term).number
+        return (self.proposed or self.term).number
 
 
 class Reply(NamedTuple):
@@ -143,45 +143,45 @@
     granted: bool
 
 
-class Word(NamedTuple):
+class StopReport(NamedTuple):
     """What a grantor knows of one start of a member.
 
     Attributes: its terms, whether it refuses those, and for how many ms yet its answers may count.
     """
 
     term: Term
-    following: Term | None
+    proposed: Term | None
     refused: bool
-    left: float
+    remaining: float
 
 
 class Grantor:
     """A grantor's side: whom we have answered, until when that may count. Bounded by the members."""
 
     def __init__(self, lease: float, now: float) -> None:
-        self.lease = lease * (1 + DRIFT)
+        self.lease = lease * (1 + MAX_CLOCK_DRIFT)
         self.grants: dict[str, Grant] = {}
         # What an earlier start of ours has answered, or has barred, is not known any more.
-        self.rests_until = now + self.lease
+        self.silent_until = now + self.lease
 
-    def ask(self, now: float, name: str, boot: int, term: Term, following: Term | None) -> Reply:
+    def on_request(self, now: float, name: str, boot: int, term: Term, proposed: Term | None) -> Reply:
         """One asks us to grant its lease."""
-        if now < self.rests_until:
+        if now < self.silent_until:
             return Reply(0, False)  # nor noted: an earlier start of ours may have given its word (the model)
-        newest = (following or term).number
+        newest = (proposed or term).number
         known = self.grants.get(name)
-        if known is not None and now < known.barred:
+        if known is not None and now < known.barred_until:
             return Reply(known.newest if known.boot == boot else 0, False)
-        if known is not None and known.boot != boot and now < known.until:
+        if known is not None and known.boot != boot and now < known.valid_until:
             # Another start under this name may still act: two processes, or a quick restart.
             return Reply(0, False)
         if known is None or known.boot != boot:
-            known = Grant(boot, term, following, NEVER, -1, NEVER)
+            known = Grant(boot, term, proposed, NEVER, -1, NEVER)
         elif newest > known.newest or (newest == known.newest and term.number > known.term.number):
-            known = known._replace(term=term, following=following)
-        granted = newest > known.refused and newest >= known.newest
+            known = known._replace(term=term, proposed=proposed)
+        granted = newest > known.refused_term and newest >= known.newest
         if granted:
-            known = known._replace(until=now + self.lease)
+            known = known._replace(valid_until=now + self.lease)
         self.grants[name] = known
         return Reply(known.newest, granted)
 
@@ -189,9 +189,9 @@
         """That start of it counts as gone here: on the terms that we know we answer it no more."""
         known = self.grants.get(name)
         if known is not None and known.boot == boot:
-            self.grants[name] = known._replace(refused=max(known.refused, known.newest))
+            self.grants[name] = known._replace(refused_term=max(known.refused_term, known.newest))
 
-    def word(self, now: float, name: str, boot: int) -> Word | None:
+    def report_stop(self, now: float, name: str, boot: int) -> StopReport | None:
         """Our word to one who wants to rely on its stop; where we refuse it, we are barred from then on.
 
         Returns:
@@ -200,10 +200,10 @@
         known = self.grants.get(name)
         if known is None or known.boot != boot:
             return None
-        refused = known.refused >= known.newest
+        refused = known.refused_term >= known.newest
         if refused:
-            self.grants[name] = known._replace(barred=now + self.lease)
-        return Word(known.term, known.following, refused, max(0.0, known.until - now))
+            self.grants[name] = known._replace(barred_until=now + self.lease)
+        return StopReport(known.term, known.proposed, refused, max(0.0, known.valid_until - now))
 
 
 class Inquiry:
@@ -214,36 +214,36 @@
         self.terms: dict[int, Term] = {}  # those that may be in force
         self.in_force = 0
         # By grantor: when its answers end, and until when its word counts.
-        self.words: dict[str, tuple[float, float]] = {}
+        self.reports: dict[str, tuple[float, float]] = {}
 
-    def begin(self, term: Term, following: Term | None = None) -> None:
+    def note_terms(self, term: Term, proposed: Term | None = None) -> None:
         """That term was in force, and one is proposed: what came before counts no more."""
         self.terms[term.number] = term
-        if following is not None:
-            self.terms[following.number] = following
+        if proposed is not None:
+            self.terms[proposed.number] = proposed
         self.in_force = max(term.number, self.in_force)
         self.terms = {number: each for number, each in self.terms.items() if number >= self.in_force}
 
-    def whom(self) -> list[str]:
+    def grantors_to_ask(self) -> list[str]:
         """All who are to be asked."""
         return sorted({name for term in self.terms.values() for name in term.grantors})
 
-    def word(self, now: float, asked: float, name: str, word: Word) -> None:
+    def add_report(self, now: float, asked: float, name: str, report: StopReport) -> None:
         """A grantor's word, to what we asked at `asked`."""
-        self.begin(word.term, word.following)
-        if word.refused:
-            ends = now + word.left
-            if name in self.words:
-                ends = min(ends, self.words[name][0])
-            self.words[name] = (ends, asked + self.lease)
+        self.note_terms(report.term, report.proposed)
+        if report.refused:
+            ends = now + report.remaining
+            if name in self.reports:
+                ends = min(ends, self.reports[name][0])
+            self.reports[name] = (ends, asked + self.lease)
         else:
-            self.words.pop(name, None)
+            self.reports.pop(name, None)
 
     def stopped(self, now: float) -> bool:
         """It holds no lease, whatever its own clock says."""
-        ended = {name for name, (ends, until) in self.words.items() if ends <= now < until}
+        ended = {name for name, (ends, until) in self.reports.items() if ends <= now < until}
         terms = [term for term in self.terms.values() if term.grantors]  # without grantors none is held
         return bool(terms) and all(
-            len(ended.intersection(term.grantors)) > len(term.grantors) - term.needed(self.part)
+            len(ended.intersection(term.grantors)) > len(term.grantors) - term.quorum(self.part)
             for term in terms
         )
--- a/spurdeal/fleet/messenger.py
+++ b/spurdeal/fleet/messenger.py
@@ -166,7 +166,7 @@
         fields: dict[str, Any] = {"k": "p"}
         if kind is RequestKind.RENEW:
             lease = self.fleet.lease
-            proposed = wire.term_written(lease.next) if lease.next is not None else None
+            proposed = wire.term_written(lease.proposed) if lease.proposed is not None else None
             fields["l"] = [wire.term_written(lease.term), proposed]
             if self.fleet.page is not None:
                 fields["d"] = list(self.fleet.page)
--- a/spurdeal/fleet/renewal.py
+++ b/spurdeal/fleet/renewal.py
@@ -36,7 +36,7 @@
         # nobody before it knows the members: the seeds alone would be other grantors than those of its name.
         if not fleet.leaving and (fleet.synced or self.lease.term.grantors):
             self.lease.propose(rendezvous(fleet.name, self.candidates(now), GRANTORS))
-        for name in self.lease.whom():
+        for name in self.lease.grantors_to_ask():
             fleet.messenger.ping(now, unix, name, RequestKind.RENEW)
 
     def candidates(self, now: float) -> list[str]:
--- a/spurdeal/fleet/stop_inquiries.py
+++ b/spurdeal/fleet/stop_inquiries.py
@@ -61,12 +61,12 @@
     def ask_grantors(self, now: float, unix: float, name: str, inquiry: Inquiry) -> None:
         """Ask all grantors of that member, ourselves included."""
         fleet = self.fleet
-        word = fleet.grantor.word(now, name, inquiry.boot)
-        if word is not None:
-            inquiry.word(now, now, fleet.name, word)
+        report = fleet.grantor.report_stop(now, name, inquiry.boot)
+        if report is not None:
+            inquiry.add_report(now, now, fleet.name, report)
         known = (other for other in fleet.members.known() if other != name)
         fields = {"k": "w", "who": name, "boot": inquiry.boot}
-        for grantor in inquiry.whom() or rendezvous(name, known, GRANTORS):
+        for grantor in inquiry.grantors_to_ask() or rendezvous(name, known, GRANTORS):
             if grantor != fleet.name:
                 fleet.messenger.request(now, unix, grantor, RequestKind.WORD, fields)
 
--- a/spurdeal/lab/lease_faults.py
+++ b/spurdeal/lab/lease_faults.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..fleet.lease import NEVER, Grantor, Inquiry, Lease, Reply, Term, Word
+from ..fleet.lease import NEVER, Grantor, Inquiry, Lease, Reply, StopReport, Term
 from .lease_model import FAR, Kinds
 
 
@@ -15,32 +15,32 @@
     """A new term counts though the old grantors do not know of it."""
 
     def answered(self, now: float, name: str, asked: float, heard_of: int, granted: bool) -> None:
-        if self.next is not None and heard_of >= self.next.number:
-            self.next_told |= set(self.term.grantors)
+        if self.proposed is not None and heard_of >= self.proposed.number:
+            self.proposal_acked_by |= set(self.term.grantors)
         super().answered(now, name, asked, heard_of, granted)
 
 
 class AnswersThoughBarred(Grantor):
-    def ask(self, now: float, name: str, boot: int, term: Term, following: Term | None) -> Reply:
+    def on_request(self, now: float, name: str, boot: int, term: Term, proposed: Term | None) -> Reply:
         if name in self.grants:
-            self.grants[name] = self.grants[name]._replace(barred=NEVER)
-        return super().ask(now, name, boot, term, following)
+            self.grants[name] = self.grants[name]._replace(barred_until=NEVER)
+        return super().on_request(now, name, boot, term, proposed)
 
 
 class ForgetsItsRest(Grantor):
     """A new start answers at once, whatever the one before has said."""
 
-    def ask(self, now: float, name: str, boot: int, term: Term, following: Term | None) -> Reply:
-        self.rests_until = NEVER
-        return super().ask(now, name, boot, term, following)
+    def on_request(self, now: float, name: str, boot: int, term: Term, proposed: Term | None) -> Reply:
+        self.silent_until = NEVER
+        return super().on_request(now, name, boot, term, proposed)
 
 
 class SaysNothingLeft(Grantor):
     """Its answers may still count, and it does not say so."""
 
-    def word(self, now: float, name: str, boot: int) -> Word | None:
-        found = super().word(now, name, boot)
-        return None if found is None else found._replace(left=0.0)
+    def report_stop(self, now: float, name: str, boot: int) -> StopReport | None:
+        found = super().report_stop(now, name, boot)
+        return None if found is None else found._replace(remaining=0.0)
 
 
 class RefusesNothing(Grantor):
@@ -50,41 +50,41 @@
         super().refuse(name, boot)
         self.lying = True
 
-    def ask(self, now: float, name: str, boot: int, term: Term, following: Term | None) -> Reply:
+    def on_request(self, now: float, name: str, boot: int, term: Term, proposed: Term | None) -> Reply:
         if name in self.grants:
             known = self.grants[name]
-            heard, _ = super().ask(now, name, boot, term, following)
-            self.grants[name] = known._replace(until=now + self.lease)
+            heard, _ = super().on_request(now, name, boot, term, proposed)
+            self.grants[name] = known._replace(valid_until=now + self.lease)
             return Reply(heard, True)
-        return super().ask(now, name, boot, term, following)
+        return super().on_request(now, name, boot, term, proposed)
 
 
 class OneWordIsEnough(Inquiry):
     def stopped(self, now: float) -> bool:
-        return any(ends <= now < until for ends, until in self.words.values())
+        return any(ends <= now < until for ends, until in self.reports.values())
 
 
 class ForgetsNoWord(Inquiry):
     """A word counts for ever."""
 
-    def word(self, now: float, asked: float, name: str, word: Word) -> None:
-        super().word(now, asked, name, word)
-        self.words = {each: (ends, 10 * FAR) for each, (ends, _) in self.words.items()}
+    def add_report(self, now: float, asked: float, name: str, report: StopReport) -> None:
+        super().add_report(now, asked, name, report)
+        self.reports = {each: (ends, 10 * FAR) for each, (ends, _) in self.reports.items()}
 
 
 class KeepsToTheOldTerm(Inquiry):
     """It is not led on to newer grantors."""
 
-    def begin(self, term: Term, following: Term | None = None) -> None:
+    def note_terms(self, term: Term, proposed: Term | None = None) -> None:
         if not self.terms:
-            super().begin(term)
+            super().note_terms(term)
 
 
 class BelievesWhatIsProposed(Inquiry):
     """A term that was proposed counts as in force, as ours did until the walks found it."""
 
-    def begin(self, term: Term, following: Term | None = None) -> None:
-        super().begin(following or term)
+    def note_terms(self, term: Term, proposed: Term | None = None) -> None:
+        super().note_terms(proposed or term)
 
 
 IN_THE_LEASE = (
--- a/spurdeal/lab/lease_model.py
+++ b/spurdeal/lab/lease_model.py
@@ -14,7 +14,7 @@
 from functools import partial
 from typing import Any, NamedTuple
 
-from ..fleet.lease import Grant, Grantor, Inquiry, Lease, Term, Word
+from ..fleet.lease import Grant, Grantor, Inquiry, Lease, StopReport, Term
 from .model_check import Found, check
 
 STEP, LEASE, PART = 100.0, 300.0, 0.5
@@ -55,9 +55,9 @@
 
     term: Term
     asked: Times
-    following: Term | None
-    following_asked: Times
-    following_told: tuple[str, ...]
+    proposed: Term | None
+    proposed_grants: Times
+    proposal_acked_by: tuple[str, ...]
     refused: tuple[str, ...]
     held: bool
 
@@ -66,25 +66,25 @@
     """What a grantor knows of the subject, with moments relative to now."""
 
     term: Term
-    following: Term | None
+    proposed: Term | None
     until: float
     refused: int
-    barred: float
+    barred_until: float
 
 
 class GrantorState(NamedTuple):
     """One grantor, with moments relative to now."""
 
-    rests_until: float
+    silent_until: float
     grant: GrantState | None
 
 
 class InquiryState(NamedTuple):
-    """The inquiry into the subject. words: name, when its answers end, until when its word counts."""
+    """The inquiry into the subject. reports: name, when its answers end, until when its report counts."""
 
     in_force: int
     terms: tuple[Term, ...]
-    words: tuple[tuple[str, float, float], ...]
+    reports: tuple[tuple[str, float, float], ...]
 
 
 class Answer(NamedTuple):
@@ -131,11 +131,11 @@
     """The lease's state at time 0."""
     return LeaseState(
         lease.term,
-        relative(lease.asked),
-        lease.next,
-        relative(lease.next_asked),
-        tuple(sorted(lease.next_told)),
-        tuple(sorted(lease.refused)),
+        relative(lease.grants),
+        lease.proposed,
+        relative(lease.proposed_grants),
+        tuple(sorted(lease.proposal_acked_by)),
+        tuple(sorted(lease.refused_by)),
         lease.held,
     )
 
@@ -147,19 +147,23 @@
 
 def frozen_grantor(grantor: Grantor) -> GrantorState:
     """A grantor's state at time 0."""
-    rests, found = ago(grantor.rests_until, 0.0), grantor.grants.get(SUBJECT)
+    rests, found = ago(grantor.silent_until, 0.0), grantor.grants.get(SUBJECT)
     if found is None:
         return GrantorState(rests, None)
-    until, barred = ago(found.until, 0.0), ago(found.barred, 0.0)
-    return GrantorState(rests, GrantState(found.term, found.following, until, found.refused, barred))
+    until, barred_until = ago(found.valid_until, 0.0), ago(found.barred_until, 0.0)
+    return GrantorState(
+        rests, GrantState(found.term, found.proposed, until, found.refused_term, barred_until)
+    )
 
 
 def frozen_inquiry(inquiry: Inquiry) -> InquiryState:
     """The inquiry's state at time 0; words that count no more are left out."""
-    words = sorted(
-        (name, ago(ends, 0.0), ago(until, 0.0)) for name, (ends, until) in inquiry.words.items() if until > 0
+    reports = sorted(
+        (name, ago(ends, 0.0), ago(until, 0.0))
+        for name, (ends, until) in inquiry.reports.items()
+        if until > 0
     )
-    return InquiryState(inquiry.in_force, tuple(sorted(inquiry.terms.values())), tuple(words))
+    return InquiryState(inquiry.in_force, tuple(sorted(inquiry.terms.values())), tuple(reports))
 
 
 class Stops:
@@ -181,10 +185,10 @@
         lease.propose(SETS[0])
         grantors = {name: self.kinds.grantor(LEASE, -10 * LEASE) for name in self.names}
         for name in SETS[0]:
-            heard, granted = grantors[name].ask(0.0, SUBJECT, BOOT, lease.term, lease.next)
+            heard, granted = grantors[name].on_request(0.0, SUBJECT, BOOT, lease.term, lease.proposed)
             lease.answered(0.0, name, 0.0, heard, granted)
         inquiry = self.kinds.inquiry(SUBJECT, BOOT, PART, LEASE)
-        inquiry.begin(lease.term)
+        inquiry.note_terms(lease.term)
         return self.frozen(Parts(lease, grantors, inquiry), (), self.faults)
 
     def frozen(self, parts: Parts, flight: tuple[Answer, ...], faults: int) -> StopState:
@@ -206,26 +210,28 @@
         inquiry = self.kinds.inquiry(SUBJECT, BOOT, PART, LEASE)
         inquiry.in_force = state.inquiry.in_force
         inquiry.terms = {each.number: each for each in state.inquiry.terms}
-        inquiry.words = {name: (ends - shift, until - shift) for name, ends, until in state.inquiry.words}
+        inquiry.reports = {name: (ends - shift, until - shift) for name, ends, until in state.inquiry.reports}
         return Parts(self.thawed_lease(state.lease, shift), grantors, inquiry)
 
     def thawed_lease(self, state: LeaseState, shift: float) -> Lease:
         """The subject's lease of that state."""
         lease = self.kinds.lease(LEASE, PART)
-        lease.alone, lease.held = False, state.held
-        lease.term, lease.next = state.term, state.following
-        lease.asked = {name: at - shift for name, at in state.asked}
-        lease.next_asked = {name: at - shift for name, at in state.following_asked}
-        lease.next_told, lease.refused = set(state.following_told), set(state.refused)
+        lease.sole_member, lease.held = False, state.held
+        lease.term, lease.proposed = state.term, state.proposed
+        lease.grants = {name: at - shift for name, at in state.asked}
+        lease.proposed_grants = {name: at - shift for name, at in state.proposed_grants}
+        lease.proposal_acked_by, lease.refused_by = set(state.proposal_acked_by), set(state.refused)
         return lease
 
     def thawed_grantor(self, state: GrantorState, shift: float) -> Grantor:
         """A grantor of that state."""
         grantor = self.kinds.grantor(LEASE, 0.0)
-        grantor.rests_until = state.rests_until - shift
+        grantor.silent_until = state.silent_until - shift
         if state.grant is not None:
-            term, following, until, refused, barred = state.grant
-            grantor.grants[SUBJECT] = Grant(BOOT, term, following, until - shift, refused, barred - shift)
+            term, proposed, until, refused, barred_until = state.grant
+            grantor.grants[SUBJECT] = Grant(
+                BOOT, term, proposed, until - shift, refused, barred_until - shift
+            )
         return grantor
 
     # Steps.
@@ -253,7 +259,10 @@
         """Grantors are asked."""
         lease, _, inquiry = self.thawed(state)
         flight = state.flight
-        for kind, names in ((MoveKind.ASK, lease.whom()), (MoveKind.QUERY, inquiry.whom())):
+        for kind, names in (
+            (MoveKind.ASK, lease.grantors_to_ask()),
+            (MoveKind.QUERY, inquiry.grantors_to_ask()),
+        ):
             for name in names:
                 yield Move(kind, f"{kind} {name}", partial(self.asked, state, kind, name, False))
                 under_way = any((each.kind, each.grantor) == (kind, name) for each in flight)
@@ -271,9 +280,9 @@
         parts = self.thawed(state)
         told: tuple[Any, ...] | None
         if kind is MoveKind.ASK:
-            told = parts.grantors[name].ask(0.0, SUBJECT, BOOT, parts.lease.term, parts.lease.next)
+            told = parts.grantors[name].on_request(0.0, SUBJECT, BOOT, parts.lease.term, parts.lease.proposed)
         else:
-            told = parts.grantors[name].word(0.0, SUBJECT, BOOT)
+            told = parts.grantors[name].report_stop(0.0, SUBJECT, BOOT)
         flight = state.flight
         if told is not None:
             answer = Answer(kind, name, 0.0, tuple(told))
@@ -295,7 +304,7 @@
         if answer.kind is MoveKind.ASK:
             parts.lease.answered(0.0, answer.grantor, answer.asked, *answer.told)
         else:
-            parts.inquiry.word(0.0, answer.asked, answer.grantor, Word(*answer.told))
+            parts.inquiry.add_report(0.0, answer.asked, answer.grantor, StopReport(*answer.told))
 
     def faulty(self, state: StopState) -> Iterator[Move]:
         """Grantors hold the subject for gone, start anew, or are replaced."""
@@ -306,9 +315,9 @@
                 yield Move(fault, f"{name} holds it for gone", gone)
                 yield Move(fault, f"{name} restarts", partial(self.grantor_fails, state, name, True))
         lease = self.thawed(state).lease
-        newest = lease.next or lease.term
+        newest = lease.proposed or lease.term
         for grantors in SETS:
-            if newest.number < MOST_TERMS and (newest.grantors != grantors or lease.refused):
+            if newest.number < MOST_TERMS and (newest.grantors != grantors or lease.refused_by):
                 label = f"grantors {' '.join(grantors)}"
                 yield Move(fault, label, partial(self.replaced, state, grantors))
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -6,7 +6,7 @@
 from spurdeal.fleet.bringing import Shelf, UnusableListError, applied, pack, unpack
 from spurdeal.fleet.fleet import Fleet, FleetSettings, Terms
 from spurdeal.fleet.hybrid import MOST_AHEAD, Hybrid, Stamp
-from spurdeal.fleet.lease import Grantor, Inquiry, Lease, Term, Word
+from spurdeal.fleet.lease import Grantor, Inquiry, Lease, StopReport, Term
 from spurdeal.fleet.members import Life, rendezvous
 from spurdeal.fleet.standing import Ladder, Limits, Seen, Standing
 from spurdeal.fleet.versions import Book, Line, Version, list_digest
@@ -71,9 +71,9 @@
     def test_it_counts_from_when_it_was_asked(self) -> None:
         lease = self.settled(("a", "b", "c", "d"))
         lease.answered(500.0, "a", 500.0, 1, True)
-        self.assertEqual(1000.0, lease.until(), "one of the two that are needed is of 0")
+        self.assertEqual(1000.0, lease.expires_at(), "one of the two that are needed is of 0")
         lease.answered(500.0, "b", 400.0, 1, True)
-        self.assertEqual(1400.0, lease.until())
+        self.assertEqual(1400.0, lease.expires_at())
 
     def test_new_wardens_count_only_once_the_old_ones_know(self) -> None:
         lease = self.settled(("a", "b", "c", "d"))
@@ -105,43 +105,43 @@
                 now += chance.uniform(0.0, 60.0)
                 boot, name = chance.choice((7, 8)), chance.choice(names)
                 lease = leases[boot]
-                told = wards[name].ask(now, "d", boot, lease.term, lease.next)
+                told = wards[name].on_request(now, "d", boot, lease.term, lease.proposed)
                 lease.answered(now, name, now, *told)
                 self.assertLessEqual(sum(each.holds(now) for each in leases.values()), 1)
 
     def test_a_word_is_kept_until_it_counts_no_more(self) -> None:
         wards = Grantor(1000.0, -5000.0)
         term = Term(1, ("w", "x"))
-        self.assertEqual((1, True), wards.ask(0.0, "d", 7, term, None))
+        self.assertEqual((1, True), wards.on_request(0.0, "d", 7, term, None))
         wards.refuse("d", 7)
-        _, _, refused, left = wards.word(100.0, "d", 7) or (term, None, False, 0.0)
+        _, _, refused, left = wards.report_stop(100.0, "d", 7) or (term, None, False, 0.0)
         self.assertTrue(refused)
         self.assertEqual(910.0, round(left))
-        following = Term(2, ("w", "x"))
-        self.assertEqual((1, False), wards.ask(200.0, "d", 7, term, following), "others rely on it")
-        self.assertEqual((2, True), wards.ask(1200.0, "d", 7, term, following))
+        proposed = Term(2, ("w", "x"))
+        self.assertEqual((1, False), wards.on_request(200.0, "d", 7, term, proposed), "others rely on it")
+        self.assertEqual((2, True), wards.on_request(1200.0, "d", 7, term, proposed))
 
     def test_a_start_waits_until_the_one_before_it_counts_no_more(self) -> None:
         wards, term = Grantor(1000.0, -5000.0), Term(1, ("w",))
-        self.assertEqual((1, True), wards.ask(0.0, "d", 7, term, None))
-        self.assertEqual((0, False), wards.ask(1000.0, "d", 8, term, None))
-        self.assertEqual((1, True), wards.ask(1011.0, "d", 8, term, None))
+        self.assertEqual((1, True), wards.on_request(0.0, "d", 7, term, None))
+        self.assertEqual((0, False), wards.on_request(1000.0, "d", 8, term, None))
+        self.assertEqual((1, True), wards.on_request(1011.0, "d", 8, term, None))
 
     def test_a_new_start_of_a_warden_answers_nothing_for_a_lease(self) -> None:
         wards = Grantor(1000.0, 0.0)
-        self.assertEqual((0, False), wards.ask(500.0, "d", 7, Term(1, ("w",)), None))
-        self.assertEqual((1, True), wards.ask(1011.0, "d", 7, Term(1, ("w",)), None))
+        self.assertEqual((0, False), wards.on_request(500.0, "d", 7, Term(1, ("w",)), None))
+        self.assertEqual((1, True), wards.on_request(1011.0, "d", 7, Term(1, ("w",)), None))
 
     def test_enough_words_conclude_and_a_newer_term_begins_anew(self) -> None:
         inquiry, term = Inquiry("d", 7, 0.5, 1000.0), Term(1, ("a", "b", "c", "d"))
         for name in ("a", "b"):
-            inquiry.word(100.0, 90.0, name, Word(term, None, True, 300.0))
+            inquiry.add_report(100.0, 90.0, name, StopReport(term, None, True, 300.0))
         self.assertFalse(inquiry.stopped(399.0), "one of three may still be answered")
-        inquiry.word(100.0, 90.0, "c", Word(term, None, True, 200.0))
+        inquiry.add_report(100.0, 90.0, "c", StopReport(term, None, True, 200.0))
         self.assertEqual([False, True, False], [inquiry.stopped(at) for at in (399.0, 400.0, 1090.0)])
-        inquiry.word(500.0, 490.0, "d", Word(term, Term(2, ("e",)), False, 0.0))
+        inquiry.add_report(500.0, 490.0, "d", StopReport(term, Term(2, ("e",)), False, 0.0))
         self.assertFalse(inquiry.stopped(500.0), "the proposed term may be in force")
-        inquiry.word(500.0, 490.0, "e", Word(term, Term(2, ("e",)), True, 0.0))
+        inquiry.add_report(500.0, 490.0, "e", StopReport(term, Term(2, ("e",)), True, 0.0))
         self.assertTrue(inquiry.stopped(500.0))
 
 
