--- a/spurdeal/fleet/bringing.py
+++ b/spurdeal/fleet/bringing.py
@@ -20,15 +20,15 @@
 from .errors import FleetError
 from .versions import Offer, Row, Version
 
-PIECE = 600  # bytes of packed text in one datagram
-MOST_PIECES = 128
+PIECE_SIZE = 600  # bytes of packed text in one datagram
+MAX_PIECES = 128
 LARGEST = 1_048_576  # bytes unpacked
-KEPT = 8  # lists kept for those who are behind
-SERVED = 24  # pieces served in a period
+KEPT_LISTS = 8  # lists kept for those who are behind
+MAX_SERVED = 24  # pieces served in a period
 MAX_REFUSED = 64  # versions whose content was not acted on
-PATIENCE = 200.0  # ms for one piece
-PAUSE = 50.0, 150.0  # ms after a failure until another is asked
-ONE_WITNESS_DROPS = 0.34  # of the engines ready here: what one witness alone may take away at once
+PIECE_TIMEOUT = 200.0  # ms for one piece
+RETRY_PAUSE = 50.0, 150.0  # ms after a failure until another is asked
+MAX_SINGLE_WITNESS_DROP = 0.34  # of the engines ready here: what one witness alone may take away at once
 
 Rows = dict[str, Row]
 
@@ -40,7 +40,7 @@
 def pack(value: object) -> list[bytes]:
     """A JSON value as pieces of packed bytes."""
     packed = zlib.compress(json.dumps(value, separators=(",", ":")).encode(), 9)
-    return [packed[at : at + PIECE] for at in range(0, len(packed), PIECE)]
+    return [packed[at : at + PIECE_SIZE] for at in range(0, len(packed), PIECE_SIZE)]
 
 
 def unpack(pieces: Sequence[bytes]) -> object:
@@ -67,7 +67,7 @@
     }
 
 
-def applied(old: Rows, told: object) -> Rows:
+def apply_changes(old: Rows, told: object) -> Rows:
     """The whole list of what a peer has told, over what we have.
 
     Raises:
@@ -97,7 +97,7 @@
 BUSY = Piece(0, b"")
 
 
-class Shelf:
+class ListStore:
     """Our newest lists, for those who are behind."""
 
     def __init__(self, period: float, now: float) -> None:
@@ -109,7 +109,7 @@
     def keep(self, version: Version, rows: Rows) -> None:
         """Keep one more list; the oldest is dropped past KEPT."""
         self.lists[version] = rows
-        while len(self.lists) > KEPT:
+        while len(self.lists) > KEPT_LISTS:
             self.lists.popitem(last=False)
         self.packed.clear()
 
@@ -119,7 +119,7 @@
             return None
         if now - self.since >= self.period:
             self.since, self.served = now, 0
-        if self.served >= SERVED:
+        if self.served >= MAX_SERVED:
             self.busy += 1
             return BUSY
         if (have, want) not in self.packed:
@@ -128,16 +128,16 @@
                 changes = difference(self.lists[have], self.lists[want])
                 told = min(told, changes, key=lambda each: len(str(each)))
             self.packed[have, want] = pack(told)
-            while len(self.packed) > 4 * KEPT:
+            while len(self.packed) > 4 * KEPT_LISTS:
                 self.packed.popitem(last=False)
         pieces = self.packed[have, want]
-        if place >= len(pieces) or len(pieces) > MOST_PIECES:
+        if place >= len(pieces) or len(pieces) > MAX_PIECES:
             return None
         self.served += 1
         return Piece(len(pieces), pieces[place])
 
 
-class Ask(NamedTuple):
+class PieceRequest(NamedTuple):
     """To be sent: the piece at a place, of what, from whom."""
 
     to: str
@@ -162,13 +162,13 @@
         self.chance = chance
         self.want: Version | None = None
         self.have = Version(0, 0, "")
-        self.of, self.pieces = "", list[bytes]()
+        self.holder, self.pieces = "", list[bytes]()
         self.count, self.due, self.next_try = 0, 0.0, 0.0
         self.failed: dict[str, int] = {}  # holders that gave nothing usable, this time
         self.refused: set[Version] = set()  # versions whose content was no good: they are not asked for again
-        self.spoilt = self.begun = 0
+        self.unusable = self.started = 0
 
-    def tick(self, now: float, have: Version, offers: Sequence[Offer]) -> Ask | None:
+    def tick(self, now: float, have: Version, offers: Sequence[Offer]) -> PieceRequest | None:
         """What to ask for now. offers: versions beyond ours, newest first, and who holds them."""
         if self.want is not None:
             if have.order >= self.want.order:
@@ -186,17 +186,17 @@
             least = min((self.failed.get(name, 0) for name in holders), default=0)
             willing = [name for name in holders if self.failed.get(name, 0) == least]
             if willing:
-                self.want, self.have, self.of = version, have, self.chance.choice(willing)
-                self.pieces, self.count, self.due = [], 0, now + PATIENCE
-                self.begun += 1
-                return Ask(self.of, have, version, 0)
+                self.want, self.have, self.holder = version, have, self.chance.choice(willing)
+                self.pieces, self.count, self.due = [], 0, now + PIECE_TIMEOUT
+                self.started += 1
+                return PieceRequest(self.holder, have, version, 0)
         return None
 
-    def came(self, now: float, sender: str, piece: ReceivedPiece) -> Ask | list[bytes] | None:
+    def on_piece(self, now: float, sender: str, piece: ReceivedPiece) -> PieceRequest | list[bytes] | None:
         """A piece: what to ask for next, or all of them."""
-        if sender != self.of or piece.want != self.want or piece.place != len(self.pieces):
+        if sender != self.holder or piece.want != self.want or piece.place != len(self.pieces):
             return None
-        if not 0 < piece.total <= MOST_PIECES or (self.pieces and piece.total != self.count):
+        if not 0 < piece.total <= MAX_PIECES or (self.pieces and piece.total != self.count):
             self.fail(now)
             return None
         try:
@@ -204,16 +204,16 @@
         except ValueError:
             self.fail(now)
             return None
-        self.count, self.due = piece.total, now + PATIENCE
+        self.count, self.due = piece.total, now + PIECE_TIMEOUT
         if len(self.pieces) < piece.total:
-            return Ask(self.of, self.have, piece.want, len(self.pieces))
+            return PieceRequest(self.holder, self.have, piece.want, len(self.pieces))
         return self.pieces
 
-    def fail(self, now: float, spoilt: bool = False) -> None:
+    def fail(self, now: float, unusable: bool = False) -> None:
         """This holder gave nothing usable: another, after a pause by chance."""
-        self.failed[self.of] = self.failed.get(self.of, 0) + 1
-        self.spoilt += spoilt
-        self.end(now, self.chance.uniform(*PAUSE))
+        self.failed[self.holder] = self.failed.get(self.holder, 0) + 1
+        self.unusable += unusable
+        self.end(now, self.chance.uniform(*RETRY_PAUSE))
 
     def refuse(self, now: float) -> None:
         """The content is what was claimed, and still not to be acted on."""
@@ -229,7 +229,7 @@
             self.failed = {}
 
 
-def drops(old: Mapping[str, Row], new: Mapping[str, Row], ready: int) -> float:
+def dropped_share(old: Mapping[str, Row], new: Mapping[str, Row], ready: int) -> float:
     """The part of what is ready in the old list that is not in the new.
 
     Args:
--- a/spurdeal/fleet/fleet.py
+++ b/spurdeal/fleet/fleet.py
@@ -18,8 +18,8 @@
 from ..vrrp.sealed import Keys, Session
 from . import wire
 from .audit import SealedPage
-from .bringing import Rows, Shelf
-from .hybrid import Hybrid
+from .bringing import ListStore, Rows
+from .hybrid import HybridClock
 from .lease import GRANTORS, Grantor, Lease
 from .list_sync import READY, ListSync
 from .members import Address, Change, Life, Members, Record
@@ -27,14 +27,14 @@
 from .name_conflict import NameConflict
 from .receiver import Heard, Receiver
 from .renewal import LeaseRenewal
-from .standing import Allowed, Ladder, Limits, Seen, Standing
+from .standing import Allowed, Limits, Observations, Standing, StandingTracker
 from .status import fleet_status
 from .stop_inquiries import StopInquiries
 from .table_sync import TableSync
-from .terms import TICK, Terms, Told
-from .versions import Book, Clash, Line, Version
+from .terms import TICK, FleetEvent, Terms
+from .versions import Clash, Line, Version, VersionRegistry
 
-__all__ = ["READY", "TICK", "Fleet", "FleetSettings", "Terms", "Told"]
+__all__ = ["READY", "TICK", "Fleet", "FleetEvent", "FleetSettings", "Terms"]
 
 MIN_CLOCKS = 3  # so many others must tell theirs, before ours can be found off
 SHIFT_EVERY = 250.0  # ms
@@ -85,13 +85,13 @@
         self.terms, self.keys = settings.terms, settings.keys
         self.chance, self.bring = chance, bring
         self.out: list[tuple[Address, bytes]] = []
-        self.told: list[Told] = []
-        self.told_once: set[str] = set()
+        self.events: list[FleetEvent] = []
+        self.reported_once: set[str] = set()
         self.counts: Counter[str] = Counter()
-        self.hybrid, self.book = Hybrid(unix), Book(self.name)
+        self.hybrid, self.registry = HybridClock(unix), VersionRegistry(self.name)
         terms = self.terms
         limits = Limits(terms.behind_for, terms.shut_after, terms.most_shut, terms.clock_off)
-        self.ladder = Ladder(self.name, limits, now)
+        self.tracker = StandingTracker(self.name, limits, now)
         self.rows: Rows = {}
         self.page: SealedPage | None = None  # the newest of our own audit log
         self.clock_shift, self.next_shift = 0.0, now
@@ -123,9 +123,9 @@
         return self.messenger.sessions
 
     @property
-    def shelf(self) -> Shelf:
+    def list_store(self) -> ListStore:
         """Lists that are kept for those who are behind."""
-        return self.list_sync.shelf
+        return self.list_sync.list_store
 
     @property
     def twin(self) -> bool:
@@ -148,7 +148,7 @@
 
         The lease is looked at anew, as the process may have stood still.
         """
-        allowed = self.ladder.allowed
+        allowed = self.tracker.allowed
         return allowed if self.lease.holds(now) else allowed._replace(doubtful=False)
 
     def in_force(
@@ -165,24 +165,24 @@
         Returns:
             Whether it is newer than what was in force.
         """
-        taken = self.book.take(line, version, by_source)
+        taken = self.registry.take(line, version, by_source)
         if taken and rows is not None:
             self.rows = rows
-            self.shelf.keep(version, rows)
-        for clash in self.book.clashes.values():
-            self.tell_clash(clash)
+            self.list_store.keep(version, rows)
+        for clash in self.registry.clashes.values():
+            self.report_clash(clash)
         return taken
 
-    def source_says(self, version: Version) -> None:
+    def note_source_content(self, version: Version) -> None:
         """What our source says that the version in force holds: other content than ours is a clash."""
-        own = self.book.force.get(Line.LIST)
+        own = self.registry.in_force.get(Line.LIST)
         if own is not None and own.order == version.order and own.digest != version.digest:
-            for clash in self.book.clash(Line.LIST, version, f"{self.name}'s source"):
-                self.tell_clash(clash)
+            for clash in self.registry.clash(Line.LIST, version, f"{self.name}'s source"):
+                self.report_clash(clash)
 
     def source_answered(self, now: float) -> None:
         """The name service has answered, whether or not with news."""
-        self.list_sync.source_at = now
+        self.list_sync.source_answered_at = now
 
     def stopped(self, now: float, name: str) -> bool:
         """Whether that member, gone as we see it, is known to send nothing irreversible any more."""
@@ -216,7 +216,7 @@
         self.stops.tick(now, unix)
         self.take_changes()
         self.name_conflict.settle(now)
-        self.stand(now)
+        self.update_standing(now)
 
     def note_pause(self, now: float) -> bool:
         """Whether the process has stood still; what did not come meanwhile proves nothing then."""
@@ -224,28 +224,28 @@
         self.ticked = now
         if gap <= 2 * self.terms.period:
             return False
-        self.list_sync.source_at += gap
-        self.ladder.stood_still(gap)
+        self.list_sync.source_answered_at += gap
+        self.tracker.discount_pause(gap)
         return True
 
-    def stand(self, now: float) -> None:
+    def update_standing(self, now: float) -> None:
         """Judge our standing anew, and start anew where the lease is lost for good."""
         held = self.renewal.held(now)
         if now >= self.next_shift:
             self.next_shift, self.clock_shift = now + SHIFT_EVERY, self.shift(now)
-        if self.ladder.step(now, self.seen(now, held)):
-            self.tell_standing()
-            if self.ladder.standing is Standing.JOINING:
+        if self.tracker.step(now, self.observe(now, held)):
+            self.report_standing()
+            if self.tracker.standing is Standing.JOINING:
                 self.table_sync.restart(now)
         if self.renewal.lost_for_good(now):
             self.rejoin(now)
 
-    def seen(self, now: float, held: bool) -> Seen:
+    def observe(self, now: float, held: bool) -> Observations:
         """What the standing is judged on."""
-        return Seen(
+        return Observations(
             held,
-            self.book.behind(),
-            now - self.list_sync.source_at,
+            self.registry.behind(),
+            now - self.list_sync.source_answered_at,
             self.others_behind,
             self.members.size(),
             self.synced,
@@ -263,20 +263,20 @@
         self.begin(now)
         for record in others.values():
             if record.life <= Life.SUSPECT:
-                self.members.put(now, record, self.name)
+                self.members.set_record(now, record, self.name)
         self.members.raise_incarnation(incarnation)
         self.lease.sole_member = self.lease.sole_member and not self.members.others
-        self.ladder.returned += 1
-        self.told.append(Told("rejoined", {"before": f"{before:016x}", "boot": f"{self.boot:016x}"}))
+        self.tracker.returned += 1
+        self.events.append(FleetEvent("rejoined", {"before": f"{before:016x}", "boot": f"{self.boot:016x}"}))
 
     def others_behind(self) -> list[str]:
         """Members that are on an older list than the newest, or shut out, by their last word."""
-        newest = self.book.newest(Line.LIST)
+        newest = self.registry.newest(Line.LIST)
         if newest is None:
             return []
         return [
             name
-            for name, claims in self.book.claims.items()
+            for name, claims in self.registry.claims.items()
             if (Line.LIST in claims and claims[Line.LIST].order < newest.order)
             or (name in self.heard and self.heard[name].standing is Standing.SHUT)
         ]
@@ -295,12 +295,12 @@
         """Report what has changed among the members, and act on who is gone."""
         changes, self.members.changes = self.members.changes, []
         for change in changes:
-            self.tell_change(change)
+            self.report_change(change)
             if change.life is Life.GONE:
                 self.grantor.refuse(change.name, change.boot)
                 self.stops.begin(change.name, change.boot)
             if change.life >= Life.GONE:
-                self.book.forget(change.name)
+                self.registry.forget(change.name)
                 self.heard.pop(change.name, None)
         self.bound_tables()
 
@@ -311,7 +311,7 @@
             self.sessions,
             self.grantor.grants,
             self.heard,
-            self.book.claims,
+            self.registry.claims,
         )
         for table in tables:
             if len(table) > most:
@@ -320,7 +320,7 @@
 
     # Events.
 
-    def tell_change(self, change: Change) -> None:
+    def report_change(self, change: Change) -> None:
         """Report how a member is."""
         figures = {
             "name": change.name,
@@ -328,26 +328,26 @@
             "boot": f"{change.boot:016x}",
             "why": change.why,
         }
-        self.told.append(Told("member", figures))
+        self.events.append(FleetEvent("member", figures))
 
-    def tell_standing(self) -> None:
+    def report_standing(self) -> None:
         """Report our standing."""
         figures = {
-            "standing": self.ladder.standing.name.lower(),
-            "why": self.ladder.why,
-            "list": str(self.book.force.get(Line.LIST, "")),
+            "standing": self.tracker.standing.name.lower(),
+            "why": self.tracker.why,
+            "list": str(self.registry.in_force.get(Line.LIST, "")),
         }
-        self.told.append(Told("standing", figures))
+        self.events.append(FleetEvent("standing", figures))
 
-    def tell_clash(self, clash: Clash) -> None:
+    def report_clash(self, clash: Clash) -> None:
         """Report, once, two contents of one version."""
-        self.tell_once(f"clash {clash}", "clash", {"says": str(clash)})
+        self.report_once(f"clash {clash}", "clash", {"says": str(clash)})
 
-    def tell_once(self, key: str, what: str, figures: dict[str, Any]) -> None:
+    def report_once(self, key: str, what: str, figures: dict[str, Any]) -> None:
         """Report once what lasts; `key` tells one such thing from another."""
-        if key not in self.told_once and len(self.told_once) < MAX_TOLD_ONCE:
-            self.told_once.add(key)
-            self.told.append(Told(what, figures))
+        if key not in self.reported_once and len(self.reported_once) < MAX_TOLD_ONCE:
+            self.reported_once.add(key)
+            self.events.append(FleetEvent(what, figures))
 
     # Datagrams.
 
@@ -362,6 +362,6 @@
         return {
             "h": list(self.hybrid.stamp(unix)),
             "u": int(unix + self.skew),
-            "v": wire.versions_written(self.book.force),
-            "s": int(self.ladder.standing),
+            "v": wire.versions_written(self.registry.in_force),
+            "s": int(self.tracker.standing),
         } | dict(fields)
--- a/spurdeal/fleet/handlers.py
+++ b/spurdeal/fleet/handlers.py
@@ -103,7 +103,7 @@
             relay = Relay(name, source, sequence)
             own = messenger.opened(Request(target, now, RequestKind.RELAY, relay))
             messenger.send(now, unix, target, {"k": "p", "q": own}, address)
-        messenger.send_without_news(now, unix, name, {"k": "n", "q": sequence}, source)
+        messenger.send_without_gossip(now, unix, name, {"k": "n", "q": sequence}, source)
 
     return act
 
@@ -142,12 +142,12 @@
         fields = {"k": "J", "q": sequence, "i": offset, "of": len(table)}
         left, rows = wire.room(fleet.name, fleet.body(unix, fields)) - PAGE_RESERVE, list[list[Any]]()
         for record in table[offset : offset + wire.MOST_RECORDS]:
-            row = wire.written(fleet.members.as_told(record))
+            row = wire.written(fleet.members.as_gossip(record))
             left -= len(str(row)) + 1
             if left < 0:
                 break
             rows.append(row)
-        fleet.messenger.send_without_news(now, unix, name, fields | {"n": rows}, source)
+        fleet.messenger.send_without_gossip(now, unix, name, fields | {"n": rows}, source)
 
     return act
 
@@ -187,7 +187,7 @@
             "t": wire.term_written(term),
             "f": wire.term_written(proposed) if proposed is not None else None,
         }
-        fleet.messenger.send_without_news(now, unix, name, fields, source)
+        fleet.messenger.send_without_gossip(now, unix, name, fields, source)
 
     return act
 
@@ -216,7 +216,7 @@
     have, want = wire.version(body.get("have")), wire.version(body.get("want"))
 
     def act() -> None:
-        piece = fleet.shelf.piece(now, have, want, place)
+        piece = fleet.list_store.piece(now, have, want, place)
         if piece is None:
             return
         fleet.counts["pieces_served"] += 1
@@ -228,7 +228,7 @@
             "of": piece.total,
             "b": base64.b64encode(piece.data).decode(),
         }
-        fleet.messenger.send_without_news(now, unix, name, fields, source)
+        fleet.messenger.send_without_gossip(now, unix, name, fields, source)
 
     return act
 
--- a/spurdeal/fleet/hybrid.py
+++ b/spurdeal/fleet/hybrid.py
@@ -25,7 +25,7 @@
         return f"{self.ms}.{self.tally}"
 
 
-class Hybrid:
+class HybridClock:
     """One dispatcher's clock. Each call names its Unix time in ms."""
 
     def __init__(self, unix: float) -> None:
@@ -40,7 +40,7 @@
             self.last = self.after(self.last.ms, self.last.tally + 1)
         return self.last
 
-    def seen(self, unix: float, other: Stamp) -> bool:
+    def receive(self, unix: float, other: Stamp) -> bool:
         """A datagram has come with this stamp; False, and nothing taken of it, where it is too far ahead."""
         if other.ms > unix + MOST_AHEAD:
             self.refused += 1
--- a/spurdeal/fleet/list_sync.py
+++ b/spurdeal/fleet/list_sync.py
@@ -6,19 +6,19 @@
 
 from ..interface import Life as EngineLife
 from .bringing import (
-    ONE_WITNESS_DROPS,
-    Ask,
+    MAX_SINGLE_WITNESS_DROP,
     Fetch,
+    ListStore,
+    PieceRequest,
     ReceivedPiece,
     Rows,
-    Shelf,
     UnusableListError,
-    applied,
-    drops,
+    apply_changes,
+    dropped_share,
     unpack,
 )
 from .messenger import RequestKind
-from .terms import Told
+from .terms import FleetEvent
 from .versions import ROW, WITNESSES, Line, Offer, Version, list_digest
 
 if TYPE_CHECKING:
@@ -35,14 +35,14 @@
 
     def __init__(self, fleet: Fleet, now: float) -> None:
         self.fleet = fleet
-        self.shelf, self.fetch = Shelf(fleet.terms.period, now), Fetch(fleet.chance)
-        self.source_at, self.next_offers = now, now
-        self.max_single_drop = ONE_WITNESS_DROPS
+        self.list_store, self.fetch = ListStore(fleet.terms.period, now), Fetch(fleet.chance)
+        self.source_answered_at, self.next_offers = now, now
+        self.max_single_drop = MAX_SINGLE_WITNESS_DROP
         self.offered: dict[Version, float] = {}  # since when a version beyond ours is claimed
 
     def tick(self, now: float, unix: float) -> None:
         """Ask for the next piece where a newer list is known."""
-        have = self.fleet.book.force.get(Line.LIST)
+        have = self.fleet.registry.in_force.get(Line.LIST)
         if have is None or (self.fetch.want is None and now < self.next_offers):
             return
         self.next_offers = now + OFFERS_EVERY
@@ -57,28 +57,28 @@
         all.
         """
         fleet = self.fleet
-        offers = fleet.book.offers() if self.fetch.want is None else []
+        offers = fleet.registry.offers() if self.fetch.want is None else []
         for version, holders in offers:
             if version not in self.offered:
                 figures = {"list": str(version), "at": " ".join(holders[:NAMED_HOLDERS])}
-                fleet.told.append(Told("newer_seen", figures))
+                fleet.events.append(FleetEvent("newer_seen", figures))
         self.offered = {version: self.offered.get(version, now) for version, _ in offers}
-        patience = SOURCE_FIRST if now - self.source_at < SOURCE_FIRST else 0.0
+        patience = SOURCE_FIRST if now - self.source_answered_at < SOURCE_FIRST else 0.0
         return [
             Offer(version, [name for name in holders if name in fleet.heard])
             for version, holders in offers
             if now - self.offered[version] >= patience
         ]
 
-    def request_piece(self, now: float, unix: float, ask: Ask) -> None:
+    def request_piece(self, now: float, unix: float, ask: PieceRequest) -> None:
         """Send a request for one piece of a list."""
         fields = {"k": "f", "have": list(ask.have), "want": list(ask.want), "i": ask.place}
         self.fleet.messenger.request(now, unix, ask.to, RequestKind.FETCH, fields)
 
     def piece_arrived(self, now: float, unix: float, name: str, piece: ReceivedPiece) -> None:
         """A piece has come, in base64: the next is asked for, or the whole list is checked and applied."""
-        step = self.fetch.came(now, name, piece)
-        if isinstance(step, Ask):
+        step = self.fetch.on_piece(now, name, piece)
+        if isinstance(step, PieceRequest):
             self.request_piece(now, unix, step)
         elif step is not None:
             self.apply(now, name, piece.want, step)
@@ -90,17 +90,17 @@
             rows = self.unpacked(want, pieces)
         except (UnusableListError, TypeError) as fault:
             self.fetch.fail(now, True)
-            fleet.told.append(Told("bring_up_failed", {"from": name, "why": str(fault)}))
+            fleet.events.append(FleetEvent("bring_up_failed", {"from": name, "why": str(fault)}))
             return
-        dropped = drops(fleet.rows, rows, READY)
-        if dropped > self.max_single_drop and len(fleet.book.holders(Line.LIST, want)) < WITNESSES:
+        dropped = dropped_share(fleet.rows, rows, READY)
+        if dropped > self.max_single_drop and len(fleet.registry.holders(Line.LIST, want)) < WITNESSES:
             self.fetch.refuse(now)
             figures = {"from": name, "drops": round(dropped, 2), "list": str(want)}
-            fleet.told.append(Told("list_refused", figures))
+            fleet.events.append(FleetEvent("list_refused", figures))
             return
         self.fetch.end(now, 0.0)
         if fleet.in_force(Line.LIST, want, rows, by_source=False):
-            fleet.told.append(Told("brought_up", {"from": name, "list": str(want)}))
+            fleet.events.append(FleetEvent("brought_up", {"from": name, "list": str(want)}))
             fleet.bring(want, rows)
 
     def unpacked(self, want: Version, pieces: list[bytes]) -> Rows:
@@ -109,7 +109,7 @@
         Raises:
             UnusableListError: It is not the list that was claimed.
         """
-        rows = applied(self.fleet.rows, unpack(pieces))
+        rows = apply_changes(self.fleet.rows, unpack(pieces))
         if any(len(row) != ROW for row in rows.values()) or list_digest(rows) != want.digest:
             raise UnusableListError("not what was claimed")
         return rows
--- a/spurdeal/fleet/members.py
+++ b/spurdeal/fleet/members.py
@@ -26,14 +26,15 @@
 from .probes import Probe, Probes, Suspicion
 
 Address = tuple[str, int]
-MOST_MEMBERS = 1024
-SPREAD = 3  # times log2 of the fleet: how often each piece of news is told
-THROUGH = 3  # members asked to probe for us
-HEALTH_MOST = 8  # local health: probes are at most so many times slower
-SUSPECT_LEAST, SUSPECT_MOST = 4.0, 6.0  # periods times log10 of the fleet; the most, times the least
-CONFIRMED = 3  # so many confirm it: the least time holds
+MAX_MEMBERS = 1024
+GOSSIP_FACTOR = 3  # times log2 of the fleet: how often each piece of news is told
+INDIRECT_PROBES = 3  # members asked to probe for us
+MAX_HEALTH_SCORE = 8  # local health: probes are at most so many times slower
+# The shortest suspicion in periods, times log10 of the fleet; the longest, as a multiple of the shortest.
+MIN_SUSPICION_PERIODS, MAX_SUSPICION_FACTOR = 4.0, 6.0
+CONFIRMATIONS = 3  # so many confirm it: the least time holds
 MIN_WITNESSED = 2  # with no more others nobody can confirm a suspicion
-PROBE_GONE = 0.3  # the part of its turns at which one that is gone is probed
+GONE_PROBE_PROBABILITY = 0.3  # the part of its turns at which one that is gone is probed
 MAX_INCARNATION = 1 << 40
 
 
@@ -79,14 +80,14 @@
         self.own, self.period, self.forget_after, self.chance = own, period, forget, chance
         self.others: dict[str, Record] = {}
         self.living: set[str] = set()  # of the others, those who are not over
-        self.sum = self.left = 0
+        self.live_checksum = self.left = 0
         self.since: dict[str, float] = {}
         self.suspicions: dict[str, Suspicion] = {}
         self.ring: list[str] = []
         self.probe: Probe | None = None
         self.next_probe, self.ticked, self.next_forget = now, now, now
         self.health = 0
-        self.news: dict[str, int] = {own.name: 0}  # how often told
+        self.gossip: dict[str, int] = {own.name: 0}  # how often told
         self.changes: list[Change] = []
         self.contested: Record | None = None  # another start under our name, until it is settled
         self.highest_incarnation = own.incarnation
@@ -113,54 +114,54 @@
         """All records, our own first."""
         return [self.own, *self.others.values()]
 
-    def print(self) -> int:
+    def checksum(self) -> int:
         """A sum over those who are not over, that two equal tables share, whatever their order."""
-        return self.sum ^ zlib.crc32(self.line(self.own))
+        return self.live_checksum ^ zlib.crc32(self.checksum_input(self.own))
 
     @staticmethod
-    def line(record: Record) -> bytes:
+    def checksum_input(record: Record) -> bytes:
         """What the table's checksum takes of a record."""
         return f"{record.name} {record.boot} {record.incarnation} {record.life:d}".encode()
 
-    def keep(self, name: str, record: Record | None) -> None:
+    def store(self, name: str, record: Record | None) -> None:
         """The table, who is living, and the sum go together."""
         before = self.others.get(name)
         self.left += (record is not None and record.life is Life.LEFT) - (
             before is not None and before.life is Life.LEFT
         )
         if before is not None and before.life <= Life.SUSPECT:
-            self.sum ^= zlib.crc32(self.line(before))
+            self.live_checksum ^= zlib.crc32(self.checksum_input(before))
             self.living.discard(name)
         if record is None:
             self.others.pop(name, None)
             return
         self.others[name] = record
         if record.life <= Life.SUSPECT:
-            self.sum ^= zlib.crc32(self.line(record))
+            self.live_checksum ^= zlib.crc32(self.checksum_input(record))
             self.living.add(name)
 
     # News in.
 
-    def hear(self, now: float, record: Record, by: str) -> None:
+    def merge(self, now: float, record: Record, by: str) -> None:
         """A piece of news, from whoever `by` is; older than what we know, it changes nothing."""
         if record.name == self.own.name:
-            self.hear_of_self(record)
+            self.merge_own_record(record)
             return
         known = self.others.get(record.name)
-        if known is None and (len(self.others) >= MOST_MEMBERS or record.life >= Life.GONE):
+        if known is None and (len(self.others) >= MAX_MEMBERS or record.life >= Life.GONE):
             return  # nobody is kept who is only known to be over
         if known is not None:
             if record.life is Life.SUSPECT and record[3:6] == known[3:6]:
                 self.confirm(now, record.name, record.by)
             if (record.incarnation, record.life, record.boot) <= (known.incarnation, known.life, known.boot):
                 return
-        self.put(now, record, by)
+        self.set_record(now, record, by)
 
-    def put(self, now: float, record: Record, by: str) -> None:
+    def set_record(self, now: float, record: Record, by: str) -> None:
         """Take a record into the table, with all that follows from its change."""
         known = self.others.get(record.name)
-        self.keep(record.name, record)
-        self.news[record.name] = 0
+        self.store(record.name, record)
+        self.gossip[record.name] = 0
         if known is None:
             self.ring.insert(self.chance.randrange(len(self.ring) + 1), record.name)
         if record.life is not Life.SUSPECT:
@@ -181,23 +182,23 @@
 
     def suspicion(self, now: float, by: str) -> Suspicion:
         """A new suspicion, first said by that member."""
-        least = SUSPECT_LEAST * self.scale() * self.period
+        least = MIN_SUSPICION_PERIODS * self.scale() * self.period
         others = len(self.living)
-        most = least * (SUSPECT_MOST if others > MIN_WITNESSED else 1.0)
+        most = least * (MAX_SUSPICION_FACTOR if others > MIN_WITNESSED else 1.0)
         return Suspicion(now, now + most, least, most, frozenset((by,)))
 
     def confirm(self, now: float, name: str, by: str) -> None:
         """Another says so: the time falls with the logarithm of how many (Lifeguard, section IV B)."""
         found = self.suspicions.get(name)
-        if found is None or by in found.by or len(found.by) > CONFIRMED:
+        if found is None or by in found.by or len(found.by) > CONFIRMATIONS:
             return
         names = found.by | {by}
-        part = math.log(len(names)) / math.log(CONFIRMED + 1)
+        part = math.log(len(names)) / math.log(CONFIRMATIONS + 1)
         left = max(found.least, found.most - (found.most - found.least) * part)
         self.suspicions[name] = found._replace(by=names, end=found.since + left)
-        self.news[name] = 0
+        self.gossip[name] = 0
 
-    def hear_of_self(self, record: Record) -> None:
+    def merge_own_record(self, record: Record) -> None:
         """News of ourselves: what is not so is refuted by a later incarnation.
 
         Another start under our name is kept as `contested`, for the caller to decide on.
@@ -213,46 +214,46 @@
             and record.incarnation >= self.own.incarnation
             and self.own.life is not Life.LEFT
         ):
-            self.worse()
+            self.degrade_health()
             self.raise_incarnation(record.incarnation)
 
     def raise_incarnation(self, beyond: int) -> None:
         """We are here, whatever was told up to that incarnation."""
         self.own = self.own._replace(incarnation=min(MAX_INCARNATION, max(beyond, self.own.incarnation) + 1))
-        self.news[self.own.name] = 0
+        self.gossip[self.own.name] = 0
 
     def leave(self) -> None:
         """A planned end: nobody needs to suspect us."""
         self.own = self.own._replace(life=Life.LEFT, incarnation=self.own.incarnation + 1)
-        self.news[self.own.name] = 0
+        self.gossip[self.own.name] = 0
 
     # News out.
 
-    def tell(self, most: int, to: str = "", boot: int = 0) -> list[Record]:
+    def select_gossip(self, most: int, to: str = "", boot: int = 0) -> list[Record]:
         """Up to so many records, least told first.
 
         If of the receiver `to` something else is known than that its start `boot` is alive, it hears that
         first.
         """
-        limit = math.ceil(SPREAD * math.log2(len(self.living) + 2))
+        limit = math.ceil(GOSSIP_FACTOR * math.log2(len(self.living) + 2))
         ranked = heapq.nsmallest(
-            most, self.news, key=lambda name: (self.news[name], name != self.own.name, name)
+            most, self.gossip, key=lambda name: (self.gossip[name], name != self.own.name, name)
         )
         named = self.others.get(to)
         first = [to] if named is not None and (named.life is not Life.ALIVE or named.boot != boot) else []
         told = (first + [name for name in ranked if name != to])[:most]
         for name in told:
-            if name in self.news:
-                self.news[name] += 1
-                if self.news[name] >= limit:
-                    del self.news[name]
+            if name in self.gossip:
+                self.gossip[name] += 1
+                if self.gossip[name] >= limit:
+                    del self.gossip[name]
         return [
-            self.own if name == self.own.name else self.as_told(self.others[name])
+            self.own if name == self.own.name else self.as_gossip(self.others[name])
             for name in told
             if name == self.own.name or name in self.others
         ]
 
-    def as_told(self, record: Record) -> Record:
+    def as_gossip(self, record: Record) -> Record:
         """The record as it is passed on.
 
         A suspicion is told in the name of one who says so: only different ones confirm one another.
@@ -267,7 +268,7 @@
         still = now - self.ticked
         if still > 2 * self.period:
             # We stood still, not they: what was due meanwhile proves nothing.
-            self.probe, self.health = None, HEALTH_MOST
+            self.probe, self.health = None, MAX_HEALTH_SCORE
             self.suspicions = {
                 name: each._replace(end=each.end + still, since=each.since + still)
                 for name, each in self.suspicions.items()
@@ -277,34 +278,34 @@
         for name in [name for name, each in self.suspicions.items() if now >= each.end]:
             by = len(self.suspicions.pop(name).by)
             record = self.others[name]._replace(life=Life.GONE, by="")
-            self.put(now, record, self.own.name)
+            self.set_record(now, record, self.own.name)
             self.changes[-1] = Change(name, Life.GONE, record.boot, f"did not refute {by} who suspected it")
         if now >= self.next_forget:
             self.next_forget = now + self.period * 5
             self.forget(now)
-        asked = self.watch_probe(now)
+        asked = self.check_probe(now)
         if self.probe is None and now >= self.next_probe:
-            return Probes(self.next_one(now), asked)
+            return Probes(self.next_target(now), asked)
         return Probes(None, asked)
 
-    def watch_probe(self, now: float) -> list[str]:
+    def check_probe(self, now: float) -> list[str]:
         """See to the probe under way: helpers to ask, once its answer is late; at its end, it has failed."""
         probe = self.probe
         if probe is None:
             return []
         if now >= probe.end:
             self.probe = None
-            for _ in range(1 + (1 if probe.nacks else 0)):  # owed words that did not come: it may be us
-                self.worse()
-            self.failed(now, probe.name)
+            for _ in range(1 + (1 if probe.pending_nacks else 0)):  # missing nacks: the fault may be ours
+                self.degrade_health()
+            self.probe_failed(now, probe.name)
         elif now >= probe.due:
             others = [name for name in self.alive() if name != probe.name]
-            asked = self.chance.sample(others, min(THROUGH, len(others)))
-            self.probe = probe._replace(due=math.inf, nacks=len(asked))
+            asked = self.chance.sample(others, min(INDIRECT_PROBES, len(others)))
+            self.probe = probe._replace(due=math.inf, pending_nacks=len(asked))
             return asked
         return []
 
-    def failed(self, now: float, name: str) -> None:
+    def probe_failed(self, now: float, name: str) -> None:
         """A probe of that member had no answer: it is suspected, or its suspicion confirmed."""
         record = self.others.get(name)
         if record is None or record.life >= Life.GONE:
@@ -312,9 +313,9 @@
         if record.life is Life.SUSPECT:
             self.confirm(now, name, self.own.name)
         else:
-            self.put(now, record._replace(life=Life.SUSPECT, by=self.own.name), self.own.name)
+            self.set_record(now, record._replace(life=Life.SUSPECT, by=self.own.name), self.own.name)
 
-    def next_one(self, now: float) -> str | None:
+    def next_target(self, now: float) -> str | None:
         """The next member on the ring to probe, if there is any."""
         self.next_probe = now + self.period * (1 + self.health)
         while self.ring:
@@ -324,14 +325,14 @@
             if record is None:
                 continue
             if record.life <= Life.SUSPECT or (
-                record.life is Life.GONE and self.chance.random() < PROBE_GONE
+                record.life is Life.GONE and self.chance.random() < GONE_PROBE_PROBABILITY
             ):
-                return self.probing(now, name)
+                return self.start_probe(now, name)
         self.ring = [name for name, record in self.others.items() if record.life is not Life.LEFT]
         self.chance.shuffle(self.ring)
-        return None if not self.ring else self.probing(now, self.ring.pop())
+        return None if not self.ring else self.start_probe(now, self.ring.pop())
 
-    def probing(self, now: float, name: str) -> str:
+    def start_probe(self, now: float, name: str) -> str:
         """Note that a probe of that member begins."""
         scale = 1 + self.health
         self.probe = Probe(name, now + 0.4 * self.period * scale, now + self.period * scale, 0)
@@ -346,11 +347,11 @@
     def nacked(self) -> None:
         """One that was asked says that it got no answer either: it is not us who hears nothing."""
         if self.probe is not None:
-            self.probe = self.probe._replace(nacks=max(0, self.probe.nacks - 1))
+            self.probe = self.probe._replace(pending_nacks=max(0, self.probe.pending_nacks - 1))
 
-    def worse(self) -> None:
+    def degrade_health(self) -> None:
         """Our own health is worse by one: we probe slower."""
-        self.health = min(HEALTH_MOST, self.health + 1)
+        self.health = min(MAX_HEALTH_SCORE, self.health + 1)
 
     def forget(self, now: float) -> None:
         """Who is over for long is no more of the fleet."""
@@ -363,9 +364,9 @@
 
     def drop(self, name: str) -> None:
         """Forget a member wholly."""
-        self.keep(name, None)
+        self.store(name, None)
         del self.since[name]
-        self.news.pop(name, None)
+        self.gossip.pop(name, None)
         self.suspicions.pop(name, None)
 
 
--- a/spurdeal/fleet/messenger.py
+++ b/spurdeal/fleet/messenger.py
@@ -18,7 +18,7 @@
 MAX_GREETINGS = 2000  # a second: an unproven datagram draws one answer, and a flood must not draw a flood
 GREETING_WINDOW = 1000.0  # ms
 MAX_REPEATED = 4  # requests sent again once the peer knows our start
-NEWS_RESERVE = 8  # bytes of JSON around the news
+GOSSIP_RESERVE = 8  # bytes of JSON around the news
 RECORD_SIZE = 100  # bytes of a record in JSON, roughly
 
 
@@ -86,10 +86,10 @@
         address = address or self.address_of(name)
         if address is not None:
             body = self.fleet.body(unix, fields)
-            self.add_news(body, name)
+            self.add_gossip(body, name)
             self.queue(now, name, body, address)
 
-    def send_without_news(
+    def send_without_gossip(
         self,
         now: float,
         unix: float,
@@ -115,13 +115,13 @@
         record = self.fleet.members.others.get(name)
         return record.address if record is not None else self.fleet.seeds.get(name)
 
-    def add_news(self, body: dict[str, Any], name: str) -> None:
+    def add_gossip(self, body: dict[str, Any], name: str) -> None:
         """Fill the rest of a datagram with news of members, and the checksum of our table."""
         members = self.fleet.members
-        body["e"] = members.print()
-        left, rows = wire.room(self.fleet.name, body) - NEWS_RESERVE, list[list[Any]]()
+        body["e"] = members.checksum()
+        left, rows = wire.room(self.fleet.name, body) - GOSSIP_RESERVE, list[list[Any]]()
         boot = self.sessions[name].peer_boot if name in self.sessions else 0
-        for record in members.tell(min(wire.MOST_RECORDS, max(1, left // RECORD_SIZE)), name, boot):
+        for record in members.select_gossip(min(wire.MOST_RECORDS, max(1, left // RECORD_SIZE)), name, boot):
             row = wire.written(record)
             left -= len(str(row)) + 1
             if left < 0:
@@ -139,7 +139,7 @@
     ) -> None:
         """Send a request, without news of members, and await its answer."""
         sequence = self.opened_in_bound(Request(name, now, kind))
-        self.send_without_news(now, unix, name, {"q": sequence} | dict(fields))
+        self.send_without_gossip(now, unix, name, {"q": sequence} | dict(fields))
 
     def opened_in_bound(self, request: Request) -> int:
         """Await the answer to a request; the oldest ones are given up where too many are open."""
@@ -190,7 +190,7 @@
             self.greeted += 1
             self.fleet.out.append((source, session.greet(now, datagram)))
 
-    def greeted_back(self, now: float, unix: float, name: str, asked: float | None) -> None:
+    def on_greeting(self, now: float, unix: float, name: str, asked: float | None) -> None:
         """A peer knows our start from here on: what it could not read is sent again.
 
         Args:
--- a/spurdeal/fleet/name_conflict.py
+++ b/spurdeal/fleet/name_conflict.py
@@ -7,7 +7,7 @@
 
 from .members import Record
 from .standing import Standing
-from .terms import Told
+from .terms import FleetEvent
 
 if TYPE_CHECKING:
     from .fleet import Fleet
@@ -40,7 +40,7 @@
         other, members.contested = members.contested, None
         if other is None or self.yielded:
             return
-        standing = self.fleet.ladder.standing
+        standing = self.fleet.tracker.standing
         lapsed = standing in (Standing.LAPSED, Standing.SHUT)
         if other.boot in self.own_boots:
             members.raise_incarnation(other.incarnation)
@@ -48,7 +48,7 @@
             self.keep(other)
         elif lapsed or self.raised_against[other.boot] >= MAX_RAISES:
             self.yielded = True
-            self.fleet.told.append(Told("name_yielded", {"other": f"{other.boot:016x}"}))
+            self.fleet.events.append(FleetEvent("name_yielded", {"other": f"{other.boot:016x}"}))
         else:
             self.raised_against[other.boot] += 1
             members.raise_incarnation(other.incarnation)
@@ -56,4 +56,4 @@
     def keep(self, other: Record) -> None:
         """The name stays ours."""
         self.fleet.members.raise_incarnation(other.incarnation)
-        self.fleet.tell_once(f"name {other.boot}", "name_kept", {"other": f"{other.boot:016x}"})
+        self.fleet.report_once(f"name {other.boot}", "name_kept", {"other": f"{other.boot:016x}"})
--- a/spurdeal/fleet/probes.py
+++ b/spurdeal/fleet/probes.py
@@ -11,7 +11,7 @@
     name: str
     due: float  # no answer by then: others are asked
     end: float  # no answer by then: it failed
-    nacks: int  # others that were asked and owe a word
+    pending_nacks: int  # others that were asked and owe a word
 
 
 class Probes(NamedTuple):
--- a/spurdeal/fleet/receiver.py
+++ b/spurdeal/fleet/receiver.py
@@ -10,9 +10,9 @@
 from .audit import SealedPage
 from .handlers import HANDLERS, Message
 from .hybrid import Stamp
-from .members import MOST_MEMBERS, Address, Life, Record
+from .members import MAX_MEMBERS, Address, Life, Record
 from .standing import Standing
-from .terms import Told
+from .terms import FleetEvent
 from .versions import Line, Version
 
 if TYPE_CHECKING:
@@ -36,7 +36,7 @@
     stamp: Stamp
     claims: dict[Line, Version]
     standing: Standing
-    news: list[Record]
+    gossip: list[Record]
     page: SealedPage | None
     kind: str
     unix: int
@@ -77,7 +77,7 @@
             if body:
                 self.act_on(Message(now, unix, source, name, body))
             else:
-                fleet.messenger.greeted_back(now, unix, name, asked)
+                fleet.messenger.on_greeting(now, unix, name, asked)
         except RefusedError as fault:
             fleet.counts["drop_" + fault.reason] += 1
 
@@ -109,7 +109,7 @@
             RefusedError: There is no room for one more member.
         """
         others = self.fleet.members.others
-        if name not in others and len(others) >= MOST_MEMBERS:
+        if name not in others and len(others) >= MAX_MEMBERS:
             raise RefusedError("full")
         return self.fleet.messenger.new_session(name)
 
@@ -122,17 +122,17 @@
             raise RefusedError("kind")
         act = handler(fleet, message)
         boot = fleet.sessions[name].peer_boot
-        if not fleet.hybrid.seen(message.unix, header.stamp):
+        if not fleet.hybrid.receive(message.unix, header.stamp):
             fleet.counts["stamp_ahead"] += 1
         self.note_sender(message, header, boot)
-        for clash in fleet.book.claim(name, header.claims):
-            fleet.tell_clash(clash)
+        for clash in fleet.registry.claim(name, header.claims):
+            fleet.report_clash(clash)
         fleet.members.answered(message.now, name)
-        for record in header.news:
-            fleet.members.hear(message.now, record, name)
+        for record in header.gossip:
+            fleet.members.merge(message.now, record, name)
         if name not in fleet.members.others:  # no news of the sender has come yet
             record = Record(name, *message.source, boot, 0, Life.ALIVE)
-            fleet.members.hear(message.now, record, name)
+            fleet.members.merge(message.now, record, name)
         fleet.table_sync.compare(message.now, message.unix, name, message.body.get("e"))
         act()
 
@@ -148,6 +148,6 @@
                 "digest": page.digest,
                 "records": page.records,
             }
-            fleet.told.append(Told("page", figures))
+            fleet.events.append(FleetEvent("page", figures))
         apart = header.unix - message.unix - fleet.skew
         fleet.heard[name] = Heard(message.now, header.standing, page or before, apart)
--- a/spurdeal/fleet/standing.py
+++ b/spurdeal/fleet/standing.py
@@ -61,7 +61,7 @@
     clock_off: float  # Unix time so far from the middle of the others'
 
 
-class Seen(NamedTuple):
+class Observations(NamedTuple):
     """What one step is decided on."""
 
     lease: bool
@@ -74,7 +74,7 @@
     twin: bool
 
 
-class Ladder:
+class StandingTracker:
     """One dispatcher's standing, with since when and why."""
 
     def __init__(self, own: str, limits: Limits, now: float) -> None:
@@ -89,19 +89,19 @@
         """What may be sent in the present standing."""
         return ALLOWED[self.standing]
 
-    def stood_still(self, gap: float) -> None:
+    def discount_pause(self, gap: float) -> None:
         """The process stood still for so long: what did not come meanwhile proves nothing."""
         self.since += gap
         self.lapsed_since += gap
         self.behind_since = self.behind_since + gap if self.behind_since is not None else None
 
-    def step(self, now: float, seen: Seen) -> bool:
+    def step(self, now: float, seen: Observations) -> bool:
         """True where the standing has changed."""
         if not seen.behind:
             self.behind_since = None
         elif self.behind_since is None:
             self.behind_since = now
-        standing, why = self.judged(now, seen)
+        standing, why = self.evaluate(now, seen)
         if standing is self.standing:
             return False
         if standing is Standing.LAPSED and self.standing not in (Standing.SHUT, Standing.JOINING):
@@ -111,7 +111,7 @@
         self.standing, self.since, self.why = standing, now, why
         return True
 
-    def judged(self, now: float, seen: Seen) -> tuple[Standing, str]:
+    def evaluate(self, now: float, seen: Observations) -> tuple[Standing, str]:
         """The standing that follows from what is seen, and why, in words for people."""
         if seen.twin or self.standing is Standing.TWIN:
             return Standing.TWIN, "another process has our name"
@@ -127,7 +127,7 @@
             else ""
         )
         if reason:
-            return self.fallen(now, seen, reason)
+            return self.degraded(now, seen, reason)
         if self.standing in (Standing.LAPSED, Standing.SHUT):
             return Standing.JOINING, "returns: it has a lease, and the newest list"
         if self.standing is Standing.JOINING and (not seen.synced or seen.behind):
@@ -136,7 +136,7 @@
             return Standing.BEHIND, f"behind by {seen.behind}"
         return Standing.CURRENT, "lease held, newest list"
 
-    def fallen(self, now: float, seen: Seen, reason: str) -> tuple[Standing, str]:
+    def degraded(self, now: float, seen: Observations, reason: str) -> tuple[Standing, str]:
         """Lapsed, or out."""
         if self.standing is Standing.JOINING and not self.returned:
             long = now - self.since > self.limits.shut_after
@@ -148,13 +148,13 @@
         blind = seen.source > self.limits.shut_after
         if long and not seen.lease and blind:
             return Standing.SHUT, f"{reason}, and no word of the name service for {seen.source:.0f} ms"
-        if long and seen.lease and seen.behind and self.may_go(seen):
+        if long and seen.lease and seen.behind and self.may_be_shut_out(seen):
             return Standing.SHUT, reason
         if self.standing is Standing.JOINING and not self.returned and not seen.lease:
             return Standing.JOINING, self.why
         return Standing.LAPSED, reason
 
-    def may_go(self, seen: Seen) -> bool:
+    def may_be_shut_out(self, seen: Observations) -> bool:
         """Whether we are among those who may be shut out for being behind.
 
         They are under the stated part of the fleet, those with the highest weight, the same for all who see
--- a/spurdeal/fleet/station.py
+++ b/spurdeal/fleet/station.py
@@ -24,7 +24,7 @@
 from ..net.service import Service
 from ..vrrp.sealed import Keys
 from .audit import COLD, DOUBTFUL, Kind
-from .fleet import READY, TICK, Fleet, FleetSettings, Told
+from .fleet import READY, TICK, Fleet, FleetEvent, FleetSettings
 from .journal import Journal, JournalSettings
 from .local_versions import configured, keyed, program, terms_of
 from .versions import Line, Row, Version, list_digest, rows_of
@@ -165,7 +165,7 @@
 
     def lowers(self) -> bool:
         """Of VRRP: the priority is lowered while the lease is not held."""
-        return self.fleet.ladder.allowed.lowers
+        return self.fleet.tracker.allowed.lowers
 
     # Versions.
 
@@ -178,7 +178,7 @@
         """The name service has told the number that is in force."""
         rows = rows_of(endpoints.values())
         if rows != self.fleet.rows:
-            self.fleet.source_says(Version(0, self.service.names.number, list_digest(rows)))
+            self.fleet.note_source_content(Version(0, self.service.names.number, list_digest(rows)))
 
     def act_on(self, number: int, endpoints: Mapping[str, Endpoint], by: str) -> None:
         """Put a list of the name service in force, and note it in the audit."""
@@ -212,7 +212,9 @@
     def acted_on(self, by: str) -> None:
         """Note in the audit which versions are in force, and by whose word."""
         if self.journal is not None:
-            force = {line.name.lower(): str(version) for line, version in self.fleet.book.force.items()}
+            force = {
+                line.name.lower(): str(version) for line, version in self.fleet.registry.in_force.items()
+            }
             engines = {ident: row[6] for ident, row in self.fleet.rows.items()}
             self.journal.act_on(force | {"by": by, "engines": engines})
 
@@ -251,10 +253,10 @@
     def after(self) -> None:
         """What the fleet has to send and to tell."""
         self.send()
-        told, self.fleet.told = self.fleet.told, []
+        told, self.fleet.events = self.fleet.events, []
         for each in told:
             self.tell(each)
-        doubtful = self.fleet.ladder.allowed.doubtful
+        doubtful = self.fleet.tracker.allowed.doubtful
         if doubtful != self.parts:
             self.tell_parts(doubtful)
 
@@ -267,7 +269,7 @@
             except OSError:
                 self.counters.add("fleet_not_sent")
 
-    def tell(self, told: Told) -> None:
+    def tell(self, told: FleetEvent) -> None:
         """Write an event to the log and the audit."""
         if told.what not in QUIET:
             self.log.info("fleet_" + told.what, extra={"figures": told.figures})
--- a/spurdeal/fleet/status.py
+++ b/spurdeal/fleet/status.py
@@ -14,29 +14,29 @@
     """All that is known here of the fleet, ready for JSON. Times in it are ms."""
     return own_status(fleet, now) | {
         "members": [member_status(fleet, now, name) for name in sorted(fleet.members.others)],
-        "clashes": [str(clash) for clash in fleet.book.clashes.values()],
-        "implausible": dict(fleet.book.implausible),
+        "clashes": [str(clash) for clash in fleet.registry.clashes.values()],
+        "implausible": dict(fleet.registry.implausible),
         "counts": dict(sorted(fleet.counts.items())),
     }
 
 
 def own_status(fleet: Fleet, now: float) -> dict[str, Any]:
     """What concerns the member itself."""
-    newest = fleet.book.newest(Line.LIST)
-    versions = {line.name.lower(): str(each) for line, each in sorted(fleet.book.force.items())}
+    newest = fleet.registry.newest(Line.LIST)
+    versions = {line.name.lower(): str(each) for line, each in sorted(fleet.registry.in_force.items())}
     return {
         "name": fleet.name,
         "boot": f"{fleet.boot:016x}",
-        "why": fleet.ladder.why,
-        "standing": fleet.ladder.standing.name.lower(),
-        "for_ms": round(now - fleet.ladder.since),
+        "why": fleet.tracker.why,
+        "standing": fleet.tracker.standing.name.lower(),
+        "for_ms": round(now - fleet.tracker.since),
         "lease": fleet.lease.holds(now),
         "term": fleet.lease.term.number,
         "grantors": list(fleet.lease.term.grantors),
         "wardens": list(fleet.lease.term.grantors),  # deprecated: the name of "grantors" before
         "versions": versions,
         "newest_list": str(newest) if newest is not None else None,
-        "behind": fleet.book.behind(),
+        "behind": fleet.registry.behind(),
         "clock_shift_ms": round(fleet.clock_shift),
         "size": fleet.members.size(),
         "health": fleet.members.health,
@@ -46,8 +46,8 @@
 def member_status(fleet: Fleet, now: float, name: str) -> dict[str, Any]:
     """What is known here of one other member."""
     record, heard = fleet.members.others[name], fleet.heard.get(name)
-    claims = fleet.book.claims.get(name, {})
-    newest = fleet.book.newest(Line.LIST)
+    claims = fleet.registry.claims.get(name, {})
+    newest = fleet.registry.newest(Line.LIST)
     found: dict[str, Any] = {
         "name": name,
         "life": record.life.name.lower(),
--- a/spurdeal/fleet/stop_inquiries.py
+++ b/spurdeal/fleet/stop_inquiries.py
@@ -11,7 +11,7 @@
 from .lease import GRANTORS, Inquiry
 from .members import Life, rendezvous
 from .messenger import RequestKind
-from .terms import Told
+from .terms import FleetEvent
 
 if TYPE_CHECKING:
     from .fleet import Fleet
@@ -75,5 +75,5 @@
         stopped = {(name, each.boot) for name, each in self.inquiries.items() if each.stopped(now)}
         for what, starts in (("stopped", stopped - self.relied), ("stopped_over", self.relied - stopped)):
             for name, boot in sorted(starts):
-                self.fleet.told.append(Told(what, {"name": name, "boot": f"{boot:016x}"}))
+                self.fleet.events.append(FleetEvent(what, {"name": name, "boot": f"{boot:016x}"}))
         self.relied = stopped
--- a/spurdeal/fleet/table_sync.py
+++ b/spurdeal/fleet/table_sync.py
@@ -92,10 +92,10 @@
     def compare(self, now: float, unix: float, name: str, checksum: object) -> None:
         """A member has told the checksum of its table: it is pulled where ours is another, and settled."""
         members = self.fleet.members
-        if not isinstance(checksum, int) or checksum == members.print():
+        if not isinstance(checksum, int) or checksum == members.checksum():
             return
         idle = not self.source and now >= self.next_pull and self.synced
-        if idle and not members.news:
+        if idle and not members.gossip:
             self.next_pull = now + PULL_EVERY * self.fleet.terms.period
             self.start(now, unix, name)
 
--- a/spurdeal/fleet/terms.py
+++ b/spurdeal/fleet/terms.py
@@ -31,7 +31,7 @@
     clock_off: float = 2000.0
 
 
-class Told(NamedTuple):
+class FleetEvent(NamedTuple):
     """An event for the log and the audit: its name and its figures, ready for JSON."""
 
     what: str
--- a/spurdeal/fleet/versions.py
+++ b/spurdeal/fleet/versions.py
@@ -18,8 +18,8 @@
 from typing import Any, NamedTuple
 
 WITNESSES = 2
-MOST_STEP = 10_000  # numbers ahead of our own that a claim may lie
-MOST_CLASHES = 64
+MAX_NUMBER_AHEAD = 10_000  # numbers ahead of our own that a claim may lie
+MAX_CLASHES = 64
 DIGEST = 8  # bytes
 
 
@@ -109,19 +109,19 @@
     holders: list[str]
 
 
-class Book:
+class VersionRegistry:
     """Our versions in force, and what the others claim. Bounded by lines, members and MOST_CLASHES."""
 
     def __init__(self, own: str) -> None:
         self.own = own
-        self.force: dict[Line, Version] = {}
+        self.in_force: dict[Line, Version] = {}
         self.claims: dict[str, dict[Line, Version]] = {}
         self.clashes: dict[tuple[Line, int, int], Clash] = {}
-        self.told: dict[Line, Version] = {}  # by our own source, whether or not it is in force
+        self.by_source: dict[Line, Version] = {}  # by our own source, whether or not it is in force
         self.implausible: dict[str, int] = {}
         # What `newest` and `offers` have found since anything changed.
-        self.found: dict[Line, Version | None] = {}
-        self.beyond: dict[Line, list[Offer]] = {}
+        self.newest_cache: dict[Line, Version | None] = {}
+        self.offers_cache: dict[Line, list[Offer]] = {}
 
     def take(self, line: Line, version: Version, by_source: bool = True) -> bool:
         """Put a version in force.
@@ -130,24 +130,24 @@
             False, and nothing changes, for one that is not newer: versions never go back unasked, and other
                 content under the version in force is a clash.
         """
-        before = self.force.get(line)
-        self.changed()
-        if by_source and (line not in self.told or version.order >= self.told[line].order):
-            self.told[line] = version
+        before = self.in_force.get(line)
+        self.clear_caches()
+        if by_source and (line not in self.by_source or version.order >= self.by_source[line].order):
+            self.by_source[line] = version
         if before is not None and version.order <= before.order:
             if version.order == before.order and version.digest != before.digest:
                 self.clash(line, version, f"{self.own}'s source")
             return False
-        self.force[line] = version
+        self.in_force[line] = version
         return True
 
     def claim(self, name: str, claims: Mapping[Line, Version]) -> list[Clash]:
         """What a member says that it acts on; new clashes. What cannot be is counted and not kept."""
         kept, found = dict[Line, Version](), list[Clash]()
         for line, version in claims.items():
-            own = self.force.get(line)
+            own = self.in_force.get(line)
             if own is not None and (
-                version.generation > own.generation + 1 or version.number > own.number + MOST_STEP
+                version.generation > own.generation + 1 or version.number > own.number + MAX_NUMBER_AHEAD
             ):
                 self.implausible[name] = self.implausible.get(name, 0) + 1
                 continue
@@ -156,48 +156,48 @@
                 found += self.clash(line, version, name)
         if self.claims.get(name) != kept:
             self.claims[name] = kept
-            self.changed()
+            self.clear_caches()
         return found
 
     def clash(self, line: Line, version: Version, name: str) -> list[Clash]:
         """Keep a clash with the version in force; the new one, unless it is known or there are too many."""
         key = (line, *version.order)
-        if line is Line.PROGRAM or key in self.clashes or len(self.clashes) >= MOST_CLASHES:
+        if line is Line.PROGRAM or key in self.clashes or len(self.clashes) >= MAX_CLASHES:
             return []
-        clash = Clash(line, *version.order, (self.force[line].digest, version.digest), (self.own, name))
+        clash = Clash(line, *version.order, (self.in_force[line].digest, version.digest), (self.own, name))
         self.clashes[key] = clash
         return [clash]
 
-    def changed(self) -> None:
+    def clear_caches(self) -> None:
         """Something has changed: what was found before is found anew when it is asked for."""
-        self.found.clear()
-        self.beyond.clear()
+        self.newest_cache.clear()
+        self.offers_cache.clear()
 
     def forget(self, name: str) -> None:
         """Drop what a member has claimed."""
         self.claims.pop(name, None)
-        self.changed()
+        self.clear_caches()
         self.implausible.pop(name, None)
 
     def newest(self, line: Line) -> Version | None:
         """The newest that counts as existing: ours, our source's, or what enough members claim."""
-        if line not in self.found:
-            self.found[line] = self.find(line)
-        return self.found[line]
+        if line not in self.newest_cache:
+            self.newest_cache[line] = self.find_newest(line)
+        return self.newest_cache[line]
 
-    def find(self, line: Line) -> Version | None:
+    def find_newest(self, line: Line) -> Version | None:
         """See `newest`."""
         counted: dict[Version, int] = {}
         for claims in self.claims.values():
             if line in claims:
                 counted[claims[line]] = counted.get(claims[line], 0) + 1
         found = [version for version, count in counted.items() if count >= WITNESSES]
-        found += [versions[line] for versions in (self.force, self.told) if line in versions]
+        found += [versions[line] for versions in (self.in_force, self.by_source) if line in versions]
         return max(found, key=lambda version: version.order, default=None)
 
     def behind(self, line: Line = Line.LIST) -> int:
         """How many numbers ours lies behind the newest; a newer generation counts as one at least."""
-        own, newest = self.force.get(line), self.newest(line)
+        own, newest = self.in_force.get(line), self.newest(line)
         if newest is None or (own is not None and own.order >= newest.order):
             return 0
         return max(1, newest.number - (own.number if own is not None else 0))
@@ -211,13 +211,13 @@
 
         It may be asked for, since what comes is checked against its digest and against what is in force.
         """
-        if line not in self.beyond:
-            self.beyond[line] = self.find_offers(line)
-        return self.beyond[line]
+        if line not in self.offers_cache:
+            self.offers_cache[line] = self.find_offers(line)
+        return self.offers_cache[line]
 
     def find_offers(self, line: Line) -> list[Offer]:
         """See `offers`."""
-        own = self.force.get(line)
+        own = self.in_force.get(line)
         ahead = {
             claims[line]
             for claims in self.claims.values()
--- a/spurdeal/lab/audited/virtual.py
+++ b/spurdeal/lab/audited/virtual.py
@@ -13,7 +13,7 @@
 
 from ...fleet.audit import Pages
 from ...fleet.fleet import Fleet
-from ...fleet.hybrid import Hybrid
+from ...fleet.hybrid import HybridClock
 from ...fleet.messenger import RequestKind
 from ...vrrp.sealed import Session
 from ..fleet_world import KEYS, World
@@ -95,7 +95,7 @@
 
 def state_of(fleet: Fleet) -> tuple[object, ...]:
     """What no malformed datagram may change."""
-    return fleet.ladder.standing, dict(fleet.members.others), dict(fleet.book.claims)
+    return fleet.tracker.standing, dict(fleet.members.others), dict(fleet.registry.claims)
 
 
 def drops(fleet: Fleet) -> int:
@@ -122,7 +122,7 @@
 def stamping(times: int = 20_000) -> float:
     """us of CPU for what a request's send adds: its record, and its turn's frame with one write."""
     folder = Path(tempfile.mkdtemp(prefix="spurdeal-lab-"))
-    pages, clock = Pages(), Hybrid(0.0)
+    pages, clock = Pages(), HybridClock(0.0)
     with open(folder / "stamped", "wb", buffering=0) as file:
         began = time.process_time()
         for number in range(times):
--- a/spurdeal/lab/capacity/membership.py
+++ b/spurdeal/lab/capacity/membership.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-from ...fleet.members import MOST_MEMBERS
+from ...fleet.members import MAX_MEMBERS
 from ..fleet_world import World
 from . import design
 from .fit import Form
@@ -105,7 +105,7 @@
                     design.CONTROL_MEMORY_KB,
                 ),
             ),
-            (Limit("members within MOST_MEMBERS", MOST_MEMBERS, design.DISPATCHERS),),
+            (Limit("members within MOST_MEMBERS", MAX_MEMBERS, design.DISPATCHERS),),
             (
                 "the design's size lies past MOST_MEMBERS: its figures are extrapolated and could not be run",
                 "virtual time; bytes are payload, without IP and UDP headers",
--- a/spurdeal/lab/fleet_model.py
+++ b/spurdeal/lab/fleet_model.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from ..fleet.fleet import Fleet
-from ..fleet.versions import Book, Line, Version
+from ..fleet.versions import Line, Version, VersionRegistry
 from .fleet_walk import IN_FLEETS, walks
 from .lease_faults import IN_THE_LEASE
 from .lease_model import Kinds, Stops, stops_walked
@@ -22,22 +22,22 @@
 PLANTED_STOP_WALKS, PLANTED_FLEETS = 20_000, range(40)
 
 
-class Backwards(Book):
+class Backwards(VersionRegistry):
     """A book that takes what is older."""
 
     def take(self, line: Line, version: Version, by_source: bool = True) -> bool:
-        self.force[line] = version
+        self.in_force[line] = version
         return True
 
 
 def backwards() -> bool:
     """Whether the check of versions sees a book that takes what is older."""
     found = []
-    for kind in (Book, Backwards):
-        book = kind("d")
-        book.take(Line.LIST, Version(0, 5, "aa"))
-        book.take(Line.LIST, Version(0, 4, "bb"))
-        found.append(book.force[Line.LIST].number)
+    for kind in (VersionRegistry, Backwards):
+        registry = kind("d")
+        registry.take(Line.LIST, Version(0, 5, "aa"))
+        registry.take(Line.LIST, Version(0, 4, "bb"))
+        found.append(registry.in_force[Line.LIST].number)
     return found == [5, 4]
 
 
--- a/spurdeal/lab/fleet_walk.py
+++ b/spurdeal/lab/fleet_walk.py
@@ -56,7 +56,7 @@
                 if found is not None and found.boot == fleet.boot and other.stopped(world.now, name):
                     self.broken["acts while another relies on its stop"] += 1
         for fleet in live.values():
-            own = fleet.book.force[Line.LIST]
+            own = fleet.registry.in_force[Line.LIST]
             if own.number < world.newest.number - 1_000_000 or own.number > world.newest.number + 1:
                 self.broken["acts on a version that nobody released"] += 1
             if fleet.rows and len(fleet.rows) < world.engines // 2:
@@ -133,12 +133,12 @@
     def lie(self, fleet: Fleet) -> None:
         """One claims, in the right form, a list with hardly an engine, one number on."""
         number = self.world.newest.number + 1
-        before, rows = fleet.book.force[Line.LIST], dict[str, Row]()
+        before, rows = fleet.registry.in_force[Line.LIST], dict[str, Row]()
         claimed = Version(0, number, list_digest(rows))
-        fleet.shelf.keep(claimed, rows)
-        fleet.book.force[Line.LIST] = claimed
+        fleet.list_store.keep(claimed, rows)
+        fleet.registry.in_force[Line.LIST] = claimed
         self.run(700.0)
-        fleet.book.force[Line.LIST] = before
+        fleet.registry.in_force[Line.LIST] = before
 
     def heal(self) -> None:
         world = self.world
@@ -157,7 +157,7 @@
     """What may be sent is what the last timer found: one that stood still acts on it."""
 
     def allowed(self, now: float) -> Allowed:
-        return self.ladder.allowed
+        return self.tracker.allowed
 
 
 class TakesAnyList(Fleet):
@@ -171,11 +171,11 @@
 class NeverJoinsAgain(Fleet):
     """Whoever has lapsed stays so."""
 
-    def stand(self, now: float) -> None:
-        before = self.ladder.standing
-        super().stand(now)
+    def update_standing(self, now: float) -> None:
+        before = self.tracker.standing
+        super().update_standing(now)
         if before in (Standing.LAPSED, Standing.SHUT):
-            self.ladder.standing = before
+            self.tracker.standing = before
 
 
 class IdleListSync(ListSync):
@@ -192,10 +192,10 @@
 
 
 class Deaf(Members):
-    def hear(self, now: float, record: Record, by: str) -> None:
+    def merge(self, now: float, record: Record, by: str) -> None:
         known = self.others.get(record.name)
         if known is None or known.life < Life.GONE:
-            super().hear(now, record, by)
+            super().merge(now, record, by)
 
 
 class DeafToRefutation(Fleet):
--- a/spurdeal/lab/fleet_world.py
+++ b/spurdeal/lab/fleet_world.py
@@ -177,10 +177,10 @@
 
     def sent(self, node: Node) -> None:
         out, node.fleet.out = node.fleet.out, []
-        for told in node.fleet.told:
+        for told in node.fleet.events:
             self.log.append((self.now, node.name, told.what, told.figures))
             self.trace.update(f"{self.now:.6f} {node.name} {told}\n".encode())
-        node.fleet.told.clear()
+        node.fleet.events.clear()
         for address, datagram in out:
             self.counts["datagrams"] += 1
             self.counts["bytes"] += len(datagram)
@@ -243,10 +243,10 @@
             members = node.fleet.members
             for record in records:
                 if record.name != node.name:
-                    members.put(self.now, record, node.name)
-            members.news.clear()
+                    members.set_record(self.now, record, node.name)
+            members.gossip.clear()
             members.changes.clear()
             node.fleet.synced = True
 
     def standings(self) -> Counter[str]:
-        return Counter(node.fleet.ladder.standing.name for node in self.nodes.values() if node.life)
+        return Counter(node.fleet.tracker.standing.name for node in self.nodes.values() if node.life)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -3,61 +3,61 @@
 import random
 import unittest
 
-from spurdeal.fleet.bringing import Shelf, UnusableListError, applied, pack, unpack
+from spurdeal.fleet.bringing import ListStore, UnusableListError, apply_changes, pack, unpack
 from spurdeal.fleet.fleet import Fleet, FleetSettings, Terms
-from spurdeal.fleet.hybrid import MOST_AHEAD, Hybrid, Stamp
+from spurdeal.fleet.hybrid import MOST_AHEAD, HybridClock, Stamp
 from spurdeal.fleet.lease import Grantor, Inquiry, Lease, StopReport, Term
 from spurdeal.fleet.members import Life, rendezvous
-from spurdeal.fleet.standing import Ladder, Limits, Seen, Standing
-from spurdeal.fleet.versions import Book, Line, Version, list_digest
+from spurdeal.fleet.standing import Limits, Observations, Standing, StandingTracker
+from spurdeal.fleet.versions import Line, Version, VersionRegistry, list_digest
 from spurdeal.lab.fleet_world import KEYS, World, engines
 from spurdeal.vrrp.sealed import Session
 
 
 class Clocks(unittest.TestCase):
     def test_a_stamp_is_later_than_all_that_was_seen_also_after_a_step_back(self) -> None:
-        clock = Hybrid(1000.0)
+        clock = HybridClock(1000.0)
         first = clock.stamp(1000.0)
-        self.assertTrue(clock.seen(1001.0, Stamp(1500, 7)))
+        self.assertTrue(clock.receive(1001.0, Stamp(1500, 7)))
         second = clock.stamp(400.0)
         self.assertLess(first, Stamp(1500, 7))
         self.assertLess(Stamp(1500, 7), second)
 
     def test_one_far_ahead_drags_nobody_along(self) -> None:
-        clock = Hybrid(1000.0)
-        self.assertFalse(clock.seen(1000.0, Stamp(int(1001 + MOST_AHEAD), 0)))
+        clock = HybridClock(1000.0)
+        self.assertFalse(clock.receive(1000.0, Stamp(int(1001 + MOST_AHEAD), 0)))
         self.assertLess(clock.stamp(1001.0), Stamp(1002, 0))
 
 
 class Versions(unittest.TestCase):
     def test_what_one_claims_exists_for_nobody(self) -> None:
-        book = Book("d0")
-        book.take(Line.LIST, Version(0, 5, "aa"))
-        book.claim("liar", {Line.LIST: Version(0, 9, "bb")})
-        self.assertEqual(0, book.behind())
-        book.claim("d2", {Line.LIST: Version(0, 9, "bb")})
-        self.assertEqual(4, book.behind())
+        registry = VersionRegistry("d0")
+        registry.take(Line.LIST, Version(0, 5, "aa"))
+        registry.claim("liar", {Line.LIST: Version(0, 9, "bb")})
+        self.assertEqual(0, registry.behind())
+        registry.claim("d2", {Line.LIST: Version(0, 9, "bb")})
+        self.assertEqual(4, registry.behind())
 
     def test_a_version_far_ahead_is_none(self) -> None:
-        book = Book("d0")
-        book.take(Line.LIST, Version(0, 5, "aa"))
+        registry = VersionRegistry("d0")
+        registry.take(Line.LIST, Version(0, 5, "aa"))
         for name in ("one", "two"):
-            book.claim(name, {Line.LIST: Version(0, 999_999, "bb")})
-        self.assertEqual((0, {"one": 1, "two": 1}), (book.behind(), book.implausible))
+            registry.claim(name, {Line.LIST: Version(0, 999_999, "bb")})
+        self.assertEqual((0, {"one": 1, "two": 1}), (registry.behind(), registry.implausible))
 
     def test_two_contents_of_one_version_are_told_and_none_is_taken(self) -> None:
-        book = Book("d0")
-        book.take(Line.LIST, Version(0, 5, "aa"))
-        self.assertEqual(1, len(book.claim("d1", {Line.LIST: Version(0, 5, "bb")})))
-        self.assertEqual([], book.claim("d2", {Line.LIST: Version(0, 5, "bb")}), "told once")
-        self.assertEqual("aa", book.force[Line.LIST].digest)
-        self.assertIn("0.5 is aa at d0 and bb at d1", str(next(iter(book.clashes.values()))))
+        registry = VersionRegistry("d0")
+        registry.take(Line.LIST, Version(0, 5, "aa"))
+        self.assertEqual(1, len(registry.claim("d1", {Line.LIST: Version(0, 5, "bb")})))
+        self.assertEqual([], registry.claim("d2", {Line.LIST: Version(0, 5, "bb")}), "told once")
+        self.assertEqual("aa", registry.in_force[Line.LIST].digest)
+        self.assertIn("0.5 is aa at d0 and bb at d1", str(next(iter(registry.clashes.values()))))
 
     def test_versions_never_go_back(self) -> None:
-        book = Book("d0")
-        self.assertTrue(book.take(Line.LIST, Version(0, 5, "aa")))
-        self.assertFalse(book.take(Line.LIST, Version(0, 4, "cc")))
-        self.assertEqual(5, book.force[Line.LIST].number)
+        registry = VersionRegistry("d0")
+        self.assertTrue(registry.take(Line.LIST, Version(0, 5, "aa")))
+        self.assertFalse(registry.take(Line.LIST, Version(0, 4, "cc")))
+        self.assertEqual(5, registry.in_force[Line.LIST].number)
 
 
 class Leases(unittest.TestCase):
@@ -146,11 +146,11 @@
 
 
 class Standings(unittest.TestCase):
-    def ladder(self) -> Ladder:
-        ladder = Ladder("d0", Limits(100.0, 200.0, 0.34, 1000.0), 0.0)
-        ladder.step(0.0, self.seen())
-        self.assertIs(Standing.CURRENT, ladder.standing)
-        return ladder
+    def tracker(self) -> StandingTracker:
+        tracker = StandingTracker("d0", Limits(100.0, 200.0, 0.34, 1000.0), 0.0)
+        tracker.step(0.0, self.seen())
+        self.assertIs(Standing.CURRENT, tracker.standing)
+        return tracker
 
     @staticmethod
     def seen(
@@ -161,60 +161,60 @@
         size: int = 12,
         clock: float = 0.0,
         twin: bool = False,
-    ) -> Seen:
-        return Seen(lease, behind, source, lambda: others, size, True, clock, twin)
+    ) -> Observations:
+        return Observations(lease, behind, source, lambda: others, size, True, clock, twin)
 
     def test_who_hears_only_the_name_service_lapses_and_no_more(self) -> None:
-        ladder = self.ladder()
+        tracker = self.tracker()
         for at in range(0, 5000, 50):
-            ladder.step(float(at), self.seen(lease=False))
-        self.assertIs(Standing.LAPSED, ladder.standing)
-        self.assertEqual((True, False, True), ladder.allowed)
+            tracker.step(float(at), self.seen(lease=False))
+        self.assertIs(Standing.LAPSED, tracker.standing)
+        self.assertEqual((True, False, True), tracker.allowed)
 
     def test_alone_and_blind_is_shut_out_and_returns_through_joining(self) -> None:
-        ladder, passed = self.ladder(), []
+        tracker, passed = self.tracker(), []
         for at in range(0, 1000, 50):
-            if ladder.step(float(at), self.seen(lease=at > 600, source=5000.0 if at <= 600 else 0.0)):
-                passed.append(ladder.standing)
+            if tracker.step(float(at), self.seen(lease=at > 600, source=5000.0 if at <= 600 else 0.0)):
+                passed.append(tracker.standing)
         self.assertEqual([Standing.LAPSED, Standing.SHUT, Standing.JOINING, Standing.CURRENT], passed)
 
     def test_most_of_the_fleet_behind_shuts_out_a_part_and_no_more(self) -> None:
         names = [f"d{number}" for number in range(12)]
         out = 0
         for name in names:
-            ladder = Ladder(name, Limits(100.0, 200.0, 0.34, 1000.0), 0.0)
-            ladder.step(0.0, self.seen())
+            tracker = StandingTracker(name, Limits(100.0, 200.0, 0.34, 1000.0), 0.0)
+            tracker.step(0.0, self.seen())
             for at in range(0, 2000, 50):
-                ladder.step(float(at), self.seen(behind=1, others=tuple(names)))
-            out += ladder.standing is Standing.SHUT
+                tracker.step(float(at), self.seen(behind=1, others=tuple(names)))
+            out += tracker.standing is Standing.SHUT
         self.assertEqual(4, out)
 
     def test_a_clock_hours_off_sends_nothing_doubtful(self) -> None:
-        ladder = self.ladder()
-        ladder.step(10.0, self.seen(clock=-3.6e6))
-        self.assertIs(Standing.LAPSED, ladder.standing)
-        self.assertIn("clock", ladder.why)
+        tracker = self.tracker()
+        tracker.step(10.0, self.seen(clock=-3.6e6))
+        self.assertIs(Standing.LAPSED, tracker.standing)
+        self.assertIn("clock", tracker.why)
 
 
 class Lists(unittest.TestCase):
     def test_the_missing_changes_or_the_whole_give_the_same(self) -> None:
         old, new = engines(60), engines(62, draining=3)
-        shelf, one, two = Shelf(100.0, 0.0), Version(0, 1, "a"), Version(0, 2, "b")
-        shelf.keep(one, old)
-        shelf.keep(two, new)
+        list_store, one, two = ListStore(100.0, 0.0), Version(0, 1, "a"), Version(0, 2, "b")
+        list_store.keep(one, old)
+        list_store.keep(two, new)
         for have, most in ((one, 1), (Version(0, 0, "z"), 9)):
-            count = (shelf.piece(0.0, have, two, 0) or (0, b""))[0]
-            pieces = [(shelf.piece(0.0, have, two, place) or (0, b""))[1] for place in range(count)]
+            count = (list_store.piece(0.0, have, two, 0) or (0, b""))[0]
+            pieces = [(list_store.piece(0.0, have, two, place) or (0, b""))[1] for place in range(count)]
             self.assertLessEqual(count, most)
-            found = applied(old if have == one else {}, unpack(pieces))
+            found = apply_changes(old if have == one else {}, unpack(pieces))
             self.assertEqual(list_digest(new), list_digest(found))
 
     def test_a_busy_holder_says_so(self) -> None:
-        shelf, version = Shelf(100.0, 0.0), Version(0, 1, "a")
-        shelf.keep(version, engines(3))
-        found = [shelf.piece(0.0, version, version, 0) for _ in range(30)]
+        list_store, version = ListStore(100.0, 0.0), Version(0, 1, "a")
+        list_store.keep(version, engines(3))
+        found = [list_store.piece(0.0, version, version, 0) for _ in range(30)]
         self.assertIn((0, b""), found)
-        self.assertNotEqual((0, b""), shelf.piece(100.0, version, version, 0))
+        self.assertNotEqual((0, b""), list_store.piece(100.0, version, version, 0))
 
     def test_what_unpacks_without_end_is_refused(self) -> None:
         with self.assertRaises(UnusableListError):
@@ -271,7 +271,7 @@
         others = {name for name in world.nodes if name != "d3"}
         world.cuts = {("d3", other) for other in others}
         world.run(4000.0)
-        self.assertIs(Standing.LAPSED, world.nodes["d3"].fleet.ladder.standing)
+        self.assertIs(Standing.LAPSED, world.nodes["d3"].fleet.tracker.standing)
         self.assertEqual({"CURRENT": 5, "LAPSED": 1}, world.standings())
         world.cuts.clear()
         self.all_current(world, 6, 12_000.0)
@@ -283,7 +283,7 @@
         world.run(8000.0)
         self.assertNotIn("SHUT", world.standings())
         self.assertEqual(
-            7, sum(world.nodes[name].fleet.ladder.standing is Standing.CURRENT for name in names[:7])
+            7, sum(world.nodes[name].fleet.tracker.standing is Standing.CURRENT for name in names[:7])
         )
         world.release(2)
         world.cuts.clear()
@@ -320,9 +320,9 @@
         world.nodes["twin"], world.by_address[twin.address] = twin, "twin"
         world.start(twin)
         world.run(4000.0)
-        self.assertIs(Standing.TWIN, twin.fleet.ladder.standing)
+        self.assertIs(Standing.TWIN, twin.fleet.tracker.standing)
         world.run(4000.0)
-        self.assertIs(Standing.CURRENT, world.nodes["d1"].fleet.ladder.standing)
+        self.assertIs(Standing.CURRENT, world.nodes["d1"].fleet.tracker.standing)
 
     def test_a_common_start_ends_in_one_fleet_whoever_asked_whom(self) -> None:
         for seed in range(12):
@@ -352,13 +352,13 @@
         world = self.world()
         liar = world.nodes["d4"].fleet
         for number in (3, 100, 10_000_000):
-            liar.book.force[Line.LIST] = Version(0, number, "00" * 8)
+            liar.registry.in_force[Line.LIST] = Version(0, number, "00" * 8)
             world.run(4000.0)
             self.assertEqual(
                 {"CURRENT"},
-                {node.fleet.ladder.standing.name for node in world.nodes.values() if node.name != "d4"},
+                {node.fleet.tracker.standing.name for node in world.nodes.values() if node.name != "d4"},
             )
-        self.assertTrue(any(node.fleet.book.implausible for node in world.nodes.values()))
+        self.assertTrue(any(node.fleet.registry.implausible for node in world.nodes.values()))
 
     def test_a_list_that_drops_every_engine_needs_more_than_one_witness(self) -> None:
         world = self.world()
@@ -366,13 +366,15 @@
         world.nodes["d4"].fleet.in_force(Line.LIST, empty, {})
         world.run(3000.0)
         self.assertTrue(self.told(world, "list_refused"))
-        self.assertEqual(1, sum(empty == node.fleet.book.force[Line.LIST] for node in world.nodes.values()))
+        self.assertEqual(
+            1, sum(empty == node.fleet.registry.in_force[Line.LIST] for node in world.nodes.values())
+        )
 
     def test_a_clock_that_steps_hours_is_found_by_its_own(self) -> None:
         world = self.world()
         world.nodes["d5"].unix_off = 3.6e6
         world.run(3000.0)
-        self.assertIs(Standing.LAPSED, world.nodes["d5"].fleet.ladder.standing)
+        self.assertIs(Standing.LAPSED, world.nodes["d5"].fleet.tracker.standing)
         self.assertEqual({"CURRENT": 5, "LAPSED": 1}, world.standings())
         world.nodes["d5"].unix_off = 0.0
         self.all_current(world, 6, 20_000.0)
@@ -423,7 +425,7 @@
         old = [datagram for _, datagram in self.seen_by(world, "d1")]
         forged = Session("d1", "d0", 5, type(KEYS)({1: b"x" * 16}))
         before, came = fleet.counts["came"], fleet.counts.copy()
-        standing, table = fleet.ladder.standing, dict(fleet.members.others)
+        standing, table = fleet.tracker.standing, dict(fleet.members.others)
         for number in range(4000):
             good = bytearray(chance.choice(old))
             spoilt = (
@@ -437,7 +439,7 @@
         dropped = sum(count - came[name] for name, count in fleet.counts.items() if name.startswith("drop_"))
         self.assertEqual(4000, fleet.counts["came"] - before)
         self.assertEqual(4000, dropped)
-        self.assertEqual((standing, table), (fleet.ladder.standing, dict(fleet.members.others)))
+        self.assertEqual((standing, table), (fleet.tracker.standing, dict(fleet.members.others)))
 
     def test_a_sealed_body_of_any_form_raises_nothing(self) -> None:
         world = self.world(3)
@@ -487,7 +489,7 @@
         )
         fleet.in_force(Line.LIST, Version(0, 1, "a"), {})
         fleet.tick(20.0, 20.0)
-        self.assertIs(Standing.CURRENT, fleet.ladder.standing)
+        self.assertIs(Standing.CURRENT, fleet.tracker.standing)
 
     def test_one_whose_seeds_are_silent_does_not_believe_that_it_is_the_fleet(self) -> None:
         fleet = Fleet(
@@ -501,4 +503,4 @@
         for at in range(20, 3000, 20):
             fleet.tick(float(at), float(at))
         self.assertFalse(fleet.allowed(3000.0).doubtful)
-        self.assertIs(Standing.JOINING, fleet.ladder.standing)
+        self.assertIs(Standing.JOINING, fleet.tracker.standing)
