--- a/spurdeal/fleet/asking.py
+++ b/spurdeal/fleet/asking.py
@@ -13,10 +13,10 @@
 from .audit import COLD, DOUBTFUL, BrokenLogError, Kind, Read, Record, head_of, read
 from .errors import FleetError
 from .hybrid import Stamp
-from .versions import WITNESSES, Line
+from .versions import WITNESSES, Artifact
 
 READY = 2
-LINES = tuple(line.name.lower() for line in Line)
+LINES = tuple(line.name.lower() for line in Artifact)
 
 
 class UnreadableLogError(FleetError):
--- a/spurdeal/fleet/fleet.py
+++ b/spurdeal/fleet/fleet.py
@@ -32,7 +32,7 @@
 from .stop_inquiries import StopInquiries
 from .table_sync import TableSync
 from .terms import TICK, FleetEvent, Terms
-from .versions import Clash, Line, Version, VersionRegistry
+from .versions import Artifact, Clash, Version, VersionRegistry
 
 __all__ = ["READY", "TICK", "Fleet", "FleetEvent", "FleetSettings", "Terms"]
 
@@ -152,20 +152,20 @@
         return allowed if self.lease.holds(now) else allowed._replace(doubtful=False)
 
     def in_force(
-        self, line: Line, version: Version, rows: Rows | None = None, by_source: bool = True
+        self, artifact: Artifact, version: Version, rows: Rows | None = None, by_source: bool = True
     ) -> bool:
         """Note what this dispatcher acts on from now on.
 
         Args:
-            line: Which of the versioned things it is: engine list, configuration, program, keys.
+            artifact: What is versioned: engine list, configuration, program or keys.
             version: The one that is acted on now.
-            rows: The engine list itself, where `line` is LIST.
+            rows: The engine list itself, if `artifact` is LIST.
             by_source: Whether our own source told it, and not a peer.
 
         Returns:
             Whether it is newer than what was in force.
         """
-        taken = self.registry.take(line, version, by_source)
+        taken = self.registry.take(artifact, version, by_source)
         if taken and rows is not None:
             self.rows = rows
             self.list_store.keep(version, rows)
@@ -175,9 +175,9 @@
 
     def note_source_content(self, version: Version) -> None:
         """What our source says that the version in force holds: other content than ours is a clash."""
-        own = self.registry.in_force.get(Line.LIST)
+        own = self.registry.in_force.get(Artifact.LIST)
         if own is not None and own.order == version.order and own.digest != version.digest:
-            for clash in self.registry.clash(Line.LIST, version, f"{self.name}'s source"):
+            for clash in self.registry.clash(Artifact.LIST, version, f"{self.name}'s source"):
                 self.report_clash(clash)
 
     def source_answered(self, now: float) -> None:
@@ -208,7 +208,7 @@
         if probe is not None:
             self.messenger.ping(now, unix, probe)
         for helper in helpers:
-            self.messenger.ping_through(now, unix, helper)
+            self.messenger.ping_indirectly(now, unix, helper)
         self.renewal.tick(now, unix, paused)
         self.table_sync.tick(now, unix)
         self.table_sync.contact_seeds(now, unix)
@@ -271,13 +271,13 @@
 
     def others_behind(self) -> list[str]:
         """Members that are on an older list than the newest, or shut out, by their last word."""
-        newest = self.registry.newest(Line.LIST)
+        newest = self.registry.newest(Artifact.LIST)
         if newest is None:
             return []
         return [
             name
             for name, claims in self.registry.claims.items()
-            if (Line.LIST in claims and claims[Line.LIST].order < newest.order)
+            if (Artifact.LIST in claims and claims[Artifact.LIST].order < newest.order)
             or (name in self.heard and self.heard[name].standing is Standing.SHUT)
         ]
 
@@ -335,7 +335,7 @@
         figures = {
             "standing": self.tracker.standing.name.lower(),
             "why": self.tracker.why,
-            "list": str(self.registry.in_force.get(Line.LIST, "")),
+            "list": str(self.registry.in_force.get(Artifact.LIST, "")),
         }
         self.events.append(FleetEvent("standing", figures))
 
--- a/spurdeal/fleet/handlers.py
+++ b/spurdeal/fleet/handlers.py
@@ -91,7 +91,7 @@
     return act
 
 
-def on_through(fleet: Fleet, message: Message) -> Act:
+def on_indirect_ping(fleet: Fleet, message: Message) -> Act:
     """The sender cannot reach a member: we ping it on its behalf."""
     now, unix, source, name, body = message
     sequence, row = wire.whole(body.get("q")), wire.items(body.get("on"), 3, 3)
@@ -141,7 +141,7 @@
         table = sorted(fleet.members.table())
         fields = {"k": "J", "q": sequence, "i": offset, "of": len(table)}
         left, rows = wire.room(fleet.name, fleet.body(unix, fields)) - PAGE_RESERVE, list[list[Any]]()
-        for record in table[offset : offset + wire.MOST_RECORDS]:
+        for record in table[offset : offset + wire.MAX_RECORDS]:
             row = wire.written(fleet.members.as_gossip(record))
             left -= len(str(row)) + 1
             if left < 0:
@@ -156,7 +156,7 @@
     """A page of the member table that we pull. Its records are read as news."""
     now, unix, _, name, body = message
     offset, total = wire.whole(body.get("i"), MAX_OFFSET), wire.whole(body.get("of"), MAX_OFFSET)
-    count = len(wire.items(body.get("n"), 0, wire.MOST_RECORDS))
+    count = len(wire.items(body.get("n"), 0, wire.MAX_RECORDS))
     found = fleet.messenger.answered(body, name, RequestKind.PULL)
 
     def act() -> None:
@@ -251,7 +251,7 @@
 HANDLERS: Mapping[str, Handler] = {
     "p": on_ping,
     "a": on_ack,
-    "r": on_through,
+    "r": on_indirect_ping,
     "n": on_nack,
     "y": on_relayed_ack,
     "j": on_table_request,
--- a/spurdeal/fleet/list_sync.py
+++ b/spurdeal/fleet/list_sync.py
@@ -19,7 +19,7 @@
 )
 from .messenger import RequestKind
 from .terms import FleetEvent
-from .versions import ROW, WITNESSES, Line, Offer, Version, list_digest
+from .versions import ROW, WITNESSES, Artifact, Offer, Version, list_digest
 
 if TYPE_CHECKING:
     from .fleet import Fleet
@@ -42,7 +42,7 @@
 
     def tick(self, now: float, unix: float) -> None:
         """Ask for the next piece where a newer list is known."""
-        have = self.fleet.registry.in_force.get(Line.LIST)
+        have = self.fleet.registry.in_force.get(Artifact.LIST)
         if have is None or (self.fetch.want is None and now < self.next_offers):
             return
         self.next_offers = now + OFFERS_EVERY
@@ -93,13 +93,13 @@
             fleet.events.append(FleetEvent("bring_up_failed", {"from": name, "why": str(fault)}))
             return
         dropped = dropped_share(fleet.rows, rows, READY)
-        if dropped > self.max_single_drop and len(fleet.registry.holders(Line.LIST, want)) < WITNESSES:
+        if dropped > self.max_single_drop and len(fleet.registry.holders(Artifact.LIST, want)) < WITNESSES:
             self.fetch.refuse(now)
             figures = {"from": name, "drops": round(dropped, 2), "list": str(want)}
             fleet.events.append(FleetEvent("list_refused", figures))
             return
         self.fetch.end(now, 0.0)
-        if fleet.in_force(Line.LIST, want, rows, by_source=False):
+        if fleet.in_force(Artifact.LIST, want, rows, by_source=False):
             fleet.events.append(FleetEvent("brought_up", {"from": name, "list": str(want)}))
             fleet.bring(want, rows)
 
--- a/spurdeal/fleet/messenger.py
+++ b/spurdeal/fleet/messenger.py
@@ -121,7 +121,7 @@
         body["e"] = members.checksum()
         left, rows = wire.room(self.fleet.name, body) - GOSSIP_RESERVE, list[list[Any]]()
         boot = self.sessions[name].peer_boot if name in self.sessions else 0
-        for record in members.select_gossip(min(wire.MOST_RECORDS, max(1, left // RECORD_SIZE)), name, boot):
+        for record in members.select_gossip(min(wire.MAX_RECORDS, max(1, left // RECORD_SIZE)), name, boot):
             row = wire.written(record)
             left -= len(str(row)) + 1
             if left < 0:
@@ -174,7 +174,7 @@
         address = relay.address if relay is not None else None
         self.send(now, unix, name, {"q": sequence} | fields, address)
 
-    def ping_through(self, now: float, unix: float, helper: str) -> None:
+    def ping_indirectly(self, now: float, unix: float, helper: str) -> None:
         """Ask a helper to ping the member that we are probing."""
         probe = self.fleet.members.probe
         record = self.fleet.members.others.get(probe.name) if probe is not None else None
--- a/spurdeal/fleet/receiver.py
+++ b/spurdeal/fleet/receiver.py
@@ -13,7 +13,7 @@
 from .members import MAX_MEMBERS, Address, Life, Record
 from .standing import Standing
 from .terms import FleetEvent
-from .versions import Line, Version
+from .versions import Artifact, Version
 
 if TYPE_CHECKING:
     from .fleet import Fleet
@@ -34,7 +34,7 @@
     """What every message says of its sender."""
 
     stamp: Stamp
-    claims: dict[Line, Version]
+    claims: dict[Artifact, Version]
     standing: Standing
     gossip: list[Record]
     page: SealedPage | None
--- a/spurdeal/fleet/station.py
+++ b/spurdeal/fleet/station.py
@@ -27,7 +27,7 @@
 from .fleet import READY, TICK, Fleet, FleetEvent, FleetSettings
 from .journal import Journal, JournalSettings
 from .local_versions import configured, keyed, program, terms_of
-from .versions import Line, Row, Version, list_digest, rows_of
+from .versions import Artifact, Row, Version, list_digest, rows_of
 
 if TYPE_CHECKING:
     from ..settings.installation import FleetPart, Installation
@@ -103,9 +103,9 @@
         self.next_count = self.monotonic()
         self.parts = True
         self.idents: dict[int, str] = {}  # engines by place, as the audit names them
-        self.fleet.in_force(Line.CONFIGURATION, configured(settings.configuration, plan))
-        self.fleet.in_force(Line.PROGRAM, program())
-        self.fleet.in_force(Line.KEYS, keyed(keys))
+        self.fleet.in_force(Artifact.CONFIGURATION, configured(settings.configuration, plan))
+        self.fleet.in_force(Artifact.PROGRAM, program())
+        self.fleet.in_force(Artifact.KEYS, keyed(keys))
 
     def make_fleet(self, name: str, part: FleetPart, keys: Keys) -> Fleet:
         """The member that the operator's file describes."""
@@ -159,8 +159,8 @@
         self.fleet.keys = keys
         for session in self.fleet.sessions.values():
             session.keys = keys
-        self.fleet.in_force(Line.KEYS, keyed(keys))
-        self.fleet.in_force(Line.CONFIGURATION, configured(configuration, plan))
+        self.fleet.in_force(Artifact.KEYS, keyed(keys))
+        self.fleet.in_force(Artifact.CONFIGURATION, configured(configuration, plan))
         self.acted_on("reload")
 
     def lowers(self) -> bool:
@@ -183,7 +183,7 @@
     def act_on(self, number: int, endpoints: Mapping[str, Endpoint], by: str) -> None:
         """Put a list of the name service in force, and note it in the audit."""
         rows = rows_of(endpoints.values())
-        self.fleet.in_force(Line.LIST, Version(0, number, list_digest(rows)), rows)
+        self.fleet.in_force(Artifact.LIST, Version(0, number, list_digest(rows)), rows)
         self.acted_on(by)
 
     def bring(self, version: Version, rows: Mapping[str, Row]) -> None:
--- a/spurdeal/fleet/status.py
+++ b/spurdeal/fleet/status.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING, Any
 
-from .versions import Line
+from .versions import Artifact
 
 if TYPE_CHECKING:
     from .fleet import Fleet
@@ -22,8 +22,10 @@
 
 def own_status(fleet: Fleet, now: float) -> dict[str, Any]:
     """What concerns the member itself."""
-    newest = fleet.registry.newest(Line.LIST)
-    versions = {line.name.lower(): str(each) for line, each in sorted(fleet.registry.in_force.items())}
+    newest = fleet.registry.newest(Artifact.LIST)
+    versions = {
+        artifact.name.lower(): str(each) for artifact, each in sorted(fleet.registry.in_force.items())
+    }
     return {
         "name": fleet.name,
         "boot": f"{fleet.boot:016x}",
@@ -47,7 +49,7 @@
     """What is known here of one other member."""
     record, heard = fleet.members.others[name], fleet.heard.get(name)
     claims = fleet.registry.claims.get(name, {})
-    newest = fleet.registry.newest(Line.LIST)
+    newest = fleet.registry.newest(Artifact.LIST)
     found: dict[str, Any] = {
         "name": name,
         "life": record.life.name.lower(),
@@ -62,7 +64,7 @@
             "heard_ms_ago": round(now - heard.at),
             "page": heard.page.number if heard.page is not None else None,
         }
-    if Line.LIST in claims and newest is not None:
-        told = claims[Line.LIST]
+    if Artifact.LIST in claims and newest is not None:
+        told = claims[Artifact.LIST]
         found |= {"list": str(told), "behind": max(0, newest.number - told.number)}
     return found
--- a/spurdeal/fleet/versions.py
+++ b/spurdeal/fleet/versions.py
@@ -23,7 +23,7 @@
 DIGEST = 8  # bytes
 
 
-class Line(IntEnum):
+class Artifact(IntEnum):
     """What has versions."""
 
     LIST = 0
@@ -52,7 +52,7 @@
 class Clash(NamedTuple):
     """One version of a line with two contents, and who claims which."""
 
-    line: Line
+    artifact: Artifact
     generation: int
     number: int
     digests: tuple[str, str]
@@ -62,7 +62,7 @@
         """The clash in words for people."""
         one, two = self.digests
         return (
-            f"{self.line.name.lower()} {self.generation}.{self.number} is {one} at {self.names[0]} and "
+            f"{self.artifact.name.lower()} {self.generation}.{self.number} is {one} at {self.names[0]} and "
             f"{two} at {self.names[1]}"
         )
 
@@ -114,57 +114,59 @@
 
     def __init__(self, own: str) -> None:
         self.own = own
-        self.in_force: dict[Line, Version] = {}
-        self.claims: dict[str, dict[Line, Version]] = {}
-        self.clashes: dict[tuple[Line, int, int], Clash] = {}
-        self.by_source: dict[Line, Version] = {}  # by our own source, whether or not it is in force
+        self.in_force: dict[Artifact, Version] = {}
+        self.claims: dict[str, dict[Artifact, Version]] = {}
+        self.clashes: dict[tuple[Artifact, int, int], Clash] = {}
+        self.by_source: dict[Artifact, Version] = {}  # by our own source, whether or not it is in force
         self.implausible: dict[str, int] = {}
         # What `newest` and `offers` have found since anything changed.
-        self.newest_cache: dict[Line, Version | None] = {}
-        self.offers_cache: dict[Line, list[Offer]] = {}
+        self.newest_cache: dict[Artifact, Version | None] = {}
+        self.offers_cache: dict[Artifact, list[Offer]] = {}
 
-    def take(self, line: Line, version: Version, by_source: bool = True) -> bool:
+    def take(self, artifact: Artifact, version: Version, by_source: bool = True) -> bool:
         """Put a version in force.
 
         Returns:
             False, and nothing changes, for one that is not newer: versions never go back unasked, and other
                 content under the version in force is a clash.
         """
-        before = self.in_force.get(line)
+        before = self.in_force.get(artifact)
         self.clear_caches()
-        if by_source and (line not in self.by_source or version.order >= self.by_source[line].order):
-            self.by_source[line] = version
+        if by_source and (artifact not in self.by_source or version.order >= self.by_source[artifact].order):
+            self.by_source[artifact] = version
         if before is not None and version.order <= before.order:
             if version.order == before.order and version.digest != before.digest:
-                self.clash(line, version, f"{self.own}'s source")
+                self.clash(artifact, version, f"{self.own}'s source")
             return False
-        self.in_force[line] = version
+        self.in_force[artifact] = version
         return True
 
-    def claim(self, name: str, claims: Mapping[Line, Version]) -> list[Clash]:
+    def claim(self, name: str, claims: Mapping[Artifact, Version]) -> list[Clash]:
         """What a member says that it acts on; new clashes. What cannot be is counted and not kept."""
-        kept, found = dict[Line, Version](), list[Clash]()
-        for line, version in claims.items():
-            own = self.in_force.get(line)
+        kept, found = dict[Artifact, Version](), list[Clash]()
+        for artifact, version in claims.items():
+            own = self.in_force.get(artifact)
             if own is not None and (
                 version.generation > own.generation + 1 or version.number > own.number + MAX_NUMBER_AHEAD
             ):
                 self.implausible[name] = self.implausible.get(name, 0) + 1
                 continue
-            kept[line] = version
+            kept[artifact] = version
             if own is not None and version.order == own.order and version.digest != own.digest:
-                found += self.clash(line, version, name)
+                found += self.clash(artifact, version, name)
         if self.claims.get(name) != kept:
             self.claims[name] = kept
             self.clear_caches()
         return found
 
-    def clash(self, line: Line, version: Version, name: str) -> list[Clash]:
+    def clash(self, artifact: Artifact, version: Version, name: str) -> list[Clash]:
         """Keep a clash with the version in force; the new one, unless it is known or there are too many."""
-        key = (line, *version.order)
-        if line is Line.PROGRAM or key in self.clashes or len(self.clashes) >= MAX_CLASHES:
+        key = (artifact, *version.order)
+        if artifact is Artifact.PROGRAM or key in self.clashes or len(self.clashes) >= MAX_CLASHES:
             return []
-        clash = Clash(line, *version.order, (self.in_force[line].digest, version.digest), (self.own, name))
+        clash = Clash(
+            artifact, *version.order, (self.in_force[artifact].digest, version.digest), (self.own, name)
+        )
         self.clashes[key] = clash
         return [clash]
 
@@ -179,51 +181,51 @@
         self.clear_caches()
         self.implausible.pop(name, None)
 
-    def newest(self, line: Line) -> Version | None:
+    def newest(self, artifact: Artifact) -> Version | None:
         """The newest that counts as existing: ours, our source's, or what enough members claim."""
-        if line not in self.newest_cache:
-            self.newest_cache[line] = self.find_newest(line)
-        return self.newest_cache[line]
+        if artifact not in self.newest_cache:
+            self.newest_cache[artifact] = self.find_newest(artifact)
+        return self.newest_cache[artifact]
 
-    def find_newest(self, line: Line) -> Version | None:
+    def find_newest(self, artifact: Artifact) -> Version | None:
         """See `newest`."""
         counted: dict[Version, int] = {}
         for claims in self.claims.values():
-            if line in claims:
-                counted[claims[line]] = counted.get(claims[line], 0) + 1
+            if artifact in claims:
+                counted[claims[artifact]] = counted.get(claims[artifact], 0) + 1
         found = [version for version, count in counted.items() if count >= WITNESSES]
-        found += [versions[line] for versions in (self.in_force, self.by_source) if line in versions]
+        found += [versions[artifact] for versions in (self.in_force, self.by_source) if artifact in versions]
         return max(found, key=lambda version: version.order, default=None)
 
-    def behind(self, line: Line = Line.LIST) -> int:
+    def behind(self, artifact: Artifact = Artifact.LIST) -> int:
         """How many numbers ours lies behind the newest; a newer generation counts as one at least."""
-        own, newest = self.in_force.get(line), self.newest(line)
+        own, newest = self.in_force.get(artifact), self.newest(artifact)
         if newest is None or (own is not None and own.order >= newest.order):
             return 0
         return max(1, newest.number - (own.number if own is not None else 0))
 
-    def holders(self, line: Line, version: Version) -> list[str]:
+    def holders(self, artifact: Artifact, version: Version) -> list[str]:
         """Members that claim to act on that version, by name."""
-        return sorted(name for name, claims in self.claims.items() if claims.get(line) == version)
+        return sorted(name for name, claims in self.claims.items() if claims.get(artifact) == version)
 
-    def offers(self, line: Line = Line.LIST) -> list[Offer]:
+    def offers(self, artifact: Artifact = Artifact.LIST) -> list[Offer]:
         """What members claim beyond ours, newest first, also with one witness.
 
         It may be asked for, since what comes is checked against its digest and against what is in force.
         """
-        if line not in self.offers_cache:
-            self.offers_cache[line] = self.find_offers(line)
-        return self.offers_cache[line]
+        if artifact not in self.offers_cache:
+            self.offers_cache[artifact] = self.find_offers(artifact)
+        return self.offers_cache[artifact]
 
-    def find_offers(self, line: Line) -> list[Offer]:
+    def find_offers(self, artifact: Artifact) -> list[Offer]:
         """See `offers`."""
-        own = self.in_force.get(line)
+        own = self.in_force.get(artifact)
         ahead = {
-            claims[line]
+            claims[artifact]
             for claims in self.claims.values()
-            if line in claims and (own is None or claims[line].order > own.order)
+            if artifact in claims and (own is None or claims[artifact].order > own.order)
         }
         return [
-            Offer(version, self.holders(line, version))
+            Offer(version, self.holders(artifact, version))
             for version in sorted(ahead, key=lambda each: (*each.order, each.digest), reverse=True)
         ]
--- a/spurdeal/fleet/wire.py
+++ b/spurdeal/fleet/wire.py
@@ -18,12 +18,12 @@
 from .lease import GRANTORS, Term
 from .members import MAX_INCARNATION, Life, Record
 from .standing import Standing
-from .versions import Line, Version
+from .versions import Artifact, Version
 
 LARGEST = 1200  # bytes of a datagram
-LONGEST_NAME = 32
-MOST_RECORDS = 12
-MOST_LEFT = 3_600_000.0  # ms
+MAX_NAME_LENGTH = 32
+MAX_RECORDS = 12
+MAX_REMAINING = 3_600_000.0  # ms
 
 
 def name_of(datagram: bytes) -> str:
@@ -34,7 +34,7 @@
         raise RefusedError("long")
     size = datagram[5]
     text = datagram[HEAD.size : HEAD.size + size]
-    if not 1 <= size <= LONGEST_NAME or len(text) != size or not text.isascii():
+    if not 1 <= size <= MAX_NAME_LENGTH or len(text) != size or not text.isascii():
         raise RefusedError("name")
     return text.decode("ascii")
 
@@ -54,7 +54,7 @@
     return value
 
 
-def figure(value: object, most: float = MOST_LEFT) -> float:
+def figure(value: object, most: float = MAX_REMAINING) -> float:
     """A finite number from 0 to the most."""
     if (
         not isinstance(value, (int, float))
@@ -66,7 +66,7 @@
     return float(value)
 
 
-def text(value: object, most: int = LONGEST_NAME) -> str:
+def text(value: object, most: int = MAX_NAME_LENGTH) -> str:
     """Printable ASCII of 1 to the most characters."""
     if (
         not isinstance(value, str)
@@ -119,7 +119,7 @@
 
 def records(body: Mapping[str, Any], key: str = "n") -> list[Record]:
     """The member records of a body, at most MOST_RECORDS."""
-    return [record(row) for row in items(body.get(key, []), 0, MOST_RECORDS)]
+    return [record(row) for row in items(body.get(key, []), 0, MAX_RECORDS)]
 
 
 def version(value: object) -> Version:
@@ -128,15 +128,15 @@
     return Version(whole(row[0], 1 << 48), whole(row[1], 1 << 48), text(row[2], 16))
 
 
-def versions(body: Mapping[str, Any]) -> dict[Line, Version]:
+def versions(body: Mapping[str, Any]) -> dict[Artifact, Version]:
     """The sender's versions in force."""
-    rows = items(body.get("v", []), 0, len(Line))
-    return {Line(place): version(row) for place, row in enumerate(rows) if row is not None}
+    rows = items(body.get("v", []), 0, len(Artifact))
+    return {Artifact(place): version(row) for place, row in enumerate(rows) if row is not None}
 
 
-def versions_written(force: Mapping[Line, Version]) -> list[Any]:
+def versions_written(force: Mapping[Artifact, Version]) -> list[Any]:
     """Versions in force as a row for JSON, in the order of Line."""
-    return [list(force[line]) if line in force else None for line in Line]
+    return [list(force[artifact]) if artifact in force else None for artifact in Artifact]
 
 
 def stamp(body: Mapping[str, Any]) -> Stamp:
--- a/spurdeal/lab/fleet_model.py
+++ b/spurdeal/lab/fleet_model.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from ..fleet.fleet import Fleet
-from ..fleet.versions import Line, Version, VersionRegistry
+from ..fleet.versions import Artifact, Version, VersionRegistry
 from .fleet_walk import IN_FLEETS, walks
 from .lease_faults import IN_THE_LEASE
 from .lease_model import Kinds, Stops, stops_walked
@@ -25,8 +25,8 @@
 class Backwards(VersionRegistry):
     """A book that takes what is older."""
 
-    def take(self, line: Line, version: Version, by_source: bool = True) -> bool:
-        self.in_force[line] = version
+    def take(self, artifact: Artifact, version: Version, by_source: bool = True) -> bool:
+        self.in_force[artifact] = version
         return True
 
 
@@ -35,9 +35,9 @@
     found = []
     for kind in (VersionRegistry, Backwards):
         registry = kind("d")
-        registry.take(Line.LIST, Version(0, 5, "aa"))
-        registry.take(Line.LIST, Version(0, 4, "bb"))
-        found.append(registry.in_force[Line.LIST].number)
+        registry.take(Artifact.LIST, Version(0, 5, "aa"))
+        registry.take(Artifact.LIST, Version(0, 4, "bb"))
+        found.append(registry.in_force[Artifact.LIST].number)
     return found == [5, 4]
 
 
--- a/spurdeal/lab/fleet_walk.py
+++ b/spurdeal/lab/fleet_walk.py
@@ -11,7 +11,7 @@
 from ..fleet.list_sync import ListSync
 from ..fleet.members import Life, Members, Record
 from ..fleet.standing import Allowed, Standing
-from ..fleet.versions import Line, Row, Version, list_digest
+from ..fleet.versions import Artifact, Row, Version, list_digest
 from .fleet_world import World
 
 
@@ -56,7 +56,7 @@
                 if found is not None and found.boot == fleet.boot and other.stopped(world.now, name):
                     self.broken["acts while another relies on its stop"] += 1
         for fleet in live.values():
-            own = fleet.registry.in_force[Line.LIST]
+            own = fleet.registry.in_force[Artifact.LIST]
             if own.number < world.newest.number - 1_000_000 or own.number > world.newest.number + 1:
                 self.broken["acts on a version that nobody released"] += 1
             if fleet.rows and len(fleet.rows) < world.engines // 2:
@@ -133,12 +133,12 @@
     def lie(self, fleet: Fleet) -> None:
         """One claims, in the right form, a list with hardly an engine, one number on."""
         number = self.world.newest.number + 1
-        before, rows = fleet.registry.in_force[Line.LIST], dict[str, Row]()
+        before, rows = fleet.registry.in_force[Artifact.LIST], dict[str, Row]()
         claimed = Version(0, number, list_digest(rows))
         fleet.list_store.keep(claimed, rows)
-        fleet.registry.in_force[Line.LIST] = claimed
+        fleet.registry.in_force[Artifact.LIST] = claimed
         self.run(700.0)
-        fleet.registry.in_force[Line.LIST] = before
+        fleet.registry.in_force[Artifact.LIST] = before
 
     def heal(self) -> None:
         world = self.world
--- a/spurdeal/lab/fleet_world.py
+++ b/spurdeal/lab/fleet_world.py
@@ -16,7 +16,7 @@
 
 from ..fleet.fleet import TICK, Fleet, FleetSettings, Terms
 from ..fleet.members import Address
-from ..fleet.versions import Line, Row, Version, list_digest
+from ..fleet.versions import Artifact, Row, Version, list_digest
 from ..vrrp.sealed import Keys
 
 KEYS = Keys({1: b"a key of the laboratory"})
@@ -113,7 +113,7 @@
     def start(self, node: Node) -> None:
         node.life = self.next()
         version = node.source_old or self.newest
-        node.fleet.in_force(Line.LIST, version, self.lists[version])
+        node.fleet.in_force(Artifact.LIST, version, self.lists[version])
         node.had[version] = self.now
         self.at(self.now + self.chance.uniform(0.0, TICK), self.tick, node, node.life)
         self.at(self.now + self.chance.uniform(0.0, ASK_EVERY), self.ask_source, node, node.life)
@@ -166,7 +166,7 @@
         if node.source and self.now >= node.paused_until:
             node.fleet.source_answered(self.now)
             version = node.source_old or self.newest
-            if node.fleet.in_force(Line.LIST, version, self.lists[version]):
+            if node.fleet.in_force(Artifact.LIST, version, self.lists[version]):
                 node.had[version] = self.now
 
     def brought(self, name: str, version: Version) -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -9,7 +9,7 @@
 from spurdeal.fleet.lease import Grantor, Inquiry, Lease, StopReport, Term
 from spurdeal.fleet.members import Life, rendezvous
 from spurdeal.fleet.standing import Limits, Observations, Standing, StandingTracker
-from spurdeal.fleet.versions import Line, Version, VersionRegistry, list_digest
+from spurdeal.fleet.versions import Artifact, Version, VersionRegistry, list_digest
 from spurdeal.lab.fleet_world import KEYS, World, engines
 from spurdeal.vrrp.sealed import Session
 
@@ -32,32 +32,32 @@
 class Versions(unittest.TestCase):
     def test_what_one_claims_exists_for_nobody(self) -> None:
         registry = VersionRegistry("d0")
-        registry.take(Line.LIST, Version(0, 5, "aa"))
-        registry.claim("liar", {Line.LIST: Version(0, 9, "bb")})
+        registry.take(Artifact.LIST, Version(0, 5, "aa"))
+        registry.claim("liar", {Artifact.LIST: Version(0, 9, "bb")})
         self.assertEqual(0, registry.behind())
-        registry.claim("d2", {Line.LIST: Version(0, 9, "bb")})
+        registry.claim("d2", {Artifact.LIST: Version(0, 9, "bb")})
         self.assertEqual(4, registry.behind())
 
     def test_a_version_far_ahead_is_none(self) -> None:
         registry = VersionRegistry("d0")
-        registry.take(Line.LIST, Version(0, 5, "aa"))
+        registry.take(Artifact.LIST, Version(0, 5, "aa"))
         for name in ("one", "two"):
-            registry.claim(name, {Line.LIST: Version(0, 999_999, "bb")})
+            registry.claim(name, {Artifact.LIST: Version(0, 999_999, "bb")})
         self.assertEqual((0, {"one": 1, "two": 1}), (registry.behind(), registry.implausible))
 
     def test_two_contents_of_one_version_are_told_and_none_is_taken(self) -> None:
         registry = VersionRegistry("d0")
-        registry.take(Line.LIST, Version(0, 5, "aa"))
-        self.assertEqual(1, len(registry.claim("d1", {Line.LIST: Version(0, 5, "bb")})))
-        self.assertEqual([], registry.claim("d2", {Line.LIST: Version(0, 5, "bb")}), "told once")
-        self.assertEqual("aa", registry.in_force[Line.LIST].digest)
+        registry.take(Artifact.LIST, Version(0, 5, "aa"))
+        self.assertEqual(1, len(registry.claim("d1", {Artifact.LIST: Version(0, 5, "bb")})))
+        self.assertEqual([], registry.claim("d2", {Artifact.LIST: Version(0, 5, "bb")}), "told once")
+        self.assertEqual("aa", registry.in_force[Artifact.LIST].digest)
         self.assertIn("0.5 is aa at d0 and bb at d1", str(next(iter(registry.clashes.values()))))
 
     def test_versions_never_go_back(self) -> None:
         registry = VersionRegistry("d0")
-        self.assertTrue(registry.take(Line.LIST, Version(0, 5, "aa")))
-        self.assertFalse(registry.take(Line.LIST, Version(0, 4, "cc")))
-        self.assertEqual(5, registry.in_force[Line.LIST].number)
+        self.assertTrue(registry.take(Artifact.LIST, Version(0, 5, "aa")))
+        self.assertFalse(registry.take(Artifact.LIST, Version(0, 4, "cc")))
+        self.assertEqual(5, registry.in_force[Artifact.LIST].number)
 
 
 class Leases(unittest.TestCase):
@@ -352,7 +352,7 @@
         world = self.world()
         liar = world.nodes["d4"].fleet
         for number in (3, 100, 10_000_000):
-            liar.registry.in_force[Line.LIST] = Version(0, number, "00" * 8)
+            liar.registry.in_force[Artifact.LIST] = Version(0, number, "00" * 8)
             world.run(4000.0)
             self.assertEqual(
                 {"CURRENT"},
@@ -363,11 +363,11 @@
     def test_a_list_that_drops_every_engine_needs_more_than_one_witness(self) -> None:
         world = self.world()
         empty = Version(0, 2, list_digest({}))
-        world.nodes["d4"].fleet.in_force(Line.LIST, empty, {})
+        world.nodes["d4"].fleet.in_force(Artifact.LIST, empty, {})
         world.run(3000.0)
         self.assertTrue(self.told(world, "list_refused"))
         self.assertEqual(
-            1, sum(empty == node.fleet.registry.in_force[Line.LIST] for node in world.nodes.values())
+            1, sum(empty == node.fleet.registry.in_force[Artifact.LIST] for node in world.nodes.values())
         )
 
     def test_a_clock_that_steps_hours_is_found_by_its_own(self) -> None:
@@ -487,7 +487,7 @@
             0.0,
             0.0,
         )
-        fleet.in_force(Line.LIST, Version(0, 1, "a"), {})
+        fleet.in_force(Artifact.LIST, Version(0, 1, "a"), {})
         fleet.tick(20.0, 20.0)
         self.assertIs(Standing.CURRENT, fleet.tracker.standing)
 
@@ -499,7 +499,7 @@
             0.0,
             0.0,
         )
-        fleet.in_force(Line.LIST, Version(0, 1, "a"), {})
+        fleet.in_force(Artifact.LIST, Version(0, 1, "a"), {})
         for at in range(20, 3000, 20):
             fleet.tick(float(at), float(at))
         self.assertFalse(fleet.allowed(3000.0).doubtful)
