--- a/spurdeal/fleet/fleet.py
+++ b/spurdeal/fleet/fleet.py
@@ -1,9 +1,9 @@
-"""One dispatcher's side of the fleet: membership, versions, lease, standing and catching up together.
+"""One dispatcher's side of the fleet: membership, versions, lease, standing and list synchronization.
 
-Free of I/O. A link calls `tick` every TICK ms and `take` for each datagram, sends what is in `out`, and logs
-what is in `told`. Both clocks come with each call: ms of a monotonic clock that runs on while the process
-stands still, and Unix ms. Nothing that comes from outside raises; what cannot be used is counted by its
-reason and changes nothing.
+Free of I/O. The caller calls `tick` every TICK ms and `take` for each datagram, sends what is in `out` and
+logs what is in `events`. Both clocks are passed with each call: ms of a monotonic clock that keeps running
+while the process is suspended, and Unix ms. Nothing that comes from outside raises; what cannot be used is
+counted by its reason and changes nothing.
 """
 
 from __future__ import annotations
@@ -36,22 +36,22 @@
 
 __all__ = ["READY", "TICK", "Fleet", "FleetEvent", "FleetSettings", "Terms"]
 
-MIN_CLOCKS = 3  # so many others must tell theirs, before ours can be found off
+MIN_CLOCKS = 3  # other members whose clocks must be known before ours can be judged
 SHIFT_EVERY = 250.0  # ms
-CLOCK_AGE = 10_000.0  # ms that a member's word on its clock counts
+CLOCK_AGE = 10_000.0  # ms for which a member's reported clock is valid
 MAX_TOLD_ONCE = 1024
-MAX_STRANGERS = 256  # names that have shown a key and not yet their start
+MAX_STRANGERS = 256  # names with a valid key that are not members yet
 
 
 @dataclass(frozen=True)
 class FleetSettings:
-    """Who a member is.
+    """The identity of a member, and the settings of its fleet.
 
     Attributes:
         name: Its name, unique in the fleet.
-        address: Where the others reach it.
-        seeds: Members to ask at a start, by name; one without any acts alone.
-        terms: What all members share.
+        address: The address at which the others reach it.
+        seeds: Members to contact at a start, by name; a member without seeds acts alone.
+        terms: Settings that all members share.
         keys: Keys of the sealed datagrams.
     """
 
@@ -66,9 +66,9 @@
     """A member of the fleet.
 
     Args:
-        settings: Who it is, and what all members share.
+        settings: Its identity, and the settings that all members share.
         chance: Source of its random choices.
-        bring: Called with a list that was fetched from a peer and checked; it is to be put in force.
+        bring: Called with a list that was fetched from a peer and checked, to put it in force.
         now: Monotonic ms.
         unix: Unix ms.
     """
@@ -93,16 +93,16 @@
         limits = Limits(terms.behind_for, terms.shut_after, terms.most_shut, terms.clock_off)
         self.tracker = StandingTracker(self.name, limits, now)
         self.rows: Rows = {}
-        self.page: SealedPage | None = None  # the newest of our own audit log
+        self.page: SealedPage | None = None  # the newest sealed page of our own audit log
         self.clock_shift, self.next_shift = 0.0, now
-        self.skew = 0.0  # of the system's Unix time before that which we are given, which does not step
+        self.skew = 0.0  # ms by which the system's Unix time is ahead of the non-stepping time passed to us
         self.leaving = False
         self.list_sync, self.receiver = ListSync(self, now), Receiver(self)
         self.name_conflict = NameConflict(self)
         self.begin(now)
 
     def begin(self, now: float) -> None:
-        """A start: nothing is known of the others."""
+        """Begin a start, without knowledge of the others."""
         self.boot = self.chance.getrandbits(62) | 1
         self.name_conflict.begin(self.boot)
         own = Record(self.name, *self.address, self.boot, 1, Life.ALIVE)
@@ -115,7 +115,7 @@
         self.table_sync, self.stops = TableSync(self, now), StopInquiries(self)
         self.ticked = now
 
-    # Parts of the member that others use.
+    # Accessors of its components.
 
     @property
     def sessions(self) -> dict[str, Session]:
@@ -124,29 +124,29 @@
 
     @property
     def list_store(self) -> ListStore:
-        """Lists that are kept for those who are behind."""
+        """Lists that are kept for members that are behind."""
         return self.list_sync.list_store
 
     @property
     def twin(self) -> bool:
-        """Whether another process has our name, and we have given way."""
+        """Whether another process has our name and we have yielded it."""
         return self.name_conflict.yielded
 
     @property
     def synced(self) -> bool:
-        """Whether a whole member table was got since the start, or since we returned."""
+        """Whether a whole member table was pulled since the start, or since our return."""
         return self.table_sync.synced
 
     @synced.setter
     def synced(self, synced: bool) -> None:
         self.table_sync.synced = synced
 
-    # Queries, and what the dispatcher tells.
+    # Queries and notifications of the dispatcher.
 
     def allowed(self, now: float) -> Allowed:
-        """What may be sent at this moment.
+        """What may be sent now.
 
-        The lease is looked at anew, as the process may have stood still.
+        The lease is checked again, as the process may have been paused since the last tick.
         """
         allowed = self.tracker.allowed
         return allowed if self.lease.holds(now) else allowed._replace(doubtful=False)
@@ -154,13 +154,13 @@
     def in_force(
         self, artifact: Artifact, version: Version, rows: Rows | None = None, by_source: bool = True
     ) -> bool:
-        """Note what this dispatcher acts on from now on.
+        """Record the version that this dispatcher acts on from now on.
 
         Args:
             artifact: What is versioned: engine list, configuration, program or keys.
-            version: The one that is acted on now.
+            version: The version now in force.
             rows: The engine list itself, if `artifact` is LIST.
-            by_source: Whether our own source told it, and not a peer.
+            by_source: Whether it comes from our own source rather than from a peer.
 
         Returns:
             Whether it is newer than what was in force.
@@ -174,35 +174,35 @@
         return taken
 
     def note_source_content(self, version: Version) -> None:
-        """What our source says that the version in force holds: other content than ours is a clash."""
+        """Compare our source's content for the version in force with ours: a difference is a clash."""
         own = self.registry.in_force.get(Artifact.LIST)
         if own is not None and own.order == version.order and own.digest != version.digest:
             for clash in self.registry.clash(Artifact.LIST, version, f"{self.name}'s source"):
                 self.report_clash(clash)
 
     def source_answered(self, now: float) -> None:
-        """The name service has answered, whether or not with news."""
+        """The name service has answered, with a new list or not."""
         self.list_sync.source_answered_at = now
 
     def stopped(self, now: float, name: str) -> bool:
-        """Whether that member, gone as we see it, is known to send nothing irreversible any more."""
+        """Whether that member, gone in our view, is known to send no non-idempotent request any more."""
         return self.stops.stopped(now, name)
 
     def leave(self, now: float, unix: float) -> None:
-        """A planned end is told to some at once; news carries it on."""
+        """Announce a graceful shutdown to some members at once; gossip spreads it."""
         self.leaving = True
         self.members.leave()
         for name in self.members.alive()[: 2 * GRANTORS]:
             self.messenger.ping(now, unix, name)
 
     def status(self, now: float) -> dict[str, Any]:
-        """All that is known here of the fleet, ready for JSON."""
+        """This member's view of the fleet, ready for JSON."""
         return fleet_status(self, now)
 
-    # Time.
+    # Timers.
 
     def tick(self, now: float, unix: float) -> None:
-        """Everything that is due by now."""
+        """Do everything that is due."""
         paused = self.note_pause(now)
         probe, helpers = self.members.tick(now)
         if probe is not None:
@@ -219,7 +219,7 @@
         self.update_standing(now)
 
     def note_pause(self, now: float) -> bool:
-        """Whether the process has stood still; what did not come meanwhile proves nothing then."""
+        """Whether the process was paused; if so, shift the timers, as silence proves nothing then."""
         gap = now - self.ticked
         self.ticked = now
         if gap <= 2 * self.terms.period:
@@ -229,7 +229,7 @@
         return True
 
     def update_standing(self, now: float) -> None:
-        """Judge our standing anew, and start anew where the lease is lost for good."""
+        """Update our standing, and begin a new start if the lease is lost for good."""
         held = self.renewal.held(now)
         if now >= self.next_shift:
             self.next_shift, self.clock_shift = now + SHIFT_EVERY, self.shift(now)
@@ -241,7 +241,7 @@
             self.rejoin(now)
 
     def observe(self, now: float, held: bool) -> Observations:
-        """What the standing is judged on."""
+        """The inputs of the standing."""
         return Observations(
             held,
             self.registry.behind(),
@@ -254,9 +254,9 @@
         )
 
     def rejoin(self, now: float) -> None:
-        """Go on as a new start, which owes all that a new one owes.
+        """Continue as a new start, with all that a new start must do first.
 
-        Its grantors are lost for good, or refuse it.
+        Called when the grantors are lost for good, or refuse the present start.
         """
         incarnation, others = self.members.highest_incarnation, dict(self.members.others)
         before = self.boot
@@ -270,7 +270,7 @@
         self.events.append(FleetEvent("rejoined", {"before": f"{before:016x}", "boot": f"{self.boot:016x}"}))
 
     def others_behind(self) -> list[str]:
-        """Members that are on an older list than the newest, or shut out, by their last word."""
+        """Members with a list older than the newest, or shut out, by their last message."""
         newest = self.registry.newest(Artifact.LIST)
         if newest is None:
             return []
@@ -282,17 +282,17 @@
         ]
 
     def shift(self, now: float) -> float:
-        """How far our Unix time lies before the median of the others', in ms.
+        """How far our Unix time is ahead of the median of the others', in ms.
 
-        0 while too few have told theirs.
+        0 while too few have reported theirs.
         """
-        told = [heard.clock for heard in self.heard.values() if now - heard.at <= CLOCK_AGE]
-        return -median(told) if len(told) >= MIN_CLOCKS else 0.0
+        clocks = [heard.clock for heard in self.heard.values() if now - heard.at <= CLOCK_AGE]
+        return -median(clocks) if len(clocks) >= MIN_CLOCKS else 0.0
 
     # Changes of the members.
 
     def take_changes(self) -> None:
-        """Report what has changed among the members, and act on who is gone."""
+        """Report changes of members, and act on those that are gone or have left."""
         changes, self.members.changes = self.members.changes, []
         for change in changes:
             self.report_change(change)
@@ -305,7 +305,7 @@
         self.bound_tables()
 
     def bound_tables(self) -> None:
-        """Drop strangers from the tables that one with a key can fill with names."""
+        """Drop non-members from the tables, which a holder of a key could fill with invented names."""
         most = len(self.members.others) + len(self.seeds) + MAX_STRANGERS
         tables: tuple[dict[str, Any], ...] = (
             self.sessions,
@@ -321,7 +321,7 @@
     # Events.
 
     def report_change(self, change: Change) -> None:
-        """Report how a member is."""
+        """Report a member's change of state."""
         figures = {
             "name": change.name,
             "life": change.life.name.lower(),
@@ -340,11 +340,11 @@
         self.events.append(FleetEvent("standing", figures))
 
     def report_clash(self, clash: Clash) -> None:
-        """Report, once, two contents of one version."""
+        """Report a clash, once."""
         self.report_once(f"clash {clash}", "clash", {"says": str(clash)})
 
     def report_once(self, key: str, what: str, figures: dict[str, Any]) -> None:
-        """Report once what lasts; `key` tells one such thing from another."""
+        """Report a lasting condition once; `key` identifies it."""
         if key not in self.reported_once and len(self.reported_once) < MAX_TOLD_ONCE:
             self.reported_once.add(key)
             self.events.append(FleetEvent(what, figures))
@@ -352,13 +352,13 @@
     # Datagrams.
 
     def take(self, now: float, unix: float, source: Address, datagram: bytes) -> None:
-        """A datagram has come. Raises nothing."""
+        """Handle a datagram. Raises nothing."""
         self.receiver.take(now, unix, source, datagram)
         self.take_changes()
         self.name_conflict.settle(now)
 
     def body(self, unix: float, fields: Mapping[str, Any]) -> dict[str, Any]:
-        """A message's body: what each message says of its sender, and these fields."""
+        """A message's body: the fields that every message has, and these."""
         return {
             "h": list(self.hybrid.stamp(unix)),
             "u": int(unix + self.skew),
--- a/spurdeal/fleet/handlers.py
+++ b/spurdeal/fleet/handlers.py
@@ -1,7 +1,7 @@
 """One handler for each kind of fleet message.
 
-A handler reads what its kind holds, and gives what is to be done once all of the message has been read. It
-raises Refused where a field has not its form; nothing has changed then but that an open request is closed.
+A handler reads the fields of its kind and returns the action to run once the whole message has been read. It
+raises RefusedError for a malformed field; then nothing has changed, except that an open request is closed.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class Message(NamedTuple):
-    """A message whose seal and number are right. now: monotonic ms; unix: Unix ms."""
+    """A message whose seal and number were verified. now: monotonic ms; unix: Unix ms."""
 
     now: float
     unix: float
@@ -60,7 +60,7 @@
 
 
 def grant(fleet: Fleet, now: float, name: str, term: Term, proposed: Term | None) -> list[int]:
-    """Our answer to one who asks for its lease: the newest of its terms heard of, and whether we grant."""
+    """Our answer to a lease request: the newest of the sender's terms that we know, and whether we grant."""
     boot = fleet.sessions[name].peer_boot
     record = fleet.members.others.get(name)
     if record is not None and record.boot == boot and record.life is Life.GONE:
@@ -92,7 +92,7 @@
 
 
 def on_indirect_ping(fleet: Fleet, message: Message) -> Act:
-    """The sender cannot reach a member: we ping it on its behalf."""
+    """Indirect probe: ping a member that the sender cannot reach, on its behalf."""
     now, unix, source, name, body = message
     sequence, row = wire.whole(body.get("q")), wire.items(body.get("on"), 3, 3)
     target, address = wire.text(row[0]), (wire.host(row[1]), wire.whole(row[2], MAX_PORT))
@@ -109,7 +109,7 @@
 
 
 def on_nack(fleet: Fleet, message: Message) -> Act:
-    """The helper hears us: if no more comes, it is not we who are deaf."""
+    """A helper has our request: if no more comes, the fault is not on our side."""
     sequence = wire.whole(message.body.get("q"))
     found = fleet.messenger.open.get(sequence)
 
@@ -121,7 +121,7 @@
 
 
 def on_relayed_ack(fleet: Fleet, message: Message) -> Act:
-    """A helper has had an answer from the member that we could not reach."""
+    """A helper got an answer from the member that did not answer us."""
     found = fleet.messenger.answered(message.body, message.name, RequestKind.THROUGH)
 
     def act() -> None:
@@ -133,7 +133,7 @@
 
 
 def on_table_request(fleet: Fleet, message: Message) -> Act:
-    """The sender pulls our member table from a place on."""
+    """The sender pulls our member table from an offset on."""
     now, unix, source, name, body = message
     sequence, offset = wire.whole(body.get("q")), wire.whole(body.get("i"), MAX_OFFSET)
 
@@ -153,7 +153,7 @@
 
 
 def on_table_page(fleet: Fleet, message: Message) -> Act:
-    """A page of the member table that we pull. Its records are read as news."""
+    """A page of the member table that we pull. Its records are merged like gossip."""
     now, unix, _, name, body = message
     offset, total = wire.whole(body.get("i"), MAX_OFFSET), wire.whole(body.get("of"), MAX_OFFSET)
     count = len(wire.items(body.get("n"), 0, wire.MAX_RECORDS))
@@ -167,7 +167,7 @@
 
 
 def on_stop_query(fleet: Fleet, message: Message) -> Act:
-    """The sender wants to rely on a member's stop: what we know of its lease, as one of its grantors."""
+    """The sender wants to rely on a member's stop: report on its lease, as one of its grantors."""
     now, unix, source, name, body = message
     sequence, subject = wire.whole(body.get("q")), wire.text(body.get("who"))
     boot = wire.whole(body.get("boot"))
@@ -193,7 +193,7 @@
 
 
 def on_stop_report(fleet: Fleet, message: Message) -> Act:
-    """What a grantor knows of a member that is gone."""
+    """A grantor's report on a member that is gone."""
     name, body = message.name, message.body
     subject, boot = wire.text(body.get("who")), wire.whole(body.get("boot"))
     refused, left = wire.whole(body.get("r"), 1), wire.figure(body.get("left"))
@@ -234,7 +234,7 @@
 
 
 def on_piece(fleet: Fleet, message: Message) -> Act:
-    """A piece of the list that we fetch."""
+    """A piece of the list that we are fetching."""
     now, unix, _, name, body = message
     want, place = wire.version(body.get("want")), wire.whole(body.get("i"), MAX_OFFSET)
     count = wire.whole(body.get("of"), MAX_OFFSET)
--- a/spurdeal/fleet/lease.py
+++ b/spurdeal/fleet/lease.py
@@ -1,26 +1,26 @@
-"""The lease on being current: who may act, by its own clock, and when others know that it cannot.
-
-A dispatcher holds its lease while a stated part of its grantors has answered what it asked no longer than
-`lease` ago. Its grantors are a few members, the same for all who know the same (`members.rendezvous`), so
-that the cost stays level in large fleets; in small ones they are all the others. It counts from when it
-asked, a grantor from when it answered, which is later: no clocks are compared, and a grantor knows by its
-own clock a moment after which its answer counts no more (Gray and Cheriton, "Leases", 1989). Of k grantors
-w must answer; one whom k - w + 1 refuse has stopped (quorums that meet: Gifford, "Weighted voting", 1979).
-To come by a lease, at a start or after it was lost, k - w + 1 must answer: a grantor answers one start of a
-name at a time, so that two processes under one name never both hold it (the rig's twins did, with 3 of 7
-each).
-
-A grantor that holds one for gone refuses it. Whoever wants to rely on the stop asks the grantors
-(`Inquiry`); one that gives its word is barred from answering the subject for a lease, and its word counts
-so long. So a conclusion holds as long as it is renewed, and its subject comes back only after it was given
-up.
-
-Grantors change with the fleet. A term has one set of them. A new term counts only once w of the old one
-have heard of it: k - w + 1 of the old ones then include one that knows, and who asks them is led on to the
-new. A start whose grantors are lost for good cannot go on: it comes back as a new start, which knows
-nothing and waits as one.
-
-Free of I/O. Times are ms of one monotonic clock that runs on while the process stands still.
+"""The lease on being current: who may act, and from when others may rely on it having stopped.
+
+A dispatcher holds its lease while a quorum of its grantors has granted requests that it sent no longer than
+`lease` ago. Its grantors are a few members chosen by rendezvous hashing (`members.rendezvous`), so that the
+cost per member stays constant in large fleets; in small fleets they are all other members. The holder counts
+from when it sent the request, a grantor from when it answered, which is later. So no clocks are compared,
+and a grantor knows by its own clock when its answer has expired (Gray and Cheriton, "Leases", 1989). Of k
+grantors w must grant; a member that k - w + 1 grantors refuse cannot hold a lease (intersecting quorums:
+Gifford, "Weighted voting", 1979). To acquire a lease, at a start or after it was lost, k - w + 1 must grant.
+A grantor answers only one start of a name at a time, so two processes with one name never both hold the
+lease (with a quorum of 3 of 7 for both, duplicate processes on the test rig did).
+
+A grantor that considers a member gone refuses it. Whoever wants to rely on the stop asks the grantors
+(`Inquiry`). A grantor that reports a refusal is barred from granting to the subject for one lease, and its
+report is valid for that time. So a conclusion holds as long as it is renewed, and its subject can acquire a
+lease again only after the conclusion was dropped.
+
+Grantors change with the fleet. A term has one set of them. A new term takes effect only once w grantors of
+the old term have heard of it: any k - w + 1 of the old ones then include one that knows, and an inquirer is
+led on to the new ones. A start whose grantors are lost for good cannot change its term: it begins again as a
+new start, without knowledge, and waits like one.
+
+Free of I/O. Times are ms of one monotonic clock that keeps running while the process is suspended.
 """
 
 from __future__ import annotations
@@ -29,23 +29,23 @@
 from collections.abc import Sequence
 from typing import NamedTuple
 
-MAX_CLOCK_DRIFT = 0.01  # two clocks' rates differ by less
+MAX_CLOCK_DRIFT = 0.01  # upper bound on the relative rate difference of two clocks
 GRANTORS = 7
 NEVER = -math.inf
 
 
 class Term(NamedTuple):
-    """One set of grantors; the number only grows within a start."""
+    """One set of grantors. The number only grows within a start."""
 
     number: int
     grantors: tuple[str, ...]
 
     def quorum(self, part: float) -> int:
-        """How many must answer: a part of them, one at least where there are any."""
+        """How many must grant to keep the lease: a share of them, at least one if there are any."""
         return min(len(self.grantors), max(1, math.ceil(part * len(self.grantors) - 1e-9)))
 
     def quorum_to_acquire(self, part: float) -> int:
-        """How many must answer one that has no lease: so many that nobody else can have enough."""
+        """How many must grant to acquire the lease: with so many, no other start can have a quorum."""
         return len(self.grantors) - self.quorum(part) + 1
 
 
@@ -53,36 +53,36 @@
 
 
 class Lease:
-    """Our own lease. `asked` are the moments of our questions that were answered, by grantor."""
+    """Our own lease. `grants` holds, by grantor, the send time of the newest request that it granted."""
 
     def __init__(self, lease: float, part: float) -> None:
         self.lease, self.part = lease, part
         self.term, self.grants = NO_TERM, dict[str, float]()
         self.proposed: Term | None = None
         self.proposed_grants: dict[str, float] = {}
-        self.proposal_acked_by: set[str] = set()  # grantors of the term in force who have heard of the next
+        self.proposal_acked_by: set[str] = set()  # grantors of the term in force that know the proposed one
         self.refused_by: set[str] = set()
-        self.sole_member = True  # nobody else was ever known: nobody needs to answer
-        self.held = False  # once begun, until it is lost
+        self.sole_member = True  # no other member was ever known: no grant is needed
+        self.held = False  # acquired and not lost since
 
     def expires_at(self) -> float:
-        """When it ends, if nobody answers from here on."""
+        """When it expires if no further grant arrives."""
         if not self.term.grantors:
             return math.inf if self.sole_member else NEVER
         times = sorted((self.grants.get(name, NEVER) for name in self.term.grantors), reverse=True)
         return times[self.term.quorum(self.part) - 1] + self.lease if self.held else NEVER
 
     def holds(self, now: float) -> bool:
-        """Whether the lease is held at that moment."""
+        """Whether the lease is held at `now`."""
         self.held = self.held and now < self.expires_at()
         return now < self.expires_at()
 
     def live_grants(self, now: float, asked: dict[str, float]) -> int:
-        """How many of these grants count yet, by the moments at which they were asked for."""
+        """How many of these grants, given by their request times, are still valid."""
         return sum(at + self.lease > now for at in asked.values())
 
     def propose(self, grantors: Sequence[str]) -> None:
-        """Whom the fleet as known now gives as grantors; also again, where some have refused this term."""
+        """Propose a term with these grantors, if they differ or if some have refused the newest term."""
         wanted = tuple(sorted(grantors))
         if not wanted:
             return
@@ -94,12 +94,20 @@
         self.proposed_grants, self.proposal_acked_by, self.refused_by = {}, set(), set()
 
     def grantors_to_ask(self) -> list[str]:
-        """All who are to be asked."""
+        """Grantors of the term in force and of the proposed one."""
         return sorted({*self.term.grantors, *(self.proposed.grantors if self.proposed is not None else ())})
 
     def answered(self, now: float, name: str, asked: float, heard_of: int, granted: bool) -> None:
-        """A grantor's answer to what we asked at `asked`: the highest term of ours that it has heard of."""
-        self.holds(now)  # what was lost meanwhile is to be begun anew
+        """Record a grantor's answer to our request sent at `asked`.
+
+        Args:
+            now: Monotonic clock, in ms.
+            name: The grantor.
+            asked: When we sent the request.
+            heard_of: Our highest term that the grantor knows.
+            granted: Whether it granted.
+        """
+        self.holds(now)  # a lease that expired meanwhile must be acquired again
         newest = self.proposed or self.term
         if not granted:
             if heard_of == newest.number and name in newest.grantors:
@@ -121,32 +129,36 @@
 
 
 class Grant(NamedTuple):
-    """What a grantor knows of one whom it watches."""
+    """What a grantor knows of one requester."""
 
     boot: int
-    term: Term  # in force, as it said
+    term: Term  # in force, as the requester stated
     proposed: Term | None  # proposed
-    valid_until: float  # by our clock: our answers count no longer
-    refused_term: int  # up to that term we answer no more
-    barred_until: float  # until then we answer nothing, since others rely on its stop
+    valid_until: float  # by our clock: our grants have expired after that
+    refused_term: int  # we grant no more up to this term
+    barred_until: float  # we grant nothing before that, as others rely on its stop
 
     @property
     def newest(self) -> int:
-        """The number of the newest term that was heard of."""
+        """The number of the newest known term."""
         return (self.proposed or self.term).number
 
 
 class Reply(NamedTuple):
-    """A grantor's reply to one who asks for its lease. heard_of: its highest term that we have heard of."""
+    """A grantor's reply to a lease request. heard_of: the requester's highest term that we know."""
 
     heard_of: int
     granted: bool
 
 
 class StopReport(NamedTuple):
-    """What a grantor knows of one start of a member.
+    """A grantor's report on one start of a member.
 
-    Attributes: its terms, whether it refuses those, and for how many ms yet its answers may count.
+    Attributes:
+        term: The member's term in force.
+        proposed: The term that it proposes, if any.
+        refused: Whether the grantor refuses both.
+        remaining: For how many ms its earlier grants may still be valid.
     """
 
     term: Term
@@ -156,24 +168,26 @@
 
 
 class Grantor:
-    """A grantor's side: whom we have answered, until when that may count. Bounded by the members."""
+    """The grantor's side: whom we granted a lease, and until when. Bounded by the number of members."""
 
     def __init__(self, lease: float, now: float) -> None:
         self.lease = lease * (1 + MAX_CLOCK_DRIFT)
         self.grants: dict[str, Grant] = {}
-        # What an earlier start of ours has answered, or has barred, is not known any more.
+        # Grants and bars of an earlier start of ours are unknown: stay silent until they have expired.
         self.silent_until = now + self.lease
 
     def on_request(self, now: float, name: str, boot: int, term: Term, proposed: Term | None) -> Reply:
-        """One asks us to grant its lease."""
+        """Handle a member's request for its lease."""
         if now < self.silent_until:
-            return Reply(0, False)  # nor noted: an earlier start of ours may have given its word (the model)
+            return Reply(
+                0, False
+            )  # not recorded: an earlier start may have reported a refusal (found by the model)
         newest = (proposed or term).number
         known = self.grants.get(name)
         if known is not None and now < known.barred_until:
             return Reply(known.newest if known.boot == boot else 0, False)
         if known is not None and known.boot != boot and now < known.valid_until:
-            # Another start under this name may still act: two processes, or a quick restart.
+            # Another start of this name may still hold a lease: two processes, or a quick restart.
             return Reply(0, False)
         if known is None or known.boot != boot:
             known = Grant(boot, term, proposed, NEVER, -1, NEVER)
@@ -186,16 +200,16 @@
         return Reply(known.newest, granted)
 
     def refuse(self, name: str, boot: int) -> None:
-        """That start of it counts as gone here: on the terms that we know we answer it no more."""
+        """Grant no more on the known terms of that start, which we consider gone."""
         known = self.grants.get(name)
         if known is not None and known.boot == boot:
             self.grants[name] = known._replace(refused_term=max(known.refused_term, known.newest))
 
     def report_stop(self, now: float, name: str, boot: int) -> StopReport | None:
-        """Our word to one who wants to rely on its stop; where we refuse it, we are barred from then on.
+        """Report on a start to an inquirer. If we refuse it, we are barred from granting from now on.
 
         Returns:
-            None where we know nothing of that start.
+            None if we know nothing of that start.
         """
         known = self.grants.get(name)
         if known is None or known.boot != boot:
@@ -207,17 +221,17 @@
 
 
 class Inquiry:
-    """Has one start of one member stopped? Its grantors are asked, and it is concluded by our clock alone."""
+    """Finds out from the grantors of one start of a member whether it has stopped, by our clock alone."""
 
     def __init__(self, name: str, boot: int, part: float, lease: float) -> None:
         self.name, self.boot, self.part, self.lease = name, boot, part, lease
-        self.terms: dict[int, Term] = {}  # those that may be in force
+        self.terms: dict[int, Term] = {}  # those that may be in force, by number
         self.in_force = 0
-        # By grantor: when its answers end, and until when its word counts.
+        # By grantor: when its grants expire, and until when its report is valid.
         self.reports: dict[str, tuple[float, float]] = {}
 
     def note_terms(self, term: Term, proposed: Term | None = None) -> None:
-        """That term was in force, and one is proposed: what came before counts no more."""
+        """Note a term that was in force and one that is proposed. Older terms are dropped."""
         self.terms[term.number] = term
         if proposed is not None:
             self.terms[proposed.number] = proposed
@@ -225,11 +239,11 @@
         self.terms = {number: each for number, each in self.terms.items() if number >= self.in_force}
 
     def grantors_to_ask(self) -> list[str]:
-        """All who are to be asked."""
+        """Grantors of all terms that may be in force."""
         return sorted({name for term in self.terms.values() for name in term.grantors})
 
     def add_report(self, now: float, asked: float, name: str, report: StopReport) -> None:
-        """A grantor's word, to what we asked at `asked`."""
+        """Add a grantor's report, in answer to our request sent at `asked`."""
         self.note_terms(report.term, report.proposed)
         if report.refused:
             ends = now + report.remaining
@@ -240,9 +254,9 @@
             self.reports.pop(name, None)
 
     def stopped(self, now: float) -> bool:
-        """It holds no lease, whatever its own clock says."""
+        """Whether the subject certainly holds no lease, whatever its own clock says."""
         ended = {name for name, (ends, until) in self.reports.items() if ends <= now < until}
-        terms = [term for term in self.terms.values() if term.grantors]  # without grantors none is held
+        terms = [term for term in self.terms.values() if term.grantors]  # without grantors no lease is held
         return bool(terms) and all(
             len(ended.intersection(term.grantors)) > len(term.grantors) - term.quorum(self.part)
             for term in terms
--- a/spurdeal/fleet/members.py
+++ b/spurdeal/fleet/members.py
@@ -1,15 +1,16 @@
-"""Who is in the fleet: alive, suspected, gone or left. Free of I/O and clocks.
-
-SWIM (Das, Gupta and Motivala, 2002): each period one member is probed, round a shuffled ring; one that does
-not answer is probed through others, then suspected; a suspicion that its subject does not refute ends it.
-News rides on the probes, each piece so many times as the logarithm of the fleet asks. Of Lifeguard (Dadgar,
-Phillips and Currey, 2018): who is slow itself probes slower and trusts itself less (local health), a
-suspicion runs shorter the more confirm it, and a suspected one is told so at the next probe.
-
-A record is ordered by its `incarnation`, which only its subject raises: by a new start, by a refutation,
-after a split. At one incarnation the graver word wins. Two starts with one incarnation are two processes
-under one name, or a new one that does not know the old one yet: see `contested`. Times are ms of one
-monotonic clock.
+"""Membership: who is alive, suspected, gone or left. Free of I/O and clocks.
+
+SWIM (Das, Gupta and Motivala, 2002): in each period one member is probed, round a shuffled ring. A member
+that does not answer is probed indirectly through others, then suspected; a suspicion that its subject does
+not refute in time declares it gone. Gossip is piggybacked on the probes; each update is sent a number of
+times proportional to the logarithm of the fleet's size. From Lifeguard (Dadgar, Phillips and Currey, 2018):
+a member that is slow itself probes slower and waits longer (local health), a suspicion ends sooner the more
+members confirm it, and a suspected member is told of it with the next probe.
+
+Records are ordered by `incarnation`, which only their subject raises: at a new start, at a refutation, and
+after a partition. At equal incarnation the graver state wins. Two starts with one incarnation are two
+processes with one name, or a new start that does not know the old one yet: see `contested`. Times are ms of
+one monotonic clock.
 """
 
 from __future__ import annotations
@@ -27,19 +28,19 @@
 
 Address = tuple[str, int]
 MAX_MEMBERS = 1024
-GOSSIP_FACTOR = 3  # times log2 of the fleet: how often each piece of news is told
-INDIRECT_PROBES = 3  # members asked to probe for us
-MAX_HEALTH_SCORE = 8  # local health: probes are at most so many times slower
+GOSSIP_FACTOR = 3  # times log2 of the fleet's size: how often each update is sent
+INDIRECT_PROBES = 3  # members asked to probe a silent one
+MAX_HEALTH_SCORE = 8  # local health: largest number of extra periods between probes
 # The shortest suspicion in periods, times log10 of the fleet; the longest, as a multiple of the shortest.
 MIN_SUSPICION_PERIODS, MAX_SUSPICION_FACTOR = 4.0, 6.0
-CONFIRMATIONS = 3  # so many confirm it: the least time holds
-MIN_WITNESSED = 2  # with no more others nobody can confirm a suspicion
-GONE_PROBE_PROBABILITY = 0.3  # the part of its turns at which one that is gone is probed
+CONFIRMATIONS = 3  # with so many confirmations the shortest time applies
+MIN_WITNESSED = 2  # with no more live others, nobody can confirm a suspicion
+GONE_PROBE_PROBABILITY = 0.3  # with which a gone member is probed when the ring reaches it
 MAX_INCARNATION = 1 << 40
 
 
 class Life(IntEnum):
-    """The graver word is the greater."""
+    """A member's state; the graver one is the greater."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -48,7 +49,7 @@
 
 
 class Record(NamedTuple):
-    """What is known of one member. boot tells its starts apart."""
+    """What is known of one member. boot identifies its start."""
 
     name: str
     host: str
@@ -56,16 +57,16 @@
     boot: int
     incarnation: int
     life: Life
-    by: str = ""  # of a suspicion: who says so
+    by: str = ""  # of a suspicion: the member that reports it
 
     @property
     def address(self) -> Address:
-        """Where it is reached."""
+        """Host and port."""
         return self.host, self.port
 
 
 class Change(NamedTuple):
-    """A member's life has changed in our view; why, in words for people."""
+    """A member's state has changed in our view. why: the reason, for people."""
 
     name: str
     life: Life
@@ -79,7 +80,7 @@
     def __init__(self, own: Record, period: float, forget: float, chance: random.Random, now: float) -> None:
         self.own, self.period, self.forget_after, self.chance = own, period, forget, chance
         self.others: dict[str, Record] = {}
-        self.living: set[str] = set()  # of the others, those who are not over
+        self.living: set[str] = set()  # of the others, those alive or suspected
         self.live_checksum = self.left = 0
         self.since: dict[str, float] = {}
         self.suspicions: dict[str, Suspicion] = {}
@@ -87,27 +88,27 @@
         self.probe: Probe | None = None
         self.next_probe, self.ticked, self.next_forget = now, now, now
         self.health = 0
-        self.gossip: dict[str, int] = {own.name: 0}  # how often told
+        self.gossip: dict[str, int] = {own.name: 0}  # how often each update was sent
         self.changes: list[Change] = []
-        self.contested: Record | None = None  # another start under our name, until it is settled
+        self.contested: Record | None = None  # another start with our name, until it is settled
         self.highest_incarnation = own.incarnation
 
-    # What is known.
+    # The member table.
 
     def alive(self) -> list[str]:
-        """Others that are not known to be gone, suspected ones among them."""
+        """Other members that are alive or suspected."""
         return sorted(self.living)
 
     def known(self) -> list[str]:
-        """Others that did not leave by themselves: whom a cut hides is still of the fleet."""
+        """Other members that have not left. One hidden by a partition still belongs to the fleet."""
         return [name for name, record in self.others.items() if record.life != Life.LEFT]
 
     def size(self) -> int:
-        """Of the fleet, ourselves with it."""
+        """Size of the fleet, ourselves included."""
         return len(self.others) - self.left + 1
 
     def scale(self) -> float:
-        """How much longer suspicions last in a large fleet: log10 of its size, 1 at least."""
+        """Factor on suspicion times in a large fleet: log10 of its size, at least 1."""
         return max(1.0, math.log10(max(2, len(self.living) + 1)))
 
     def table(self) -> list[Record]:
@@ -115,16 +116,16 @@
         return [self.own, *self.others.values()]
 
     def checksum(self) -> int:
-        """A sum over those who are not over, that two equal tables share, whatever their order."""
+        """Checksum over the live members; equal for equal tables, whatever their order."""
         return self.live_checksum ^ zlib.crc32(self.checksum_input(self.own))
 
     @staticmethod
     def checksum_input(record: Record) -> bytes:
-        """What the table's checksum takes of a record."""
+        """The part of a record that enters the table's checksum."""
         return f"{record.name} {record.boot} {record.incarnation} {record.life:d}".encode()
 
     def store(self, name: str, record: Record | None) -> None:
-        """The table, who is living, and the sum go together."""
+        """Replace or remove a record, and update the live set and the checksum with it."""
         before = self.others.get(name)
         self.left += (record is not None and record.life is Life.LEFT) - (
             before is not None and before.life is Life.LEFT
@@ -140,16 +141,16 @@
             self.live_checksum ^= zlib.crc32(self.checksum_input(record))
             self.living.add(name)
 
-    # News in.
+    # Incoming gossip.
 
     def merge(self, now: float, record: Record, by: str) -> None:
-        """A piece of news, from whoever `by` is; older than what we know, it changes nothing."""
+        """Merge a record received from `by`; one older than what we know changes nothing."""
         if record.name == self.own.name:
             self.merge_own_record(record)
             return
         known = self.others.get(record.name)
         if known is None and (len(self.others) >= MAX_MEMBERS or record.life >= Life.GONE):
-            return  # nobody is kept who is only known to be over
+            return  # an unknown member is not added as gone or left
         if known is not None:
             if record.life is Life.SUSPECT and record[3:6] == known[3:6]:
                 self.confirm(now, record.name, record.by)
@@ -158,7 +159,7 @@
         self.set_record(now, record, by)
 
     def set_record(self, now: float, record: Record, by: str) -> None:
-        """Take a record into the table, with all that follows from its change."""
+        """Put a record into the table, and update gossip, suspicions and changes."""
         known = self.others.get(record.name)
         self.store(record.name, record)
         self.gossip[record.name] = 0
@@ -181,14 +182,14 @@
             )
 
     def suspicion(self, now: float, by: str) -> Suspicion:
-        """A new suspicion, first said by that member."""
+        """A new suspicion, first reported by that member."""
         least = MIN_SUSPICION_PERIODS * self.scale() * self.period
         others = len(self.living)
         most = least * (MAX_SUSPICION_FACTOR if others > MIN_WITNESSED else 1.0)
         return Suspicion(now, now + most, least, most, frozenset((by,)))
 
     def confirm(self, now: float, name: str, by: str) -> None:
-        """Another says so: the time falls with the logarithm of how many (Lifeguard, section IV B)."""
+        """Add a confirmation: the time falls with the logarithm of their number (Lifeguard, section IV B)."""
         found = self.suspicions.get(name)
         if found is None or by in found.by or len(found.by) > CONFIRMATIONS:
             return
@@ -199,9 +200,9 @@
         self.gossip[name] = 0
 
     def merge_own_record(self, record: Record) -> None:
-        """News of ourselves: what is not so is refuted by a later incarnation.
+        """Merge a record about ourselves: a wrong one is refuted with a higher incarnation.
 
-        Another start under our name is kept as `contested`, for the caller to decide on.
+        Another start with our name is kept as `contested`, for the caller to decide on.
         """
         self.highest_incarnation = max(self.highest_incarnation, record.incarnation)
         if record.boot != self.own.boot:
@@ -218,21 +219,21 @@
             self.raise_incarnation(record.incarnation)
 
     def raise_incarnation(self, beyond: int) -> None:
-        """We are here, whatever was told up to that incarnation."""
+        """Refute all that was gossiped about us up to that incarnation."""
         self.own = self.own._replace(incarnation=min(MAX_INCARNATION, max(beyond, self.own.incarnation) + 1))
         self.gossip[self.own.name] = 0
 
     def leave(self) -> None:
-        """A planned end: nobody needs to suspect us."""
+        """Graceful shutdown: mark ourselves as left, so that nobody suspects us."""
         self.own = self.own._replace(life=Life.LEFT, incarnation=self.own.incarnation + 1)
         self.gossip[self.own.name] = 0
 
-    # News out.
+    # Outgoing gossip.
 
     def select_gossip(self, most: int, to: str = "", boot: int = 0) -> list[Record]:
-        """Up to so many records, least told first.
+        """Up to `most` records to send, least sent first.
 
-        If of the receiver `to` something else is known than that its start `boot` is alive, it hears that
+        If the receiver `to` is known as anything else than alive with its start `boot`, that record goes
         first.
         """
         limit = math.ceil(GOSSIP_FACTOR * math.log2(len(self.living) + 2))
@@ -254,9 +255,9 @@
         ]
 
     def as_gossip(self, record: Record) -> Record:
-        """The record as it is passed on.
+        """The record as it is sent on.
 
-        A suspicion is told in the name of one who says so: only different ones confirm one another.
+        A suspicion names one of the members that report it, as only different reporters confirm it.
         """
         found = self.suspicions.get(record.name)
         return record._replace(by=self.chance.choice(sorted(found.by))) if found is not None else record
@@ -264,13 +265,13 @@
     # Probes.
 
     def tick(self, now: float) -> Probes:
-        """What is due by now. Call it often; it keeps its own periods."""
-        still = now - self.ticked
-        if still > 2 * self.period:
-            # We stood still, not they: what was due meanwhile proves nothing.
+        """The probes that are due. Call it often; it keeps its own periods."""
+        pause = now - self.ticked
+        if pause > 2 * self.period:
+            # This process was paused: missing answers prove nothing about the others.
             self.probe, self.health = None, MAX_HEALTH_SCORE
             self.suspicions = {
-                name: each._replace(end=each.end + still, since=each.since + still)
+                name: each._replace(end=each.end + pause, since=each.since + pause)
                 for name, each in self.suspicions.items()
             }
             self.next_probe = now
@@ -289,7 +290,7 @@
         return Probes(None, asked)
 
     def check_probe(self, now: float) -> list[str]:
-        """See to the probe under way: helpers to ask, once its answer is late; at its end, it has failed."""
+        """Helpers to ask once the pending probe's answer is late; at its end the probe has failed."""
         probe = self.probe
         if probe is None:
             return []
@@ -306,7 +307,7 @@
         return []
 
     def probe_failed(self, now: float, name: str) -> None:
-        """A probe of that member had no answer: it is suspected, or its suspicion confirmed."""
+        """A probe of that member had no answer: suspect it, or confirm the suspicion."""
         record = self.others.get(name)
         if record is None or record.life >= Life.GONE:
             return
@@ -321,7 +322,7 @@
         while self.ring:
             name = self.ring.pop()
             record = self.others.get(name)
-            # One that is gone is looked for now and then: a cut that has healed is found so.
+            # Gone members are probed now and then, so that a healed partition is noticed.
             if record is None:
                 continue
             if record.life <= Life.SUSPECT or (
@@ -333,28 +334,28 @@
         return None if not self.ring else self.start_probe(now, self.ring.pop())
 
     def start_probe(self, now: float, name: str) -> str:
-        """Note that a probe of that member begins."""
+        """Begin a probe of that member."""
         scale = 1 + self.health
         self.probe = Probe(name, now + 0.4 * self.period * scale, now + self.period * scale, 0)
         return name
 
     def answered(self, now: float, name: str) -> None:
-        """A word from that member itself, at whatever question."""
+        """A message from that member itself, in answer to any request."""
         if self.probe is not None and self.probe.name == name:
             self.probe = None
             self.health = max(0, self.health - 1)
 
     def nacked(self) -> None:
-        """One that was asked says that it got no answer either: it is not us who hears nothing."""
+        """A helper answered that it hears us: the fault is not on our side."""
         if self.probe is not None:
             self.probe = self.probe._replace(pending_nacks=max(0, self.probe.pending_nacks - 1))
 
     def degrade_health(self) -> None:
-        """Our own health is worse by one: we probe slower."""
+        """Raise our local health score by one: we probe slower."""
         self.health = min(MAX_HEALTH_SCORE, self.health + 1)
 
     def forget(self, now: float) -> None:
-        """Who is over for long is no more of the fleet."""
+        """Remove members that have been gone or left for long."""
         for name in [
             name
             for name, record in self.others.items()
@@ -363,7 +364,7 @@
             self.drop(name)
 
     def drop(self, name: str) -> None:
-        """Forget a member wholly."""
+        """Remove a member."""
         self.store(name, None)
         del self.since[name]
         self.gossip.pop(name, None)
@@ -371,9 +372,9 @@
 
 
 def rendezvous(name: str, others: Iterable[str], count: int) -> list[str]:
-    """The `count` of others with the highest weight for a name (Thaler and Ravishankar, 1998).
+    """Rendezvous hashing: the `count` others of highest weight for a name (Thaler and Ravishankar, 1998).
 
-    It is the same for all who know the same, and one that comes or goes moves only its own part.
+    Equal views give the same result, and a member that joins or leaves changes only its own share.
     """
 
     def weight(other: str) -> bytes:
--- a/spurdeal/fleet/messenger.py
+++ b/spurdeal/fleet/messenger.py
@@ -1,4 +1,4 @@
-"""Outgoing datagrams of one fleet member: sealed sessions, and requests whose answers are awaited."""
+"""Outgoing datagrams of one fleet member: sealed sessions and open requests."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
     from .fleet import Fleet
 
 MAX_OPEN_REQUESTS = 512
-MAX_GREETINGS = 2000  # a second: an unproven datagram draws one answer, and a flood must not draw a flood
+MAX_GREETINGS = 2000  # per window: an unproven datagram gets one answer, and a flood must not be amplified
 GREETING_WINDOW = 1000.0  # ms
-MAX_REPEATED = 4  # requests sent again once the peer knows our start
-GOSSIP_RESERVE = 8  # bytes of JSON around the news
-RECORD_SIZE = 100  # bytes of a record in JSON, roughly
+MAX_REPEATED = 4  # requests that are repeated once the peer knows our start
+GOSSIP_RESERVE = 8  # bytes of JSON around the gossip
+RECORD_SIZE = 100  # approximate bytes of a record in JSON
 
 
 class RequestKind(StrEnum):
@@ -27,15 +27,15 @@
 
     PING = "ping"
     RENEW = "renew"  # a ping that also asks for the lease
-    THROUGH = "through"  # a helper is to ping whom we cannot reach
-    RELAY = "relay"  # a ping of ours on another's behalf
+    THROUGH = "through"  # an indirect probe: a helper pings a member that does not answer us
+    RELAY = "relay"  # our ping on behalf of another member
     PULL = "pull"  # a page of the member table
-    WORD = "word"  # what a grantor knows of a member that is gone
+    WORD = "word"  # a grantor's report on a member that is gone
     FETCH = "fetch"  # a piece of a list
 
 
 class Relay(NamedTuple):
-    """Whom the answer to a relayed ping is passed on to: its name, address and the number of its request."""
+    """Where the answer to a relayed ping goes: the requester's name, address and request number."""
 
     name: str
     address: Address
@@ -43,7 +43,7 @@
 
 
 class Request(NamedTuple):
-    """A request that has not been answered yet. sent: ms."""
+    """A request that has not been answered yet. sent: in ms."""
 
     to: str
     sent: float
@@ -65,13 +65,13 @@
         self.greeted, self.greeted_since = 0, now
 
     def session(self, name: str) -> Session:
-        """The sealed session with a member; it is begun where there is none."""
+        """The sealed session with a member, created if there is none."""
         if name not in self.sessions:
             self.sessions[name] = self.new_session(name)
         return self.sessions[name]
 
     def new_session(self, name: str) -> Session:
-        """A session that is not kept yet: nothing is kept for a name that nobody with a key has used."""
+        """A session that is not stored: state is kept only for names used with a valid key."""
         return Session(self.fleet.name, name, self.fleet.boot, self.fleet.keys)
 
     def send(
@@ -82,7 +82,7 @@
         fields: Mapping[str, Any],
         address: Address | None = None,
     ) -> None:
-        """Queue a message, with as much membership news as fits. Dropped where no address is known."""
+        """Queue a message with as much gossip as fits. Dropped if no address is known."""
         address = address or self.address_of(name)
         if address is not None:
             body = self.fleet.body(unix, fields)
@@ -97,7 +97,7 @@
         fields: Mapping[str, Any],
         address: Address | None = None,
     ) -> None:
-        """Queue a message that carries no news of members. Dropped where no address is known."""
+        """Queue a message without gossip. Dropped if no address is known."""
         address = address or self.address_of(name)
         if address is not None:
             self.queue(now, name, self.fleet.body(unix, fields), address)
@@ -111,12 +111,12 @@
         fleet.counts["sent_bytes"] += len(datagram)
 
     def address_of(self, name: str) -> Address | None:
-        """Where a member, or else a seed, is reached."""
+        """The address of a member, or else of a seed."""
         record = self.fleet.members.others.get(name)
         return record.address if record is not None else self.fleet.seeds.get(name)
 
     def add_gossip(self, body: dict[str, Any], name: str) -> None:
-        """Fill the rest of a datagram with news of members, and the checksum of our table."""
+        """Add the checksum of our table, and fill the rest of the datagram with gossip."""
         members = self.fleet.members
         body["e"] = members.checksum()
         left, rows = wire.room(self.fleet.name, body) - GOSSIP_RESERVE, list[list[Any]]()
@@ -137,19 +137,19 @@
         kind: RequestKind,
         fields: Mapping[str, Any],
     ) -> None:
-        """Send a request, without news of members, and await its answer."""
+        """Send a request without gossip, and await its answer."""
         sequence = self.opened_in_bound(Request(name, now, kind))
         self.send_without_gossip(now, unix, name, {"q": sequence} | dict(fields))
 
     def opened_in_bound(self, request: Request) -> int:
-        """Await the answer to a request; the oldest ones are given up where too many are open."""
+        """Register a request and return its number; the oldest are dropped if too many are open."""
         sequence = self.opened(request)
         while len(self.open) > MAX_OPEN_REQUESTS:
             self.open.popitem(last=False)
         return sequence
 
     def opened(self, request: Request) -> int:
-        """Await the answer to a request; its number."""
+        """Register a request and return its number."""
         self.sequence += 1
         self.open[self.sequence] = request
         return self.sequence
@@ -183,7 +183,7 @@
             self.request(now, unix, helper, RequestKind.THROUGH, {"k": "r", "on": target})
 
     def greet(self, now: float, source: Address, session: Session, datagram: bytes) -> None:
-        """Answer one who does not know our start with it, as long as the rate allows."""
+        """Answer a peer that does not know our start with a greeting, within the rate limit."""
         if now - self.greeted_since >= GREETING_WINDOW:
             self.greeted, self.greeted_since = 0, now
         if self.greeted < MAX_GREETINGS:
@@ -191,13 +191,13 @@
             self.fleet.out.append((source, session.greet(now, datagram)))
 
     def on_greeting(self, now: float, unix: float, name: str, asked: float | None) -> None:
-        """A peer knows our start from here on: what it could not read is sent again.
+        """The peer has learned our start: repeat the requests that it could not read.
 
         Args:
             now: Monotonic clock, in ms.
             unix: Unix clock, in ms.
-            name: Of the peer.
-            asked: When we sent what it could not read, in ms; None where nothing is to be repeated.
+            name: The peer.
+            asked: When we sent what it could not read, in ms; None if nothing is to be repeated.
         """
         if asked is None:
             return
@@ -210,7 +210,7 @@
                 self.fleet.table_sync.repeat(now, unix, name)
 
     def answered(self, body: Mapping[str, Any], name: str, *kinds: RequestKind) -> Request | None:
-        """The request that a message answers; None where it is not open any more."""
+        """Close and return the request that a message answers; None if it is not open any more."""
         sequence = wire.whole(body.get("q"))
         found = self.open.get(sequence)
         if found is None or found.to != name or found.kind not in kinds:
--- a/spurdeal/fleet/probes.py
+++ b/spurdeal/fleet/probes.py
@@ -1,4 +1,4 @@
-"""What a member keeps of its probes of others, and of suspicions."""
+"""Records of the failure detector: probes and suspicions."""
 
 from __future__ import annotations
 
@@ -6,23 +6,23 @@
 
 
 class Probe(NamedTuple):
-    """One that waits for its answer."""
+    """A probe that waits for its answer."""
 
     name: str
-    due: float  # no answer by then: others are asked
-    end: float  # no answer by then: it failed
-    pending_nacks: int  # others that were asked and owe a word
+    due: float  # without an answer by then, helpers are asked
+    end: float  # without an answer by then, the probe has failed
+    pending_nacks: int  # helpers that were asked and have not answered
 
 
 class Probes(NamedTuple):
-    """Whom to probe now, and whom to ask to probe for us the one that did not answer."""
+    """The member to probe now, and the helpers to ask for an indirect probe of one that did not answer."""
 
     target: str | None
     helpers: list[str]
 
 
 class Suspicion(NamedTuple):
-    """A suspicion of one member, in ms: since when, its end, its least and most time, and who says so."""
+    """A suspicion of one member, in ms: its start, end, shortest and longest duration, and its reporters."""
 
     since: float
     end: float
--- a/spurdeal/fleet/receiver.py
+++ b/spurdeal/fleet/receiver.py
@@ -1,4 +1,4 @@
-"""Incoming datagrams of one fleet member: checked, read whole, and only then acted on."""
+"""Incoming datagrams of one fleet member: verified, parsed completely, and only then acted on."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Heard(NamedTuple):
-    """A member's last word about itself. at: ms; clock: its Unix time less ours, in ms."""
+    """A member's last report on itself. at: ms; clock: its Unix time less ours, in ms."""
 
     at: float
     standing: Standing
@@ -31,7 +31,7 @@
 
 
 class Header(NamedTuple):
-    """What every message says of its sender."""
+    """The fields that every message has."""
 
     stamp: Stamp
     claims: dict[Artifact, Version]
@@ -46,7 +46,7 @@
     """Read the fields that all messages have.
 
     Raises:
-        RefusedError: One of them has not its form.
+        RefusedError: One of them is malformed.
     """
     return Header(
         wire.stamp(body),
@@ -60,13 +60,13 @@
 
 
 class Receiver:
-    """Takes in datagrams. What cannot be used is counted by its reason, and changes nothing."""
+    """Handles datagrams. An unusable one is counted by its reason and changes nothing."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
 
     def take(self, now: float, unix: float, source: Address, datagram: bytes) -> None:
-        """Check, read and act on one datagram. Raises nothing."""
+        """Verify, read and act on one datagram. Raises nothing."""
         fleet = self.fleet
         fleet.counts["came"] += 1
         try:
@@ -87,7 +87,7 @@
         """The body of a datagram, as `Session.read` gives it.
 
         Raises:
-            RefusedError: Its seal or number is not right, or there is no room for one more member.
+            RefusedError: Its seal or number is wrong, or the member table is full.
         """
         messenger = self.fleet.messenger
         session = messenger.sessions.get(name)
@@ -103,10 +103,10 @@
             raise
 
     def first_session(self, name: str) -> Session:
-        """A session for a name that we have none with.
+        """A new session with a name.
 
         Raises:
-            RefusedError: There is no room for one more member.
+            RefusedError: The member table is full.
         """
         others = self.fleet.members.others
         if name not in others and len(others) >= MAX_MEMBERS:
@@ -114,7 +114,7 @@
         return self.fleet.messenger.new_session(name)
 
     def act_on(self, message: Message) -> None:
-        """All is read before anything counts."""
+        """Read the whole message, then apply it."""
         fleet, name = self.fleet, message.name
         header = read_header(message.body)
         handler = HANDLERS.get(header.kind)
@@ -130,14 +130,14 @@
         fleet.members.answered(message.now, name)
         for record in header.gossip:
             fleet.members.merge(message.now, record, name)
-        if name not in fleet.members.others:  # no news of the sender has come yet
+        if name not in fleet.members.others:  # no record of the sender has arrived yet
             record = Record(name, *message.source, boot, 0, Life.ALIVE)
             fleet.members.merge(message.now, record, name)
         fleet.table_sync.compare(message.now, message.unix, name, message.body.get("e"))
         act()
 
     def note_sender(self, message: Message, header: Header, boot: int) -> None:
-        """Keep what the sender has said of itself; a newly sealed page of its audit log is an event."""
+        """Store the sender's report on itself; a newly sealed page of its audit log is an event."""
         fleet, name, page = self.fleet, message.name, header.page
         before = fleet.heard[name].page if name in fleet.heard else None
         if page is not None and page != before:
@@ -149,5 +149,5 @@
                 "records": page.records,
             }
             fleet.events.append(FleetEvent("page", figures))
-        apart = header.unix - message.unix - fleet.skew
-        fleet.heard[name] = Heard(message.now, header.standing, page or before, apart)
+        offset = header.unix - message.unix - fleet.skew
+        fleet.heard[name] = Heard(message.now, header.standing, page or before, offset)
--- a/spurdeal/fleet/renewal.py
+++ b/spurdeal/fleet/renewal.py
@@ -1,4 +1,4 @@
-"""Renewing our lease at its grantors, and noticing that it is lost for good."""
+"""Renewal of our lease at its grantors, and detection of a lease that is lost for good."""
 
 from __future__ import annotations
 
@@ -12,28 +12,28 @@
 if TYPE_CHECKING:
     from .fleet import Fleet
 
-RENEWALS = 3  # within a lease
-REPLACED_AFTER = 20  # leases that a member stays a grantor though it is gone
-LOST_AFTER = 6  # leases without one, though the fleet is heard: it comes back as a new start
+RENEWALS = 3  # renewals per lease time
+REPLACED_AFTER = 20  # lease times for which a gone member stays a grantor
+LOST_AFTER = 6  # lease times without a lease, while the fleet is heard, after which a new start begins
 
 
 class LeaseRenewal:
-    """Asks the grantors of one start's lease in time. Times are ms."""
+    """Renews the lease of one start before it expires. Times are ms."""
 
     def __init__(self, fleet: Fleet, lease: Lease, now: float) -> None:
         self.fleet, self.lease = fleet, lease
         self.next_renewal, self.held_at = now, now
 
     def tick(self, now: float, unix: float, at_once: bool) -> None:
-        """Renew where it is time. at_once: the process has stood still."""
+        """Renew the lease if due. at_once: the process was paused."""
         if now < self.next_renewal and not at_once:
             return
         fleet = self.fleet
         self.next_renewal = now + fleet.terms.lease / RENEWALS
         if fleet.twin:
             return
-        # One that leaves keeps its lease, as what it has taken is still to be answered. A new start asks
-        # nobody before it knows the members: the seeds alone would be other grantors than those of its name.
+        # A member that leaves renews its lease, as it still has accepted requests to answer. A new start
+        # waits until it knows the members: the seeds alone would give other grantors than the full view.
         if not fleet.leaving and (fleet.synced or self.lease.term.grantors):
             self.lease.propose(rendezvous(fleet.name, self.candidates(now), GRANTORS))
         for name in self.lease.grantors_to_ask():
@@ -46,7 +46,7 @@
         return [name for name in known if name != fleet.name and not self.long_gone(now, name)]
 
     def long_gone(self, now: float, name: str) -> bool:
-        """It will answer nobody soon: others take its place as grantors."""
+        """Whether it has been gone so long that another member replaces it as grantor."""
         members = self.fleet.members
         record = members.others.get(name)
         if record is None or record.life is not Life.GONE:
@@ -54,14 +54,14 @@
         return now - members.since[name] > REPLACED_AFTER * self.fleet.terms.lease
 
     def held(self, now: float) -> bool:
-        """Whether the lease is held; the moment is remembered."""
+        """Whether the lease is held; if so, records the time."""
         held = self.lease.holds(now)
         if held:
             self.held_at = now
         return held
 
     def lost_for_good(self, now: float) -> bool:
-        """No lease for long, although enough of the fleet is heard to grant one."""
+        """Whether there was no lease for long, although enough members are heard to grant one."""
         fleet = self.fleet
         if now - self.held_at <= LOST_AFTER * fleet.terms.lease or fleet.twin or fleet.leaving:
             return False
--- a/spurdeal/fleet/standing.py
+++ b/spurdeal/fleet/standing.py
@@ -1,17 +1,17 @@
 """What a dispatcher may do, by how current it is. Free of I/O and clocks.
 
-| standing | idempotent to warm engines | irreversible, or to cold engines | what is new at the door |
+| standing | idempotent to warm engines | non-idempotent, or to cold engines | new requests |
 | --- | --- | --- | --- |
-| JOINING: a new start, or one that returns | yes | no | taken, non-idempotent ones shed |
-| CURRENT | yes | yes | taken |
-| BEHIND: a newer list exists, and it is being brought up | yes | yes | taken |
-| LAPSED: no lease, or behind for too long, or its clock is off | yes | no | taken, non-idempotent ones shed |
-| SHUT: out | no | no | shed with a time to come back |
-| TWIN: another process has its name | no | no | shed, until it is started anew |
-
-The cure must not be worse than the illness: who hears no peer but its name service is LAPSED and no more; who
-is behind is shut out only while under a stated part of the fleet is, and who goes first is the same for all.
-Times are ms of one monotonic clock.
+| JOINING: a new start, or a return | yes | no | accepted, non-idempotent ones shed |
+| CURRENT | yes | yes | accepted |
+| BEHIND: a newer list exists and is being fetched | yes | yes | accepted |
+| LAPSED: no lease, behind for too long, or its clock is off | yes | no | accepted, non-idempotent ones shed |
+| SHUT: shut out | no | no | shed with a retry time |
+| TWIN: another process has its name | no | no | shed until it is restarted |
+
+The protection must not do more harm than the fault. A dispatcher that hears no peer but still hears its name
+service becomes LAPSED and nothing worse. Dispatchers that are behind are shut out only up to a configured
+share of the fleet, and which ones is the same in every member's view. Times are ms of one monotonic clock.
 """
 
 from __future__ import annotations
@@ -35,11 +35,11 @@
 
 
 class Allowed(NamedTuple):
-    """What may be sent; out is what is sent for something taken before."""
+    """What may be sent, also for requests that were accepted earlier."""
 
     idempotent: bool
-    doubtful: bool  # irreversible, or to a cold engine
-    lowers: bool  # of VRRP: the priority is lowered
+    doubtful: bool  # non-idempotent, or to a cold engine
+    lowers: bool  # the VRRP priority is lowered
 
 
 ALLOWED = {
@@ -53,36 +53,36 @@
 
 
 class Limits(NamedTuple):
-    """Times in ms, and a part of the fleet."""
+    """Limits of the standings: times in ms, and a share of the fleet."""
 
-    behind_for: float  # so long behind, and it counts as lapsed
-    shut_after: float  # lapsed for so long without a way to be brought up: shut out
-    most_shut: float  # of the fleet: no more are shut out for being behind
-    clock_off: float  # Unix time so far from the middle of the others'
+    behind_for: float  # behind for longer: lapsed
+    shut_after: float  # lapsed for longer without a way to catch up: shut out
+    most_shut: float  # largest share of the fleet that is shut out for being behind
+    clock_off: float  # largest distance of our Unix time from the median of the others'
 
 
 class Observations(NamedTuple):
-    """What one step is decided on."""
+    """The inputs of one step."""
 
     lease: bool
     behind: int
-    source: float  # since the name service last answered
-    others_behind: Callable[[], Sequence[str]]  # by their last word, or shut out
-    size: int  # of the fleet
-    synced: bool  # the members' table was got from one since the start, or since it returned
-    clock: float  # our Unix time less the middle of the others'
+    source: float  # ms since the name service last answered
+    others_behind: Callable[[], Sequence[str]]  # members behind, by their last message, or shut out
+    size: int  # of the fleet, ourselves included
+    synced: bool  # a member table was pulled since the start, or since the return
+    clock: float  # our Unix time less the median of the others'
     twin: bool
 
 
 class StandingTracker:
-    """One dispatcher's standing, with since when and why."""
+    """One dispatcher's standing, since when it has it, and why."""
 
     def __init__(self, own: str, limits: Limits, now: float) -> None:
         self.own, self.limits = own, limits
         self.standing, self.since, self.why = Standing.JOINING, now, "a new start"
         self.behind_since: float | None = None
         self.lapsed_since = now
-        self.returned = 0  # how often it came back, and what it owes before: a table newer than that
+        self.returned = 0  # how often it went back to JOINING; a return needs a newly pulled table
 
     @property
     def allowed(self) -> Allowed:
@@ -90,13 +90,13 @@
         return ALLOWED[self.standing]
 
     def discount_pause(self, gap: float) -> None:
-        """The process stood still for so long: what did not come meanwhile proves nothing."""
+        """Shift the timers by a pause of the process: silence during it proves nothing."""
         self.since += gap
         self.lapsed_since += gap
         self.behind_since = self.behind_since + gap if self.behind_since is not None else None
 
     def step(self, now: float, seen: Observations) -> bool:
-        """True where the standing has changed."""
+        """Update the standing; True if it has changed."""
         if not seen.behind:
             self.behind_since = None
         elif self.behind_since is None:
@@ -112,7 +112,7 @@
         return True
 
     def evaluate(self, now: float, seen: Observations) -> tuple[Standing, str]:
-        """The standing that follows from what is seen, and why, in words for people."""
+        """The standing that follows from the observations, and the reason for people."""
         if seen.twin or self.standing is Standing.TWIN:
             return Standing.TWIN, "another process has our name"
         late = self.behind_since is not None and now - self.behind_since > self.limits.behind_for
@@ -137,7 +137,7 @@
         return Standing.CURRENT, "lease held, newest list"
 
     def degraded(self, now: float, seen: Observations, reason: str) -> tuple[Standing, str]:
-        """Lapsed, or out."""
+        """LAPSED, or SHUT if that has lasted too long."""
         if self.standing is Standing.JOINING and not self.returned:
             long = now - self.since > self.limits.shut_after
         else:
@@ -147,7 +147,7 @@
             )
         blind = seen.source > self.limits.shut_after
         if long and not seen.lease and blind:
-            return Standing.SHUT, f"{reason}, and no word of the name service for {seen.source:.0f} ms"
+            return Standing.SHUT, f"{reason}, and no answer from the name service for {seen.source:.0f} ms"
         if long and seen.lease and seen.behind and self.may_be_shut_out(seen):
             return Standing.SHUT, reason
         if self.standing is Standing.JOINING and not self.returned and not seen.lease:
@@ -155,10 +155,10 @@
         return Standing.LAPSED, reason
 
     def may_be_shut_out(self, seen: Observations) -> bool:
-        """Whether we are among those who may be shut out for being behind.
+        """Whether we are among those that may be shut out for being behind.
 
-        They are under the stated part of the fleet, those with the highest weight, the same for all who see
-        the same.
+        They are the members with the highest rendezvous weight, up to `most_shut` of the fleet. Members with
+        the same view choose the same ones.
         """
         most = int(self.limits.most_shut * seen.size)
         behind = {*seen.others_behind(), self.own}
--- a/spurdeal/fleet/versions.py
+++ b/spurdeal/fleet/versions.py
@@ -1,13 +1,13 @@
-"""What a dispatcher acts on, each in a line of its own, and what others claim of it. Free of I/O and clocks.
+"""Versions of what a dispatcher acts on, and what other members claim about theirs. Free of I/O and clocks.
 
-Each line has a single writer: the name service writes the list, operators write configuration and program,
-whoever changes keys writes those. So a version is ordered by what its writer tells, generation and number,
-and nothing is ever merged. Two contents under one version are a clash: it is seen, told, and each stays on
-what it has.
+Each artifact has a single writer: the name service writes the engine list, operators write configuration and
+program, whoever rotates keys writes the keys. So versions are ordered by what the writer states, generation
+and number, and nothing is ever merged. Two contents with one version are a clash: it is reported, and each
+member stays on the content that it has.
 
-A claim is what one dispatcher says it acts on. One witness is one witness: only what two claim, or what our
-own name service told, counts as existing, so that one that makes versions up makes nobody lag behind. And a
-claim far ahead of all that was seen is no version at all.
+A claim is what one dispatcher says it acts on. A version counts as existing only if two members claim it or
+our own name service reported it, so that one member that invents versions makes nobody count as behind. A
+claim far ahead of everything seen is ignored.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from typing import Any, NamedTuple
 
 WITNESSES = 2
-MAX_NUMBER_AHEAD = 10_000  # numbers ahead of our own that a claim may lie
+MAX_NUMBER_AHEAD = 10_000  # how far a claimed number may be ahead of ours
 MAX_CLASHES = 64
 DIGEST = 8  # bytes
 
@@ -33,7 +33,7 @@
 
 
 class Version(NamedTuple):
-    """One state of a line. Ordered by generation and number; the digest names the content."""
+    """A version of an artifact, ordered by generation and number. The digest identifies the content."""
 
     generation: int
     number: int
@@ -41,16 +41,16 @@
 
     @property
     def order(self) -> tuple[int, int]:
-        """What versions of one line are compared by."""
+        """The sort key of an artifact's versions."""
         return self.generation, self.number
 
     def __str__(self) -> str:
-        """The form that logs and events have: generation.number/digest."""
+        """The form in logs and events: generation.number/digest."""
         return f"{self.generation}.{self.number}/{self.digest}"
 
 
 class Clash(NamedTuple):
-    """One version of a line with two contents, and who claims which."""
+    """One version of an artifact with two contents, and which member claims which."""
 
     artifact: Artifact
     generation: int
@@ -59,7 +59,7 @@
     names: tuple[str, str]
 
     def __str__(self) -> str:
-        """The clash in words for people."""
+        """A sentence for people."""
         one, two = self.digests
         return (
             f"{self.artifact.name.lower()} {self.generation}.{self.number} is {one} at {self.names[0]} and "
@@ -68,7 +68,7 @@
 
 
 def digest_of(*parts: bytes) -> str:
-    """Of contents, in hex; parts are told apart by their lengths."""
+    """Digest of these contents, in hex. Each part is prefixed with its length."""
     found = hashlib.blake2b(digest_size=DIGEST)
     for part in parts:
         found.update(len(part).to_bytes(8, "big") + part)
@@ -80,7 +80,7 @@
 
 
 def rows_of(endpoints: Iterable[Any]) -> dict[str, Row]:
-    """Endpoints, as net.engine_list has them, in one form whoever told them; by id."""
+    """Rows of the endpoints of `net.engine_list`, by id; the same from every source."""
     return {
         endpoint.ident: (
             endpoint.ident,
@@ -98,28 +98,28 @@
 
 
 def list_digest(rows: Mapping[str, Row]) -> str:
-    """The digest of an engine list, whatever the order of its rows."""
+    """The digest of an engine list, independent of the order of its rows."""
     return digest_of(repr(sorted(rows.values())).encode())
 
 
 class Offer(NamedTuple):
-    """A version beyond ours, and who claims to hold it."""
+    """A version newer than ours, and the members that claim to hold it."""
 
     version: Version
     holders: list[str]
 
 
 class VersionRegistry:
-    """Our versions in force, and what the others claim. Bounded by lines, members and MOST_CLASHES."""
+    """Our versions in force, and the others' claims. Bounded by artifacts, members and MAX_CLASHES."""
 
     def __init__(self, own: str) -> None:
         self.own = own
         self.in_force: dict[Artifact, Version] = {}
         self.claims: dict[str, dict[Artifact, Version]] = {}
         self.clashes: dict[tuple[Artifact, int, int], Clash] = {}
-        self.by_source: dict[Artifact, Version] = {}  # by our own source, whether or not it is in force
+        self.by_source: dict[Artifact, Version] = {}  # reported by our own source, in force or not
         self.implausible: dict[str, int] = {}
-        # What `newest` and `offers` have found since anything changed.
+        # Cached results of `newest` and `offers`, cleared by each change.
         self.newest_cache: dict[Artifact, Version | None] = {}
         self.offers_cache: dict[Artifact, list[Offer]] = {}
 
@@ -127,8 +127,8 @@
         """Put a version in force.
 
         Returns:
-            False, and nothing changes, for one that is not newer: versions never go back unasked, and other
-                content under the version in force is a clash.
+            False, and nothing changes, for a version that is not newer: versions never go back by themselves.
+                Other content with the version in force is a clash.
         """
         before = self.in_force.get(artifact)
         self.clear_caches()
@@ -142,7 +142,7 @@
         return True
 
     def claim(self, name: str, claims: Mapping[Artifact, Version]) -> list[Clash]:
-        """What a member says that it acts on; new clashes. What cannot be is counted and not kept."""
+        """Record a member's claims and return new clashes. Implausible claims are counted and dropped."""
         kept, found = dict[Artifact, Version](), list[Clash]()
         for artifact, version in claims.items():
             own = self.in_force.get(artifact)
@@ -160,7 +160,7 @@
         return found
 
     def clash(self, artifact: Artifact, version: Version, name: str) -> list[Clash]:
-        """Keep a clash with the version in force; the new one, unless it is known or there are too many."""
+        """Record a clash with the version in force. Empty if it is known or there are too many."""
         key = (artifact, *version.order)
         if artifact is Artifact.PROGRAM or key in self.clashes or len(self.clashes) >= MAX_CLASHES:
             return []
@@ -171,24 +171,24 @@
         return [clash]
 
     def clear_caches(self) -> None:
-        """Something has changed: what was found before is found anew when it is asked for."""
+        """Drop the cached results after a change."""
         self.newest_cache.clear()
         self.offers_cache.clear()
 
     def forget(self, name: str) -> None:
-        """Drop what a member has claimed."""
+        """Drop a member's claims."""
         self.claims.pop(name, None)
         self.clear_caches()
         self.implausible.pop(name, None)
 
     def newest(self, artifact: Artifact) -> Version | None:
-        """The newest that counts as existing: ours, our source's, or what enough members claim."""
+        """The newest existing version: ours, our source's, or one that enough members claim."""
         if artifact not in self.newest_cache:
             self.newest_cache[artifact] = self.find_newest(artifact)
         return self.newest_cache[artifact]
 
     def find_newest(self, artifact: Artifact) -> Version | None:
-        """See `newest`."""
+        """Compute `newest`."""
         counted: dict[Version, int] = {}
         for claims in self.claims.values():
             if artifact in claims:
@@ -198,27 +198,27 @@
         return max(found, key=lambda version: version.order, default=None)
 
     def behind(self, artifact: Artifact = Artifact.LIST) -> int:
-        """How many numbers ours lies behind the newest; a newer generation counts as one at least."""
+        """By how many numbers ours is behind the newest; a newer generation counts as at least one."""
         own, newest = self.in_force.get(artifact), self.newest(artifact)
         if newest is None or (own is not None and own.order >= newest.order):
             return 0
         return max(1, newest.number - (own.number if own is not None else 0))
 
     def holders(self, artifact: Artifact, version: Version) -> list[str]:
-        """Members that claim to act on that version, by name."""
+        """Members that claim to act on that version, sorted."""
         return sorted(name for name, claims in self.claims.items() if claims.get(artifact) == version)
 
     def offers(self, artifact: Artifact = Artifact.LIST) -> list[Offer]:
-        """What members claim beyond ours, newest first, also with one witness.
+        """Claimed versions newer than ours, newest first, also those with a single witness.
 
-        It may be asked for, since what comes is checked against its digest and against what is in force.
+        They may be fetched, as the content is checked against its digest and against the list in force.
         """
         if artifact not in self.offers_cache:
             self.offers_cache[artifact] = self.find_offers(artifact)
         return self.offers_cache[artifact]
 
     def find_offers(self, artifact: Artifact) -> list[Offer]:
-        """See `offers`."""
+        """Compute `offers`."""
         own = self.in_force.get(artifact)
         ahead = {
             claims[artifact]
