--- a/spurdeal/fleet/station.py
+++ b/spurdeal/fleet/station.py
@@ -132,7 +132,7 @@
         """Before the service takes anything: its list is seen through this from the first."""
         assert self.plan.fleet is not None
         self.inner, self.adapter.guard = self.adapter.guard, self
-        self.service.names.on_list = self.listed
+        self.service.names.on_list = self.list_received
         self.service.names.on_unchanged = self.same
         self.service.names.numbers_shared = True
         self.service.clients.fleet = lambda: self.fleet.status(self.monotonic())
@@ -169,7 +169,7 @@
 
     # Versions.
 
-    def listed(self, endpoints: dict[str, Endpoint]) -> None:
+    def list_received(self, endpoints: dict[str, Endpoint]) -> None:
         """The name service has told a newer list."""
         self.act_on(self.service.names.number, endpoints, "names")
         self.adapter.apply_list(endpoints)
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -387,7 +387,7 @@
             # Gathered behind the request, and so in force before its turn has carried anything out.
             kept = {ident: endpoint for ident, endpoint in adapter.endpoints.items() if ident == stays}
             self.station.service.names.take_known(KnownList(2, kept))
-            self.station.listed(kept)
+            self.station.list_received(kept)
             world.go(100)
             heard = [
                 peer.host
