--- a/spurdeal/fleet/__init__.py
+++ b/spurdeal/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""A fleet of dispatchers: who is in it, who acts on which versions, and what one that is behind may do."""
+"""A fleet of dispatchers: membership, leases, versions in force, and what a dispatcher behind may do."""
--- a/spurdeal/fleet/bringing.py
+++ b/spurdeal/fleet/bringing.py
@@ -1,10 +1,10 @@
-"""One that is behind is brought up by a peer: the missing changes, or the whole list. Free of I/O and clocks.
+"""Transfer of engine lists to members that are behind: a difference or the whole. Free of I/O and clocks.
 
-It asks one holder at a time, chosen by chance among all who claim the version, so that no one is stormed; a
-holder serves so many pieces in a period and says so when it is busy. What has come counts only if it has the
-digest that was claimed, and only if it would not drop more engines at once than one witness may: one that
-makes lists up must not empty the fleet. Pieces are bytes of a JSON text packed with zlib, small enough for
-one packet each.
+A member fetches from one holder at a time, chosen at random among all that claim the version, so that no
+holder is overloaded. A holder serves a limited number of pieces per period and answers when it is busy. A
+fetched list is used only if it has the claimed digest, and only if it would not drop more engines at once
+than one witness may: a member that invents lists must not empty the fleet. Pieces are parts of a JSON text
+compressed with zlib, small enough for one packet each.
 """
 
 from __future__ import annotations
@@ -20,25 +20,25 @@
 from .errors import FleetError
 from .versions import Offer, Row, Version
 
-PIECE_SIZE = 600  # bytes of packed text in one datagram
+PIECE_SIZE = 600  # bytes of compressed text in one datagram
 MAX_PIECES = 128
-LARGEST = 1_048_576  # bytes unpacked
-KEPT_LISTS = 8  # lists kept for those who are behind
-MAX_SERVED = 24  # pieces served in a period
-MAX_REFUSED = 64  # versions whose content was not acted on
-PIECE_TIMEOUT = 200.0  # ms for one piece
-RETRY_PAUSE = 50.0, 150.0  # ms after a failure until another is asked
-MAX_SINGLE_WITNESS_DROP = 0.34  # of the engines ready here: what one witness alone may take away at once
+LARGEST = 1_048_576  # bytes of a decompressed list
+KEPT_LISTS = 8  # lists kept for members that are behind
+MAX_SERVED = 24  # pieces served per period
+MAX_REFUSED = 64  # versions remembered as refused
+PIECE_TIMEOUT = 200.0  # ms
+RETRY_PAUSE = 50.0, 150.0  # ms after a failure until another holder is asked, randomized in this range
+MAX_SINGLE_WITNESS_DROP = 0.34  # share of our ready engines that a list with one witness may drop
 
 Rows = dict[str, Row]
 
 
 class UnusableListError(FleetError):
-    """What has come cannot be used; the text says why."""
+    """A received list cannot be used; the text says why."""
 
 
 def pack(value: object) -> list[bytes]:
-    """A JSON value as pieces of packed bytes."""
+    """A JSON value as pieces of compressed bytes."""
     packed = zlib.compress(json.dumps(value, separators=(",", ":")).encode(), 9)
     return [packed[at : at + PIECE_SIZE] for at in range(0, len(packed), PIECE_SIZE)]
 
@@ -47,20 +47,20 @@
     """The JSON value in these pieces.
 
     Raises:
-        UnusableListError: They are cut, damaged, or more than LARGEST when unpacked.
+        UnusableListError: They are truncated, damaged, or larger than LARGEST when decompressed.
     """
     opened = zlib.decompressobj()
     try:
         data = opened.decompress(b"".join(pieces), LARGEST)
         if opened.unconsumed_tail or not opened.eof:
-            raise UnusableListError("too large, or cut")
+            raise UnusableListError("too large, or truncated")
         return json.loads(data)
     except (zlib.error, ValueError, RecursionError) as fault:
         raise UnusableListError(str(fault)) from None
 
 
 def difference(old: Rows, new: Rows) -> dict[str, Any]:
-    """What turns the old list into the new."""
+    """The changes from the old list to the new one."""
     return {
         "changed": [list(row) for ident, row in sorted(new.items()) if old.get(ident) != row],
         "gone": sorted(old.keys() - new.keys()),
@@ -68,13 +68,13 @@
 
 
 def apply_changes(old: Rows, told: object) -> Rows:
-    """The whole list of what a peer has told, over what we have.
+    """The whole list that results from a peer's list or difference, applied to ours.
 
     Raises:
-        UnusableListError: It has not the form of a list, or of a difference.
+        UnusableListError: It is neither a list nor a difference.
     """
     if not isinstance(told, dict):
-        raise UnusableListError("no list: not an object")
+        raise UnusableListError("not a list: no JSON object")
     try:
         if "rows" in told:
             return {str(row[0]): tuple(row) for row in told["rows"]}
@@ -84,11 +84,11 @@
         rows.update({str(row[0]): tuple(row) for row in told["changed"]})
         return rows
     except (KeyError, TypeError, IndexError) as fault:
-        raise UnusableListError(f"no list: {fault!r}") from None
+        raise UnusableListError(f"not a list: {fault!r}") from None
 
 
 class Piece(NamedTuple):
-    """One piece of a packed list, and how many there are."""
+    """One piece of a compressed list, and the number of its pieces."""
 
     total: int
     data: bytes
@@ -98,7 +98,7 @@
 
 
 class ListStore:
-    """Our newest lists, for those who are behind."""
+    """Our newest lists, for members that are behind."""
 
     def __init__(self, period: float, now: float) -> None:
         self.period, self.since, self.served = period, now, 0
@@ -107,14 +107,14 @@
         self.busy = 0
 
     def keep(self, version: Version, rows: Rows) -> None:
-        """Keep one more list; the oldest is dropped past KEPT."""
+        """Keep one more list; the oldest is dropped beyond KEPT_LISTS."""
         self.lists[version] = rows
         while len(self.lists) > KEPT_LISTS:
             self.lists.popitem(last=False)
         self.packed.clear()
 
     def piece(self, now: float, have: Version, want: Version, place: int) -> Piece | None:
-        """The piece at a place; BUSY when busy; None for a list that we have not."""
+        """The piece at a place; BUSY beyond the period's limit; None if there is no such list or piece."""
         if want not in self.lists:
             return None
         if now - self.since >= self.period:
@@ -138,7 +138,7 @@
 
 
 class PieceRequest(NamedTuple):
-    """To be sent: the piece at a place, of what, from whom."""
+    """A request to be sent: to which holder, for which piece of which version."""
 
     to: str
     have: Version
@@ -147,7 +147,7 @@
 
 
 class ReceivedPiece(NamedTuple):
-    """A piece as a holder sent it: of which version, its place, how many there are, and base64 text."""
+    """A piece as sent by a holder: version, place, number of pieces, and data as base64 text."""
 
     want: Version
     place: int
@@ -156,7 +156,7 @@
 
 
 class Fetch:
-    """Our side: at most one list under way, one piece at a time."""
+    """The fetching side: at most one list at a time, piece by piece."""
 
     def __init__(self, chance: random.Random) -> None:
         self.chance = chance
@@ -164,12 +164,12 @@
         self.have = Version(0, 0, "")
         self.holder, self.pieces = "", list[bytes]()
         self.count, self.due, self.next_try = 0, 0.0, 0.0
-        self.failed: dict[str, int] = {}  # holders that gave nothing usable, this time
-        self.refused: set[Version] = set()  # versions whose content was no good: they are not asked for again
+        self.failed: dict[str, int] = {}  # failures per holder since the last success
+        self.refused: set[Version] = set()  # versions with unusable content, not fetched again
         self.unusable = self.started = 0
 
     def tick(self, now: float, have: Version, offers: Sequence[Offer]) -> PieceRequest | None:
-        """What to ask for now. offers: versions beyond ours, newest first, and who holds them."""
+        """The request to send now, if any. offers: newer versions, newest first, and their holders."""
         if self.want is not None:
             if have.order >= self.want.order:
                 self.end(now, 0.0)
@@ -193,7 +193,7 @@
         return None
 
     def on_piece(self, now: float, sender: str, piece: ReceivedPiece) -> PieceRequest | list[bytes] | None:
-        """A piece: what to ask for next, or all of them."""
+        """Take a piece; returns the next request, or all pieces after the last."""
         if sender != self.holder or piece.want != self.want or piece.place != len(self.pieces):
             return None
         if not 0 < piece.total <= MAX_PIECES or (self.pieces and piece.total != self.count):
@@ -210,19 +210,19 @@
         return self.pieces
 
     def fail(self, now: float, unusable: bool = False) -> None:
-        """This holder gave nothing usable: another, after a pause by chance."""
+        """The holder gave nothing usable: try another one after a randomized pause."""
         self.failed[self.holder] = self.failed.get(self.holder, 0) + 1
         self.unusable += unusable
         self.end(now, self.chance.uniform(*RETRY_PAUSE))
 
     def refuse(self, now: float) -> None:
-        """The content is what was claimed, and still not to be acted on."""
+        """The content is the claimed one but must not be acted on."""
         if self.want is not None and len(self.refused) < MAX_REFUSED:
             self.refused.add(self.want)
         self.fail(now, True)
 
     def end(self, now: float, pause: float) -> None:
-        """Nothing is fetched any more; the next may begin after a pause in ms."""
+        """End the fetch; the next may begin after a pause in ms."""
         self.want, self.pieces = None, []
         self.next_try = now + pause
         if not pause:
@@ -230,12 +230,12 @@
 
 
 def dropped_share(old: Mapping[str, Row], new: Mapping[str, Row], ready: int) -> float:
-    """The part of what is ready in the old list that is not in the new.
+    """The share of the ready engines in the old list that are not ready in the new one.
 
     Args:
         old: Rows by id.
         new: Rows by id.
-        ready: The life that counts, which is in place 6 of a row.
+        ready: The value of a ready engine's life, at index 6 of a row.
     """
     before = {ident for ident, row in old.items() if row[6] == ready}
     after = {ident for ident, row in new.items() if row[6] == ready}
--- a/spurdeal/fleet/errors.py
+++ b/spurdeal/fleet/errors.py
@@ -1,4 +1,4 @@
-"""The root of the fleet package's errors."""
+"""Base class of the fleet package's errors."""
 
 
 class FleetError(Exception):
--- a/spurdeal/fleet/hybrid.py
+++ b/spurdeal/fleet/hybrid.py
@@ -1,39 +1,39 @@
-"""Hybrid logical clocks: an order of events over machines that is true to cause, and close to Unix time.
+"""Hybrid logical clocks: timestamps that respect causality across machines and stay close to Unix time.
 
-Kulkarni, Demirbas, Madappa, Avva and Leone, "Logical Physical Clocks" (2014), figure 5. Weighed: hlcpy from
-the registry (last release 2021, reads the clock itself); the algorithm is a few lines, so it is written here,
-free of clocks. A stamp never falls behind what was seen, also when Unix time steps back; and a stamp from
-outside that is far ahead is not taken, or one clock an hour off would drag all others along.
+Kulkarni, Demirbas, Madappa, Avva and Leone, "Logical Physical Clocks" (2014), figure 5. The package hlcpy
+(last release 2021) reads the clock itself; the algorithm is a few lines, so it is implemented here without
+access to clocks. A stamp never falls behind those seen before, even if Unix time steps back. A received
+stamp far ahead is ignored, or one clock that is an hour off would drag all others along.
 """
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-MOST_AHEAD = 5000.0  # ms a stamp from outside may lie before our Unix time
-MOST_COUNT = 0xFFFF  # events of one ms; past it the ms moves on
+MOST_AHEAD = 5000.0  # ms by which a received stamp may be ahead of our Unix time
+MOST_COUNT = 0xFFFF  # events in one ms; beyond it the ms advances
 
 
 class Stamp(NamedTuple):
-    """Unix ms, and which of the events with that ms; they compare as pairs."""
+    """Unix ms, and a counter of the events in that ms; compared as pairs."""
 
     ms: int
     tally: int
 
     def __str__(self) -> str:
-        """The form that logs and events have: ms.tally."""
+        """The form in logs and events: ms.tally."""
         return f"{self.ms}.{self.tally}"
 
 
 class HybridClock:
-    """One dispatcher's clock. Each call names its Unix time in ms."""
+    """One dispatcher's clock. Its Unix time in ms is passed with each call."""
 
     def __init__(self, unix: float) -> None:
         self.last = Stamp(int(unix), 0)
         self.refused = 0
 
     def stamp(self, unix: float) -> Stamp:
-        """For an event here, or a datagram that leaves: later than all that was stamped or seen."""
+        """A stamp for a local event or an outgoing datagram, later than all stamps given or received."""
         if int(unix) > self.last.ms:
             self.last = Stamp(int(unix), 0)
         else:
@@ -41,7 +41,7 @@
         return self.last
 
     def receive(self, unix: float, other: Stamp) -> bool:
-        """A datagram has come with this stamp; False, and nothing taken of it, where it is too far ahead."""
+        """Advance past a received stamp; False, without effect, if it is too far ahead."""
         if other.ms > unix + MOST_AHEAD:
             self.refused += 1
             return False
@@ -52,5 +52,5 @@
 
     @staticmethod
     def after(ms: int, count: int) -> Stamp:
-        """The stamp with this tally, or the first of the next ms where the tally is used up."""
+        """The stamp with this tally, or the first of the next ms if the tally is exhausted."""
         return Stamp(ms, count) if count <= MOST_COUNT else Stamp(ms + 1, 0)
--- a/spurdeal/fleet/list_sync.py
+++ b/spurdeal/fleet/list_sync.py
@@ -1,4 +1,4 @@
-"""Catching up with a newer engine list that other members hold, and serving ours to those behind."""
+"""Synchronization of the engine list: fetches newer lists from peers, and serves ours to those behind."""
 
 from __future__ import annotations
 
@@ -25,23 +25,23 @@
     from .fleet import Fleet
 
 READY = int(EngineLife.READY)
-SOURCE_FIRST = 450.0  # ms that our own name service has, where it answers, before a peer is asked
-OFFERS_EVERY = 60.0  # ms between two looks at who has a newer list
-NAMED_HOLDERS = 3  # in the event
+SOURCE_FIRST = 450.0  # ms for which our own name service, if it answers, has precedence over peers
+OFFERS_EVERY = 60.0  # ms between two checks for newer lists
+NAMED_HOLDERS = 3  # holders named in the event
 
 
 class ListSync:
-    """Fetches newer engine lists from peers. It outlives the member's restarts. Times are ms."""
+    """Fetches newer engine lists from peers. It is kept across the member's starts. Times are ms."""
 
     def __init__(self, fleet: Fleet, now: float) -> None:
         self.fleet = fleet
         self.list_store, self.fetch = ListStore(fleet.terms.period, now), Fetch(fleet.chance)
         self.source_answered_at, self.next_offers = now, now
         self.max_single_drop = MAX_SINGLE_WITNESS_DROP
-        self.offered: dict[Version, float] = {}  # since when a version beyond ours is claimed
+        self.offered: dict[Version, float] = {}  # since when each newer version is claimed
 
     def tick(self, now: float, unix: float) -> None:
-        """Ask for the next piece where a newer list is known."""
+        """Request the next piece if a newer list is known."""
         have = self.fleet.registry.in_force.get(Artifact.LIST)
         if have is None or (self.fetch.want is None and now < self.next_offers):
             return
@@ -51,10 +51,10 @@
             self.request_piece(now, unix, ask)
 
     def offers(self, now: float) -> list[Offer]:
-        """Versions beyond ours that may be asked for by now, newest first, and who holds them.
+        """Newer versions that may be fetched now, newest first, and their holders.
 
-        Our own source comes first, where it answers: one that is told what others are not must not lead them
-        all.
+        Our own source has precedence while it answers: a member with a deviating source must not lead all
+        others.
         """
         fleet = self.fleet
         offers = fleet.registry.offers() if self.fetch.want is None else []
@@ -71,12 +71,12 @@
         ]
 
     def request_piece(self, now: float, unix: float, ask: PieceRequest) -> None:
-        """Send a request for one piece of a list."""
+        """Request one piece of a list."""
         fields = {"k": "f", "have": list(ask.have), "want": list(ask.want), "i": ask.place}
         self.fleet.messenger.request(now, unix, ask.to, RequestKind.FETCH, fields)
 
     def piece_arrived(self, now: float, unix: float, name: str, piece: ReceivedPiece) -> None:
-        """A piece has come, in base64: the next is asked for, or the whole list is checked and applied."""
+        """Handle a received piece: request the next one, or check and apply the whole list."""
         step = self.fetch.on_piece(now, name, piece)
         if isinstance(step, PieceRequest):
             self.request_piece(now, unix, step)
@@ -84,7 +84,7 @@
             self.apply(now, name, piece.want, step)
 
     def apply(self, now: float, name: str, want: Version, pieces: list[bytes]) -> None:
-        """Put a fetched list in force, if it is what was claimed and may be acted on."""
+        """Put a fetched list in force, if it is the claimed one and does not drop too many engines."""
         fleet = self.fleet
         try:
             rows = self.unpacked(want, pieces)
--- a/spurdeal/fleet/local_versions.py
+++ b/spurdeal/fleet/local_versions.py
@@ -1,4 +1,4 @@
-"""The versions of what this dispatcher has at hand: program, configuration, keys; and the shared settings."""
+"""Versions of the local program, configuration and keys, and the settings shared by the fleet."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def program() -> Version:
-    """The program as it stands on the disk: the digest of its sources."""
+    """The version of the program: the digest of its source files on disk."""
     root = Path(__file__).parent.parent
     parts = [
         part
@@ -26,9 +26,9 @@
 
 
 def configured(configuration: bytes, plan: Installation) -> Version:
-    """The version of what all dispatchers of a fleet share of configuration and operator's file.
+    """The version of the settings that all dispatchers of a fleet share, from both files.
 
-    Their own names and places are left out.
+    Settings of a single dispatcher, such as names and addresses, are left out.
     """
     assert plan.fleet is not None
     settings = dict(json.loads(configuration).get("settings", {}))
@@ -39,7 +39,7 @@
 
 
 def keyed(keys: Keys) -> Version:
-    """Which keys are in use; nothing can be learnt of them from it."""
+    """The version of the keys in use; it reveals nothing about them."""
     return Version(
         0,
         keys.sealing,
--- a/spurdeal/fleet/name_conflict.py
+++ b/spurdeal/fleet/name_conflict.py
@@ -1,4 +1,4 @@
-"""Two processes under one name: which of them goes on."""
+"""Conflicts between two processes with one name."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 if TYPE_CHECKING:
     from .fleet import Fleet
 
-MAX_RAISES = 3  # incarnations raised against another start of our name, before it counts as alive
+MAX_RAISES = 3  # incarnations raised against another start of our name before it is taken for alive
 
 
 class NameConflict:
-    """Settles who keeps our name where another start of it is heard of.
+    """Decides who keeps our name when another start of it is heard of.
 
-    Who holds a lease stays; one that lapsed meanwhile, or is answered again and again, gives way. One that is
-    not there any more answers nothing: a new start gets past its last incarnation.
+    The holder of a lease keeps the name. A start that has lapsed, or is refuted again and again, yields it.
+    An earlier start that has ended refutes nothing, so a new start gets past its last incarnation.
     """
 
     def __init__(self, fleet: Fleet) -> None:
@@ -29,7 +29,7 @@
         self.raised_against: Counter[int] = Counter()
 
     def begin(self, boot: int) -> None:
-        """A new start of ours."""
+        """Note a new start of ours."""
         self.own_boots.add(boot)
         self.yielded = False
         self.raised_against.clear()
@@ -54,6 +54,6 @@
             members.raise_incarnation(other.incarnation)
 
     def keep(self, other: Record) -> None:
-        """The name stays ours."""
+        """Keep the name: refute the other start."""
         self.fleet.members.raise_incarnation(other.incarnation)
         self.fleet.report_once(f"name {other.boot}", "name_kept", {"other": f"{other.boot:016x}"})
--- a/spurdeal/fleet/station.py
+++ b/spurdeal/fleet/station.py
@@ -1,7 +1,7 @@
-"""The fleet beside one dispatcher: datagrams and timers in, and the link's Guard.
+"""Connects a `Fleet` with one dispatcher: its datagrams, timers, log and audit, and a Guard of its adapter.
 
-It decides nothing: `fleet` does. What was decided in a turn is in the audit before it leaves: the frame is
-written at the turn's end, and what the turn has sent leaves with the reactor's next round.
+It decides nothing; `Fleet` does. The audit has what was decided in a batch before any of it leaves: the frame
+is written at the batch's end, and what the batch sends leaves in the reactor's next iteration.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 KINDS = {"standing": Kind.STANDING, "member": Kind.MEMBER, "page": Kind.WITNESS, "clash": Kind.CLASH}
 ANSWERS = {Shed: Kind.SHED, Failed: Kind.BROKEN_OFF, Granted: Kind.GRANTED}
 COUNT_EVERY = 500.0  # ms
-QUIET = ("page",)  # told too often for the log lines
+UNLOGGED_EVENTS = ("page",)  # too frequent for the log
 
 
 @dataclass(frozen=True)
@@ -44,8 +44,8 @@
     """The clocks of a dispatcher, each in ms.
 
     Attributes:
-        monotonic: It runs on while the process stands still.
-        unix: Unix time that does not step.
+        monotonic: Keeps running while the process is suspended.
+        unix: Unix time without steps.
         raw: The system's Unix time.
     """
 
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True)
 class StationSettings:
-    """What the operator's files say: the plan, the fleet's keys, and the configuration's bytes."""
+    """Contents of the operator's files: the plan, the fleet's keys, and the configuration's bytes."""
 
     plan: Installation
     keys: Keys
@@ -64,7 +64,7 @@
 
 
 class Datagrams(DatagramProtocol):
-    """What the others send."""
+    """Receives the datagrams of other members."""
 
     transport: Any
 
@@ -73,11 +73,11 @@
 
     def datagramReceived(self, datagram: bytes, address: tuple[Any, ...]) -> None:
         """See DatagramProtocol."""
-        self.station.came(datagram, (str(address[0]), int(address[1])))
+        self.station.datagram_received(datagram, (str(address[0]), int(address[1])))
 
 
 class FleetStation:
-    """One dispatcher among its fleet, and a Guard of its link."""
+    """One dispatcher's member of the fleet, and a Guard of its adapter."""
 
     def __init__(
         self,
@@ -99,25 +99,25 @@
         self.fleet = self.make_fleet(plan.name, part, keys)
         self.datagrams = Datagrams(self)
         self.journal = self.make_journal(plan.name, part)
-        self.next_seal, self.heard_at = self.monotonic(), float("-inf")
+        self.next_seal, self.source_heard_at = self.monotonic(), float("-inf")
         self.next_count = self.monotonic()
-        self.parts = True
-        self.idents: dict[int, str] = {}  # engines by place, as the audit names them
+        self.has_cold_share = True
+        self.engine_ids: dict[int, str] = {}  # engine ids by place, as the audit names them
         self.fleet.in_force(Artifact.CONFIGURATION, configured(settings.configuration, plan))
         self.fleet.in_force(Artifact.PROGRAM, program())
         self.fleet.in_force(Artifact.KEYS, keyed(keys))
 
     def make_fleet(self, name: str, part: FleetPart, keys: Keys) -> Fleet:
-        """The member that the operator's file describes."""
+        """Create the member that the operator's file describes."""
         at = part.advertise or part.listen
         seeds = {seed.name: (str(seed.at[0]), seed.at[1]) for seed in part.seeds if seed.name != name}
         chance = random.Random(secrets.randbits(64))
         now, unix = self.monotonic(), self.unix()
         settings = FleetSettings(name, (str(at[0]), at[1]), seeds, terms_of(part), keys)
-        return Fleet(settings, chance, self.bring, now, unix)
+        return Fleet(settings, chance, self.apply_peer_list, now, unix)
 
     def make_journal(self, name: str, part: FleetPart) -> Journal | None:
-        """The audit log; None where the file has none."""
+        """Open the audit log; None if the operator's file configures none."""
         if part.audit is None:
             return None
         return Journal(
@@ -129,11 +129,11 @@
     # Start and stop.
 
     def start(self) -> None:
-        """Before the service takes anything: its list is seen through this from the first."""
+        """Call before the service accepts requests, so that every list passes through here from the first."""
         assert self.plan.fleet is not None
         self.inner, self.adapter.guard = self.adapter.guard, self
         self.service.names.on_list = self.list_received
-        self.service.names.on_unchanged = self.same
+        self.service.names.on_unchanged = self.list_unchanged
         self.service.names.numbers_shared = True
         self.service.clients.fleet = lambda: self.fleet.status(self.monotonic())
         self.act_on(self.service.names.number, self.service.endpoints, "start")
@@ -141,11 +141,11 @@
         opened = self.reactor.listenUDP(port, self.datagrams, interface=str(host), maxPacketSize=LARGEST)
         TolerantReading(opened, self.reactor, self.counters, self.log, most_errors=None)
         if not self.fleet.allowed(self.monotonic()).doubtful:
-            self.tell_parts(False)
+            self.set_cold_share(False)
         self.tick()
 
     def stop(self) -> None:
-        """A planned end: the others are told."""
+        """Graceful shutdown: tell the other members."""
         self.fleet.leave(self.monotonic(), self.unix())
         self.send()
 
@@ -155,39 +155,39 @@
             self.journal.close()
 
     def read_again(self, configuration: bytes, plan: Installation, keys: Keys) -> None:
-        """SIGHUP: keys are in force at once; which configuration is, the others are told."""
+        """SIGHUP: use the new keys at once, and report the configuration in force to the others."""
         self.fleet.keys = keys
         for session in self.fleet.sessions.values():
             session.keys = keys
         self.fleet.in_force(Artifact.KEYS, keyed(keys))
         self.fleet.in_force(Artifact.CONFIGURATION, configured(configuration, plan))
-        self.acted_on("reload")
+        self.audit_versions("reload")
 
     def lowers(self) -> bool:
-        """Of VRRP: the priority is lowered while the lease is not held."""
+        """Whether VRRP lowers its priority: it does while the standing calls for it, as without a lease."""
         return self.fleet.tracker.allowed.lowers
 
     # Versions.
 
     def list_received(self, endpoints: dict[str, Endpoint]) -> None:
-        """The name service has told a newer list."""
+        """The name service gave a newer list."""
         self.act_on(self.service.names.number, endpoints, "names")
         self.adapter.apply_list(endpoints)
 
-    def same(self, endpoints: dict[str, Endpoint]) -> None:
-        """The name service has told the number that is in force."""
+    def list_unchanged(self, endpoints: dict[str, Endpoint]) -> None:
+        """The name service gave a list with the number in force."""
         rows = rows_of(endpoints.values())
         if rows != self.fleet.rows:
             self.fleet.note_source_content(Version(0, self.service.names.number, list_digest(rows)))
 
     def act_on(self, number: int, endpoints: Mapping[str, Endpoint], by: str) -> None:
-        """Put a list of the name service in force, and note it in the audit."""
+        """Put a list of the name service in force, and record it in the audit."""
         rows = rows_of(endpoints.values())
         self.fleet.in_force(Artifact.LIST, Version(0, number, list_digest(rows)), rows)
-        self.acted_on(by)
+        self.audit_versions(by)
 
-    def bring(self, version: Version, rows: Mapping[str, Row]) -> None:
-        """A peer has handed over a newer list; it was checked."""
+    def apply_peer_list(self, version: Version, rows: Mapping[str, Row]) -> None:
+        """Put a newer list in force that was fetched from a peer and checked."""
         endpoints = {
             ident: Endpoint(
                 ident,
@@ -206,11 +206,11 @@
         names.take_known(KnownList(max(names.number, version.number), endpoints))
         names.is_brought = True
         self.counters.add("lists_from_peers")
-        self.acted_on("peer")
+        self.audit_versions("peer")
         self.adapter.apply_list(endpoints)
 
-    def acted_on(self, by: str) -> None:
-        """Note in the audit which versions are in force, and by whose word."""
+    def audit_versions(self, by: str) -> None:
+        """Record in the audit which versions are in force, and from which source."""
         if self.journal is not None:
             force = {
                 line.name.lower(): str(version) for line, version in self.fleet.registry.in_force.items()
@@ -218,14 +218,14 @@
             engines = {ident: row[6] for ident, row in self.fleet.rows.items()}
             self.journal.act_on(force | {"by": by, "engines": engines})
 
-    # Time and datagrams.
+    # Timers and datagrams.
 
     def tick(self) -> None:
-        """All that is due by now; repeats every TICK ms."""
+        """Do all that is due; repeats every TICK ms."""
         self.reactor.callLater(TICK / 1000, self.tick)
         now = self.monotonic()
-        if self.service.names.answered_at != self.heard_at:
-            self.heard_at = self.service.names.answered_at
+        if self.service.names.answered_at != self.source_heard_at:
+            self.source_heard_at = self.service.names.answered_at
             self.fleet.source_answered(now)
         self.fleet.skew = self.raw() - self.unix()
         self.fleet.tick(now, self.unix())
@@ -243,22 +243,22 @@
             self.fleet.page = self.journal.seal() or self.fleet.page
             for name in ("torn", "lost", "failures", "dropped", "broken", "written"):
                 self.counters.sums["audit_" + name] = getattr(self.journal, name)
-        self.after()
+        self.process_output()
 
-    def came(self, datagram: bytes, source: tuple[str, int]) -> None:
-        """A datagram has come."""
+    def datagram_received(self, datagram: bytes, source: tuple[str, int]) -> None:
+        """Handle a datagram."""
         self.fleet.take(self.monotonic(), self.unix(), source, datagram)
-        self.after()
+        self.process_output()
 
-    def after(self) -> None:
-        """What the fleet has to send and to tell."""
+    def process_output(self) -> None:
+        """Send the fleet's datagrams, record its events, and follow a change of standing."""
         self.send()
         told, self.fleet.events = self.fleet.events, []
         for each in told:
-            self.tell(each)
+            self.record_event(each)
         doubtful = self.fleet.tracker.allowed.doubtful
-        if doubtful != self.parts:
-            self.tell_parts(doubtful)
+        if doubtful != self.has_cold_share:
+            self.set_cold_share(doubtful)
 
     def send(self) -> None:
         """Send the datagrams that the fleet has queued."""
@@ -269,9 +269,9 @@
             except OSError:
                 self.counters.add("fleet_not_sent")
 
-    def tell(self, told: FleetEvent) -> None:
+    def record_event(self, told: FleetEvent) -> None:
         """Write an event to the log and the audit."""
-        if told.what not in QUIET:
+        if told.what not in UNLOGGED_EVENTS:
             self.log.info("fleet_" + told.what, extra={"figures": told.figures})
         if self.journal is not None:
             kind = KINDS.get(told.what, Kind.OTHER)
@@ -280,18 +280,18 @@
             if not self.adapter.in_batch:
                 self.journal.flush()
 
-    def tell_parts(self, doubtful: bool) -> None:
-        """Set our part of cold budgets: nothing without a lease, so that the rules choose no cold engine.
+    def set_cold_share(self, doubtful: bool) -> None:
+        """Set our share of cold budgets: none without a lease, so that the rules choose no cold engine.
 
-        Where VRRP's tenure says the parts, it goes on to, and `departs` withholds.
+        Where VRRP's tenure sets the shares, it keeps doing so, and `departs` withholds the sends.
         """
-        self.parts = doubtful
+        self.has_cold_share = doubtful
         if self.inner is None or self.plan.vrrp is None:
             self.adapter.gather(
                 self.adapter.rules.capacity_shares_changed, self.share if doubtful else 0.0, self.share
             )
 
-    # The link's Guard.
+    # The adapter's Guard.
 
     def batch_started(self, now: float) -> None:
         """See Guard."""
@@ -299,11 +299,11 @@
             self.inner.batch_started(now)
 
     def door(self, kind: int, ident: bytes) -> Answer | None:
-        """Shed what may not be taken in our standing."""
+        """Shed requests that must not be accepted in our standing."""
         allowed = self.fleet.allowed(self.monotonic())
         if not allowed.idempotent or (self.guarded[kind] and not allowed.doubtful):
             self.counters.add("fleet_shed")
-            self.short(Kind.SHED, ident)
+            self.audit_request(Kind.SHED, ident)
             return Shed(self.come_back)
         return self.inner.door(kind, ident) if self.inner is not None else None
 
@@ -317,9 +317,9 @@
             self.inner.given_up(number, attempt)
 
     def answered(self, request: OpenRequest, answer: Answer | None) -> None:
-        """Note the answer in the audit, unless an attempt brought it."""
+        """Record the answer in the audit, unless an attempt delivered it."""
         if not isinstance(answer, Delivered):
-            self.short(ANSWERS[type(answer)] if answer is not None else Kind.WITHDRAWN, request.ident)
+            self.audit_request(ANSWERS[type(answer)] if answer is not None else Kind.WITHDRAWN, request.ident)
         if self.inner is not None:
             self.inner.answered(request, answer)
 
@@ -329,7 +329,7 @@
             self.inner.never_ran(request)
 
     def departs(self, request: OpenRequest, attempt: int, engine: int) -> bool:
-        """The last look before a send: the lease may have run out since the rules chose, also in a pause."""
+        """Check at send time: the lease may have expired since the rules chose, for instance in a pause."""
         found = self.adapter.rules.engines.get(engine)
         cold = found is not None and found.warm_at > self.adapter.clock()
         doubtful = cold or self.guarded[request.kind]
@@ -337,14 +337,14 @@
         if not allowed.idempotent or (doubtful and not allowed.doubtful):
             self.counters.add("fleet_withheld")
             return False
-        ident = self.ident_of(engine)
+        ident = self.engine_id(engine)
         row = self.fleet.rows.get(ident)
-        if row is None or row[6] != READY:  # a newer list came between the choice and this, in one turn
+        if row is None or row[6] != READY:  # a newer list arrived in this batch, after the choice
             self.counters.add("fleet_overtaken")
             return False
         if self.inner is not None and not self.inner.departs(
             request, attempt, engine
-        ):  # last: it counts as used
+        ):  # checked last: it counts the engine's budget as used
             return False
         if self.journal is not None:
             flags = COLD * cold | DOUBTFUL * self.guarded[request.kind]
@@ -353,27 +353,27 @@
                 self.journal.flush()
         return True
 
-    def ident_of(self, engine: int) -> str:
+    def engine_id(self, engine: int) -> str:
         """The id of the engine at that place."""
-        if engine not in self.idents:
-            self.idents = {place: ident for ident, place in self.adapter.index.places.items()}
-        return self.idents.get(engine, str(engine))
+        if engine not in self.engine_ids:
+            self.engine_ids = {place: ident for ident, place in self.adapter.index.places.items()}
+        return self.engine_ids.get(engine, str(engine))
 
     def attempt_cancelled(self, request: OpenRequest, attempt: int) -> None:
-        """Note it in the audit."""
-        self.short(Kind.CALLED_OFF, request.ident, attempt)
+        """Record the cancellation in the audit."""
+        self.audit_request(Kind.CALLED_OFF, request.ident, attempt)
         if self.inner is not None:
             self.inner.attempt_cancelled(request, attempt)
 
     def said(self, line: str) -> None:
-        """Note it in the audit."""
+        """Record a line of the rules in the audit."""
         if self.journal is not None:
             self.journal.pages.tell(Kind.MODE, {"says": line})
         if self.inner is not None:
             self.inner.said(line)
 
     def batch_ended(self) -> None:
-        """Write the turn's frame before anything of it leaves."""
+        """Write the batch's frame before anything of the batch leaves."""
         if self.journal is not None:
             self.journal.flush()
         if self.inner is not None:
@@ -383,8 +383,8 @@
         """See Guard."""
         return self.inner.endpoint(endpoint) if self.inner is not None else endpoint
 
-    def short(self, kind: Kind, ident: bytes, attempt: int = 0) -> None:
-        """Note in the audit what happened to a request, at once when no turn is under way."""
+    def audit_request(self, kind: Kind, ident: bytes, attempt: int = 0) -> None:
+        """Record in the audit what happened to a request; at once if no batch is running."""
         if self.journal is not None:
             self.journal.pages.short(kind, ident, attempt)
             if not self.adapter.in_batch:
--- a/spurdeal/fleet/status.py
+++ b/spurdeal/fleet/status.py
@@ -1,4 +1,4 @@
-"""What one member knows of its fleet, as `spurdeal fleet status` and the clients' interface show it."""
+"""One member's view of its fleet, as `spurdeal fleet status` and the client interface show it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 def fleet_status(fleet: Fleet, now: float) -> dict[str, Any]:
-    """All that is known here of the fleet, ready for JSON. Times in it are ms."""
+    """This member's view of the fleet, ready for JSON. Times are ms."""
     return own_status(fleet, now) | {
         "members": [member_status(fleet, now, name) for name in sorted(fleet.members.others)],
         "clashes": [str(clash) for clash in fleet.registry.clashes.values()],
@@ -21,7 +21,7 @@
 
 
 def own_status(fleet: Fleet, now: float) -> dict[str, Any]:
-    """What concerns the member itself."""
+    """The status of the member itself."""
     newest = fleet.registry.newest(Artifact.LIST)
     versions = {
         artifact.name.lower(): str(each) for artifact, each in sorted(fleet.registry.in_force.items())
@@ -35,7 +35,7 @@
         "lease": fleet.lease.holds(now),
         "term": fleet.lease.term.number,
         "grantors": list(fleet.lease.term.grantors),
-        "wardens": list(fleet.lease.term.grantors),  # deprecated: the name of "grantors" before
+        "wardens": list(fleet.lease.term.grantors),  # deprecated: the former name of "grantors"
         "versions": versions,
         "newest_list": str(newest) if newest is not None else None,
         "behind": fleet.registry.behind(),
@@ -46,7 +46,7 @@
 
 
 def member_status(fleet: Fleet, now: float, name: str) -> dict[str, Any]:
-    """What is known here of one other member."""
+    """The status of one other member, as known here."""
     record, heard = fleet.members.others[name], fleet.heard.get(name)
     claims = fleet.registry.claims.get(name, {})
     newest = fleet.registry.newest(Artifact.LIST)
--- a/spurdeal/fleet/stop_inquiries.py
+++ b/spurdeal/fleet/stop_inquiries.py
@@ -1,6 +1,6 @@
-"""Fencing: the lease grantors of gone members are asked until those are known to have stopped.
+"""Fencing: asks the grantors of gone members until these are known to have stopped.
 
-The inquiry goes on after that, so that the grantors' promises go on to count.
+The inquiry continues after that, so that the grantors' reports stay valid.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 if TYPE_CHECKING:
     from .fleet import Fleet
 
-ASK_EVERY = 500.0  # ms between two questions to the grantors of a member that is gone
+ASK_EVERY = 500.0  # ms between two requests to the grantors of a gone member
 MAX_INQUIRIES = 64
 
 
 class StopInquiries:
-    """Inquiries into members that are gone, and which of them are relied on as stopped."""
+    """Inquiries into gone members, and which of them are relied on as stopped."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
@@ -30,18 +30,18 @@
         self.relied: set[tuple[str, int]] = set()  # name and start
 
     def stopped(self, now: float, name: str) -> bool:
-        """Whether that member, gone as we see it, is known by our clock alone to hold no lease."""
+        """Whether that member, gone in our view, is known by our clock alone to hold no lease."""
         found = self.inquiries.get(name)
         return found is not None and found.stopped(now)
 
     def begin(self, name: str, boot: int) -> None:
-        """Ask after one start of a member, unless too many are asked after."""
+        """Begin an inquiry into one start of a member, unless too many are open."""
         if len(self.inquiries) < MAX_INQUIRIES:
             terms = self.fleet.terms
             self.inquiries[name] = Inquiry(name, boot, terms.part, terms.lease)
 
     def tick(self, now: float, unix: float) -> None:
-        """Ask the grantors again where it is time, and report what has changed."""
+        """Ask the grantors again where due, and report changes."""
         self.drop_finished()
         for name, inquiry in self.inquiries.items():
             if now - self.asked_at.get(name, -math.inf) >= ASK_EVERY:
@@ -51,7 +51,7 @@
             self.report(now)
 
     def drop_finished(self) -> None:
-        """Forget inquiries into members that are not gone any more, or have started anew."""
+        """Drop inquiries into members that are not gone any more, or have a new start."""
         for name, inquiry in list(self.inquiries.items()):
             record = self.fleet.members.others.get(name)
             if record is None or record.life is not Life.GONE or record.boot != inquiry.boot:
@@ -71,7 +71,7 @@
                 fleet.messenger.request(now, unix, grantor, RequestKind.WORD, fields)
 
     def report(self, now: float) -> None:
-        """Events for whom we rely on as stopped, and from when we do so no more."""
+        """Emit events for members that we begin or cease to rely on as stopped."""
         stopped = {(name, each.boot) for name, each in self.inquiries.items() if each.stopped(now)}
         for what, starts in (("stopped", stopped - self.relied), ("stopped_over", self.relied - stopped)):
             for name, boot in sorted(starts):
--- a/spurdeal/fleet/table_sync.py
+++ b/spurdeal/fleet/table_sync.py
@@ -1,4 +1,4 @@
-"""Anti-entropy of the member table: at a start, at a return, and where two tables differ.
+"""Anti-entropy of the member table: at a start, at a return, and when two tables differ.
 
 The whole table of one member is pulled, page by page.
 """
@@ -30,12 +30,12 @@
 
     def __init__(self, fleet: Fleet, now: float) -> None:
         self.fleet = fleet
-        self.synced = not fleet.seeds  # a whole table was got since the start, or since we returned
+        self.synced = not fleet.seeds  # a whole table was pulled since the start, or since our return
         self.source, self.offset, self.deadline = "", 0, 0.0
         self.next_pull = self.next_seeds = now
 
     def tick(self, now: float, unix: float) -> None:
-        """Begin a pull where one is due."""
+        """Begin a pull if one is due."""
         if self.source and now >= self.deadline:
             self.source, self.next_pull = "", now
         if self.source or self.synced or now < self.next_pull:
@@ -47,9 +47,10 @@
         self.start(now, unix, self.fleet.chance.choice(sorted(candidates)))
 
     def candidates(self) -> list[str]:
-        """Whom to pull from, seeds first.
+        """The members to pull from, seeds first.
 
-        Those who came to us may know nobody but us, and two halves would each be whole to itself.
+        Members that contacted us may know nobody but us; two halves of the fleet could each take itself for
+        the whole.
         """
         fleet = self.fleet
         seeds = [name for name in fleet.seeds if name not in fleet.members.others]
@@ -58,28 +59,28 @@
         return fleet.members.alive() or seeds
 
     def start(self, now: float, unix: float, name: str) -> None:
-        """Pull the table of that member from its first page."""
+        """Begin to pull the table of that member."""
         self.source, self.offset = name, 0
         self.deadline = self.next_pull = now + PULL_TIMEOUT
         self.request_page(now, unix, name)
 
     def request_page(self, now: float, unix: float, name: str) -> None:
-        """Ask for the page at the current offset."""
+        """Request the page at the current offset."""
         fields = {"k": "j", "i": self.offset}
         self.fleet.messenger.request(now, unix, name, RequestKind.PULL, fields)
 
     def repeat(self, now: float, unix: float, name: str) -> None:
-        """Ask that member again, where the pull is still from it."""
+        """Repeat the request, if we still pull from that member."""
         if self.source == name:
             self.request_page(now, unix, name)
 
     def restart(self, now: float) -> None:
-        """We return: a table newer than that is owed before we act again."""
+        """We return to the fleet: another table must be pulled before we act."""
         self.synced = not self.fleet.members.alive()
         self.source, self.next_pull = "", now
 
     def page_arrived(self, now: float, unix: float, name: str, page: TablePage) -> None:
-        """Go on behind the page that has come, if it is the one that we wait for."""
+        """Continue after the expected page; ignore any other."""
         if name != self.source or page.offset != self.offset:
             return
         self.offset += page.size
@@ -90,7 +91,7 @@
         self.request_page(now, unix, name)
 
     def compare(self, now: float, unix: float, name: str, checksum: object) -> None:
-        """A member has told the checksum of its table: it is pulled where ours is another, and settled."""
+        """Pull a member's table if its checksum differs from ours and we have no gossip left to send."""
         members = self.fleet.members
         if not isinstance(checksum, int) or checksum == members.checksum():
             return
@@ -100,9 +101,9 @@
             self.start(now, unix, name)
 
     def contact_seeds(self, now: float, unix: float) -> None:
-        """Ping seeds that we know nothing of.
+        """Ping seeds that are not in our table.
 
-        They may be of another part of the fleet, and both are one from their answer on.
+        They may be in another partition of the fleet; their answer joins the two.
         """
         if now < self.next_seeds:
             return
--- a/spurdeal/fleet/terms.py
+++ b/spurdeal/fleet/terms.py
@@ -11,12 +11,12 @@
     """Settings of a fleet, the same for all its members. Times in ms, shares from 0 to 1.
 
     Attributes:
-        period: Time between two probes of a member.
+        period: Time between two probes.
         lease: How long a grant of the lease counts.
-        part: Share of the lease's grantors that must answer.
-        forget: How long a member that is gone stays in the table.
-        behind_for: A member that has been behind for longer than this counts as lapsed.
-        shut_after: A member that has been lapsed for longer than this may be shut out.
+        part: Share of the lease's grantors that must grant.
+        forget: How long a member that is gone or has left stays in the table.
+        behind_for: A member that has been behind for longer has lapsed.
+        shut_after: A member that has been lapsed for longer may be shut out.
         most_shut: Largest share of the fleet that is shut out for being behind.
         clock_off: Largest tolerated distance of our Unix time from the median of the others'.
     """
@@ -32,7 +32,7 @@
 
 
 class FleetEvent(NamedTuple):
-    """An event for the log and the audit: its name and its figures, ready for JSON."""
+    """An event for the log and the audit: its name, and its fields ready for JSON."""
 
     what: str
     figures: dict[str, Any]
--- a/spurdeal/fleet/wire.py
+++ b/spurdeal/fleet/wire.py
@@ -1,7 +1,7 @@
-"""What fleet datagrams say: JSON bodies in the sealed datagrams that handover uses. Free of I/O and clocks.
+"""The wire format: JSON bodies in the sealed datagrams that handover uses as well. Free of I/O and clocks.
 
-Every body is read whole, and refused whole, before anything of it counts. A datagram stays in one packet:
-LARGEST is under the least that a path must carry with room for headers (RFC 8200, section 5: 1,280 bytes).
+A body is parsed completely, and rejected as a whole, before any of it takes effect. A datagram fits into one
+packet: LARGEST leaves room for headers within the minimum MTU (RFC 8200, section 5: 1,280 bytes).
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 def name_of(datagram: bytes) -> str:
-    """The sender's name as the head tells it; the seal is yet to be checked."""
+    """The sender's name in the header. The seal has not been verified yet."""
     if len(datagram) < HEAD.size + SEAL:
         raise RefusedError("short")
     if len(datagram) > LARGEST:
@@ -40,22 +40,22 @@
 
 
 def room(name: str, body: Mapping[str, Any]) -> int:
-    """Bytes left for more in a datagram that is to carry this body."""
+    """Bytes left in a datagram that carries this body."""
     return LARGEST - HEAD.size - SEAL - len(name) - len(json.dumps(body, separators=(",", ":")))
 
 
-# Reading: each raises RefusedError("body") for what has not its form.
+# Parsing: each function raises RefusedError("body") for a malformed value.
 
 
 def whole(value: object, most: float = 1 << 63) -> int:
-    """A whole number from 0 to the most."""
+    """An integer from 0 to `most`."""
     if not isinstance(value, int) or isinstance(value, bool) or not 0 <= value <= most:
         raise RefusedError("body")
     return value
 
 
 def figure(value: object, most: float = MAX_REMAINING) -> float:
-    """A finite number from 0 to the most."""
+    """A finite number from 0 to `most`."""
     if (
         not isinstance(value, (int, float))
         or isinstance(value, bool)
@@ -67,7 +67,7 @@
 
 
 def text(value: object, most: int = MAX_NAME_LENGTH) -> str:
-    """Printable ASCII of 1 to the most characters."""
+    """Printable ASCII of 1 to `most` characters."""
     if (
         not isinstance(value, str)
         or not 1 <= len(value) <= most
@@ -79,14 +79,14 @@
 
 
 def items(value: object, least: int, most: int) -> list[Any]:
-    """A list with at least and at most so many items."""
+    """A list of `least` to `most` items."""
     if not isinstance(value, list) or not least <= len(value) <= most:
         raise RefusedError("body")
     return value
 
 
 def host(value: object) -> str:
-    """An IP address, in its usual form."""
+    """An IP address in its canonical form."""
     try:
         return str(ip_address(text(value, 45)))
     except ValueError:
@@ -94,7 +94,7 @@
 
 
 def record(value: object) -> Record:
-    """A member's record, as `written` gives it."""
+    """A member's record, as written by `written`."""
     row = items(value, 7, 7)
     try:
         life = Life(whole(row[5], 3))
@@ -118,7 +118,7 @@
 
 
 def records(body: Mapping[str, Any], key: str = "n") -> list[Record]:
-    """The member records of a body, at most MOST_RECORDS."""
+    """The member records of a body, at most MAX_RECORDS."""
     return [record(row) for row in items(body.get(key, []), 0, MAX_RECORDS)]
 
 
@@ -135,12 +135,12 @@
 
 
 def versions_written(force: Mapping[Artifact, Version]) -> list[Any]:
-    """Versions in force as a row for JSON, in the order of Line."""
+    """Versions in force as a row for JSON, in the order of Artifact."""
     return [list(force[artifact]) if artifact in force else None for artifact in Artifact]
 
 
 def stamp(body: Mapping[str, Any]) -> Stamp:
-    """The sender's hybrid stamp."""
+    """The sender's hybrid timestamp."""
     row = items(body.get("h"), 2, 2)
     return Stamp(whole(row[0], 1 << 48), whole(row[1], 0xFFFF))
 
--- a/spurdeal/fleet/words.py
+++ b/spurdeal/fleet/words.py
@@ -1,4 +1,4 @@
-"""What `spurdeal fleet status` prints: a dispatcher's view of its fleet, in lines for people."""
+"""Text output of `spurdeal fleet status`: a dispatcher's view of its fleet."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 SECOND, MINUTE = 1000.0, 60_000.0  # ms
 SHOWN_IN_SECONDS = 2 * MINUTE  # shorter times are shown in seconds
-SHOWN_CLOCK_SHIFT = 100.0  # ms; less is not worth a line
+SHOWN_CLOCK_SHIFT = 100.0  # ms; a smaller shift is not shown
 
 
 def ago(ms: float) -> str:
-    """A time in ms, in the unit that people read best."""
+    """A duration in ms, formatted in a readable unit."""
     if ms < SECOND:
         return f"{ms:.0f}ms"
     if ms < SHOWN_IN_SECONDS:
@@ -20,7 +20,7 @@
 
 
 def status_words(found: Mapping[str, Any]) -> Iterator[str]:
-    """Itself, its versions, then a line for each member."""
+    """Lines on the dispatcher itself, its versions, and each member."""
     grantors = found["grantors"] if "grantors" in found else found["wardens"]  # from an older dispatcher
     yield (
         f"{found['name']} start {found['boot'][:8]}: {found['standing']} for {ago(found['for_ms'])} "
@@ -32,7 +32,7 @@
     if found["behind"]:
         yield f"  behind by {found['behind']}: the newest list is {found['newest_list']}"
     if abs(found["clock_shift_ms"]) > SHOWN_CLOCK_SHIFT:
-        yield f"  its clock is {found['clock_shift_ms']} ms before the middle of the others'"
+        yield f"  its clock is {found['clock_shift_ms']} ms ahead of the median of the others'"
     yield f"fleet of {found['size']}:"
     for member in found["members"]:
         words = f"  {member['name']:<12} {member['life']:<8} for {ago(member['for_ms']):<7}"
@@ -45,4 +45,4 @@
     for clash in found["clashes"]:
         yield f"clash: {clash}"
     for name, count in found["implausible"].items():
-        yield f"{name} claimed what cannot be, {count} times"
+        yield f"{name} made implausible claims, {count} times"
