--- a/spurdeal/fleet/bringing.py
+++ b/spurdeal/fleet/bringing.py
@@ -67,21 +67,21 @@
     }
 
 
-def apply_changes(old: Rows, told: object) -> Rows:
+def apply_changes(old: Rows, received: object) -> Rows:
     """The whole list that results from a peer's list or difference, applied to ours.
 
     Raises:
         UnusableListError: It is neither a list nor a difference.
     """
-    if not isinstance(told, dict):
+    if not isinstance(received, dict):
         raise UnusableListError("not a list: no JSON object")
     try:
-        if "rows" in told:
-            return {str(row[0]): tuple(row) for row in told["rows"]}
+        if "rows" in received:
+            return {str(row[0]): tuple(row) for row in received["rows"]}
         rows = dict(old)
-        for ident in told["gone"]:
+        for ident in received["gone"]:
             rows.pop(str(ident), None)
-        rows.update({str(row[0]): tuple(row) for row in told["changed"]})
+        rows.update({str(row[0]): tuple(row) for row in received["changed"]})
         return rows
     except (KeyError, TypeError, IndexError) as fault:
         raise UnusableListError(f"not a list: {fault!r}") from None
@@ -123,11 +123,11 @@
             self.busy += 1
             return BUSY
         if (have, want) not in self.packed:
-            told: dict[str, Any] = {"rows": [list(row) for _, row in sorted(self.lists[want].items())]}
+            content: dict[str, Any] = {"rows": [list(row) for _, row in sorted(self.lists[want].items())]}
             if have in self.lists:
                 changes = difference(self.lists[have], self.lists[want])
-                told = min(told, changes, key=lambda each: len(str(each)))
-            self.packed[have, want] = pack(told)
+                content = min(content, changes, key=lambda each: len(str(each)))
+            self.packed[have, want] = pack(content)
             while len(self.packed) > 4 * KEPT_LISTS:
                 self.packed.popitem(last=False)
         pieces = self.packed[have, want]
--- a/spurdeal/fleet/lease.py
+++ b/spurdeal/fleet/lease.py
@@ -121,9 +121,9 @@
             self.proposal_acked_by.add(name)
         if granted and name in self.proposed.grantors:
             self.proposed_grants[name] = max(asked, self.proposed_grants.get(name, NEVER))
-        told = self.term.quorum(self.part) if self.term.grantors else 0
-        enough = self.proposed.quorum(self.part) if self.held else self.proposed.quorum_to_acquire(self.part)
-        if len(self.proposal_acked_by) >= told and self.live_grants(now, self.proposed_grants) >= enough:
+        acks = self.term.quorum(self.part) if self.term.grantors else 0
+        quorum = self.proposed.quorum(self.part) if self.held else self.proposed.quorum_to_acquire(self.part)
+        if len(self.proposal_acked_by) >= acks and self.live_grants(now, self.proposed_grants) >= quorum:
             self.term, self.grants, self.proposed, self.held = self.proposed, self.proposed_grants, None, True
             self.proposed_grants, self.proposal_acked_by = {}, set()
 
--- a/spurdeal/fleet/members.py
+++ b/spurdeal/fleet/members.py
@@ -242,15 +242,15 @@
         )
         named = self.others.get(to)
         first = [to] if named is not None and (named.life is not Life.ALIVE or named.boot != boot) else []
-        told = (first + [name for name in ranked if name != to])[:most]
-        for name in told:
+        chosen = (first + [name for name in ranked if name != to])[:most]
+        for name in chosen:
             if name in self.gossip:
                 self.gossip[name] += 1
                 if self.gossip[name] >= limit:
                     del self.gossip[name]
         return [
             self.own if name == self.own.name else self.as_gossip(self.others[name])
-            for name in told
+            for name in chosen
             if name == self.own.name or name in self.others
         ]
 
--- a/spurdeal/fleet/standing.py
+++ b/spurdeal/fleet/standing.py
@@ -115,15 +115,15 @@
         """The standing that follows from the observations, and the reason for people."""
         if seen.twin or self.standing is Standing.TWIN:
             return Standing.TWIN, "another process has our name"
-        late = self.behind_since is not None and now - self.behind_since > self.limits.behind_for
-        off = abs(seen.clock) > self.limits.clock_off
+        behind_too_long = self.behind_since is not None and now - self.behind_since > self.limits.behind_for
+        clock_is_off = abs(seen.clock) > self.limits.clock_off
         reason = (
             "no lease: too few grantors have answered"
             if not seen.lease
             else f"behind by {seen.behind} for too long"
-            if late
+            if behind_too_long
             else f"our clock is {seen.clock:.0f} ms off the others'"
-            if off
+            if clock_is_off
             else ""
         )
         if reason:
@@ -139,16 +139,16 @@
     def degraded(self, now: float, seen: Observations, reason: str) -> tuple[Standing, str]:
         """LAPSED, or SHUT if that has lasted too long."""
         if self.standing is Standing.JOINING and not self.returned:
-            long = now - self.since > self.limits.shut_after
+            lapsed_too_long = now - self.since > self.limits.shut_after
         else:
-            long = (
+            lapsed_too_long = (
                 self.standing in (Standing.LAPSED, Standing.SHUT, Standing.JOINING)
                 and now - self.lapsed_since > self.limits.shut_after
             )
-        blind = seen.source > self.limits.shut_after
-        if long and not seen.lease and blind:
+        source_silent = seen.source > self.limits.shut_after
+        if lapsed_too_long and not seen.lease and source_silent:
             return Standing.SHUT, f"{reason}, and no answer from the name service for {seen.source:.0f} ms"
-        if long and seen.lease and seen.behind and self.may_be_shut_out(seen):
+        if lapsed_too_long and seen.lease and seen.behind and self.may_be_shut_out(seen):
             return Standing.SHUT, reason
         if self.standing is Standing.JOINING and not self.returned and not seen.lease:
             return Standing.JOINING, self.why
--- a/spurdeal/fleet/station.py
+++ b/spurdeal/fleet/station.py
@@ -253,9 +253,9 @@
     def process_output(self) -> None:
         """Send the fleet's datagrams, record its events, and follow a change of standing."""
         self.send()
-        told, self.fleet.events = self.fleet.events, []
-        for each in told:
-            self.record_event(each)
+        events, self.fleet.events = self.fleet.events, []
+        for event in events:
+            self.record_event(event)
         doubtful = self.fleet.tracker.allowed.doubtful
         if doubtful != self.has_cold_share:
             self.set_cold_share(doubtful)
@@ -269,13 +269,13 @@
             except OSError:
                 self.counters.add("fleet_not_sent")
 
-    def record_event(self, told: FleetEvent) -> None:
+    def record_event(self, event: FleetEvent) -> None:
         """Write an event to the log and the audit."""
-        if told.what not in UNLOGGED_EVENTS:
-            self.log.info("fleet_" + told.what, extra={"figures": told.figures})
+        if event.what not in UNLOGGED_EVENTS:
+            self.log.info("fleet_" + event.what, extra={"figures": event.figures})
         if self.journal is not None:
-            kind = KINDS.get(told.what, Kind.OTHER)
-            figures = told.figures if kind is not Kind.OTHER else {"event": told.what} | told.figures
+            kind = KINDS.get(event.what, Kind.OTHER)
+            figures = event.figures if kind is not Kind.OTHER else {"event": event.what} | event.figures
             self.journal.pages.tell(kind, figures)
             if not self.adapter.in_batch:
                 self.journal.flush()
--- a/spurdeal/fleet/status.py
+++ b/spurdeal/fleet/status.py
@@ -65,6 +65,6 @@
             "page": heard.page.number if heard.page is not None else None,
         }
     if Artifact.LIST in claims and newest is not None:
-        told = claims[Artifact.LIST]
-        found |= {"list": str(told), "behind": max(0, newest.number - told.number)}
+        claimed = claims[Artifact.LIST]
+        found |= {"list": str(claimed), "behind": max(0, newest.number - claimed.number)}
     return found
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""The fleet's modules in virtual time: what fails, and what each dispatcher may do then."""
+"""The fleet's modules in virtual time: faults, and what each dispatcher may do then."""
 
 import random
 import unittest
@@ -15,7 +15,7 @@
 
 
 class Clocks(unittest.TestCase):
-    def test_a_stamp_is_later_than_all_that_was_seen_also_after_a_step_back(self) -> None:
+    def test_a_stamp_is_later_than_all_seen_even_after_unix_time_steps_back(self) -> None:
         clock = HybridClock(1000.0)
         first = clock.stamp(1000.0)
         self.assertTrue(clock.receive(1001.0, Stamp(1500, 7)))
@@ -23,14 +23,14 @@
         self.assertLess(first, Stamp(1500, 7))
         self.assertLess(Stamp(1500, 7), second)
 
-    def test_one_far_ahead_drags_nobody_along(self) -> None:
+    def test_a_received_stamp_far_ahead_is_ignored(self) -> None:
         clock = HybridClock(1000.0)
         self.assertFalse(clock.receive(1000.0, Stamp(int(1001 + MOST_AHEAD), 0)))
         self.assertLess(clock.stamp(1001.0), Stamp(1002, 0))
 
 
 class Versions(unittest.TestCase):
-    def test_what_one_claims_exists_for_nobody(self) -> None:
+    def test_a_version_with_one_witness_does_not_count_as_existing(self) -> None:
         registry = VersionRegistry("d0")
         registry.take(Artifact.LIST, Version(0, 5, "aa"))
         registry.claim("liar", {Artifact.LIST: Version(0, 9, "bb")})
@@ -38,18 +38,18 @@
         registry.claim("d2", {Artifact.LIST: Version(0, 9, "bb")})
         self.assertEqual(4, registry.behind())
 
-    def test_a_version_far_ahead_is_none(self) -> None:
+    def test_a_claim_far_ahead_is_implausible(self) -> None:
         registry = VersionRegistry("d0")
         registry.take(Artifact.LIST, Version(0, 5, "aa"))
         for name in ("one", "two"):
             registry.claim(name, {Artifact.LIST: Version(0, 999_999, "bb")})
         self.assertEqual((0, {"one": 1, "two": 1}), (registry.behind(), registry.implausible))
 
-    def test_two_contents_of_one_version_are_told_and_none_is_taken(self) -> None:
+    def test_two_contents_of_one_version_are_reported_and_not_adopted(self) -> None:
         registry = VersionRegistry("d0")
         registry.take(Artifact.LIST, Version(0, 5, "aa"))
         self.assertEqual(1, len(registry.claim("d1", {Artifact.LIST: Version(0, 5, "bb")})))
-        self.assertEqual([], registry.claim("d2", {Artifact.LIST: Version(0, 5, "bb")}), "told once")
+        self.assertEqual([], registry.claim("d2", {Artifact.LIST: Version(0, 5, "bb")}), "reported once")
         self.assertEqual("aa", registry.in_force[Artifact.LIST].digest)
         self.assertIn("0.5 is aa at d0 and bb at d1", str(next(iter(registry.clashes.values()))))
 
@@ -61,31 +61,31 @@
 
 
 class Leases(unittest.TestCase):
-    def settled(self, wardens: tuple[str, ...]) -> Lease:
+    def settled(self, grantors: tuple[str, ...]) -> Lease:
         lease = Lease(1000.0, 0.5)
-        lease.propose(wardens)
-        for name in wardens:
+        lease.propose(grantors)
+        for name in grantors:
             lease.answered(0.0, name, 0.0, 1, True)
         return lease
 
-    def test_it_counts_from_when_it_was_asked(self) -> None:
+    def test_a_grant_counts_from_when_it_was_requested(self) -> None:
         lease = self.settled(("a", "b", "c", "d"))
         lease.answered(500.0, "a", 500.0, 1, True)
-        self.assertEqual(1000.0, lease.expires_at(), "one of the two that are needed is of 0")
+        self.assertEqual(1000.0, lease.expires_at(), "one of the two grants that are needed is from time 0")
         lease.answered(500.0, "b", 400.0, 1, True)
         self.assertEqual(1400.0, lease.expires_at())
 
-    def test_new_wardens_count_only_once_the_old_ones_know(self) -> None:
+    def test_a_new_term_takes_effect_only_once_the_old_grantors_know(self) -> None:
         lease = self.settled(("a", "b", "c", "d"))
         lease.propose(("e", "f"))
         lease.answered(100.0, "e", 100.0, 2, True)
         lease.answered(100.0, "f", 100.0, 2, True)
-        self.assertEqual(1, lease.term.number, "who asks the old ones would not be led on")
+        self.assertEqual(1, lease.term.number, "an inquirer at the old grantors would not be led on")
         lease.answered(100.0, "a", 100.0, 2, True)
         lease.answered(100.0, "b", 100.0, 2, True)
         self.assertEqual(("e", "f"), lease.term.grantors)
 
-    def test_what_was_lost_needs_so_many_that_nobody_else_can_hold_it(self) -> None:
+    def test_a_lost_lease_needs_the_larger_quorum_to_be_acquired_again(self) -> None:
         lease = self.settled(("a", "b", "c", "d"))
         self.assertTrue(lease.holds(999.0))
         self.assertFalse(lease.holds(1000.0))
@@ -93,11 +93,11 @@
             lease.answered(1100.0, name, 1090.0, 1, True)
             self.assertEqual(held, lease.holds(1100.0), name)
 
-    def test_two_starts_of_a_name_never_both_hold_it(self) -> None:
+    def test_two_starts_of_a_name_never_both_hold_the_lease(self) -> None:
         names = tuple("abcdefg")
         for seed in range(60):
             chance, now = random.Random(seed), 0.0
-            wards = {name: Grantor(1000.0, -5000.0) for name in names}
+            grantors = {name: Grantor(1000.0, -5000.0) for name in names}
             leases = {7: Lease(1000.0, 0.34), 8: Lease(1000.0, 0.34)}
             for lease in leases.values():
                 lease.propose(names)
@@ -105,38 +105,38 @@
                 now += chance.uniform(0.0, 60.0)
                 boot, name = chance.choice((7, 8)), chance.choice(names)
                 lease = leases[boot]
-                told = wards[name].on_request(now, "d", boot, lease.term, lease.proposed)
+                told = grantors[name].on_request(now, "d", boot, lease.term, lease.proposed)
                 lease.answered(now, name, now, *told)
                 self.assertLessEqual(sum(each.holds(now) for each in leases.values()), 1)
 
-    def test_a_word_is_kept_until_it_counts_no_more(self) -> None:
-        wards = Grantor(1000.0, -5000.0)
+    def test_a_stop_report_bars_new_grants_while_it_is_valid(self) -> None:
+        grantor = Grantor(1000.0, -5000.0)
         term = Term(1, ("w", "x"))
-        self.assertEqual((1, True), wards.on_request(0.0, "d", 7, term, None))
-        wards.refuse("d", 7)
-        _, _, refused, left = wards.report_stop(100.0, "d", 7) or (term, None, False, 0.0)
+        self.assertEqual((1, True), grantor.on_request(0.0, "d", 7, term, None))
+        grantor.refuse("d", 7)
+        _, _, refused, left = grantor.report_stop(100.0, "d", 7) or (term, None, False, 0.0)
         self.assertTrue(refused)
         self.assertEqual(910.0, round(left))
         proposed = Term(2, ("w", "x"))
-        self.assertEqual((1, False), wards.on_request(200.0, "d", 7, term, proposed), "others rely on it")
-        self.assertEqual((2, True), wards.on_request(1200.0, "d", 7, term, proposed))
+        self.assertEqual((1, False), grantor.on_request(200.0, "d", 7, term, proposed), "others rely on it")
+        self.assertEqual((2, True), grantor.on_request(1200.0, "d", 7, term, proposed))
 
-    def test_a_start_waits_until_the_one_before_it_counts_no_more(self) -> None:
-        wards, term = Grantor(1000.0, -5000.0), Term(1, ("w",))
-        self.assertEqual((1, True), wards.on_request(0.0, "d", 7, term, None))
-        self.assertEqual((0, False), wards.on_request(1000.0, "d", 8, term, None))
-        self.assertEqual((1, True), wards.on_request(1011.0, "d", 8, term, None))
+    def test_a_start_waits_until_grants_to_the_one_before_have_expired(self) -> None:
+        grantor, term = Grantor(1000.0, -5000.0), Term(1, ("w",))
+        self.assertEqual((1, True), grantor.on_request(0.0, "d", 7, term, None))
+        self.assertEqual((0, False), grantor.on_request(1000.0, "d", 8, term, None))
+        self.assertEqual((1, True), grantor.on_request(1011.0, "d", 8, term, None))
 
-    def test_a_new_start_of_a_warden_answers_nothing_for_a_lease(self) -> None:
-        wards = Grantor(1000.0, 0.0)
-        self.assertEqual((0, False), wards.on_request(500.0, "d", 7, Term(1, ("w",)), None))
-        self.assertEqual((1, True), wards.on_request(1011.0, "d", 7, Term(1, ("w",)), None))
+    def test_a_new_start_of_a_grantor_grants_nothing_for_one_lease(self) -> None:
+        grantor = Grantor(1000.0, 0.0)
+        self.assertEqual((0, False), grantor.on_request(500.0, "d", 7, Term(1, ("w",)), None))
+        self.assertEqual((1, True), grantor.on_request(1011.0, "d", 7, Term(1, ("w",)), None))
 
-    def test_enough_words_conclude_and_a_newer_term_begins_anew(self) -> None:
+    def test_enough_reports_conclude_and_a_newer_term_needs_its_own(self) -> None:
         inquiry, term = Inquiry("d", 7, 0.5, 1000.0), Term(1, ("a", "b", "c", "d"))
         for name in ("a", "b"):
             inquiry.add_report(100.0, 90.0, name, StopReport(term, None, True, 300.0))
-        self.assertFalse(inquiry.stopped(399.0), "one of three may still be answered")
+        self.assertFalse(inquiry.stopped(399.0), "a third grant may still be valid")
         inquiry.add_report(100.0, 90.0, "c", StopReport(term, None, True, 200.0))
         self.assertEqual([False, True, False], [inquiry.stopped(at) for at in (399.0, 400.0, 1090.0)])
         inquiry.add_report(500.0, 490.0, "d", StopReport(term, Term(2, ("e",)), False, 0.0))
@@ -148,12 +148,12 @@
 class Standings(unittest.TestCase):
     def tracker(self) -> StandingTracker:
         tracker = StandingTracker("d0", Limits(100.0, 200.0, 0.34, 1000.0), 0.0)
-        tracker.step(0.0, self.seen())
+        tracker.step(0.0, self.observations())
         self.assertIs(Standing.CURRENT, tracker.standing)
         return tracker
 
     @staticmethod
-    def seen(
+    def observations(
         lease: bool = True,
         behind: int = 0,
         source: float = 0.0,
@@ -164,40 +164,42 @@
     ) -> Observations:
         return Observations(lease, behind, source, lambda: others, size, True, clock, twin)
 
-    def test_who_hears_only_the_name_service_lapses_and_no_more(self) -> None:
+    def test_hearing_only_the_name_service_lapses_and_no_more(self) -> None:
         tracker = self.tracker()
         for at in range(0, 5000, 50):
-            tracker.step(float(at), self.seen(lease=False))
+            tracker.step(float(at), self.observations(lease=False))
         self.assertIs(Standing.LAPSED, tracker.standing)
         self.assertEqual((True, False, True), tracker.allowed)
 
-    def test_alone_and_blind_is_shut_out_and_returns_through_joining(self) -> None:
+    def test_without_peers_and_name_service_it_is_shut_out_and_returns_through_joining(self) -> None:
         tracker, passed = self.tracker(), []
         for at in range(0, 1000, 50):
-            if tracker.step(float(at), self.seen(lease=at > 600, source=5000.0 if at <= 600 else 0.0)):
+            if tracker.step(
+                float(at), self.observations(lease=at > 600, source=5000.0 if at <= 600 else 0.0)
+            ):
                 passed.append(tracker.standing)
         self.assertEqual([Standing.LAPSED, Standing.SHUT, Standing.JOINING, Standing.CURRENT], passed)
 
-    def test_most_of_the_fleet_behind_shuts_out_a_part_and_no_more(self) -> None:
+    def test_most_of_the_fleet_behind_shuts_out_only_the_configured_share(self) -> None:
         names = [f"d{number}" for number in range(12)]
         out = 0
         for name in names:
             tracker = StandingTracker(name, Limits(100.0, 200.0, 0.34, 1000.0), 0.0)
-            tracker.step(0.0, self.seen())
+            tracker.step(0.0, self.observations())
             for at in range(0, 2000, 50):
-                tracker.step(float(at), self.seen(behind=1, others=tuple(names)))
+                tracker.step(float(at), self.observations(behind=1, others=tuple(names)))
             out += tracker.standing is Standing.SHUT
         self.assertEqual(4, out)
 
     def test_a_clock_hours_off_sends_nothing_doubtful(self) -> None:
         tracker = self.tracker()
-        tracker.step(10.0, self.seen(clock=-3.6e6))
+        tracker.step(10.0, self.observations(clock=-3.6e6))
         self.assertIs(Standing.LAPSED, tracker.standing)
         self.assertIn("clock", tracker.why)
 
 
 class Lists(unittest.TestCase):
-    def test_the_missing_changes_or_the_whole_give_the_same(self) -> None:
+    def test_a_difference_and_a_whole_list_give_the_same_result(self) -> None:
         old, new = engines(60), engines(62, draining=3)
         list_store, one, two = ListStore(100.0, 0.0), Version(0, 1, "a"), Version(0, 2, "b")
         list_store.keep(one, old)
@@ -209,20 +211,20 @@
             found = apply_changes(old if have == one else {}, unpack(pieces))
             self.assertEqual(list_digest(new), list_digest(found))
 
-    def test_a_busy_holder_says_so(self) -> None:
+    def test_a_busy_holder_answers_busy(self) -> None:
         list_store, version = ListStore(100.0, 0.0), Version(0, 1, "a")
         list_store.keep(version, engines(3))
         found = [list_store.piece(0.0, version, version, 0) for _ in range(30)]
         self.assertIn((0, b""), found)
         self.assertNotEqual((0, b""), list_store.piece(100.0, version, version, 0))
 
-    def test_what_unpacks_without_end_is_refused(self) -> None:
+    def test_oversized_and_damaged_content_is_refused(self) -> None:
         with self.assertRaises(UnusableListError):
             unpack(pack("x" * 2_000_000))
         with self.assertRaises(UnusableListError):
             unpack([b"no zlib"])
 
-    def test_who_comes_or_goes_moves_only_its_own_part(self) -> None:
+    def test_a_member_that_leaves_moves_only_its_own_share_of_grantors(self) -> None:
         names = [f"d{number}" for number in range(40)]
         moved = sum(set(rendezvous(name, names, 7)) != set(rendezvous(name, names[:-1], 7)) for name in names)
         self.assertLessEqual(moved, 20)
@@ -238,10 +240,10 @@
         taken = world.run_until(lambda: world.standings() == {"CURRENT": count}, within)
         self.assertIsNotNone(taken, world.standings())
 
-    def told(self, world: World, what: str) -> list[tuple[str, dict[str, object]]]:
+    def events(self, world: World, what: str) -> list[tuple[str, dict[str, object]]]:
         return [(name, figures) for _, name, each, figures in world.log if each == what]
 
-    def test_one_that_dies_is_gone_known_to_have_stopped_and_comes_back(self) -> None:
+    def test_a_killed_member_is_known_to_have_stopped_and_comes_back(self) -> None:
         world = self.world()
         world.kill("d2")
         rest = [node.fleet for node in world.nodes.values() if node.name != "d2"]
@@ -251,7 +253,7 @@
         world.restart("d2")
         self.all_current(world, 6, 4000.0)
 
-    def test_a_paused_one_knows_at_once_and_the_others_after_it(self) -> None:
+    def test_a_paused_member_loses_its_lease_before_others_rely_on_its_stop(self) -> None:
         world = self.world()
         node = world.nodes["d1"]
         world.pause("d1", 6000.0)
@@ -263,10 +265,10 @@
             early |= known and node.fleet.allowed(world.now).doubtful
         self.assertFalse(early)
         self.assertTrue(all(fleet.stopped(world.now, "d1") for fleet in rest))
-        self.assertFalse(node.fleet.allowed(world.now).doubtful, "before any timer of it has run")
+        self.assertFalse(node.fleet.allowed(world.now).doubtful, "before any of its timers has run")
         self.all_current(world, 6, 9000.0)
 
-    def test_one_way_silence_costs_its_lease(self) -> None:
+    def test_a_one_way_partition_costs_the_lease(self) -> None:
         world = self.world()
         others = {name for name in world.nodes if name != "d3"}
         world.cuts = {("d3", other) for other in others}
@@ -276,7 +278,7 @@
         world.cuts.clear()
         self.all_current(world, 6, 12_000.0)
 
-    def test_a_cut_of_seven_to_five_shuts_nobody_out_and_heals(self) -> None:
+    def test_a_partition_of_seven_to_five_shuts_nobody_out_and_heals(self) -> None:
         world = self.world(12)
         names = list(world.nodes)
         world.cut(set(names[:7]), set(names[7:]))
@@ -290,7 +292,7 @@
         self.all_current(world, 12, 20_000.0)
         self.assertTrue(all(node.fleet.members.size() == 12 for node in world.nodes.values()))
 
-    def test_half_told_an_old_list_is_brought_up_by_the_other_half(self) -> None:
+    def test_members_whose_source_gives_an_old_list_fetch_the_newer_one(self) -> None:
         world = self.world()
         for node in list(world.nodes.values())[:3]:
             node.source_old = world.newest
@@ -300,7 +302,7 @@
         )
         self.all_current(world, 6, 3000.0)
 
-    def test_one_straggler_brings_up_another(self) -> None:
+    def test_a_member_behind_passes_the_list_on_to_another(self) -> None:
         world = self.world()
         names = list(world.nodes)
         for name in names[1:]:
@@ -311,7 +313,7 @@
             world.run_until(lambda: all(version in node.had for node in world.nodes.values()), 4000.0)
         )
 
-    def test_the_second_process_of_a_name_gives_way(self) -> None:
+    def test_the_second_process_with_a_name_yields_it(self) -> None:
         world = self.world()
         twin = world.add(99)
         del world.nodes["d99"]
@@ -324,7 +326,7 @@
         world.run(4000.0)
         self.assertIs(Standing.CURRENT, world.nodes["d1"].fleet.tracker.standing)
 
-    def test_a_common_start_ends_in_one_fleet_whoever_asked_whom(self) -> None:
+    def test_a_common_start_ends_in_one_fleet_in_any_order_of_contacts(self) -> None:
         for seed in range(12):
             world = self.world(12, seed)
             world.run(200.0)
@@ -348,7 +350,7 @@
                 both = [world.nodes[name].fleet.allowed(world.now).doubtful for name in ("d7", "twin")]
                 self.assertNotEqual([True, True], both, seed)
 
-    def test_one_that_makes_versions_up_moves_nobody(self) -> None:
+    def test_a_member_that_invents_versions_affects_nobody(self) -> None:
         world = self.world()
         liar = world.nodes["d4"].fleet
         for number in (3, 100, 10_000_000):
@@ -365,12 +367,12 @@
         empty = Version(0, 2, list_digest({}))
         world.nodes["d4"].fleet.in_force(Artifact.LIST, empty, {})
         world.run(3000.0)
-        self.assertTrue(self.told(world, "list_refused"))
+        self.assertTrue(self.events(world, "list_refused"))
         self.assertEqual(
             1, sum(empty == node.fleet.registry.in_force[Artifact.LIST] for node in world.nodes.values())
         )
 
-    def test_a_clock_that_steps_hours_is_found_by_its_own(self) -> None:
+    def test_a_member_detects_its_own_clock_step_of_hours(self) -> None:
         world = self.world()
         world.nodes["d5"].unix_off = 3.6e6
         world.run(3000.0)
@@ -379,7 +381,7 @@
         world.nodes["d5"].unix_off = 0.0
         self.all_current(world, 6, 20_000.0)
 
-    def test_a_planned_end_is_told_and_suspected_by_nobody(self) -> None:
+    def test_a_graceful_shutdown_is_announced_and_suspected_by_nobody(self) -> None:
         world = self.world()
         world.leave("d2")
         world.run(200.0)
@@ -401,7 +403,7 @@
         world.run(500.0)
         self.all_current(world, 3, 20_000.0)
 
-    def test_under_loss_repeats_and_delay_it_goes_on(self) -> None:
+    def test_loss_duplicates_and_delay_are_tolerated(self) -> None:
         world = self.world(8)
         world.loss, world.repeat, world.delay = 0.1, 0.1, 30.0
         world.run(15_000.0)
@@ -419,7 +421,7 @@
             traces.append(world.trace.hexdigest())
         self.assertEqual(traces[0], traces[1])
 
-    def test_datagrams_that_nobody_should_take_change_nothing(self) -> None:
+    def test_invalid_datagrams_change_nothing_and_are_counted(self) -> None:
         world = self.world(4)
         fleet, chance = world.nodes["d0"].fleet, random.Random(5)
         old = [datagram for _, datagram in self.seen_by(world, "d1")]
@@ -441,7 +443,7 @@
         self.assertEqual(4000, dropped)
         self.assertEqual((standing, table), (fleet.tracker.standing, dict(fleet.members.others)))
 
-    def test_a_sealed_body_of_any_form_raises_nothing(self) -> None:
+    def test_a_malformed_sealed_body_raises_nothing(self) -> None:
         world = self.world(3)
         fleet, chance = world.nodes["d0"].fleet, random.Random(6)
         session = world.nodes["d1"].fleet.sessions["d0"]
@@ -462,7 +464,7 @@
 
     @staticmethod
     def seen_by(world: World, name: str) -> list[tuple[object, bytes]]:
-        """What one sends to d0 in a second, as it arrived."""
+        """The datagrams that a member sends to d0 within a second."""
         found: list[tuple[object, bytes]] = []
         fleet, target = world.nodes[name].fleet, world.nodes["d0"].address
         send = world.sent
@@ -479,7 +481,7 @@
 
 
 class Alone(unittest.TestCase):
-    def test_a_fleet_of_one_acts(self) -> None:
+    def test_a_fleet_of_one_becomes_current(self) -> None:
         fleet = Fleet(
             FleetSettings("d0", ("127.0.0.1", 1), {}, Terms(), KEYS),
             random.Random(1),
@@ -491,7 +493,7 @@
         fleet.tick(20.0, 20.0)
         self.assertIs(Standing.CURRENT, fleet.tracker.standing)
 
-    def test_one_whose_seeds_are_silent_does_not_believe_that_it_is_the_fleet(self) -> None:
+    def test_a_member_with_silent_seeds_does_not_act_alone(self) -> None:
         fleet = Fleet(
             FleetSettings("d0", ("127.0.0.1", 1), {"d1": ("127.0.0.2", 1)}, Terms(), KEYS),
             random.Random(1),
