--- a/spurdeal/fleet/lease.py
+++ b/spurdeal/fleet/lease.py
@@ -133,7 +133,7 @@
 
     boot: int
     term: Term  # in force, as the requester stated
-    proposed: Term | None  # proposed
+    proposed: Term | None  # the next one, if any
     valid_until: float  # by our clock: our grants have expired after that
     refused_term: int  # we grant no more up to this term
     barred_until: float  # we grant nothing before that, as others rely on its stop
--- a/tests/stations.py
+++ b/tests/stations.py
@@ -1,4 +1,4 @@
-"""Two dispatchers with VRRP on in-memory transports, one clock, and cables that a test can spoil."""
+"""Two dispatchers with VRRP on in-memory transports and one clock; a test can drop their datagrams."""
 
 import io
 import json
@@ -32,7 +32,7 @@
 
 
 class Ether(Reactor):
-    """Datagrams go from protocol to protocol, a round of the reactor later, unless a test drops them."""
+    """Delivers datagrams between protocols in the reactor's next iteration, unless a test drops them."""
 
     def __init__(self) -> None:
         super().__init__(None)
@@ -65,14 +65,14 @@
         return self
 
     def write(self, datagram: bytes, address: tuple[str, int]) -> None:
-        if self.ether.bound.get(self.place) is self.owner:  # else its process was killed
+        if self.ether.bound.get(self.place) is self.owner:  # otherwise its process was killed
             self.ether.carry(self.place, address, datagram)
 
-    sendto = write  # of the socket, which is its own handle
+    sendto = write  # the socket's method; the wire is its own handle
 
 
 class Side:
-    """One dispatcher's start."""
+    """One start of one dispatcher."""
 
     def __init__(self, pair: "Pair", name: str, boot: int) -> None:
         self.pair, self.name, self.log = pair, name, io.StringIO()
@@ -109,7 +109,7 @@
         return bool(self.station.groups.held())
 
     def kill(self) -> None:
-        """Its sockets are gone; its timers find nobody to write to."""
+        """Remove its sockets; its timers run on, but what they write is lost."""
         for place in [place for place in self.pair.ether.bound if place[0] == HOSTS[self.name]]:
             del self.pair.ether.bound[place]
         self.pair.dead.add(HOSTS[self.name])
@@ -146,7 +146,7 @@
         return Side(self, name, self.boots)
 
     def again(self, name: str) -> Side:
-        """A new start, with the list of the very first."""
+        """A new start, with the first start's list."""
         self.sides[name] = self.side(name)
         return self.sides[name]
 
@@ -160,7 +160,7 @@
         self.ether.pump([0.0, 0.0] + [0.005] * round(ms / 5) + [0.0] * 4)
 
     def peers(self) -> list[Peer]:
-        """The engines' sides of all connections that were dialled so far."""
+        """The engine ends of all connections dialled so far."""
         world: Any = self
         return [Peer(world, place) for place in range(len(self.reactor.tcpClients))]
 
--- a/tests/test_station.py
+++ b/tests/test_station.py
@@ -1,4 +1,4 @@
-"""Two dispatchers that stand in for one another: takeover, return, handover and tenure, in memory."""
+"""Two dispatchers that back up one another: takeover, return, handover and tenure, in memory."""
 
 import random
 import unittest
@@ -24,7 +24,7 @@
         self.assertEqual([side.holds() for side in pair.sides.values()], [True, False])
         return pair
 
-    def test_two_groups_with_opposite_priorities_let_both_work(self) -> None:
+    def test_two_groups_with_opposite_priorities_keep_both_active(self) -> None:
         group = "{{group: 2, priority: OTHER, interval: {interval}, addresses: [127.0.7.2]}}, {{group: 1,"
         plan = PLAN.replace("{{group: 1,", group)
         pair = Pair(self, plan=plan.replace("OTHER", "100"), priorities={"n1": 150, "n2": 50})
@@ -36,7 +36,7 @@
         pair.go(500)
         self.assertEqual(sorted(pair.sides["n2"].station.groups.held()), [1, 2])
 
-    def test_killed_it_is_replaced_within_active_down_interval(self) -> None:
+    def test_a_killed_holder_is_replaced_within_active_down_interval(self) -> None:
         pair = self.settled()
         pair.sides["n1"].kill()
         began = pair.mono()
@@ -46,7 +46,7 @@
         pair.go(10)
         self.assertEqual(pair.ether.announced[-1]["at"], [HOSTS["n2"], 7001])
 
-    def test_told_to_stop_it_is_replaced_within_skew_time(self) -> None:
+    def test_a_stopping_holder_is_replaced_within_skew_time(self) -> None:
         pair = self.settled()
         pair.sides["n1"].station.stop()
         began = pair.mono()
@@ -54,7 +54,7 @@
             pair.go(5)
         self.assertLess(pair.mono() - began, 156 / 256 * 100 + 15)
 
-    def test_one_way_cut_makes_two_holders_and_the_higher_one_prevails_after(self) -> None:
+    def test_a_one_way_partition_makes_two_holders_and_the_higher_priority_prevails_after(self) -> None:
         pair = self.settled()
         pair.ether.drops = lambda source, target: source[0] == HOSTS["n1"]
         pair.go(600)
@@ -66,7 +66,7 @@
         self.assertEqual([side.holds() for side in pair.sides.values()], [True, False])
         self.assertEqual(pair.ether.announced[-1]["at"], [HOSTS["n1"], 7001])
 
-    def test_an_interval_changed_on_one_side_is_learnt(self) -> None:
+    def test_an_interval_changed_on_one_side_is_learned(self) -> None:
         pair = self.settled(intervals={"n1": "400ms"})
         pair.go(3000)
         self.assertEqual([side.holds() for side in pair.sides.values()], [True, False])
@@ -82,9 +82,11 @@
         pair.go(1000)
         self.assertEqual([side.holds() for side in pair.sides.values()], [True, False])
 
-    def test_stopped_in_the_middle_of_a_takeover(self) -> None:
-        """SIGTERM to the Backup while the address is unheld: it says nothing, and the one that returns takes
-        it."""
+    def test_a_backup_stopped_during_a_takeover_announces_nothing(self) -> None:
+        """SIGTERM to the backup while nobody holds the address: it announces nothing.
+
+        The returning dispatcher takes the address.
+        """
         pair = self.settled()
         pair.sides["n1"].kill()
         pair.go(200)
@@ -125,7 +127,7 @@
         }
         self.assertEqual(cold, {"s-1": False, "s-9": True})
 
-    def test_without_list_and_peer_it_takes_its_address_back_after_the_stated_time(self) -> None:
+    def test_without_list_and_peer_it_takes_its_address_back_after_the_configured_time(self) -> None:
         pair = Pair(self)
         pair.go(3500)
         pair.sides["n1"].kill()
@@ -143,7 +145,7 @@
 
 
 class Tenures(unittest.TestCase):
-    def test_the_holder_borrows_and_parts_change_without_ever_being_more_than_one(self) -> None:
+    def test_the_holder_borrows_and_the_shares_never_add_up_to_more_than_one(self) -> None:
         pair = Pair(self)
         window = pair.settings["rules"]["tip_after"]
         seen: list[list[float]] = []
@@ -169,7 +171,7 @@
         self.assertEqual(pair.sides["n2"].station.tenure.part(pair.mono()), 0.5)
         self.assertGreater(pair.sides["n1"].count("tenure_changes"), 1)
 
-    def test_a_node_started_at_the_moment_of_takeover_gets_nothing_until_the_part_is_ours(self) -> None:
+    def test_an_engine_started_at_the_takeover_gets_nothing_until_the_share_is_owned(self) -> None:
         pair = Pair(self)
         pair.go(3500)
         pair.sides["n1"].kill()
@@ -206,8 +208,8 @@
         self.assertEqual((answers, two.submit(X)), ([], [Failed()]))
         self.assertEqual(two.count("door_ran"), 1)
 
-    def test_told_but_the_answer_is_lost(self) -> None:
-        """It was not sent, and the one that was told cannot know: broken off there, never run."""
+    def test_the_peer_was_informed_but_its_answer_is_lost(self) -> None:
+        """It was never sent, but the informed peer cannot know that: it fails the request there."""
         pair = self.pair()
         one, two = pair.sides.values()
         pair.ether.drops = lambda source, target: source == (HOSTS["n2"], 7113)
@@ -217,11 +219,11 @@
         self.assertEqual((answers, len(pair.ether.tcpClients)), ([Shed(500.0)], dialled))
         pair.ether.drops = lambda source, target: False
         pair.go(200)
-        self.assertEqual(two.submit(X), [])  # the shed one was taken back
+        self.assertEqual(two.submit(X), [])  # the notice of the shed request was revoked
         pair.go(50)
         self.assertEqual(len(pair.ether.tcpClients), dialled + 1)
 
-    def test_before_it_is_told(self) -> None:
+    def test_killed_before_the_peer_is_informed(self) -> None:
         pair = self.pair()
         one, two = pair.sides.values()
         pair.ether.drops = lambda source, target: source[0] == HOSTS["n1"]
@@ -233,7 +235,7 @@
         pair.go(30)
         self.assertEqual((one.count("ahead_sent"), answers), (0, []))
 
-    def test_answered_and_sent_again_by_a_front_that_did_not_see_the_answer(self) -> None:
+    def test_a_client_repeats_an_answered_request_whose_answer_it_did_not_get(self) -> None:
         pair = self.pair()
         one, two = pair.sides.values()
         answers = one.submit(X)
@@ -243,7 +245,7 @@
         for side in (one, two):
             self.assertEqual(side.submit(X), [Failed()])
 
-    def test_proven_not_to_have_run_it_may_go_again(self) -> None:
+    def test_a_request_proven_not_to_have_run_may_be_sent_again(self) -> None:
         pair = self.pair()
         one, two = pair.sides.values()
         answers, place = one.submit(X), len(pair.ether.tcpClients)
@@ -257,7 +259,7 @@
         pair.go(200)
         self.assertEqual(two.submit(X), [])
 
-    def test_both_take_it_at_once(self) -> None:
+    def test_both_accept_it_at_once(self) -> None:
         pair = self.pair()
         answers = [side.submit(X) for side in pair.sides.values()]
         pair.go(400)
@@ -265,7 +267,7 @@
         self.assertLessEqual(sum(ran), 1)
         self.assertIn([Failed()], answers)
 
-    def test_both_killed_each_recalls_by_its_ledger_and_tells_the_other(self) -> None:
+    def test_both_killed_the_ledger_is_recalled_and_shared(self) -> None:
         pair = self.pair()
         one, two = pair.sides.values()
         one.submit(X)
@@ -274,11 +276,11 @@
             side.kill()
         one, two = pair.again("n1"), pair.again("n2")
         one.station.recall({X: pair.unix() + 60_000})  # what its ledger holds
-        self.assertEqual(two.submit(X), [Shed(500.0)])  # it does not know yet what its peer knows
+        self.assertEqual(two.submit(X), [Shed(500.0)])  # it has not yet learned its peer's ledger
         pair.go(1000)
         self.assertEqual([two.submit(X), one.submit(X)], [[Failed()], [Failed()]])
 
-    def test_the_peer_is_away(self) -> None:
+    def test_without_the_peer_it_is_shed(self) -> None:
         pair = self.pair()
         pair.sides["n2"].kill()
         pair.go(500)
@@ -286,9 +288,9 @@
         self.assertEqual(pair.sides["n1"].count("door_away"), 1)
         lookups = pair.sides["n1"].submit(b"00000000000000bb", kind=0)
         pair.go(20)
-        self.assertEqual(lookups, [])  # what may run again goes on
+        self.assertEqual(lookups, [])  # idempotent requests are still accepted
 
-    def test_withdrawn_and_expired_while_it_waits_for_the_peer(self) -> None:
+    def test_withdrawn_while_it_waits_for_the_peer_and_the_wait_expires(self) -> None:
         pair = self.pair()
         one = pair.sides["n1"]
         pair.ether.drops = lambda source, target: source == (HOSTS["n2"], 7113)
@@ -300,7 +302,7 @@
 
 
 class BadInput(unittest.TestCase):
-    def test_a_hundred_thousand_malformed_of_either_kind_change_nothing_and_are_counted(self) -> None:
+    def test_a_hundred_thousand_malformed_datagrams_of_each_kind_change_nothing_and_are_counted(self) -> None:
         pair = Pair(self)
         pair.go(3500)
         two, chance = pair.sides["n2"], random.Random(8)
@@ -334,7 +336,7 @@
             elif sort == 1:
                 text = bytearray(handover[-1 - number % 50])[: chance.randrange(90)]
             elif sort == 2:
-                text = bytearray(handover[-1 - number % 50])  # whole and replayed
+                text = bytearray(handover[-1 - number % 50])  # intact and replayed
             else:
                 text = bytearray(forged.write(0.0, {"list": 9}))
             station.handover_came(bytes(text), (HOSTS["n1"], 7113))
@@ -353,7 +355,7 @@
     def dropped(side: Any) -> int:
         return sum(count for name, count in side.service.counters.sums.items() if "_drop_" in name)
 
-    def test_strangers_and_unknown_groups_are_counted(self) -> None:
+    def test_unknown_senders_and_groups_are_counted(self) -> None:
         pair = Pair(self)
         station = pair.sides["n2"].station
         good = advert.write(
@@ -370,7 +372,7 @@
             [1, 1, 1],
         )
 
-    def test_keys_change_in_service_and_a_bad_file_keeps_the_old(self) -> None:
+    def test_keys_are_rotated_in_service_without_loss(self) -> None:
         pair = Pair(self)
         pair.go(3500)
         new = "6e" * 16
@@ -398,7 +400,7 @@
 
 
 class Models(unittest.TestCase):
-    def test_nothing_is_violated_and_each_planted_fault_is_found(self) -> None:
+    def test_no_invariant_is_violated_and_each_planted_fault_is_found(self) -> None:
         found = figures(quick=True)
         self.assertEqual((found["violations"], found["planted_found"]), (0, found["planted"]), found)
         self.assertGreater(found["states"], 100_000)
