--- a/spurdeal/fleet/fleet.py
+++ b/spurdeal/fleet/fleet.py
@@ -25,16 +25,16 @@
 from .members import Address, Change, Life, Members, Record
 from .messenger import Messenger
 from .name_conflict import NameConflict
-from .receiver import Heard, Receiver
+from .receiver import PeerReport, Receiver
 from .renewal import LeaseRenewal
 from .standing import Allowed, Limits, Observations, Standing, StandingTracker
 from .status import fleet_status
 from .stop_inquiries import StopInquiries
 from .table_sync import TableSync
-from .terms import TICK, FleetEvent, Terms
+from .terms import TICK, FleetEvent, SharedSettings
 from .versions import Artifact, Clash, Version, VersionRegistry
 
-__all__ = ["READY", "TICK", "Fleet", "FleetEvent", "FleetSettings", "Terms"]
+__all__ = ["READY", "TICK", "Fleet", "FleetEvent", "FleetSettings", "SharedSettings"]
 
 MIN_CLOCKS = 3  # other members whose clocks must be known before ours can be judged
 SHIFT_EVERY = 250.0  # ms
@@ -51,14 +51,14 @@
         name: Its name, unique in the fleet.
         address: The address at which the others reach it.
         seeds: Members to contact at a start, by name; a member without seeds acts alone.
-        terms: Settings that all members share.
+        shared: Settings that all members share.
         keys: Keys of the sealed datagrams.
     """
 
     name: str
     address: Address
     seeds: Mapping[str, Address]
-    terms: Terms
+    shared: SharedSettings
     keys: Keys
 
 
@@ -82,15 +82,15 @@
         unix: float,
     ) -> None:
         self.name, self.address, self.seeds = settings.name, settings.address, dict(settings.seeds)
-        self.terms, self.keys = settings.terms, settings.keys
+        self.shared, self.keys = settings.shared, settings.keys
         self.chance, self.bring = chance, bring
         self.out: list[tuple[Address, bytes]] = []
         self.events: list[FleetEvent] = []
         self.reported_once: set[str] = set()
         self.counts: Counter[str] = Counter()
         self.hybrid, self.registry = HybridClock(unix), VersionRegistry(self.name)
-        terms = self.terms
-        limits = Limits(terms.behind_for, terms.shut_after, terms.most_shut, terms.clock_off)
+        shared = self.shared
+        limits = Limits(shared.behind_for, shared.shut_after, shared.most_shut, shared.clock_off)
         self.tracker = StandingTracker(self.name, limits, now)
         self.rows: Rows = {}
         self.page: SealedPage | None = None  # the newest sealed page of our own audit log
@@ -106,11 +106,11 @@
         self.boot = self.chance.getrandbits(62) | 1
         self.name_conflict.begin(self.boot)
         own = Record(self.name, *self.address, self.boot, 1, Life.ALIVE)
-        self.members = Members(own, self.terms.period, self.terms.forget, self.chance, now)
-        self.lease = Lease(self.terms.lease, self.terms.part)
+        self.members = Members(own, self.shared.period, self.shared.forget, self.chance, now)
+        self.lease = Lease(self.shared.lease, self.shared.part)
         self.lease.sole_member = not self.seeds
-        self.grantor = Grantor(self.terms.lease, now)
-        self.heard: dict[str, Heard] = {}
+        self.grantor = Grantor(self.shared.lease, now)
+        self.peer_reports: dict[str, PeerReport] = {}
         self.messenger, self.renewal = Messenger(self, now), LeaseRenewal(self, self.lease, now)
         self.table_sync, self.stops = TableSync(self, now), StopInquiries(self)
         self.ticked = now
@@ -165,7 +165,7 @@
         Returns:
             Whether it is newer than what was in force.
         """
-        taken = self.registry.take(artifact, version, by_source)
+        taken = self.registry.put_in_force(artifact, version, by_source)
         if taken and rows is not None:
             self.rows = rows
             self.list_store.keep(version, rows)
@@ -222,7 +222,7 @@
         """Whether the process was paused; if so, shift the timers, as silence proves nothing then."""
         gap = now - self.ticked
         self.ticked = now
-        if gap <= 2 * self.terms.period:
+        if gap <= 2 * self.shared.period:
             return False
         self.list_sync.source_answered_at += gap
         self.tracker.discount_pause(gap)
@@ -278,7 +278,7 @@
             name
             for name, claims in self.registry.claims.items()
             if (Artifact.LIST in claims and claims[Artifact.LIST].order < newest.order)
-            or (name in self.heard and self.heard[name].standing is Standing.SHUT)
+            or (name in self.peer_reports and self.peer_reports[name].standing is Standing.SHUT)
         ]
 
     def shift(self, now: float) -> float:
@@ -286,7 +286,7 @@
 
         0 while too few have reported theirs.
         """
-        clocks = [heard.clock for heard in self.heard.values() if now - heard.at <= CLOCK_AGE]
+        clocks = [heard.clock for heard in self.peer_reports.values() if now - heard.at <= CLOCK_AGE]
         return -median(clocks) if len(clocks) >= MIN_CLOCKS else 0.0
 
     # Changes of the members.
@@ -301,7 +301,7 @@
                 self.stops.begin(change.name, change.boot)
             if change.life >= Life.GONE:
                 self.registry.forget(change.name)
-                self.heard.pop(change.name, None)
+                self.peer_reports.pop(change.name, None)
         self.bound_tables()
 
     def bound_tables(self) -> None:
@@ -310,7 +310,7 @@
         tables: tuple[dict[str, Any], ...] = (
             self.sessions,
             self.grantor.grants,
-            self.heard,
+            self.peer_reports,
             self.registry.claims,
         )
         for table in tables:
@@ -351,9 +351,9 @@
 
     # Datagrams.
 
-    def take(self, now: float, unix: float, source: Address, datagram: bytes) -> None:
+    def receive(self, now: float, unix: float, source: Address, datagram: bytes) -> None:
         """Handle a datagram. Raises nothing."""
-        self.receiver.take(now, unix, source, datagram)
+        self.receiver.receive(now, unix, source, datagram)
         self.take_changes()
         self.name_conflict.settle(now)
 
--- a/spurdeal/fleet/hybrid.py
+++ b/spurdeal/fleet/hybrid.py
@@ -10,8 +10,8 @@
 
 from typing import NamedTuple
 
-MOST_AHEAD = 5000.0  # ms by which a received stamp may be ahead of our Unix time
-MOST_COUNT = 0xFFFF  # events in one ms; beyond it the ms advances
+MAX_AHEAD = 5000.0  # ms by which a received stamp may be ahead of our Unix time
+MAX_TALLY = 0xFFFF  # events in one ms; beyond it the ms advances
 
 
 class Stamp(NamedTuple):
@@ -42,7 +42,7 @@
 
     def receive(self, unix: float, other: Stamp) -> bool:
         """Advance past a received stamp; False, without effect, if it is too far ahead."""
-        if other.ms > unix + MOST_AHEAD:
+        if other.ms > unix + MAX_AHEAD:
             self.refused += 1
             return False
         ms = max(int(unix), self.last.ms, other.ms)
@@ -53,4 +53,4 @@
     @staticmethod
     def after(ms: int, count: int) -> Stamp:
         """The stamp with this tally, or the first of the next ms if the tally is exhausted."""
-        return Stamp(ms, count) if count <= MOST_COUNT else Stamp(ms + 1, 0)
+        return Stamp(ms, count) if count <= MAX_TALLY else Stamp(ms + 1, 0)
--- a/spurdeal/fleet/list_sync.py
+++ b/spurdeal/fleet/list_sync.py
@@ -35,7 +35,7 @@
 
     def __init__(self, fleet: Fleet, now: float) -> None:
         self.fleet = fleet
-        self.list_store, self.fetch = ListStore(fleet.terms.period, now), Fetch(fleet.chance)
+        self.list_store, self.fetch = ListStore(fleet.shared.period, now), Fetch(fleet.chance)
         self.source_answered_at, self.next_offers = now, now
         self.max_single_drop = MAX_SINGLE_WITNESS_DROP
         self.offered: dict[Version, float] = {}  # since when each newer version is claimed
@@ -65,7 +65,7 @@
         self.offered = {version: self.offered.get(version, now) for version, _ in offers}
         patience = SOURCE_FIRST if now - self.source_answered_at < SOURCE_FIRST else 0.0
         return [
-            Offer(version, [name for name in holders if name in fleet.heard])
+            Offer(version, [name for name in holders if name in fleet.peer_reports])
             for version, holders in offers
             if now - self.offered[version] >= patience
         ]
--- a/spurdeal/fleet/local_versions.py
+++ b/spurdeal/fleet/local_versions.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from ..vrrp.sealed import Keys
-from .fleet import Terms
+from .fleet import SharedSettings
 from .versions import Version, digest_of
 
 if TYPE_CHECKING:
@@ -47,9 +47,9 @@
     )
 
 
-def terms_of(part: FleetPart) -> Terms:
+def shared_settings(part: FleetPart) -> SharedSettings:
     """The settings that all members share."""
-    return Terms(
+    return SharedSettings(
         part.period,
         part.lease,
         part.part,
--- a/spurdeal/fleet/receiver.py
+++ b/spurdeal/fleet/receiver.py
@@ -21,7 +21,7 @@
 MAX_UNIX = 1 << 48  # ms
 
 
-class Heard(NamedTuple):
+class PeerReport(NamedTuple):
     """A member's last report on itself. at: ms; clock: its Unix time less ours, in ms."""
 
     at: float
@@ -65,7 +65,7 @@
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
 
-    def take(self, now: float, unix: float, source: Address, datagram: bytes) -> None:
+    def receive(self, now: float, unix: float, source: Address, datagram: bytes) -> None:
         """Verify, read and act on one datagram. Raises nothing."""
         fleet = self.fleet
         fleet.counts["came"] += 1
@@ -139,7 +139,7 @@
     def note_sender(self, message: Message, header: Header, boot: int) -> None:
         """Store the sender's report on itself; a newly sealed page of its audit log is an event."""
         fleet, name, page = self.fleet, message.name, header.page
-        before = fleet.heard[name].page if name in fleet.heard else None
+        before = fleet.peer_reports[name].page if name in fleet.peer_reports else None
         if page is not None and page != before:
             figures = {
                 "name": name,
@@ -150,4 +150,4 @@
             }
             fleet.events.append(FleetEvent("page", figures))
         offset = header.unix - message.unix - fleet.skew
-        fleet.heard[name] = Heard(message.now, header.standing, page or before, offset)
+        fleet.peer_reports[name] = PeerReport(message.now, header.standing, page or before, offset)
--- a/spurdeal/fleet/renewal.py
+++ b/spurdeal/fleet/renewal.py
@@ -29,7 +29,7 @@
         if now < self.next_renewal and not at_once:
             return
         fleet = self.fleet
-        self.next_renewal = now + fleet.terms.lease / RENEWALS
+        self.next_renewal = now + fleet.shared.lease / RENEWALS
         if fleet.twin:
             return
         # A member that leaves renews its lease, as it still has accepted requests to answer. A new start
@@ -51,7 +51,7 @@
         record = members.others.get(name)
         if record is None or record.life is not Life.GONE:
             return False
-        return now - members.since[name] > REPLACED_AFTER * self.fleet.terms.lease
+        return now - members.since[name] > REPLACED_AFTER * self.fleet.shared.lease
 
     def held(self, now: float) -> bool:
         """Whether the lease is held; if so, records the time."""
@@ -63,7 +63,7 @@
     def lost_for_good(self, now: float) -> bool:
         """Whether there was no lease for long, although enough members are heard to grant one."""
         fleet = self.fleet
-        if now - self.held_at <= LOST_AFTER * fleet.terms.lease or fleet.twin or fleet.leaving:
+        if now - self.held_at <= LOST_AFTER * fleet.shared.lease or fleet.twin or fleet.leaving:
             return False
-        near = sum(now - heard.at < fleet.terms.lease for heard in fleet.heard.values())
-        return near >= math.ceil(fleet.terms.part * min(GRANTORS, fleet.members.size() - 1))
+        near = sum(now - heard.at < fleet.shared.lease for heard in fleet.peer_reports.values())
+        return near >= math.ceil(fleet.shared.part * min(GRANTORS, fleet.members.size() - 1))
--- a/spurdeal/fleet/station.py
+++ b/spurdeal/fleet/station.py
@@ -26,7 +26,7 @@
 from .audit import COLD, DOUBTFUL, Kind
 from .fleet import READY, TICK, Fleet, FleetEvent, FleetSettings
 from .journal import Journal, JournalSettings
-from .local_versions import configured, keyed, program, terms_of
+from .local_versions import configured, keyed, program, shared_settings
 from .versions import Artifact, Row, Version, list_digest, rows_of
 
 if TYPE_CHECKING:
@@ -113,7 +113,7 @@
         seeds = {seed.name: (str(seed.at[0]), seed.at[1]) for seed in part.seeds if seed.name != name}
         chance = random.Random(secrets.randbits(64))
         now, unix = self.monotonic(), self.unix()
-        settings = FleetSettings(name, (str(at[0]), at[1]), seeds, terms_of(part), keys)
+        settings = FleetSettings(name, (str(at[0]), at[1]), seeds, shared_settings(part), keys)
         return Fleet(settings, chance, self.apply_peer_list, now, unix)
 
     def make_journal(self, name: str, part: FleetPart) -> Journal | None:
@@ -247,7 +247,7 @@
 
     def datagram_received(self, datagram: bytes, source: tuple[str, int]) -> None:
         """Handle a datagram."""
-        self.fleet.take(self.monotonic(), self.unix(), source, datagram)
+        self.fleet.receive(self.monotonic(), self.unix(), source, datagram)
         self.process_output()
 
     def process_output(self) -> None:
--- a/spurdeal/fleet/status.py
+++ b/spurdeal/fleet/status.py
@@ -47,7 +47,7 @@
 
 def member_status(fleet: Fleet, now: float, name: str) -> dict[str, Any]:
     """The status of one other member, as known here."""
-    record, heard = fleet.members.others[name], fleet.heard.get(name)
+    record, heard = fleet.members.others[name], fleet.peer_reports.get(name)
     claims = fleet.registry.claims.get(name, {})
     newest = fleet.registry.newest(Artifact.LIST)
     found: dict[str, Any] = {
--- a/spurdeal/fleet/stop_inquiries.py
+++ b/spurdeal/fleet/stop_inquiries.py
@@ -37,8 +37,8 @@
     def begin(self, name: str, boot: int) -> None:
         """Begin an inquiry into one start of a member, unless too many are open."""
         if len(self.inquiries) < MAX_INQUIRIES:
-            terms = self.fleet.terms
-            self.inquiries[name] = Inquiry(name, boot, terms.part, terms.lease)
+            shared = self.fleet.shared
+            self.inquiries[name] = Inquiry(name, boot, shared.part, shared.lease)
 
     def tick(self, now: float, unix: float) -> None:
         """Ask the grantors again where due, and report changes."""
--- a/spurdeal/fleet/table_sync.py
+++ b/spurdeal/fleet/table_sync.py
@@ -97,7 +97,7 @@
             return
         idle = not self.source and now >= self.next_pull and self.synced
         if idle and not members.gossip:
-            self.next_pull = now + PULL_EVERY * self.fleet.terms.period
+            self.next_pull = now + PULL_EVERY * self.fleet.shared.period
             self.start(now, unix, name)
 
     def contact_seeds(self, now: float, unix: float) -> None:
@@ -107,7 +107,7 @@
         """
         if now < self.next_seeds:
             return
-        self.next_seeds = now + PULL_EVERY * self.fleet.terms.period
+        self.next_seeds = now + PULL_EVERY * self.fleet.shared.period
         for name in self.fleet.seeds:
             if name not in self.fleet.members.others:
                 self.fleet.messenger.ping(now, unix, name)
--- a/spurdeal/fleet/terms.py
+++ b/spurdeal/fleet/terms.py
@@ -7,7 +7,7 @@
 TICK = 20.0  # ms between two calls of Fleet.tick
 
 
-class Terms(NamedTuple):
+class SharedSettings(NamedTuple):
     """Settings of a fleet, the same for all its members. Times in ms, shares from 0 to 1.
 
     Attributes:
--- a/spurdeal/fleet/versions.py
+++ b/spurdeal/fleet/versions.py
@@ -123,7 +123,7 @@
         self.newest_cache: dict[Artifact, Version | None] = {}
         self.offers_cache: dict[Artifact, list[Offer]] = {}
 
-    def take(self, artifact: Artifact, version: Version, by_source: bool = True) -> bool:
+    def put_in_force(self, artifact: Artifact, version: Version, by_source: bool = True) -> bool:
         """Put a version in force.
 
         Returns:
--- a/spurdeal/lab/audited/virtual.py
+++ b/spurdeal/lab/audited/virtual.py
@@ -81,13 +81,13 @@
         peer.messenger.ping(world.now, world.unix(None), "d0", RequestKind.RENEW)
         _, datagram = peer.out[-1]
         good.append(datagram)
-        fleet.take(world.now, world.unix(None), peer.address, datagram)
+        fleet.receive(world.now, world.unix(None), peer.address, datagram)
     fleet.out.clear()
     forger = Session("d1", "d0", 5, type(KEYS)({1: b"x" * 16}))
     before, dropped = state_of(fleet), drops(fleet)
     for number in range(tries):
         datagram = spoilt(number, chance.choice(good), forger, chance)
-        fleet.take(world.now, world.unix(None), peer.address, datagram)
+        fleet.receive(world.now, world.unix(None), peer.address, datagram)
         fleet.out.clear()
     refused = drops(fleet) - dropped
     return {"malformed_tried": tries, "malformed_accepted": tries - refused + (before != state_of(fleet))}
--- a/spurdeal/lab/fleet_model.py
+++ b/spurdeal/lab/fleet_model.py
@@ -25,7 +25,7 @@
 class Backwards(VersionRegistry):
     """A book that takes what is older."""
 
-    def take(self, artifact: Artifact, version: Version, by_source: bool = True) -> bool:
+    def put_in_force(self, artifact: Artifact, version: Version, by_source: bool = True) -> bool:
         self.in_force[artifact] = version
         return True
 
@@ -35,8 +35,8 @@
     found = []
     for kind in (VersionRegistry, Backwards):
         registry = kind("d")
-        registry.take(Artifact.LIST, Version(0, 5, "aa"))
-        registry.take(Artifact.LIST, Version(0, 4, "bb"))
+        registry.put_in_force(Artifact.LIST, Version(0, 5, "aa"))
+        registry.put_in_force(Artifact.LIST, Version(0, 4, "bb"))
         found.append(registry.in_force[Artifact.LIST].number)
     return found == [5, 4]
 
--- a/spurdeal/lab/fleet_walk.py
+++ b/spurdeal/lab/fleet_walk.py
@@ -203,7 +203,7 @@
 
     def begin(self, now: float) -> None:
         super().begin(now)
-        self.members = Deaf(self.members.own, self.terms.period, self.terms.forget, self.chance, now)
+        self.members = Deaf(self.members.own, self.shared.period, self.shared.forget, self.chance, now)
 
 
 IN_FLEETS = (NeverLooksAgain, TakesAnyList, NeverJoinsAgain, DeafToRefutation)
--- a/spurdeal/lab/fleet_world.py
+++ b/spurdeal/lab/fleet_world.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ..fleet.fleet import TICK, Fleet, FleetSettings, Terms
+from ..fleet.fleet import TICK, Fleet, FleetSettings, SharedSettings
 from ..fleet.members import Address
 from ..fleet.versions import Artifact, Row, Version, list_digest
 from ..vrrp.sealed import Keys
@@ -22,7 +22,7 @@
 KEYS = Keys({1: b"a key of the laboratory"})
 Rows = dict[str, Row]
 ASK_EVERY = 200.0  # ms between two questions to the name service
-TERMS = Terms()
+TERMS = SharedSettings()
 UNIX = 1_790_000_000_000.0
 
 
@@ -66,7 +66,7 @@
         self,
         count: int,
         seed: int,
-        terms: Terms = TERMS,
+        terms: SharedSettings = TERMS,
         seeds: int = 2,
         engine_count: int = 40,
         made: Callable[..., Fleet] = Fleet,
@@ -200,7 +200,7 @@
         if self.now < node.paused_until:
             self.at(node.paused_until + 0.01, self.arrives, to, source, datagram)
             return
-        node.fleet.take(self.now, self.unix(node), source, datagram)
+        node.fleet.receive(self.now, self.unix(node), source, datagram)
         self.sent(node)
 
     # What happens to them.
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -4,8 +4,8 @@
 import unittest
 
 from spurdeal.fleet.bringing import ListStore, UnusableListError, apply_changes, pack, unpack
-from spurdeal.fleet.fleet import Fleet, FleetSettings, Terms
-from spurdeal.fleet.hybrid import MOST_AHEAD, HybridClock, Stamp
+from spurdeal.fleet.fleet import Fleet, FleetSettings, SharedSettings
+from spurdeal.fleet.hybrid import MAX_AHEAD, HybridClock, Stamp
 from spurdeal.fleet.lease import Grantor, Inquiry, Lease, StopReport, Term
 from spurdeal.fleet.members import Life, rendezvous
 from spurdeal.fleet.standing import Limits, Observations, Standing, StandingTracker
@@ -25,14 +25,14 @@
 
     def test_a_received_stamp_far_ahead_is_ignored(self) -> None:
         clock = HybridClock(1000.0)
-        self.assertFalse(clock.receive(1000.0, Stamp(int(1001 + MOST_AHEAD), 0)))
+        self.assertFalse(clock.receive(1000.0, Stamp(int(1001 + MAX_AHEAD), 0)))
         self.assertLess(clock.stamp(1001.0), Stamp(1002, 0))
 
 
 class Versions(unittest.TestCase):
     def test_a_version_with_one_witness_does_not_count_as_existing(self) -> None:
         registry = VersionRegistry("d0")
-        registry.take(Artifact.LIST, Version(0, 5, "aa"))
+        registry.put_in_force(Artifact.LIST, Version(0, 5, "aa"))
         registry.claim("liar", {Artifact.LIST: Version(0, 9, "bb")})
         self.assertEqual(0, registry.behind())
         registry.claim("d2", {Artifact.LIST: Version(0, 9, "bb")})
@@ -40,14 +40,14 @@
 
     def test_a_claim_far_ahead_is_implausible(self) -> None:
         registry = VersionRegistry("d0")
-        registry.take(Artifact.LIST, Version(0, 5, "aa"))
+        registry.put_in_force(Artifact.LIST, Version(0, 5, "aa"))
         for name in ("one", "two"):
             registry.claim(name, {Artifact.LIST: Version(0, 999_999, "bb")})
         self.assertEqual((0, {"one": 1, "two": 1}), (registry.behind(), registry.implausible))
 
     def test_two_contents_of_one_version_are_reported_and_not_adopted(self) -> None:
         registry = VersionRegistry("d0")
-        registry.take(Artifact.LIST, Version(0, 5, "aa"))
+        registry.put_in_force(Artifact.LIST, Version(0, 5, "aa"))
         self.assertEqual(1, len(registry.claim("d1", {Artifact.LIST: Version(0, 5, "bb")})))
         self.assertEqual([], registry.claim("d2", {Artifact.LIST: Version(0, 5, "bb")}), "reported once")
         self.assertEqual("aa", registry.in_force[Artifact.LIST].digest)
@@ -55,8 +55,8 @@
 
     def test_versions_never_go_back(self) -> None:
         registry = VersionRegistry("d0")
-        self.assertTrue(registry.take(Artifact.LIST, Version(0, 5, "aa")))
-        self.assertFalse(registry.take(Artifact.LIST, Version(0, 4, "cc")))
+        self.assertTrue(registry.put_in_force(Artifact.LIST, Version(0, 5, "aa")))
+        self.assertFalse(registry.put_in_force(Artifact.LIST, Version(0, 4, "cc")))
         self.assertEqual(5, registry.in_force[Artifact.LIST].number)
 
 
@@ -437,7 +437,7 @@
                 chance.randbytes(number % 1400),
                 forged.write(0.0, {"k": "p", "q": number}),
             )[number % 5]
-            fleet.take(world.now, world.unix(None), ("127.8.0.2", 7114), spoilt)
+            fleet.receive(world.now, world.unix(None), ("127.8.0.2", 7114), spoilt)
         dropped = sum(count - came[name] for name, count in fleet.counts.items() if name.startswith("drop_"))
         self.assertEqual(4000, fleet.counts["came"] - before)
         self.assertEqual(4000, dropped)
@@ -454,7 +454,9 @@
         for kind in "parnyjJwWfF?":
             for key in ("k", "q", "h", "v", "s", "n", "l", "on", "i", "of", "t", "want", "have", "b", "who"):
                 body = whole | {"k": kind, key: chance.choice(values)}
-                fleet.take(world.now, world.unix(None), ("127.8.0.2", 7114), session.write(world.now, body))
+                fleet.receive(
+                    world.now, world.unix(None), ("127.8.0.2", 7114), session.write(world.now, body)
+                )
         self.assertGreater(fleet.counts["drop_body"] + fleet.counts["drop_kind"], 100)
 
     @staticmethod
@@ -483,7 +485,7 @@
 class Alone(unittest.TestCase):
     def test_a_fleet_of_one_becomes_current(self) -> None:
         fleet = Fleet(
-            FleetSettings("d0", ("127.0.0.1", 1), {}, Terms(), KEYS),
+            FleetSettings("d0", ("127.0.0.1", 1), {}, SharedSettings(), KEYS),
             random.Random(1),
             lambda *_: None,
             0.0,
@@ -495,7 +497,7 @@
 
     def test_a_member_with_silent_seeds_does_not_act_alone(self) -> None:
         fleet = Fleet(
-            FleetSettings("d0", ("127.0.0.1", 1), {"d1": ("127.0.0.2", 1)}, Terms(), KEYS),
+            FleetSettings("d0", ("127.0.0.1", 1), {"d1": ("127.0.0.2", 1)}, SharedSettings(), KEYS),
             random.Random(1),
             lambda *_: None,
             0.0,
