--- a/spurdeal/fleet/fleet.py
+++ b/spurdeal/fleet/fleet.py
@@ -68,7 +68,7 @@
     Args:
         settings: Its identity, and the settings that all members share.
         chance: Source of its random choices.
-        bring: Called with a list that was fetched from a peer and checked, to put it in force.
+        apply_list: Called with a list that was fetched from a peer and checked, to put it in force.
         now: Monotonic ms.
         unix: Unix ms.
     """
@@ -77,13 +77,13 @@
         self,
         settings: FleetSettings,
         chance: random.Random,
-        bring: Callable[[Version, Rows], None],
+        apply_list: Callable[[Version, Rows], None],
         now: float,
         unix: float,
     ) -> None:
         self.name, self.address, self.seeds = settings.name, settings.address, dict(settings.seeds)
         self.shared, self.keys = settings.shared, settings.keys
-        self.chance, self.bring = chance, bring
+        self.chance, self.apply_list = chance, apply_list
         self.out: list[tuple[Address, bytes]] = []
         self.events: list[FleetEvent] = []
         self.reported_once: set[str] = set()
--- a/spurdeal/fleet/list_sync.py
+++ b/spurdeal/fleet/list_sync.py
@@ -101,7 +101,7 @@
         self.fetch.end(now, 0.0)
         if fleet.in_force(Artifact.LIST, want, rows, by_source=False):
             fleet.events.append(FleetEvent("brought_up", {"from": name, "list": str(want)}))
-            fleet.bring(want, rows)
+            fleet.apply_list(want, rows)
 
     def unpacked(self, want: Version, pieces: list[bytes]) -> Rows:
         """The list in these pieces.
--- a/spurdeal/fleet/members.py
+++ b/spurdeal/fleet/members.py
@@ -177,7 +177,7 @@
                     record.name,
                     record.life,
                     record.boot,
-                    f"a new start, told by {by}" if new else f"told by {by}",
+                    f"a new start, reported by {by}" if new else f"reported by {by}",
                 )
             )
 
--- a/spurdeal/fleet/standing.py
+++ b/spurdeal/fleet/standing.py
@@ -95,13 +95,13 @@
         self.lapsed_since += gap
         self.behind_since = self.behind_since + gap if self.behind_since is not None else None
 
-    def step(self, now: float, seen: Observations) -> bool:
+    def step(self, now: float, observed: Observations) -> bool:
         """Update the standing; True if it has changed."""
-        if not seen.behind:
+        if not observed.behind:
             self.behind_since = None
         elif self.behind_since is None:
             self.behind_since = now
-        standing, why = self.evaluate(now, seen)
+        standing, why = self.evaluate(now, observed)
         if standing is self.standing:
             return False
         if standing is Standing.LAPSED and self.standing not in (Standing.SHUT, Standing.JOINING):
@@ -111,32 +111,32 @@
         self.standing, self.since, self.why = standing, now, why
         return True
 
-    def evaluate(self, now: float, seen: Observations) -> tuple[Standing, str]:
+    def evaluate(self, now: float, observed: Observations) -> tuple[Standing, str]:
         """The standing that follows from the observations, and the reason for people."""
-        if seen.twin or self.standing is Standing.TWIN:
+        if observed.twin or self.standing is Standing.TWIN:
             return Standing.TWIN, "another process has our name"
         behind_too_long = self.behind_since is not None and now - self.behind_since > self.limits.behind_for
-        clock_is_off = abs(seen.clock) > self.limits.clock_off
+        clock_is_off = abs(observed.clock) > self.limits.clock_off
         reason = (
             "no lease: too few grantors have answered"
-            if not seen.lease
-            else f"behind by {seen.behind} for too long"
+            if not observed.lease
+            else f"behind by {observed.behind} for too long"
             if behind_too_long
-            else f"our clock is {seen.clock:.0f} ms off the others'"
+            else f"our clock is {observed.clock:.0f} ms off the others'"
             if clock_is_off
             else ""
         )
         if reason:
-            return self.degraded(now, seen, reason)
+            return self.degraded(now, observed, reason)
         if self.standing in (Standing.LAPSED, Standing.SHUT):
             return Standing.JOINING, "returns: it has a lease, and the newest list"
-        if self.standing is Standing.JOINING and (not seen.synced or seen.behind):
+        if self.standing is Standing.JOINING and (not observed.synced or observed.behind):
             return Standing.JOINING, self.why
-        if seen.behind:
-            return Standing.BEHIND, f"behind by {seen.behind}"
+        if observed.behind:
+            return Standing.BEHIND, f"behind by {observed.behind}"
         return Standing.CURRENT, "lease held, newest list"
 
-    def degraded(self, now: float, seen: Observations, reason: str) -> tuple[Standing, str]:
+    def degraded(self, now: float, observed: Observations, reason: str) -> tuple[Standing, str]:
         """LAPSED, or SHUT if that has lasted too long."""
         if self.standing is Standing.JOINING and not self.returned:
             lapsed_too_long = now - self.since > self.limits.shut_after
@@ -145,21 +145,24 @@
                 self.standing in (Standing.LAPSED, Standing.SHUT, Standing.JOINING)
                 and now - self.lapsed_since > self.limits.shut_after
             )
-        source_silent = seen.source > self.limits.shut_after
-        if lapsed_too_long and not seen.lease and source_silent:
-            return Standing.SHUT, f"{reason}, and no answer from the name service for {seen.source:.0f} ms"
-        if lapsed_too_long and seen.lease and seen.behind and self.may_be_shut_out(seen):
+        source_silent = observed.source > self.limits.shut_after
+        if lapsed_too_long and not observed.lease and source_silent:
+            return (
+                Standing.SHUT,
+                f"{reason}, and no answer from the name service for {observed.source:.0f} ms",
+            )
+        if lapsed_too_long and observed.lease and observed.behind and self.may_be_shut_out(observed):
             return Standing.SHUT, reason
-        if self.standing is Standing.JOINING and not self.returned and not seen.lease:
+        if self.standing is Standing.JOINING and not self.returned and not observed.lease:
             return Standing.JOINING, self.why
         return Standing.LAPSED, reason
 
-    def may_be_shut_out(self, seen: Observations) -> bool:
+    def may_be_shut_out(self, observed: Observations) -> bool:
         """Whether we are among those that may be shut out for being behind.
 
         They are the members with the highest rendezvous weight, up to `most_shut` of the fleet. Members with
         the same view choose the same ones.
         """
-        most = int(self.limits.most_shut * seen.size)
-        behind = {*seen.others_behind(), self.own}
+        most = int(self.limits.most_shut * observed.size)
+        behind = {*observed.others_behind(), self.own}
         return self.own in rendezvous("shut", behind, most)
