--- a/spurdeal/fleet/fleet.py
+++ b/spurdeal/fleet/fleet.py
@@ -362,6 +362,6 @@
         return {
             "h": list(self.hybrid.stamp(unix)),
             "u": int(unix + self.skew),
-            "v": wire.versions_written(self.registry.in_force),
+            "v": wire.versions_row(self.registry.in_force),
             "s": int(self.tracker.standing),
         } | dict(fields)
--- a/spurdeal/fleet/handlers.py
+++ b/spurdeal/fleet/handlers.py
@@ -44,10 +44,10 @@
 def on_ping(fleet: Fleet, message: Message) -> Act:
     """A probe; it may ask us to grant its sender's lease."""
     now, unix, source, name, body = message
-    sequence = wire.whole(body.get("q"))
+    sequence = wire.integer(body.get("q"))
     terms: tuple[Term, Term | None] | None = None
     if "l" in body:
-        row = wire.items(body["l"], 2, 2)
+        row = wire.array(body["l"], 2, 2)
         terms = wire.term(row[0]), wire.term(row[1]) if row[1] is not None else None
 
     def act() -> None:
@@ -74,8 +74,8 @@
 def on_ack(fleet: Fleet, message: Message) -> Act:
     """The answer to a ping of ours, perhaps with a grant of our lease."""
     now, unix, _, name, body = message
-    row = wire.items(body["g"], 2, 2) if "g" in body else None
-    granted = (wire.whole(row[0]), wire.whole(row[1], 1) == 1) if row is not None else None
+    row = wire.array(body["g"], 2, 2) if "g" in body else None
+    granted = (wire.integer(row[0]), wire.integer(row[1], 1) == 1) if row is not None else None
     answers = RequestKind.PING, RequestKind.RENEW, RequestKind.RELAY
     found = fleet.messenger.answered(body, name, *answers)
 
@@ -94,8 +94,8 @@
 def on_indirect_ping(fleet: Fleet, message: Message) -> Act:
     """Indirect probe: ping a member that the sender cannot reach, on its behalf."""
     now, unix, source, name, body = message
-    sequence, row = wire.whole(body.get("q")), wire.items(body.get("on"), 3, 3)
-    target, address = wire.text(row[0]), (wire.host(row[1]), wire.whole(row[2], MAX_PORT))
+    sequence, row = wire.integer(body.get("q")), wire.array(body.get("on"), 3, 3)
+    target, address = wire.text(row[0]), (wire.host(row[1]), wire.integer(row[2], MAX_PORT))
 
     def act() -> None:
         messenger = fleet.messenger
@@ -110,7 +110,7 @@
 
 def on_nack(fleet: Fleet, message: Message) -> Act:
     """A helper has our request: if no more comes, the fault is not on our side."""
-    sequence = wire.whole(message.body.get("q"))
+    sequence = wire.integer(message.body.get("q"))
     found = fleet.messenger.open.get(sequence)
 
     def act() -> None:
@@ -135,14 +135,14 @@
 def on_table_request(fleet: Fleet, message: Message) -> Act:
     """The sender pulls our member table from an offset on."""
     now, unix, source, name, body = message
-    sequence, offset = wire.whole(body.get("q")), wire.whole(body.get("i"), MAX_OFFSET)
+    sequence, offset = wire.integer(body.get("q")), wire.integer(body.get("i"), MAX_OFFSET)
 
     def act() -> None:
         table = sorted(fleet.members.table())
         fields = {"k": "J", "q": sequence, "i": offset, "of": len(table)}
         left, rows = wire.room(fleet.name, fleet.body(unix, fields)) - PAGE_RESERVE, list[list[Any]]()
         for record in table[offset : offset + wire.MAX_RECORDS]:
-            row = wire.written(fleet.members.as_gossip(record))
+            row = wire.record_row(fleet.members.as_gossip(record))
             left -= len(str(row)) + 1
             if left < 0:
                 break
@@ -155,8 +155,8 @@
 def on_table_page(fleet: Fleet, message: Message) -> Act:
     """A page of the member table that we pull. Its records are merged like gossip."""
     now, unix, _, name, body = message
-    offset, total = wire.whole(body.get("i"), MAX_OFFSET), wire.whole(body.get("of"), MAX_OFFSET)
-    count = len(wire.items(body.get("n"), 0, wire.MAX_RECORDS))
+    offset, total = wire.integer(body.get("i"), MAX_OFFSET), wire.integer(body.get("of"), MAX_OFFSET)
+    count = len(wire.array(body.get("n"), 0, wire.MAX_RECORDS))
     found = fleet.messenger.answered(body, name, RequestKind.PULL)
 
     def act() -> None:
@@ -169,8 +169,8 @@
 def on_stop_query(fleet: Fleet, message: Message) -> Act:
     """The sender wants to rely on a member's stop: report on its lease, as one of its grantors."""
     now, unix, source, name, body = message
-    sequence, subject = wire.whole(body.get("q")), wire.text(body.get("who"))
-    boot = wire.whole(body.get("boot"))
+    sequence, subject = wire.integer(body.get("q")), wire.text(body.get("who"))
+    boot = wire.integer(body.get("boot"))
 
     def act() -> None:
         report = fleet.grantor.report_stop(now, subject, boot)
@@ -184,8 +184,8 @@
             "boot": boot,
             "r": int(refused),
             "left": left,
-            "t": wire.term_written(term),
-            "f": wire.term_written(proposed) if proposed is not None else None,
+            "t": wire.term_row(term),
+            "f": wire.term_row(proposed) if proposed is not None else None,
         }
         fleet.messenger.send_without_gossip(now, unix, name, fields, source)
 
@@ -195,8 +195,8 @@
 def on_stop_report(fleet: Fleet, message: Message) -> Act:
     """A grantor's report on a member that is gone."""
     name, body = message.name, message.body
-    subject, boot = wire.text(body.get("who")), wire.whole(body.get("boot"))
-    refused, left = wire.whole(body.get("r"), 1), wire.figure(body.get("left"))
+    subject, boot = wire.text(body.get("who")), wire.integer(body.get("boot"))
+    refused, left = wire.integer(body.get("r"), 1), wire.finite_number(body.get("left"))
     term = wire.term(body.get("t"))
     proposed = wire.term(body["f"]) if body.get("f") is not None else None
     found = fleet.messenger.answered(body, name, RequestKind.WORD)
@@ -212,7 +212,7 @@
 def on_piece_request(fleet: Fleet, message: Message) -> Act:
     """The sender asks for a piece of a list that we may hold."""
     now, unix, source, name, body = message
-    sequence, place = wire.whole(body.get("q")), wire.whole(body.get("i"), MAX_OFFSET)
+    sequence, place = wire.integer(body.get("q")), wire.integer(body.get("i"), MAX_OFFSET)
     have, want = wire.version(body.get("have")), wire.version(body.get("want"))
 
     def act() -> None:
@@ -236,8 +236,8 @@
 def on_piece(fleet: Fleet, message: Message) -> Act:
     """A piece of the list that we are fetching."""
     now, unix, _, name, body = message
-    want, place = wire.version(body.get("want")), wire.whole(body.get("i"), MAX_OFFSET)
-    count = wire.whole(body.get("of"), MAX_OFFSET)
+    want, place = wire.version(body.get("want")), wire.integer(body.get("i"), MAX_OFFSET)
+    count = wire.integer(body.get("of"), MAX_OFFSET)
     data = wire.text(body["b"], MAX_PIECE_TEXT) if body.get("b") else ""
     found = fleet.messenger.answered(body, name, RequestKind.FETCH)
 
--- a/spurdeal/fleet/messenger.py
+++ b/spurdeal/fleet/messenger.py
@@ -122,7 +122,7 @@
         left, rows = wire.room(self.fleet.name, body) - GOSSIP_RESERVE, list[list[Any]]()
         boot = self.sessions[name].peer_boot if name in self.sessions else 0
         for record in members.select_gossip(min(wire.MAX_RECORDS, max(1, left // RECORD_SIZE)), name, boot):
-            row = wire.written(record)
+            row = wire.record_row(record)
             left -= len(str(row)) + 1
             if left < 0:
                 break
@@ -166,8 +166,8 @@
         fields: dict[str, Any] = {"k": "p"}
         if kind is RequestKind.RENEW:
             lease = self.fleet.lease
-            proposed = wire.term_written(lease.proposed) if lease.proposed is not None else None
-            fields["l"] = [wire.term_written(lease.term), proposed]
+            proposed = wire.term_row(lease.proposed) if lease.proposed is not None else None
+            fields["l"] = [wire.term_row(lease.term), proposed]
             if self.fleet.page is not None:
                 fields["d"] = list(self.fleet.page)
         sequence = self.opened_in_bound(Request(name, now, kind, relay))
@@ -211,7 +211,7 @@
 
     def answered(self, body: Mapping[str, Any], name: str, *kinds: RequestKind) -> Request | None:
         """Close and return the request that a message answers; None if it is not open any more."""
-        sequence = wire.whole(body.get("q"))
+        sequence = wire.integer(body.get("q"))
         found = self.open.get(sequence)
         if found is None or found.to != name or found.kind not in kinds:
             return None
--- a/spurdeal/fleet/receiver.py
+++ b/spurdeal/fleet/receiver.py
@@ -55,7 +55,7 @@
         wire.records(body),
         wire.page(body),
         wire.text(body.get("k"), 2),
-        wire.whole(body.get("u"), MAX_UNIX),
+        wire.integer(body.get("u"), MAX_UNIX),
     )
 
 
--- a/spurdeal/fleet/wire.py
+++ b/spurdeal/fleet/wire.py
@@ -47,14 +47,14 @@
 # Parsing: each function raises RefusedError("body") for a malformed value.
 
 
-def whole(value: object, most: float = 1 << 63) -> int:
+def integer(value: object, most: float = 1 << 63) -> int:
     """An integer from 0 to `most`."""
     if not isinstance(value, int) or isinstance(value, bool) or not 0 <= value <= most:
         raise RefusedError("body")
     return value
 
 
-def figure(value: object, most: float = MAX_REMAINING) -> float:
+def finite_number(value: object, most: float = MAX_REMAINING) -> float:
     """A finite number from 0 to `most`."""
     if (
         not isinstance(value, (int, float))
@@ -78,7 +78,7 @@
     return value
 
 
-def items(value: object, least: int, most: int) -> list[Any]:
+def array(value: object, least: int, most: int) -> list[Any]:
     """A list of `least` to `most` items."""
     if not isinstance(value, list) or not least <= len(value) <= most:
         raise RefusedError("body")
@@ -94,76 +94,76 @@
 
 
 def record(value: object) -> Record:
-    """A member's record, as written by `written`."""
-    row = items(value, 7, 7)
+    """A member's record, as written by `record_row`."""
+    row = array(value, 7, 7)
     try:
-        life = Life(whole(row[5], 3))
+        life = Life(integer(row[5], 3))
     except ValueError:
         raise RefusedError("body") from None
     by = text(row[6]) if row[6] != "" else ""
     return Record(
         text(row[0]),
         host(row[1]),
-        whole(row[2], 65535),
-        whole(row[3]),
-        whole(row[4], MAX_INCARNATION),
+        integer(row[2], 65535),
+        integer(row[3]),
+        integer(row[4], MAX_INCARNATION),
         life,
         by,
     )
 
 
-def written(found: Record) -> list[Any]:
+def record_row(found: Record) -> list[Any]:
     """A member's record as a row for JSON."""
     return [found.name, found.host, found.port, found.boot, found.incarnation, int(found.life), found.by]
 
 
 def records(body: Mapping[str, Any], key: str = "n") -> list[Record]:
     """The member records of a body, at most MAX_RECORDS."""
-    return [record(row) for row in items(body.get(key, []), 0, MAX_RECORDS)]
+    return [record(row) for row in array(body.get(key, []), 0, MAX_RECORDS)]
 
 
 def version(value: object) -> Version:
     """A version: generation, number and digest."""
-    row = items(value, 3, 3)
-    return Version(whole(row[0], 1 << 48), whole(row[1], 1 << 48), text(row[2], 16))
+    row = array(value, 3, 3)
+    return Version(integer(row[0], 1 << 48), integer(row[1], 1 << 48), text(row[2], 16))
 
 
 def versions(body: Mapping[str, Any]) -> dict[Artifact, Version]:
     """The sender's versions in force."""
-    rows = items(body.get("v", []), 0, len(Artifact))
+    rows = array(body.get("v", []), 0, len(Artifact))
     return {Artifact(place): version(row) for place, row in enumerate(rows) if row is not None}
 
 
-def versions_written(force: Mapping[Artifact, Version]) -> list[Any]:
+def versions_row(force: Mapping[Artifact, Version]) -> list[Any]:
     """Versions in force as a row for JSON, in the order of Artifact."""
     return [list(force[artifact]) if artifact in force else None for artifact in Artifact]
 
 
 def stamp(body: Mapping[str, Any]) -> Stamp:
     """The sender's hybrid timestamp."""
-    row = items(body.get("h"), 2, 2)
-    return Stamp(whole(row[0], 1 << 48), whole(row[1], 0xFFFF))
+    row = array(body.get("h"), 2, 2)
+    return Stamp(integer(row[0], 1 << 48), integer(row[1], 0xFFFF))
 
 
 def term(value: object) -> Term:
     """A lease term: its number and grantors."""
-    row = items(value, 2, 2)
-    return Term(whole(row[0], 1 << 48), tuple(sorted(text(name) for name in items(row[1], 0, GRANTORS))))
+    row = array(value, 2, 2)
+    return Term(integer(row[0], 1 << 48), tuple(sorted(text(name) for name in array(row[1], 0, GRANTORS))))
 
 
-def term_written(found: Term) -> list[Any]:
+def term_row(found: Term) -> list[Any]:
     """A lease term as a row for JSON."""
     return [found.number, list(found.grantors)]
 
 
 def standing(body: Mapping[str, Any]) -> Standing:
     """The sender's standing."""
-    return Standing(whole(body.get("s"), len(Standing) - 1))
+    return Standing(integer(body.get("s"), len(Standing) - 1))
 
 
 def page(body: Mapping[str, Any]) -> SealedPage | None:
     """The newest sealed page of the sender's audit log."""
     if "d" not in body:
         return None
-    row = items(body["d"], 3, 3)
-    return SealedPage(whole(row[0], 1 << 48), text(row[1], 32), whole(row[2], 1 << 48))
+    row = array(body["d"], 3, 3)
+    return SealedPage(integer(row[0], 1 << 48), text(row[1], 32), integer(row[2], 1 << 48))
--- a/spurdeal/fleet/words.py
+++ b/spurdeal/fleet/words.py
@@ -19,30 +19,30 @@
     return f"{ms / MINUTE:.0f}min"
 
 
-def status_words(found: Mapping[str, Any]) -> Iterator[str]:
+def status_words(status: Mapping[str, Any]) -> Iterator[str]:
     """Lines on the dispatcher itself, its versions, and each member."""
-    grantors = found["grantors"] if "grantors" in found else found["wardens"]  # from an older dispatcher
+    grantors = status["grantors"] if "grantors" in status else status["wardens"]  # from an older dispatcher
     yield (
-        f"{found['name']} start {found['boot'][:8]}: {found['standing']} for {ago(found['for_ms'])} "
-        f"({found['why']}); lease {'held' if found['lease'] else 'not held'}, term {found['term']}, "
+        f"{status['name']} start {status['boot'][:8]}: {status['standing']} for {ago(status['for_ms'])} "
+        f"({status['why']}); lease {'held' if status['lease'] else 'not held'}, term {status['term']}, "
         f"grantors {' '.join(grantors) or 'none'}"
     )
-    for line, version in found["versions"].items():
+    for line, version in status["versions"].items():
         yield f"  {line}: {version}"
-    if found["behind"]:
-        yield f"  behind by {found['behind']}: the newest list is {found['newest_list']}"
-    if abs(found["clock_shift_ms"]) > SHOWN_CLOCK_SHIFT:
-        yield f"  its clock is {found['clock_shift_ms']} ms ahead of the median of the others'"
-    yield f"fleet of {found['size']}:"
-    for member in found["members"]:
-        words = f"  {member['name']:<12} {member['life']:<8} for {ago(member['for_ms']):<7}"
+    if status["behind"]:
+        yield f"  behind by {status['behind']}: the newest list is {status['newest_list']}"
+    if abs(status["clock_shift_ms"]) > SHOWN_CLOCK_SHIFT:
+        yield f"  its clock is {status['clock_shift_ms']} ms ahead of the median of the others'"
+    yield f"fleet of {status['size']}:"
+    for member in status["members"]:
+        text = f"  {member['name']:<12} {member['life']:<8} for {ago(member['for_ms']):<7}"
         if "standing" in member:
-            words += f" {member['standing']:<8} heard {ago(member['heard_ms_ago'])} ago"
+            text += f" {member['standing']:<8} heard {ago(member['heard_ms_ago'])} ago"
         if "list" in member:
-            words += f", list {member['list'].partition('/')[0]}"
-            words += f" ({member['behind']} behind)" if member["behind"] else ""
-        yield words + (", known to have stopped" if member["stopped"] else "")
-    for clash in found["clashes"]:
+            text += f", list {member['list'].partition('/')[0]}"
+            text += f" ({member['behind']} behind)" if member["behind"] else ""
+        yield text + (", known to have stopped" if member["stopped"] else "")
+    for clash in status["clashes"]:
         yield f"clash: {clash}"
-    for name, count in found["implausible"].items():
+    for name, count in status["implausible"].items():
         yield f"{name} made implausible claims, {count} times"
