--- a/spurdeal/benchlink/host.py
+++ b/spurdeal/benchlink/host.py
@@ -6,7 +6,7 @@
 from typing import Any, BinaryIO
 
 from ..deployment import deployment
-from ..interface import Ending, EndReason, Life, Listed, ProgressKind
+from ..interface import Ending, EndReason, Life, ListedEngine, ProgressKind
 from ..rules import Dispatcher
 from .frames import BadInputError, Reader, read_frame, write_frame
 from .records import (
@@ -96,7 +96,7 @@
             if address not in self.engines:
                 self.engines[address] = len(self.addresses)
                 self.addresses.append(address)
-            lines.append(Listed(self.engines[address], zone, kind, cell, Life(life), weight, started))
+            lines.append(ListedEngine(self.engines[address], zone, kind, cell, Life(life), weight, started))
         self.rules.list_changed(now, lines, scope != DELTA)
 
     def submitted(self, now: float, tid: int, fields: tuple[Any, ...]) -> None:
@@ -174,9 +174,9 @@
         """Memory and priority with which the request is sent next."""
         self.records.append(struct.pack("<BHQfB", 12, self.who, self.names[number], memory, priority))
 
-    def shed(self, number: int, come_back: float, reason: EndReason) -> None:
+    def shed(self, number: int, retry_after: float, reason: EndReason) -> None:
         """Refuse a request; it may come back after so many ms."""
-        self.records.append(struct.pack("<BHQd", 1, self.who, self.names[number], come_back))
+        self.records.append(struct.pack("<BHQd", 1, self.who, self.names[number], retry_after))
         self.closed(number)
 
     def fail_request(self, number: int, reason: EndReason) -> None:
--- a/spurdeal/cli/running.py
+++ b/spurdeal/cli/running.py
@@ -165,7 +165,7 @@
         return Server(
             self.adapter,
             self.service.engines,
-            ServerSettings(configured.workloads, terms, bounds, longest, site.most_come_back),
+            ServerSettings(configured.workloads, terms, bounds, longest, site.max_retry_after),
             Runtime(self.loop, self.service.clock, self.counters, self.log),
         )
 
@@ -190,7 +190,7 @@
         site = self.service.configuration.site
         self.adapter.guard = LedgerGuard(
             ledger,
-            GuardSettings(at_most_once(site), part.keep, site.most_come_back),
+            GuardSettings(at_most_once(site), part.keep, site.max_retry_after),
             GuardRuntime(self.loop, self.counters, self.log),
             self.adapter.guard,
         )
--- a/spurdeal/extproc/connection.py
+++ b/spurdeal/extproc/connection.py
@@ -186,7 +186,7 @@
             self.whole(stream, Status.UNIMPLEMENTED, "no such method")
         elif not self.server.door.call(self.meter):
             self.server.counters.add("extproc_refused")
-            pushback = (b"grpc-retry-pushback-ms", b"%d" % round(self.server.come_back))
+            pushback = (b"grpc-retry-pushback-ms", b"%d" % round(self.server.retry_after))
             self.whole(stream, Status.RESOURCE_EXHAUSTED, "too many calls", (pushback,))
         else:
             self.calls[stream] = call
--- a/spurdeal/extproc/server.py
+++ b/spurdeal/extproc/server.py
@@ -39,7 +39,7 @@
     terms: Terms
     bounds: Bounds
     longest: float
-    come_back: float
+    retry_after: float
 
 
 @dataclass(frozen=True)
@@ -65,7 +65,7 @@
         runtime: Runtime,
     ) -> None:
         self.adapter, self.workloads, self.terms = adapter, settings.workloads, settings.terms
-        self.bounds, self.longest, self.come_back = settings.bounds, settings.longest, settings.come_back
+        self.bounds, self.longest, self.retry_after = settings.bounds, settings.longest, settings.retry_after
         self.reactor, self.clock = runtime.reactor, runtime.clock
         self.counters, self.log = runtime.counters, runtime.log
         self.granter = Granter(engines, self.clock, self.terms, self.bounds.calls, self.counters)
--- a/spurdeal/extproc/stream.py
+++ b/spurdeal/extproc/stream.py
@@ -107,7 +107,7 @@
         self.ident = ask.ident.lower()
         if server.stopping or not server.granter.grants.room():
             server.counters.add("extproc_refused")
-            self.immediate(503, "TryLater", server.come_back)
+            self.immediate(503, "TryLater", server.retry_after)
             return
         open_now = server.granter.calls.get(self.ident)
         if open_now is not None and not open_now.said:  # a granted one is for the door to judge
@@ -146,9 +146,9 @@
         match answer:
             case Granted():
                 return  # written by say()
-            case Shed(come_back):
+            case Shed(retry_after):
                 self.let_go(Seen.CANCELLED)
-                self.immediate(503, "TryLater", come_back)
+                self.immediate(503, "TryLater", retry_after)
             case Failed():
                 self.let_go(Seen.CANCELLED)
                 self.immediate(500, "Aborted", 0.0)
@@ -176,12 +176,12 @@
             )
         )
 
-    def immediate(self, status: int, why: str, come_back: float) -> None:
+    def immediate(self, status: int, why: str, retry_after: float) -> None:
         """Answer the client at once with this status. come_back: ms, told with 503."""
         self.over = True
         headers = [("content-type", b"application/json")]
-        if status == HTTPStatus.SERVICE_UNAVAILABLE and come_back > 0:
-            headers.append(("srv-wait-ms", b"%d" % round(come_back)))
+        if status == HTTPStatus.SERVICE_UNAVAILABLE and retry_after > 0:
+            headers.append(("srv-wait-ms", b"%d" % round(retry_after)))
         self.server.counters.add(f"extproc_answers_{status}")
         self.write(
             answers.immediate(
@@ -206,7 +206,7 @@
             self.server.held.pop(self, None)
             self.let_go(Seen.CANCELLED)
             self.answer.cancel()
-            self.immediate(503, "TryLater", self.server.come_back)
+            self.immediate(503, "TryLater", self.server.retry_after)
 
     # Ends.
 
--- a/spurdeal/fleet/station.py
+++ b/spurdeal/fleet/station.py
@@ -94,7 +94,7 @@
         self.adapter, self.counters = service.adapter, service.counters
         part, site = plan.fleet, service.configuration.site
         self.guarded = at_most_once(site)
-        self.come_back, self.share = site.most_come_back, 1.0 / site.dispatchers
+        self.retry_after, self.share = site.max_retry_after, 1.0 / site.dispatchers
         self.inner: Guard | None = None
         self.fleet = self.make_fleet(plan.name, part, keys)
         self.datagrams = Datagrams(self)
@@ -302,7 +302,7 @@
         if not allowed.idempotent or (self.guarded[kind] and not allowed.doubtful):
             self.counters.add("fleet_shed")
             self.short(Kind.SHED, ident)
-            return Shed(self.come_back)
+            return Shed(self.retry_after)
         return self.inner.door(kind, ident) if self.inner is not None else None
 
     def before(self, request: OpenRequest, attempt: int, go: Callable[[bool | None], None]) -> bool:
--- a/spurdeal/interface.py
+++ b/spurdeal/interface.py
@@ -90,7 +90,7 @@
     late_value: float
     effect: Effect = Effect.IDEMPOTENT
     reach: Reach = Reach.ALL
-    known_for: float = 0.0
+    key_retention: float = 0.0
     in_order: bool = False
     zones: tuple[int, ...] | None = None
     kinds: tuple[int, ...] | None = None
@@ -114,32 +114,32 @@
     over_share_value: float
     cores: tuple[int, ...]
     memory_mb: tuple[float, ...]
-    in_hand: int | None
+    load_field: int | None
     list_pushed: bool
     may_cancel: bool
     may_probe: bool
     may_tell: bool
     second_copies: bool
     max_attempts: int
-    most_come_back: float
+    max_retry_after: float
     grants: bool
     pages: bool
     priorities: bool
     largest_grant: float
-    notes_every: float
+    progress_interval: float
     drain_grace: float
     cold_for: float
     cold_share: float
     cold_multiple: float
     cold_window: float
-    most_open: float = float("inf")  # requests that clients can have open at once
-    order_rest: float | None = None
-    further_free: float | None = None
-    further_share: float | None = None
-    further_window: float | None = None
+    max_open: float = float("inf")  # requests that clients can have open at once
+    order_pause: float | None = None
+    retry_floor: float | None = None
+    retry_ratio: float | None = None
+    retry_window: float | None = None
 
 
-class Listed(NamedTuple):
+class ListedEngine(NamedTuple):
     """One line of the list of engines; started is 0 for long ago."""
 
     engine: int
@@ -165,7 +165,7 @@
     Without an estimate, cost and memory are 0; without a key, key is 0. A request's attempts count from 0.
     """
 
-    def list_changed(self, now: float, lines: Sequence[Listed], whole: bool) -> None: ...
+    def list_changed(self, now: float, lines: Sequence[ListedEngine], whole: bool) -> None: ...
     def list_failed(self, now: float) -> None: ...
     def list_known(self, at: float) -> None: ...
     def list_asked(self, now: float) -> float: ...
@@ -186,7 +186,7 @@
         group: int,
     ) -> None: ...
     def progress_reported(
-        self, now: float, number: int, attempt: int, engine: int, word: ProgressKind, level: float
+        self, now: float, number: int, attempt: int, engine: int, kind: ProgressKind, level: float
     ) -> None: ...
     def attempt_ended(
         self,
@@ -213,7 +213,7 @@
 
     def send(self, number: int, engine: int, time_limit: float) -> None: ...
     def terms(self, number: int, memory: float, priority: int) -> None: ...
-    def shed(self, number: int, come_back: float, reason: EndReason) -> None: ...
+    def shed(self, number: int, retry_after: float, reason: EndReason) -> None: ...
     def fail_request(self, number: int, reason: EndReason) -> None: ...
     def cancel_attempt(self, number: int, attempt: int) -> None: ...
     def set_timer(self, delay: float, token: int) -> None: ...
--- a/spurdeal/lab/capacity/request_path.py
+++ b/spurdeal/lab/capacity/request_path.py
@@ -13,7 +13,7 @@
 from twisted.internet.task import Clock
 
 from ...deployment import deployment
-from ...interface import Deployment, Ending, EndReason, Life, Listed
+from ...interface import Deployment, Ending, EndReason, Life, ListedEngine
 from ...net.counters import Counters
 from ...net.engine_list import Endpoint
 from ...net.engines import Engines
@@ -53,7 +53,7 @@
         self.sent.append((number, engine))
 
     def terms(self, number: int, memory: float, priority: int) -> None: ...
-    def shed(self, number: int, come_back: float, reason: EndReason) -> None: ...
+    def shed(self, number: int, retry_after: float, reason: EndReason) -> None: ...
     def fail_request(self, number: int, reason: EndReason) -> None: ...
     def cancel_attempt(self, number: int, attempt: int) -> None: ...
     def set_timer(self, delay: float, token: int) -> None: ...
@@ -72,7 +72,9 @@
     def __init__(self, engines: int) -> None:
         self.adapter, self.now, self.number = RecordingAdapter(), 0.0, 0
         self.rules = Dispatcher(site(), 1, self.adapter, self.now)
-        lines = [Listed(number, 0, 0, number % CELLS, Life.READY, 1.0, 0.0) for number in range(engines)]
+        lines = [
+            ListedEngine(number, 0, 0, number % CELLS, Life.READY, 1.0, 0.0) for number in range(engines)
+        ]
         self.rules.list_changed(self.now, lines, True)
 
     def submit(self) -> None:
--- a/spurdeal/lab/capacity/unserved.py
+++ b/spurdeal/lab/capacity/unserved.py
@@ -36,7 +36,7 @@
         "edges of regions and zones",
         "",
         "",
-        "a zone is a name in the list (`Listed.zone`); a region is not known",
+        "a zone is a name in the list (`ListedEngine.zone`); a region is not known",
         "members probe each other regardless of zone and region",
         notes=("only a workload's allowed zones are kept to, by Dispatcher.allowed in spurdeal/rules.py",),
     ),
--- a/spurdeal/lab/cold_ramp.py
+++ b/spurdeal/lab/cold_ramp.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, replace
 from typing import Any, NamedTuple
 
-from ..interface import Adapter, Deployment, Ending, Listed, Rules, Workload
+from ..interface import Adapter, Deployment, Ending, ListedEngine, Rules, Workload
 from ..rules import Dispatcher
 from .model_engine import Engine, Kind
 from .planted import site
@@ -124,7 +124,7 @@
         cold_share=COLD_SHARE,
         cold_multiple=FALL_MULTIPLE,
         cold_window=COLD_WINDOW,
-        further_window=None,
+        retry_window=None,
     )
 
 
@@ -203,7 +203,7 @@
         )
         self.metered, self.started_at = NO_ENGINE, 0.0
         self.warm_engines = max(FEWEST_ENGINES, dispatchers // DISPATCHERS_AN_ENGINE)
-        self.old_lines: list[Listed] = []
+        self.old_lines: list[ListedEngine] = []
         declared = max(1, round(scenario.declared * dispatchers))
         super().__init__(
             deployment(scenario, dispatchers),
@@ -282,7 +282,7 @@
     def meter_engine(self, number: int) -> None:
         self.metered, self.started_at = number, self.now
 
-    def list_for(self, index: int) -> list[Listed]:
+    def list_for(self, index: int) -> list[ListedEngine]:
         """The list as this dispatcher can know it now."""
         late = index % 2 == 1 and self.now < self.untold_until
         return self.old_lines if late else list(self.lines.values())
--- a/spurdeal/lab/observer.py
+++ b/spurdeal/lab/observer.py
@@ -10,7 +10,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from ..interface import NEVER_RAN, Deployment, Effect, Ending, Life, Listed, Reach
+from ..interface import NEVER_RAN, Deployment, Effect, Ending, Life, ListedEngine, Reach
 
 UNSURE = (Ending.TIME_OUT, Ending.RESET, Ending.CALLED_OFF)
 SLACK = 1.0  # ms: two ends of one event
@@ -42,8 +42,10 @@
     def __init__(self, site: Deployment, budget: float) -> None:
         self.site, self.budget = site, budget  # what a cold engine bears in a window, in ms of work, by all
         self.open: dict[tuple[int, int], Seen] = {}
-        self.lists: dict[int, dict[int, Listed]] = {}
-        self.places: dict[int, Listed] = {}  # of every engine ever listed: those that left have places, too
+        self.lists: dict[int, dict[int, ListedEngine]] = {}
+        self.places: dict[
+            int, ListedEngine
+        ] = {}  # of every engine ever listed: those that left have places, too
         self.left: dict[tuple[int, int], float] = {}  # when this dispatcher was told so
         self.pressure: dict[int, deque[tuple[float, float]]] = {}
         self.cold_until: dict[int, float] = {}
@@ -63,7 +65,7 @@
 
     # What is told.
 
-    def listed(self, now: float, dispatcher: int, lines: Sequence[Listed]) -> None:
+    def listed(self, now: float, dispatcher: int, lines: Sequence[ListedEngine]) -> None:
         """The whole list, as this dispatcher was told it now."""
         told = {line.engine: line for line in lines}
         self.places.update(told)
@@ -139,7 +141,7 @@
             and after is not None
             and (before.zone == after.zone if w.reach == Reach.ZONE else before.cell == after.cell)
         )
-        if not same or now > first.sent + w.known_for + SLACK:
+        if not same or now > first.sent + w.key_retention + SLACK:
             self.breaks(2, now, f"{what}: labelled, and its mark is not known there")
 
     def ordered(self, now: float, what: str, dispatcher: int, number: int, seen: Seen) -> None:
@@ -150,7 +152,7 @@
             self.breaks(5, now, f"{what}: its key rests")
 
     def further(self, now: float, what: str, dispatcher: int) -> None:
-        window = self.site.further_window
+        window = self.site.retry_window
         if not window:
             return
         times, taken = self.further_at.setdefault(dispatcher, deque()), self.taken_at.get(dispatcher, deque())
@@ -158,7 +160,7 @@
         for kept in (times, taken):
             while kept and kept[0] <= now - window:
                 kept.popleft()
-        most = (self.site.further_free or 0.0) + (self.site.further_share or 0.0) * len(taken)
+        most = (self.site.retry_floor or 0.0) + (self.site.retry_ratio or 0.0) * len(taken)
         if len(times) > most:
             self.breaks(7, now, f"{what}: {len(times)} further trips of {most:.1f}")
 
@@ -170,7 +172,7 @@
         if ending == Ending.MOOT and self.further_at.get(dispatcher) and attempt:
             self.further_at[dispatcher].pop()  # it was never sent, and does not count
         if seen.key and ending in UNSURE:
-            self.rests[dispatcher, seen.key] = now + (self.site.order_rest or 0.0)
+            self.rests[dispatcher, seen.key] = now + (self.site.order_pause or 0.0)
         self.settled(dispatcher, number, seen)
 
     def answered(self, now: float, dispatcher: int, number: int, shed: bool) -> None:
--- a/spurdeal/lab/planted.py
+++ b/spurdeal/lab/planted.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from ..interface import Adapter, Deployment, Effect, Ending, Life, Listed, Reach, Workload
+from ..interface import Adapter, Deployment, Effect, Ending, Life, ListedEngine, Reach, Workload
 from ..rules import Dispatcher, Engine, Request
 from .model_engine import Kind
 from .virtual import Failure, Load, OpenRequest, VirtualAdapter, World
@@ -21,7 +21,14 @@
             Workload(800, 0, 3000, 1.0, 0.5),
             Workload(2000, 0, 6000, 2.0, 0.5, effect=Effect.NON_IDEMPOTENT),
             Workload(
-                1500, 0, 5000, 1.0, 0.5, effect=Effect.IDEMPOTENT_BY_KEY, reach=Reach.CELL, known_for=3000.0
+                1500,
+                0,
+                5000,
+                1.0,
+                0.5,
+                effect=Effect.IDEMPOTENT_BY_KEY,
+                reach=Reach.CELL,
+                key_retention=3000.0,
             ),
             Workload(1500, 0, 5000, 1.0, 0.5, in_order=True),
             Workload(1500, 0, 5000, 1.0, 0.5, zones=(0,)),
@@ -30,28 +37,28 @@
         over_share_value=1.0,
         cores=(8,),
         memory_mb=(),
-        in_hand=None,
+        load_field=None,
         list_pushed=True,
         may_cancel=True,
         may_probe=False,
         may_tell=False,
         second_copies=True,
         max_attempts=4,
-        most_come_back=500.0,
+        max_retry_after=500.0,
         grants=False,
         pages=False,
         priorities=False,
         largest_grant=1.0,
-        notes_every=0.0,
+        progress_interval=0.0,
         drain_grace=250.0,
         cold_for=15_000.0,
         cold_share=0.3,
         cold_multiple=1.2,
         cold_window=1500.0,
-        order_rest=500.0,
-        further_free=3.0,
-        further_share=0.01,
-        further_window=10_000.0,
+        order_pause=500.0,
+        retry_floor=3.0,
+        retry_ratio=0.01,
+        retry_window=10_000.0,
     )
 
 
@@ -106,7 +113,7 @@
 class ForgetsDrains(Dispatcher):
     """Rule 3: what drains stays in use."""
 
-    def list_changed(self, now: float, lines: Sequence[Listed], whole: bool) -> None:
+    def list_changed(self, now: float, lines: Sequence[ListedEngine], whole: bool) -> None:
         super().list_changed(now, [line._replace(life=Life.READY) for line in lines], False)
 
 
--- a/spurdeal/lab/virtual.py
+++ b/spurdeal/lab/virtual.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from ..interface import Deployment, Effect, Ending, EndReason, Life, Listed
+from ..interface import Deployment, Effect, Ending, EndReason, Life, ListedEngine
 from ..rules import Dispatcher
 from .model_engine import Engine, Job, Kind
 from .observer import Observer
@@ -177,7 +177,7 @@
     def terms(self, number: int, memory: float, priority: int) -> None:
         """Weights are not carried here."""
 
-    def shed(self, number: int, come_back: float, reason: EndReason) -> None:
+    def shed(self, number: int, retry_after: float, reason: EndReason) -> None:
         self.answer(self.open_requests[number], "shed")
 
     def fail_request(self, number: int, reason: EndReason) -> None:
@@ -240,7 +240,7 @@
         self.trace = hashlib.sha256()
         self.observer = Observer(site, kind.multiple * kind.cores * kind.cold_share * kind.window)
         self.engines: dict[int, Engine] = {}
-        self.lines: dict[int, Listed] = {}
+        self.lines: dict[int, ListedEngine] = {}
         self.running: dict[int, tuple[VirtualAdapter, int, OpenRequest, int]] = {}
         self.versions: dict[int, int] = {}
         for number in range(engines):
@@ -291,7 +291,7 @@
     def add_engine(self, number: int, cold: bool) -> None:
         self.engines[number] = Engine(self.kind, self.now if cold else None, self.now)
         places = max(1, len({0, *self.site.cores}))
-        self.lines[number] = Listed(
+        self.lines[number] = ListedEngine(
             number, number % 2, number % places, number % 4, Life.READY, 1.0, self.now if cold else 0.0
         )
         if cold:
--- a/spurdeal/net/answers.py
+++ b/spurdeal/net/answers.py
@@ -10,7 +10,7 @@
 
 
 class Shed(NamedTuple):
-    come_back: float
+    retry_after: float
 
 
 class Failed(NamedTuple):
--- a/spurdeal/net/client.py
+++ b/spurdeal/net/client.py
@@ -302,8 +302,8 @@
         match answer:
             case Delivered(pages):
                 self.answer(200, {"result": rows_of(pages)}, keep)
-            case Shed(come_back):
-                wait = (("Srv-Wait-Ms", f"{come_back:.0f}"),) if come_back > 0 else ()
+            case Shed(retry_after):
+                wait = (("Srv-Wait-Ms", f"{retry_after:.0f}"),) if retry_after > 0 else ()
                 self.answer(503, {"fault": "TryLater"}, keep, wait)
             case Failed():
                 self.answer(500, {"fault": "Aborted"}, keep)
--- a/spurdeal/net/configuration.py
+++ b/spurdeal/net/configuration.py
@@ -111,7 +111,7 @@
         memory_mb=float(process_limits.get("memory_mb", DEFAULT_MEMORY_MB)),
         nameserver=read_address(given["nameserver"]),
         known=known_list(given["known"]),
-        site=replace(deployment(settings), most_open=sockets * OPEN_CALLS_PART),
+        site=replace(deployment(settings), max_open=sockets * OPEN_CALLS_PART),
         workloads=indices_of(str(grade["name"]) for grade in settings["grades"]),
         tenants=indices_of(str(tenant.get("name", "")) for tenant in settings.get("tenants", [])),
         zones=[str(name) for name in settings.get("zones", [])],
--- a/spurdeal/net/engine_index.py
+++ b/spurdeal/net/engine_index.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from itertools import count
 
-from ..interface import Listed
+from ..interface import ListedEngine
 from .engine_list import Endpoint
 
 
@@ -31,9 +31,9 @@
         """An engine is gone."""
         del self.places[ident]
 
-    def line(self, ident: str, endpoint: Endpoint) -> Listed:
+    def line(self, ident: str, endpoint: Endpoint) -> ListedEngine:
         """What the rules are told of an engine of the list."""
-        return Listed(
+        return ListedEngine(
             self.place_of(ident),
             number_of(self.zones, endpoint.zone),
             number_of(self.kinds, endpoint.kind),
--- a/spurdeal/net/link.py
+++ b/spurdeal/net/link.py
@@ -57,7 +57,7 @@
         self.withdrawn_early = EarlyWithdrawals()
         self.at_most_once = at_most_once(site)
         self.in_order = [workload.in_order for workload in site.workloads]
-        self.ordered = OrderedArrivals(site.order_rest or 0.0)
+        self.ordered = OrderedArrivals(site.order_pause or 0.0)
         self.index = EngineIndex(zones, kinds)
         self.endpoints: dict[str, Endpoint] = {}
         self.starts = StartTimes()
@@ -264,9 +264,9 @@
     def terms(self, number: int, memory: float, priority: int) -> None:
         self.asked.append((self.weigh, (self.open_requests[number], priority)))
 
-    def shed(self, number: int, come_back: float, reason: EndReason) -> None:
+    def shed(self, number: int, retry_after: float, reason: EndReason) -> None:
         self.request_log.refused(self.open_requests[number], reason)
-        self.asked.append((self.conclude, (self.open_requests[number], Shed(come_back))))
+        self.asked.append((self.conclude, (self.open_requests[number], Shed(retry_after))))
 
     def fail_request(self, number: int, reason: EndReason) -> None:
         self.request_log.aborted(self.open_requests[number], reason)
--- a/spurdeal/rules.py
+++ b/spurdeal/rules.py
@@ -23,7 +23,7 @@
     Ending,
     EndReason,
     Life,
-    Listed,
+    ListedEngine,
     ProgressKind,
     Reach,
     Verdict,
@@ -70,7 +70,7 @@
 class Engine:
     """One engine as this dispatcher sees it, with its bound n*."""
 
-    def __init__(self, line: Listed, cores: tuple[int, ...], now: float) -> None:
+    def __init__(self, line: ListedEngine, cores: tuple[int, ...], now: float) -> None:
         self.number, self.line, self.cores = line.engine, line, cores[line.kind % len(cores)]
         self.out: dict[tuple[int, int], Attempt] = {}
         self.threads, self.overdue, self.answered, self.luck = 0, 0, now, 1.0
@@ -129,7 +129,12 @@
         )
         self.workloads, self.cores = site.workloads, site.cores or (1,)
         self.share, self.further_credit = 1.0 / site.dispatchers, FURTHER_MOST
-        self.in_hand, self.priorities, self.own, self.all = site.in_hand, site.priorities, self.share, 1.0
+        self.load_field, self.priorities, self.own, self.all = (
+            site.load_field,
+            site.priorities,
+            self.share,
+            1.0,
+        )
         self.widest = float(max(workload.threads for workload in site.workloads))
         self.spare = 0.0 if site.pages else SPARE * self.widest  # what lets all in has no room for chance
         self.quotas = [quota * self.share / 1000 for quota in site.quotas]
@@ -137,19 +142,23 @@
         self.max_attempts, self.may_cancel, self.ways_in = (
             site.max_attempts,
             site.may_cancel,
-            site.most_open,
+            site.max_open,
+        )
+        self.notes, self.pages, self.grant = site.progress_interval, site.pages, GRANT if site.grants else 0.0
+        self.cold_for, self.cold_window, self.retry_after = (
+            site.cold_for,
+            site.cold_window,
+            site.max_retry_after,
         )
-        self.notes, self.pages, self.grant = site.notes_every, site.pages, GRANT if site.grants else 0.0
-        self.cold_for, self.cold_window, self.come_back = site.cold_for, site.cold_window, site.most_come_back
         cold_capacity = site.cold_multiple * site.cold_share * CAPACITY_SHARE * SPEED_FLOOR
         self.cold_whole = cold_capacity * site.cold_window * COLD_MARGIN
         self.cold_budget = self.cold_whole * self.share
         self.cold_work = [RunningMean(max(1.0, w.objective / 4), COLD_SAMPLES) for w in site.workloads]
         self.light = COLD_GRAIN * self.cold_whole
         self.heavy = COLD_GRAIN * self.cold_whole / COLD_MARGIN * min(self.cores)
-        self.order_rest, self.further_window = site.order_rest or 0.0, site.further_window or 0.0
-        self.further_free = site.further_free or 0.0 if site.further_window else float("inf")
-        self.further_share, self.further_won = site.further_share or 0.0, Histogram((0.5, 1.5))
+        self.order_pause, self.retry_window = site.order_pause or 0.0, site.retry_window or 0.0
+        self.retry_floor = site.retry_floor or 0.0 if site.retry_window else float("inf")
+        self.retry_ratio, self.further_won = site.retry_ratio or 0.0, Histogram((0.5, 1.5))
         self.taken_times, self.further_times, self.held = deque[float](), deque[float](), list[Request]()
         self.engines, self.open, self.ready = dict[int, Engine](), dict[int, Request](), list[Engine]()
         self.promised: Engine | None = None
@@ -167,7 +176,7 @@
         if not site.list_pushed:
             adapter.watch()
 
-    def list_changed(self, now: float, lines: Sequence[Listed], whole: bool) -> None:
+    def list_changed(self, now: float, lines: Sequence[ListedEngine], whole: bool) -> None:
         self.now = now
         for number in (self.engines.keys() - {line.engine for line in lines}) if whole else ():
             self.engines[number].line = self.engines[number].line._replace(life=Life.GONE)
@@ -263,7 +272,7 @@
     def duty_stage(self, s: Request) -> bool:
         if self.now >= s.deadline - LAST_MOMENT:
             self.end(s, EndReason.NO_TIME)
-        return not s.over
+        return not s.closed
 
     def share_stage(self, s: Request) -> bool:
         """A tenant beyond its share is not shed for that: what it sends weighs less in the held line."""
@@ -290,7 +299,7 @@
     def rank(self, s: Request) -> tuple[float, int]:
         """Cost per utility, aged; one that will be late has lost utility, and its age."""
         value = s.value * (s.workload.late_value if s.late else 1.0)
-        return self.now + COST_WEIGHT * s.due * s.workload.threads / max(1e-6, value), s.number
+        return self.now + COST_WEIGHT * s.best_case * s.workload.threads / max(1e-6, value), s.number
 
     def choice_stage(self, s: Request) -> bool:
         s.engine = s.engine or self.choose(s, fewest=False)
@@ -304,7 +313,7 @@
         s.made, s.engine = s.made + 1, None
         engine.threads += s.workload.threads
         engine.most = max(engine.most, engine.threads)
-        if attempt.number > s.unsent:
+        if attempt.number > s.never_sent:
             self.further_times.append(self.now)
             self.further_credit -= 1.0
         elif self.priorities or self.grant:
@@ -328,7 +337,7 @@
             e is None
             or t is None
             or t.cancelled
-            or t.request.over
+            or t.request.closed
             or now >= t.request.deadline
             or e.line.life != Life.READY
             or not self.freshness.followed(now)
@@ -345,9 +354,9 @@
     def may_repeat(self, s: Request) -> bool:
         """Rule 2, idempotent by key: a repeat leaves while the first that may have run is still known."""
         return (
-            s.ran is None
+            s.first_send is None
             or s.workload.effect != Effect.IDEMPOTENT_BY_KEY
-            or self.now < s.ran.sent + s.workload.known_for - REPEAT_MARGIN
+            or self.now < s.first_send.sent + s.workload.key_retention - REPEAT_MARGIN
         )
 
     def end_batch(self, now: float) -> None:
@@ -361,11 +370,11 @@
         waiting = iter(self.held)
         try:
             for s in waiting:
-                if s.over or (not stuck[s.kind] and self.pass_on(s, self.chain.index(self.choice_stage))):
+                if s.closed or (not stuck[s.kind] and self.pass_on(s, self.chain.index(self.choice_stage))):
                     continue
                 kept.append(s)
                 stuck[s.kind] |= not s.made and self.in_turn(s)
-                if not ripe and now - s.taken > RIPE and self.in_turn(s):
+                if not ripe and now - s.received > RIPE and self.in_turn(s):
                     ripe = True
                     wide = [e for e in self.allowed(s) if e.bound >= s.workload.threads]
                     self.promised = max(wide, key=Engine.room, default=None)
@@ -375,15 +384,15 @@
     # The choice of engine, with its guards and the bound.
 
     def choose(self, s: Request, fewest: bool) -> Engine | None:
-        if not self.in_turn(s) or (s.made > s.unsent and not self.may_go_further()):
+        if not self.in_turn(s) or (s.made > s.never_sent and not self.may_go_further()):
             return None
         if not self.freshness.followed(self.now):
             return None
         w, engines = s.workload, self.allowed(s)
         if not engines:
             return None
-        if s.avoid:  # further attempts go elsewhere
-            engines = [e for e in engines if e not in s.avoid] or engines
+        if s.failed_engines:  # further attempts go elsewhere
+            engines = [e for e in engines if e not in s.failed_engines] or engines
         after, bounds = w.threads + sum(e.threads for e in self.ready), sum(e.bound for e in self.ready)
         # So much out is pressure before answers show it (a burst, a held line let go). Where n* is under one
         # request engines fill unevenly, and those that page bear no more than n*.
@@ -415,7 +424,11 @@
 
     def allowed(self, s: Request) -> list[Engine]:
         """Rules 2, 3, 4 and 6, and health: where this request may go now."""
-        w, now, ran = s.workload, self.now, s.ran if s.workload.effect == Effect.IDEMPOTENT_BY_KEY else None
+        w, now, ran = (
+            s.workload,
+            self.now,
+            s.first_send if s.workload.effect == Effect.IDEMPOTENT_BY_KEY else None,
+        )
         if not self.may_repeat(s):
             return []
         return [
@@ -465,12 +478,12 @@
     def may_go_further(self) -> bool:
         """Rule 7, and our own credit, which follows how many of the recent further attempts succeeded."""
         self.forget_times()
-        most = self.further_free + self.further_share * len(self.taken_times)
+        most = self.retry_floor + self.retry_ratio * len(self.taken_times)
         return self.further_credit >= 1.0 and len(self.further_times) + 1 <= most
 
     def forget_times(self) -> None:
         for times in (self.taken_times, self.further_times):
-            while times and times[0] <= self.now - self.further_window:
+            while times and times[0] <= self.now - self.retry_window:
                 times.popleft()
 
     # What comes back: attempt, engine, order, then the answer owed.
@@ -499,22 +512,22 @@
         else:
             e.threads -= s.workload.threads
         if ending not in NEVER_RAN:
-            s.ran = s.ran or state.Ran(t.sent, e)
-        s.unsent += ending in (Ending.MOOT, Ending.CONNECT_TIMEOUT)
+            s.first_send = s.first_send or state.SendRecord(t.sent, e)
+        s.never_sent += ending in (Ending.MOOT, Ending.CONNECT_TIMEOUT)
         if attempt:
             self.further_won.add(1.0 if ending == Ending.DELIVERED else 0.0)
-        if report and self.in_hand is not None:  # our share of what engines hold tells our share of sends
+        if report and self.load_field is not None:  # our share of what engines hold tells our share of sends
             here = len(e.out) + 1  # this one with them: sent where we have fewest, it is often the only one
-            self.own, self.all = self.own + here, self.all + max(here, report[self.in_hand])
+            self.own, self.all = self.own + here, self.all + max(here, report[self.load_field])
         self.judge(e, t, ending, took, work)
         if s.key and ending in (Ending.TIME_OUT, Ending.RESET, Ending.CALLED_OFF):
-            self.rests[s.key] = now + self.order_rest
-        if final or s.over:
+            self.rests[s.key] = now + self.order_pause
+        if final or s.closed:
             self.close(s)
         elif (reason := self.reason_to_end(s, ending)) is not None:
             self.end(s, reason)
         elif not s.out:
-            s.avoid.append(e)
+            s.failed_engines.append(e)
             self.pass_on(s, self.chain.index(self.line_stage))
 
     def reason_to_end(self, s: Request, ending: Ending) -> EndReason | None:
@@ -524,12 +537,12 @@
         if s.out:
             return None
         reasons = {
-            EndReason.ERRORS: len(s.erred) > 1,  # it fails anywhere
+            EndReason.ERRORS: len(s.erring_engines) > 1,  # it fails anywhere
             EndReason.NO_TIME: self.now >= s.deadline - LAST_MOMENT,
             EndReason.TIMED_OUT: ending == Ending.TIME_OUT,
-            EndReason.ATTEMPTS: s.made >= self.max_attempts + min(s.unsent, MOST_UNSENT),
+            EndReason.ATTEMPTS: s.made >= self.max_attempts + min(s.never_sent, MOST_UNSENT),
             EndReason.BUDGET: self.further_credit < 1.0,
-            EndReason.MAY_HAVE_RUN: s.ran is not None and s.workload.effect == Effect.NON_IDEMPOTENT,
+            EndReason.MAY_HAVE_RUN: s.first_send is not None and s.workload.effect == Effect.NON_IDEMPOTENT,
         }
         return next((reason for reason, holds in reasons.items() if holds), None)
 
@@ -545,15 +558,15 @@
         harmless = w.effect == Effect.IDEMPOTENT or (
             w.effect == Effect.IDEMPOTENT_BY_KEY and w.reach == Reach.ALL
         )
-        if harmless or not (s.ran or s.out):
-            self.adapter.shed(s.number, self.come_back, reason)
+        if harmless or not (s.first_send or s.out):
+            self.adapter.shed(s.number, self.retry_after, reason)
         else:
             self.adapter.fail_request(s.number, reason)
         self.cancel_attempts(list(s.out.values()))
         self.close(s)
 
     def close(self, s: Request) -> None:
-        s.over = True
+        s.closed = True
         self.open.pop(s.number, None)
         if s.key and not s.out and s in self.lines.get(s.key, ()):
             self.lines[s.key].remove(s)
@@ -580,8 +593,8 @@
 
     def watch_held(self) -> None:
         """What can no longer be worth its wait is answered at once."""
-        for s in [s for s in self.held if not s.over]:
-            late = (done := self.now + max(LAST_MOMENT, s.due * self.middle)) > s.objective
+        for s in [s for s in self.held if not s.closed]:
+            late = (done := self.now + max(LAST_MOMENT, s.best_case * self.middle)) > s.objective
             if done >= s.deadline:
                 self.end(s, EndReason.NO_TIME)
             elif late and s.workload.late_value < MIN_LATE_VALUE:
@@ -589,7 +602,7 @@
             elif late and not s.late:
                 s.late = True
                 s.rank = self.rank(s)
-        self.held = sorted((s for s in self.held if not s.over), key=lambda held: held.rank)
+        self.held = sorted((s for s in self.held if not s.closed), key=lambda held: held.rank)
         self.demand += sum(s.workload.threads for s in self.held) + sum(e.threads for e in self.ready)
         while self.held and len(self.open) > CROWDED * self.ways_in:  # or new ones find no way in
             self.end(self.held.pop(), EndReason.CROWDED)
@@ -602,7 +615,7 @@
                 e.threads -= e.ghosts.popleft()[1]
             e.overdue = 0
             for t in e.out.values():
-                age = (self.now - t.sent) / t.request.due
+                age = (self.now - t.sent) / t.request.best_case
                 self.mind(e, t, age / max(1.0, e.slowness))
                 e.overdue += t.request.workload.threads if age > self.pressing and not t.stands else 0
         late = sum(e.overdue for e in busy) / (sum(e.threads for e in busy) + POOL)
@@ -615,7 +628,7 @@
             # Silence while others answer: a hang, a lost link, answers lost on the way.
             if (
                 quiet > SILENCE
-                and sum(quiet > SILENCE_OF_DUE * t.request.due * self.middle for t in e.out.values())
+                and sum(quiet > SILENCE_OF_DUE * t.request.best_case * self.middle for t in e.out.values())
                 >= SILENT_ATTEMPTS
             ):
                 heard = sorted(other.answered for other in self.ready)
@@ -624,13 +637,13 @@
 
     def mind(self, e: Engine, t: Attempt, times_due: float) -> None:
         """An attempt with no word while its engine answers others stands still, or its answer is lost."""
-        s, w, quiet = t.request, t.request.workload, self.now - t.heard
+        s, w, quiet = t.request, t.request.workload, self.now - t.last_progress
         if (
             self.may_cancel
-            and not s.over
+            and not s.closed
             and w.effect == Effect.IDEMPOTENT
             and w.late_value < MIN_LATE_VALUE
-            and self.now > s.taken + TOO_LATE * (s.objective - s.taken)
+            and self.now > s.received + TOO_LATE * (s.objective - s.received)
         ):
             self.end(s, EndReason.TOO_LATE)  # its attempt holds an engine for nothing
         if self.notes:
@@ -644,17 +657,17 @@
             and w.effect == Effect.IDEMPOTENT
             and s.made < self.max_attempts
             and self.may_go_further()
-            and self.now + s.due * self.middle < s.deadline - LAST_MOMENT
+            and self.now + s.best_case * self.middle < s.deadline - LAST_MOMENT
         ):
             self.cancel_attempts([t])
 
     def progress_reported(
-        self, now: float, number: int, attempt: int, engine: int, word: ProgressKind, level: float
+        self, now: float, number: int, attempt: int, engine: int, kind: ProgressKind, level: float
     ) -> None:
         if (e := self.engines.get(engine)) and (t := e.out.get((number, attempt))):
-            t.heard = now
-            e.stand(t, word == ProgressKind.WAITS and level == WAITS_FOR_LOAD)
-            if word == ProgressKind.PROGRESS and level > 0:
+            t.last_progress = now
+            e.stand(t, kind == ProgressKind.WAITS and level == WAITS_FOR_LOAD)
+            if kind == ProgressKind.PROGRESS and level > 0:
                 e.answered = now
 
     def judge(self, e: Engine, t: Attempt, ending: Ending, took: float, work: float) -> None:
@@ -668,7 +681,7 @@
             e.aside_until = max(e.aside_until, self.now + FULL_REST * (0.5 + self.chance.draw()))
         elif ending == Ending.ERROR:
             # Its own fault or the request's: what is idempotent tells by how it fares elsewhere.
-            s.erred.append(e)
+            s.erring_engines.append(e)
             if s.workload.effect != Effect.IDEMPOTENT:
                 self.strike(e, STRIKE_ERROR)
         elif ending == Ending.UNREACHED or (ending == Ending.RESET and (self.now != e.struck or not e.out)):
@@ -683,7 +696,7 @@
         e.answered, e.strikes, e.errors = self.now, 0.0, 0.0
         if not s.estimated:  # else a guess would count as its work
             self.cold_work[s.kind].add(took * threads)
-        for erring in s.erred:
+        for erring in s.erring_engines:
             self.strike(erring, STRIKE_ERROR)
         ratio = took * threads / (work or s.cost)
         pace = ratio / self.best[s.kind]
@@ -742,7 +755,7 @@
         share = max(self.own / self.all, self.share if self.held else 0.0)
         # Where nothing reports what engines hold: all dispatchers together send no more work than engines do.
         self.asked_in += INTERVAL
-        if self.in_hand is None and not self.pages and self.ready:
+        if self.load_field is None and not self.pages and self.ready:
             share = max(share, self.asked / (BUSY * self.asked_in * sum(e.cores for e in self.ready)))
         self.asked, self.asked_in = self.asked / 2, self.asked_in / 2
         # Luck lies even over the engines, so that in each interval as many are open as chance means.
--- a/spurdeal/state.py
+++ b/spurdeal/state.py
@@ -10,7 +10,7 @@
 E = TypeVar("E")  # an engine as the rules see it, which know this module, and not the other way round
 
 
-class Ran(NamedTuple, Generic[E]):
+class SendRecord(NamedTuple, Generic[E]):
     """When and where an attempt was sent; the attempt itself would hold its request, and that the attempt."""
 
     sent: float
@@ -27,21 +27,21 @@
     cost: float
     memory: float
     group: int
-    taken: float
+    received: float
     workload: Workload
-    due: float  # how long it runs at its best
+    best_case: float  # how long it runs at its best
     objective: float
     value: float
     cheap: bool
     late: bool = False
-    over: bool = False
+    closed: bool = False
     made: int = 0
-    unsent: int = 0  # of these, so many never left
+    never_sent: int = 0  # of these, so many never left
     rank: tuple[float, int] = (0.0, 0)
     out: dict[int, Attempt[E]] = field(default_factory=dict)
-    ran: Ran[E] | None = None  # the first attempt that may have run
-    avoid: list[E] = field(default_factory=list)
-    erred: list[E] = field(default_factory=list)  # where it ended in an error
+    first_send: SendRecord[E] | None = None  # the first attempt that may have run
+    failed_engines: list[E] = field(default_factory=list)
+    erring_engines: list[E] = field(default_factory=list)  # where it ended in an error
     engine: E | None = None  # chosen for the next attempt
     charge: float = 0.0  # ms of work that it counts for at a cold engine
     estimated: bool = True  # an estimate of its work came with it
@@ -53,7 +53,7 @@
     number: int
     engine: E
     sent: float
-    heard: float
+    last_progress: float
     started: float = 0.0  # of its engine, as told at the choice
     cold: float = 0.0  # ms of work booked against a cold engine's budget
     cancelled: bool = False
--- a/spurdeal/store/guard.py
+++ b/spurdeal/store/guard.py
@@ -36,7 +36,7 @@
 
     guarded: tuple[bool, ...]
     keep: float
-    come_back: float
+    retry_after: float
 
 
 @dataclass(frozen=True)
@@ -97,7 +97,7 @@
                 return Failed()
             if self.ledger.full and not self.ledger.try_again():
                 self.counters.add("ledger_full")
-                return Shed(self.settings.come_back)
+                return Shed(self.settings.retry_after)
         return self.inner.door(kind, ident) if self.inner is not None else None
 
     def before(self, request: OpenRequest, attempt: int, go: Go) -> bool:
--- a/spurdeal/vrrp/guard.py
+++ b/spurdeal/vrrp/guard.py
@@ -41,7 +41,7 @@
         assumed_cold: Callable[[], bool],
     ) -> None:
         self.adapter: SocketAdapter = service.adapter
-        self.counters, self.come_back = service.counters, service.configuration.site.most_come_back
+        self.counters, self.retry_after = service.counters, service.configuration.site.max_retry_after
         self.exchange, self.handover, self.monotonic = exchange, exchange.handover, exchange.monotonic
         self.tenure, self.share = tenure, share
         self.guarded, self.assumed_cold = at_most_once(service.configuration.site), assumed_cold
@@ -70,7 +70,7 @@
         if found is Door.OPEN:
             return None
         self.counters.add("door_" + found.value)
-        return Failed() if found is Door.RAN else Shed(self.come_back)
+        return Failed() if found is Door.RAN else Shed(self.retry_after)
 
     def before(self, request: OpenRequest, attempt: int, go: Callable[[bool | None], None]) -> bool:
         """Whether an attempt may leave now; False where `go` is called with the peers' verdict, later."""
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -2,15 +2,15 @@
 
 import unittest
 
-from spurdeal.interface import Ending, Life, Listed
+from spurdeal.interface import Ending, Life, ListedEngine
 from spurdeal.lab.forms import check, erlang_c
 from spurdeal.lab.model_engine import Engine, Job, Kind
 from spurdeal.lab.observer import Observer
 from spurdeal.lab.planted import KIND, find, site, world
 
 
-def line(engine: int, life: Life = Life.READY, zone: int = 0, cell: int = 0) -> Listed:
-    return Listed(engine, zone, 0, cell, life, 1.0, 0.0)
+def line(engine: int, life: Life = Life.READY, zone: int = 0, cell: int = 0) -> ListedEngine:
+    return ListedEngine(engine, zone, 0, cell, life, 1.0, 0.0)
 
 
 class Engines(unittest.TestCase):
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -11,7 +11,7 @@
     Ending,
     EndReason,
     Life,
-    Listed,
+    ListedEngine,
     ProgressKind,
     Reach,
     Workload,
@@ -27,26 +27,26 @@
     over_share_value=1.0,
     cores=(8,),
     memory_mb=(8192.0,),
-    in_hand=None,
+    load_field=None,
     list_pushed=True,
     may_cancel=True,
     may_probe=False,
     may_tell=False,
     second_copies=False,
     max_attempts=3,
-    most_come_back=500.0,
+    max_retry_after=500.0,
     grants=False,
     priorities=False,
     pages=False,
     largest_grant=0.4,
-    notes_every=0.0,
+    progress_interval=0.0,
     drain_grace=500.0,
     cold_for=15000.0,
     cold_share=0.3,
     cold_multiple=3.0,
     cold_window=2000.0,
 )
-LINE = Listed(0, 0, 0, 0, Life.READY, 1.0, 0.0)
+LINE = ListedEngine(0, 0, 0, 0, Life.READY, 1.0, 0.0)
 KINDS: tuple[Any, ...] = (Effect, Ending, Life, Reach, ProgressKind)
 # The notation of the scenario files has names of its own for some members and fields.
 WORDS: dict[str, Any] = {word.name.lower(): word for kind in KINDS for word in kind} | {
@@ -59,10 +59,18 @@
     "agreed": "objective",
     "customer": "tenant",
     "expiry": "deadline",
+    "further_free": "retry_floor",
+    "further_share": "retry_ratio",
+    "further_window": "retry_window",
+    "in_hand": "load_field",
+    "known_for": "key_retention",
     "late_utility": "late_value",
     "location": "zone",
     "locations": "zones",
     "may_call_off": "may_cancel",
+    "most_open": "max_open",
+    "notes_every": "progress_interval",
+    "order_rest": "order_pause",
     "over_share_utility": "over_share_value",
     "utility": "value",
 }
@@ -84,7 +92,7 @@
         self.wakes: list[tuple[float, int]] = []
         self.engine_of: dict[tuple[int, int], int] = {}
         self.made: dict[int, int] = {}
-        self.lines: dict[int, Listed] = {}
+        self.lines: dict[int, ListedEngine] = {}
         self.began: Dispatcher | None = None
 
     @property
@@ -101,7 +109,7 @@
         self.made[number] = self.made.get(number, 0) + 1
         self.did.append(f"send {number} {engine}")
 
-    def shed(self, number: int, come_back: float, reason: EndReason) -> None:
+    def shed(self, number: int, retry_after: float, reason: EndReason) -> None:
         self.did.append(f"shed {number}")
 
     def fail_request(self, number: int, reason: EndReason) -> None:
