--- a/spurdeal/benchlink/__init__.py
+++ b/spurdeal/benchlink/__init__.py
@@ -1,1 +1,1 @@
-"""The link to the operators' bench: frames on standard input and output."""
+"""The adapter to the operators' bench: frames on standard input and output."""
--- a/spurdeal/benchlink/__main__.py
+++ b/spurdeal/benchlink/__main__.py
@@ -10,7 +10,7 @@
     """Serve until input ends.
 
     Returns:
-        The exit code: 0 at the end of input, 1 where the bench has gone, 2 for input that cannot be used.
+        The exit code: 0 at the end of input, 1 if the bench closed its end or on SIGINT, 2 for invalid input.
     """
     try:
         Host().serve(sys.stdin.buffer, sys.stdout.buffer)
--- a/spurdeal/benchlink/frames.py
+++ b/spurdeal/benchlink/frames.py
@@ -1,19 +1,19 @@
-"""Reading and writing the bench's frames: little-endian, no padding."""
+"""Reads and writes the bench's frames: little-endian, no padding."""
 
 import math
 import struct
 from typing import Any, BinaryIO
 
-HEADER = struct.Struct("<IdI")
-LARGEST = 1 << 28
+HEADER = struct.Struct("<IdI")  # bytes of the frame with its header, time in ms, number of records
+LARGEST = 1 << 28  # bytes of a frame, with its header
 
 
 class BadInputError(Exception):
-    """Input that cannot be used; the text says what is wrong and where."""
+    """Invalid input; the message says what is wrong and where."""
 
 
 class Reader:
-    """Takes fields off one frame, naming the place of what is cut short."""
+    """Decodes one frame from its start on; errors name the byte offset in the frame."""
 
     __slots__ = ("at", "body")
 
@@ -22,10 +22,10 @@
         self.at = 0
 
     def take(self, layout: struct.Struct) -> tuple[Any, ...]:
-        """The next fields, in that layout.
+        """Read the next fields, in that layout.
 
         Raises:
-            BadInputError: The frame is too short for them.
+            BadInputError: The frame ends before they do.
         """
         try:
             fields = layout.unpack_from(self.body, self.at)
@@ -38,10 +38,10 @@
         return fields
 
     def take_bytes(self, count: int) -> bytes:
-        """The next so many bytes.
+        """Read that many bytes.
 
         Raises:
-            BadInputError: The frame is too short for them.
+            BadInputError: The frame ends before they do.
         """
         if self.at + count > len(self.body):
             raise BadInputError(
@@ -53,10 +53,13 @@
 
 
 def read_frame(stream: BinaryIO) -> tuple[float, int, Reader] | None:
-    """The clock in ms, the number of records and their bytes; None at the end of input.
+    """Read one frame, of at most LARGEST bytes.
+
+    Returns:
+        The time in ms, the number of records, and a reader of them; None at the end of input.
 
     Raises:
-        BadInputError: The header cannot be used, or the frame is cut short.
+        BadInputError: The header is invalid, or the input ends within the frame.
     """
     head = stream.read(HEADER.size)
     if not head:
@@ -75,7 +78,7 @@
 
 
 def write_frame(stream: BinaryIO, records: list[bytes]) -> None:
-    """Write one reply: the number of records, their bytes and those of the header, and the records."""
+    """Write and flush one reply: number of records, length in bytes with this header, records."""
     body = b"".join(records)
     stream.write(struct.pack("<II", len(records), len(body) + 8) + body)
     stream.flush()
--- a/spurdeal/benchlink/records.py
+++ b/spurdeal/benchlink/records.py
@@ -1,4 +1,4 @@
-"""The layouts of the records in frames, little endian, and what two of them tell."""
+"""Layouts of the records in frames (little-endian), and two of them decoded."""
 
 import struct
 from typing import NamedTuple
@@ -20,16 +20,16 @@
 
 
 class AttemptResult(NamedTuple):
-    """How an attempt has ended, as a frame tells it.
+    """How an attempt ended, from a SETTLED record.
 
     Attributes:
-        attempt: Its number within the request.
+        attempt: Its number within the request, from 0.
         engine: Our index of the engine.
-        ending: The value of an Ending.
-        took: How long it took, in ms.
-        final: Whether the request is over with it.
-        bill: Work in the bits from BILL_SHIFT on, and below them memory in units of BILL_UNIT MB.
-        report: What the engine tells of itself.
+        ending: Value of an Ending.
+        took: Its duration in ms.
+        final: Whether the request is over with it; 0 or 1.
+        bill: Work in the bits from BILL_SHIFT up, and below them memory in units of BILL_UNIT MB.
+        report: Figures of the engine's state, in the order of the settings' report fields.
     """
 
     attempt: int
@@ -41,10 +41,17 @@
     report: tuple[float, ...]
 
 
-class Notice(NamedTuple):
-    """An engine's report on an attempt: its number, our engine index, a ProgressKind's value, a level."""
+class ProgressReport(NamedTuple):
+    """An engine's report on a running attempt, from an UPDATE record.
+
+    Attributes:
+        attempt: Its number within the request, from 0.
+        engine: Our index of the engine.
+        kind: Value of a ProgressKind.
+        level: For its meaning see ProgressKind.
+    """
 
     attempt: int
     engine: int
-    word: int
+    kind: int
     level: float
--- a/spurdeal/chance.py
+++ b/spurdeal/chance.py
@@ -1,4 +1,4 @@
-"""Chance for the rules, from a seed alone."""
+"""Pseudo-random numbers for the rules, determined by a seed alone."""
 
 from collections.abc import Sequence
 from typing import TypeVar
@@ -7,20 +7,20 @@
 
 
 class Chance:
-    """A linear congruential generator, of which the high bits are used."""
+    """A 64-bit linear congruential generator; the 24 high bits are used, the low ones have short periods."""
 
     def __init__(self, seed: int) -> None:
         self.state = seed
 
     def draw(self) -> float:
-        """The next number, from 0 up to but not 1."""
+        """The next number, uniform in [0, 1)."""
         self.state = (self.state * 6364136223846793005 + 1442695040888963407) & (1 << 64) - 1
         return (self.state >> 40) / (1 << 24)
 
     def pick(self, among: Sequence[T]) -> T:
-        """One of these, each as likely as the others.
+        """An element chosen uniformly.
 
         Raises:
-            IndexError: There are none.
+            IndexError: The sequence is empty.
         """
         return among[int(self.draw() * len(among))]
--- a/spurdeal/clocks.py
+++ b/spurdeal/clocks.py
@@ -1,4 +1,4 @@
-"""The system's clocks, and the one that everything here goes by. Times are in ms."""
+"""The system clocks, and the process clock that all other modules use. Times are in ms."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 
 def unix_ms() -> float:
-    """The wall clock: Unix time, which may be stepped either way at any moment."""
+    """The wall clock: Unix time in ms, which may step forward or back at any moment."""
     return time.time() * 1000
 
 
 def monotonic_ms() -> float:
-    """Time that runs on evenly, from an arbitrary origin."""
+    """The monotonic clock in ms, from an arbitrary origin. It never steps."""
     return time.monotonic() * 1000
 
 
 class SteadyClock:
-    """The time of one process: Unix time at its start, carried on by the monotonic clock alone.
+    """The clock of one process: Unix time at its start, advanced by the monotonic clock alone.
 
-    Deadlines, windows, waits and graces are spans of real time, so no step or correction of the wall clock is
-    ever followed. How far the two are apart is `net.wall_clock`'s to tell.
+    Deadlines, windows, waits and grace periods are spans of real time, so steps and corrections of the wall
+    clock are never followed. `net.wall_clock` reports how far the two are apart.
     """
 
     def __init__(
@@ -30,5 +30,5 @@
         self.origin = unix() - monotonic()
 
     def now(self) -> float:
-        """Unix ms as of the start, and what has passed since."""
+        """Unix ms at the start of the process, plus the ms that have passed since."""
         return self.origin + self.monotonic()
--- a/spurdeal/deployment.py
+++ b/spurdeal/deployment.py
@@ -1,4 +1,4 @@
-"""Turns the settings that a link hands over into a Deployment: names to indices, absent keys to defaults."""
+"""Turns an adapter's settings into a Deployment: names become indices, absent keys become defaults."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -11,35 +11,48 @@
 
 
 def indices(names: Sequence[Any] | None, known: Sequence[str]) -> tuple[int, ...] | None:
-    """Places given by name or by number, in the terms of list entries. None given: all are open."""
+    """Indices of zones or kinds of machine that are given by name or by index. None: no restriction.
+
+    Raises:
+        ValueError: A name is not among the known ones.
+    """
     if not names:
         return None
     return tuple(name if isinstance(name, int) else known.index(name) for name in names)
 
 
 def optional(figure: Any) -> float | None:
+    """The figure as a float, or None where none is set."""
     return None if figure is None else float(figure)
 
 
 class BadSettings(ValueError):
-    """Settings that cannot be used; the text says why."""
+    """The settings cannot be used; the message says why."""
 
 
 def without_nulls(value: Any) -> Any:
-    """What is null counts as left out, at every depth; a place in a list stays one."""
+    """Drop the keys whose value is null, at every depth. Null entries of lists stay."""
     if isinstance(value, dict):
         return {name: without_nulls(inner) for name, inner in value.items() if inner is not None}
     return [without_nulls(inner) for inner in value] if isinstance(value, list) else value
 
 
 def reported(options: dict[str, Any]) -> list[str]:
-    """The names of the figures in the reports that come with answers; none where none come."""
+    """The names of the figures in the reports that come with answers; empty if none come."""
     report = options.get("report") or {}
     names = [str(name) for name in report.get("fields") or []]
     return names if report.get("how") == "piggyback" else []
 
 
 def deployment(options: object) -> Deployment:
+    """The Deployment that these settings describe.
+
+    Args:
+        options: The parsed JSON settings. Keys whose value is null count as absent.
+
+    Raises:
+        BadSettings: A key is missing, or a value has the wrong type or is unknown.
+    """
     if not isinstance(options, dict):
         raise BadSettings("settings are not a JSON object")
     try:
--- a/spurdeal/early.py
+++ b/spurdeal/early.py
@@ -1,4 +1,4 @@
-"""Signals from the program's first line on. What comes before the loop can take it is kept until then."""
+"""Signal handling from the start of the process. Signals before the event loop runs are queued."""
 
 from __future__ import annotations
 
@@ -7,23 +7,28 @@
 
 
 class Signals:
-    """SIGHUP, SIGTERM and SIGINT: kept in order, then handed over one by one."""
+    """Handles SIGHUP, SIGTERM and SIGINT: queues them in order until hand_over().
+
+    Attributes:
+        kept: Signal numbers that are queued.
+        act: Called with each signal number, in the signal handler.
+    """
 
     def __init__(self) -> None:
         self.kept: list[int] = []
         self.act: Callable[[int], object] = self.kept.append
 
     def catch(self) -> None:
-        """Take the three signals from here on; to be called again once another handler was set."""
+        """Install the handlers. To be called again after other code has installed its own."""
         for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT):
             signal.signal(number, lambda number, _: self.act(number))
 
     def end_asked(self) -> bool:
-        """Whether one of those kept asks the process to end."""
+        """Whether a queued signal asks the process to end."""
         return any(number != signal.SIGHUP for number in self.kept)
 
     def hand_over(self, act: Callable[[int], object]) -> None:
-        """From here on each goes to `act`, those kept first."""
+        """Pass the queued signals, and each later one, to `act`."""
         self.catch()
         self.act = act
         while self.kept:
--- a/spurdeal/eventloop.py
+++ b/spurdeal/eventloop.py
@@ -1,4 +1,4 @@
-"""Types for the parts of Twisted's reactor that adapters use; Twisted has none that mypy reads."""
+"""Protocols for the parts of Twisted's reactor in use; mypy can't read Twisted's zope interfaces."""
 
 from __future__ import annotations
 
@@ -9,27 +9,27 @@
 
 
 class Timer(Protocol):
-    """A call that is scheduled for later."""
+    """A scheduled call."""
 
     def active(self) -> bool:
-        """Whether the call is still to come."""
+        """Whether the call is pending: neither made nor cancelled."""
 
     def cancel(self) -> None:
-        """Unschedule the call; it must still be active."""
+        """Cancel the call; it must be active."""
 
 
 class Scheduler(Protocol):
-    """An event loop that runs calls later."""
+    """An event loop with timers."""
 
     def callLater(self, seconds: float, call: Callable[..., Any], /, *arguments: object) -> Timer:
-        """Schedule a call."""
+        """Call after so many seconds."""
 
 
 class Port(Protocol):
-    """A TCP port that listens."""
+    """A listening TCP port."""
 
     def stopListening(self) -> object:
-        """Accept no more connections."""
+        """Close the port."""
 
 
 class DatagramLoop(Scheduler, Protocol):
@@ -38,7 +38,7 @@
     def listenUDP(
         self, port: int, protocol: DatagramProtocol, interface: str, maxPacketSize: int = 8192
     ) -> object:
-        """Bind a UDP port and hand what arrives to the protocol."""
+        """Bind a UDP port and pass datagrams to the protocol. Raises CannotListenError."""
 
 
 class StreamLoop(Scheduler, Protocol):
@@ -54,11 +54,11 @@
     def spawnProcess(
         self, process: ProcessProtocol, executable: str, words: list[str], /, env: None
     ) -> object:
-        """Start a program with these words. Raises OSError."""
+        """Start a program with these arguments, the first one its name. Raises OSError."""
 
 
 class Reactor(DatagramLoop, StreamLoop, ProcessLoop, Protocol):
-    """All of the event loop that the parts beside the link use."""
+    """The event loop as the modules beside the adapter use it."""
 
     def seconds(self) -> float:
-        """The time that timers go by."""
+        """The timers' clock, in seconds."""
--- a/spurdeal/histogram.py
+++ b/spurdeal/histogram.py
@@ -1,11 +1,14 @@
-"""A small histogram over edges that the caller hands in."""
+"""A weighted histogram over bins given by the caller."""
 
 from bisect import bisect_right
 from collections.abc import Sequence
 
 
 class Histogram:
-    """Counts by bin; bin i holds the values below edges[i], the last one all the rest."""
+    """Weights by bin. Bin i holds the values below edges[i] that no bin before it holds, the last all others.
+
+    The edges must ascend. total is the sum of all weights.
+    """
 
     __slots__ = ("_counts", "_edges", "total")
 
@@ -15,17 +18,20 @@
         self.total = 0.0
 
     def add(self, value: float, weight: float = 1.0) -> None:
-        """Count a value with a weight."""
+        """Add a value with a weight."""
         self._counts[bisect_right(self._edges, value)] += weight
         self.total += weight
 
     def halve(self) -> None:
-        """Halve all counts, so that newer values weigh more."""
+        """Halve all weights, so that newer values count for more."""
         self._counts = [count / 2 for count in self._counts]
         self.total /= 2
 
     def quantile(self, share: float) -> float:
-        """The value that this share of the weight lies below, even within a bin; 0.0 when empty."""
+        """The quantile at a share from 0 to 1, interpolated within its bin; 0.0 if empty.
+
+        The lower bound of the first bin is taken as 0, and values in the last bin count as the last edge.
+        """
         want, floor = share * self.total, 0.0
         for edge, count in zip(self._edges, self._counts, strict=False):
             if count and want <= count:
--- a/spurdeal/interface.py
+++ b/spurdeal/interface.py
@@ -1,4 +1,8 @@
-"""What a link and the rules say to each other. Times are milliseconds, ids small indices."""
+"""The interface between an adapter (transport) and the rules (decisions).
+
+Times are Unix ms of one clock for all calls, see `clocks.SteadyClock`; durations are in ms. Requests,
+engines, workloads, tenants, zones and cells are known by small integers, which the adapter assigns.
+"""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -7,7 +11,12 @@
 
 
 class Effect(IntEnum):
-    """What a repeat does: nothing, nothing where its mark is known, or harm."""
+    """What a second execution of a request does.
+
+    IDEMPOTENT: no harm.
+    IDEMPOTENT_BY_KEY: no harm at engines that know the request's idempotency key, see Reach.
+    NON_IDEMPOTENT: harm; the request is run at most once.
+    """
 
     IDEMPOTENT = 0
     IDEMPOTENT_BY_KEY = 1
@@ -15,7 +24,7 @@
 
 
 class Reach(IntEnum):
-    """Which engines know a request's idempotency key: all, those of one zone, or those of one cell."""
+    """Which engines share idempotency keys: all of them, those of one zone, or those of one cell."""
 
     ALL = 0
     ZONE = 1
@@ -25,7 +34,14 @@
 class Ending(IntEnum):
     """How an attempt ended.
 
-    UNREACHED: its connection was refused, or did not come up and the link cannot tell which.
+    DELIVERED: with a result.
+    ERROR: the engine reported an error.
+    FULL: the engine refused it; nothing ran.
+    TIME_OUT: no result within its time.
+    UNREACHED: its connection was refused, or did not come up and the adapter cannot tell which.
+    RESET: its connection ended before the result was complete.
+    CALLED_OFF: the rules cancelled it.
+    MOOT: it was not sent, as the check at send time failed.
     CONNECT_TIMEOUT: its connection did not come up in time, and nothing refused it.
     """
 
@@ -40,11 +56,12 @@
     CONNECT_TIMEOUT = 8
 
 
+# After these endings the attempt is known not to have run.
 NEVER_RAN = (Ending.FULL, Ending.UNREACHED, Ending.MOOT, Ending.CONNECT_TIMEOUT)
 
 
 class EndReason(StrEnum):
-    """Why the rules end a request without a result, as logs and counters name it."""
+    """Why the rules end a request without a result. Logs and counters show the values."""
 
     NO_TIME = "no_time_left"
     TOO_LATE = "too_late_to_be_of_use"
@@ -57,21 +74,28 @@
 
 
 class Life(IntEnum):
+    """State of an engine in the list: removed, draining (no new attempts), or ready."""
+
     GONE = 0
     DRAINING = 1
     READY = 2
 
 
 class Verdict(Enum):
-    """What an answer of the name service tells."""
+    """How the list in an answer of the name service compares with the list in force."""
 
-    CONFIRMED = auto()  # the list in force
-    NEWER = auto()  # another list, which is in force now
-    OLDER = auto()  # a list with a lower number, or that of an earlier question
+    CONFIRMED = auto()  # it is the list in force
+    NEWER = auto()  # another list, which is in force from now on
+    OLDER = auto()  # a list with a lower number, or the answer to an earlier query
 
 
 class ProgressKind(IntEnum):
-    """A progress report on an open attempt: its share done, the megabytes it lacks, what it waits for."""
+    """What an engine reports about a running attempt.
+
+    PROGRESS: the share that is done, from 0 to 1.
+    SPILLS: the memory it lacks, in MB.
+    WAITS: what it waits for, WAITS_FOR_MEMORY or WAITS_FOR_LOAD.
+    """
 
     PROGRESS = 1
     SPILLS = 2
@@ -83,6 +107,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Workload:
+    """A class of requests and what the deployment sets for it.
+
+    Attributes:
+        objective: Latency objective, in ms from the arrival of the request.
+        stretch: The objective grows by this multiple of the request's best-case duration.
+        deadline: ms from arrival after which no answer is of use.
+        value: Value of an answer in time, relative to other workloads.
+        late_value: Factor on the value of an answer between objective and deadline.
+        effect: What a second execution does.
+        reach: Which engines share idempotency keys. Only used with IDEMPOTENT_BY_KEY.
+        key_retention: ms for which engines remember an idempotency key.
+        in_order: Whether requests with the same key run one at a time, in the order of their arrival.
+        zones: Indices of the zones whose engines may run it. None: all.
+        kinds: Indices of the kinds of machine that may run it. None: all.
+        threads: Threads that a request uses at an engine, at least 1.
+        holds_tables: Whether it locks its group of tables while it runs (a load).
+        waits_for_loads: Whether it waits while a load holds its group of tables.
+    """
+
     objective: float
     stretch: float
     deadline: float
@@ -101,9 +144,40 @@
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """All that a dispatcher is told once, at its start. None: the deployment sets no such figure.
-
-    in_hand is the place, in the reports that come with answers, of how many requests the engine holds.
+    """The settings of a dispatcher, fixed at its start.
+
+    Attributes:
+        index: Index of this dispatcher.
+        dispatchers: Number of dispatchers in the deployment, at least 1.
+        zone: Index of this dispatcher's zone.
+        workloads: By index; at least one.
+        quotas: By tenant, requests per second over all dispatchers.
+        over_share_value: Factor on the value of requests of a tenant over its quota.
+        cores: Cores by kind of machine. Empty: 1 each.
+        memory_mb: Memory by kind of machine, in MB.
+        load_field: Index, in engines' reports, of the number of requests an engine holds. None: not reported.
+        list_pushed: Whether the list of engines is pushed to the dispatcher; if not, it has to be asked for.
+        may_cancel: Whether attempts may be cancelled.
+        may_probe: Whether engines may be probed.
+        may_tell: Whether dispatchers may message each other.
+        second_copies: Whether a request may have two attempts running at once.
+        max_attempts: Attempts per request, at least 1.
+        max_retry_after: Longest retry-after given with a refusal, in ms. 0: none is given.
+        grants: Whether engines bound a request's memory by the grant sent with it.
+        pages: Whether engines swap when memory is short.
+        priorities: Whether engines honour priorities.
+        largest_grant: Largest grant, as a share of an engine's memory.
+        progress_interval: ms between progress reports of a running attempt. 0: engines send none.
+        drain_grace: ms from the start of a drain in which an engine still takes requests.
+        cold_for: ms from an engine's start for which it counts as cold.
+        cold_share: Share of a warm engine's capacity that a cold engine has.
+        cold_multiple: Multiple of the cold capacity at which a cold engine fails.
+        cold_window: ms over which the load of a cold engine is summed. 0: there is no such limit.
+        max_open: Requests that clients can have open at once.
+        order_pause: ms for which a key's next request waits after a doubtful end. None: not set.
+        retry_floor: Retries that are always allowed within retry_window. None: not set.
+        retry_ratio: Retries allowed beyond that, per request received within retry_window. None: not set.
+        retry_window: Window of the retry budget, in ms. None: the deployment sets no retry budget.
     """
 
     index: int
@@ -132,7 +206,7 @@
     cold_share: float
     cold_multiple: float
     cold_window: float
-    max_open: float = float("inf")  # requests that clients can have open at once
+    max_open: float = float("inf")
     order_pause: float | None = None
     retry_floor: float | None = None
     retry_ratio: float | None = None
@@ -140,7 +214,17 @@
 
 
 class ListedEngine(NamedTuple):
-    """One line of the list of engines; started is 0 for long ago."""
+    """One entry of the list of engines.
+
+    Attributes:
+        engine: Index of the engine.
+        zone: Index of its zone.
+        kind: Index of its kind of machine.
+        cell: Index of its cell.
+        life: Its state.
+        weight: As the list gives it.
+        started: Unix ms of its start; 0 for one that is warm already.
+    """
 
     engine: int
     zone: int
@@ -152,27 +236,41 @@
 
 
 class Rules(Protocol):
-    """What a link tells the rules. Every call names the time; turn() closes a batch of them.
-
-    may_send() is called outside of a batch as an attempt's first byte is about to leave. If False, the
-    attempt ends as MOOT. Where the list is polled, these too are called outside of batches:
-    list_known(): the list read at the start was current at that time;
-    list_asked(): a query has left, to be repeated after the ms returned;
-    name_service_changed(): another name service is queried from now on;
-    list_answered(): the answer to the query that left then named each engine that gets requests;
-    True if another query is to leave soon.
+    """The decision module, as an adapter calls it.
 
-    Without an estimate, cost and memory are 0; without a key, key is 0. A request's attempts count from 0.
+    Each call passes the current time. Events are reported one by one; end_batch() closes a batch of them, and
+    queued requests are then sent. Called outside of batches are may_send(), list_known(), list_asked(),
+    name_service_changed() and list_answered().
     """
 
-    def list_changed(self, now: float, lines: Sequence[ListedEngine], whole: bool) -> None: ...
-    def list_failed(self, now: float) -> None: ...
-    def list_known(self, at: float) -> None: ...
-    def list_asked(self, now: float) -> float: ...
-    def name_service_changed(self) -> None: ...
-    def list_answered(self, now: float, asked_at: float, verdict: Verdict) -> bool: ...
-    def capacity_shares_changed(self, now: float, cold: float, start: float) -> None: ...
-    def engine_suspected(self, now: float, number: int, left: float) -> None: ...
+    def list_changed(self, now: float, lines: Sequence[ListedEngine], whole: bool) -> None:
+        """Entries of the list of engines have changed. whole: engines not among them are gone."""
+
+    def list_failed(self, now: float) -> None:
+        """The list of engines could not be read."""
+
+    def list_known(self, at: float) -> None:
+        """The list read at the start was current at that time. Only where the list is polled."""
+
+    def list_asked(self, now: float) -> float:
+        """A query for the list has left. Returns ms after which it is to be repeated without an answer."""
+
+    def name_service_changed(self) -> None:
+        """From now on another name service is queried."""
+
+    def list_answered(self, now: float, asked_at: float, verdict: Verdict) -> bool:
+        """The query that left at asked_at was answered, and named each engine that gets requests.
+
+        Returns:
+            Whether another query is to leave soon.
+        """
+
+    def capacity_shares_changed(self, now: float, cold: float, start: float) -> None:
+        """This dispatcher's shares, from 0 to 1, of cold engines' budgets and initial concurrency limits."""
+
+    def engine_suspected(self, now: float, number: int, left: float) -> None:
+        """The previous holder of our address had ejected this engine, for another `left` ms."""
+
     def request_received(
         self,
         now: float,
@@ -184,10 +282,26 @@
         cost: float,
         memory: float,
         group: int,
-    ) -> None: ...
+    ) -> None:
+        """A request has come.
+
+        Args:
+            now: The time.
+            number: Chosen by the adapter; not in use for another open request.
+            kind: Index of its workload.
+            tenant: Index of its tenant; the number of quotas, or more, for one without a quota.
+            key: Its ordering key; 0: none.
+            deadline: Time by which it must be answered.
+            cost: Estimated work in ms of one thread; 0: no estimate.
+            memory: Estimated memory in MB; 0: no estimate.
+            group: Its group of tables; negative: none.
+        """
+
     def progress_reported(
         self, now: float, number: int, attempt: int, engine: int, kind: ProgressKind, level: float
-    ) -> None: ...
+    ) -> None:
+        """An engine has reported on a running attempt; for the meaning of level see ProgressKind."""
+
     def attempt_ended(
         self,
         now: float,
@@ -200,22 +314,61 @@
         work: float,
         memory: float,
         report: Sequence[float],
-    ) -> None: ...
-    def request_withdrawn(self, now: float, number: int) -> None: ...
-    def timer_fired(self, now: float, token: int) -> None: ...
-    def shutdown_started(self, now: float, until: float) -> None: ...
-    def may_send(self, now: float, number: int, attempt: int, engine: int) -> bool: ...
-    def end_batch(self, now: float) -> None: ...
+    ) -> None:
+        """An attempt has ended.
+
+        Args:
+            now: The time.
+            number: Of the request.
+            attempt: Its number within the request, from 0.
+            engine: Index of the engine it was sent to.
+            ending: How it ended.
+            took: ms since it was sent.
+            final: Whether the request is over with it.
+            work: Work measured by the engine, in ms of one thread; 0: not reported.
+            memory: Memory used, in MB; 0: not reported.
+            report: Figures that the engine sent with the answer, see Deployment.load_field; empty: none.
+        """
+
+    def request_withdrawn(self, now: float, number: int) -> None:
+        """The client has withdrawn the request; unknown numbers are ignored."""
+
+    def timer_fired(self, now: float, token: int) -> None:
+        """A timer that was set by Adapter.set_timer() is due."""
+
+    def shutdown_started(self, now: float, until: float) -> None:
+        """A graceful shutdown: each request, open or still to come, must be answered by that time."""
+
+    def may_send(self, now: float, number: int, attempt: int, engine: int) -> bool:
+        """The check at send time, as an attempt's first byte is about to leave. If False, it ends as MOOT."""
+
+    def end_batch(self, now: float) -> None:
+        """Close a batch of events."""
 
 
 class Adapter(Protocol):
-    """What the rules ask of a link."""
-
-    def send(self, number: int, engine: int, time_limit: float) -> None: ...
-    def terms(self, number: int, memory: float, priority: int) -> None: ...
-    def shed(self, number: int, retry_after: float, reason: EndReason) -> None: ...
-    def fail_request(self, number: int, reason: EndReason) -> None: ...
-    def cancel_attempt(self, number: int, attempt: int) -> None: ...
-    def set_timer(self, delay: float, token: int) -> None: ...
-    def watch(self) -> None: ...
-    def log(self, line: str) -> None: ...
+    """What the rules ask of the transport."""
+
+    def send(self, number: int, engine: int, time_limit: float) -> None:
+        """Send the request's next attempt to an engine. time_limit: ms it may take; 0: up to the deadline."""
+
+    def terms(self, number: int, memory: float, priority: int) -> None:
+        """Memory grant in MB (0: none) and priority for the request's attempts."""
+
+    def shed(self, number: int, retry_after: float, reason: EndReason) -> None:
+        """Refuse the request; a repeat is harmless. The client may retry after that many ms; 0: not told."""
+
+    def fail_request(self, number: int, reason: EndReason) -> None:
+        """Answer the request as failed: it may have run."""
+
+    def cancel_attempt(self, number: int, attempt: int) -> None:
+        """Cancel a running attempt; attempt_ended() follows."""
+
+    def set_timer(self, delay: float, token: int) -> None:
+        """Call timer_fired() with this token after so many ms."""
+
+    def watch(self) -> None:
+        """Ask for the list of engines and for changes of it, where it is not pushed."""
+
+    def log(self, line: str) -> None:
+        """Write a line to the log."""
--- a/spurdeal/running_mean.py
+++ b/spurdeal/running_mean.py
@@ -1,16 +1,22 @@
-"""A mean of what has been seen so far, with a guess that stands until the first sample."""
+"""A running mean with an initial guess, which the first sample replaces."""
 
 from __future__ import annotations
 
 
 class RunningMean:
-    """Every sample counts alike up to `most` of them; from then on older ones fade."""
+    """The mean of the samples; beyond `most` of them an exponential average with weight 1/most.
+
+    Attributes:
+        value: The mean; the guess before the first sample.
+        samples: Samples so far, at most `most`.
+        most: At least 1.
+    """
 
     def __init__(self, guess: float, most: int) -> None:
         self.value, self.samples, self.most = guess, 0, most
 
     def add(self, sample: float) -> float:
-        """The mean with this sample in it."""
+        """Add a sample. Returns the new mean."""
         self.samples = min(self.samples + 1, self.most)
         self.value += (sample - self.value) / self.samples
         return self.value
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -1,4 +1,4 @@
-"""The adapter as a process: what it answers, and what it says of input that cannot be used."""
+"""The bench adapter as a process: its replies, and its messages for invalid input."""
 
 import json
 import struct
@@ -35,7 +35,7 @@
 
 
 class Adapter(unittest.TestCase):
-    def test_a_submission_is_sent_and_late_events_are_ignored(self) -> None:
+    def test_a_request_is_sent_and_late_events_are_ignored(self) -> None:
         code, out, err = run(
             frame(1000.0, provision(3), page(), MEMBERSHIP),
             frame(1005.0, INBOUND),
@@ -46,14 +46,14 @@
         self.assertIn(struct.pack("<BHQ6sd", 0, 3, 99, b"engine", 0.0), out)
         self.assertTrue(out.endswith(struct.pack("<II", 0, 8)))
 
-    def test_restart_in_one_batch_drops_what_the_killed_one_said(self) -> None:
+    def test_restart_in_one_batch_drops_the_records_of_the_killed_instance(self) -> None:
         code, out, _ = run(
             frame(1000.0, provision(3), page(), MEMBERSHIP),
             frame(1005.0, INBOUND, struct.pack("<BH", 9, 3), provision(3), MEMBERSHIP),
         )
         self.assertEqual((code, b"engine" in out), (0, False))
 
-    def test_bad_input_ends_with_one_plain_message(self) -> None:
+    def test_invalid_input_ends_with_one_line_of_text(self) -> None:
         start = provision(3), page(), MEMBERSHIP
         for bad, words in (
             (b"\1\2", "header cut"),
