--- a/spurdeal/store/__init__.py
+++ b/spurdeal/store/__init__.py
@@ -1,1 +1,1 @@
-"""What must outlive the process: the ledger of requests that must not run twice."""
+"""Durable state: the ledger of requests that must run at most once."""
--- a/spurdeal/store/files.py
+++ b/spurdeal/store/files.py
@@ -1,4 +1,4 @@
-"""The calls of the operating system that logs on disk make; the module `os` is the usual implementation."""
+"""The system calls that append-only logs make; the module `os` is the usual implementation."""
 
 from __future__ import annotations
 
@@ -7,28 +7,31 @@
 
 
 class FileCalls(Protocol):
-    """What an append-only log needs of `os`. Each call raises OSError as there; tests inject failures."""
+    """The subset of `os` that an append-only log uses.
+
+    Each call raises OSError as its namesake in `os` does; tests pass an implementation that fails.
+    """
 
     def open(self, path: Path, flags: int, mode: int, /) -> int:
-        """Open a file and return its descriptor."""
+        """Open a file with the flags O_* and the permission bits of `mode`, and return its descriptor."""
 
     def write(self, descriptor: int, data: memoryview | bytes, /) -> int:
-        """Write some of the data and return how many bytes."""
+        """Write a prefix of the data and return its length in bytes; a short write is no error."""
 
     def ftruncate(self, descriptor: int, length: int, /) -> None:
-        """Cut the file to a length in bytes."""
+        """Truncate the file to a length in bytes."""
 
     def lseek(self, descriptor: int, position: int, how: int, /) -> int:
-        """Move the file position and return it."""
+        """Set the file offset, in bytes relative to `how` (SEEK_*), and return the new offset."""
 
     def fdatasync(self, descriptor: int, /) -> None:
-        """Flush contents and size to the disk."""
+        """Flush the contents and the file size to the disk, but not the timestamps."""
 
     def fsync(self, descriptor: int, /) -> None:
-        """Flush contents and metadata to the disk."""
+        """Flush the contents and all metadata to the disk."""
 
     def rename(self, source: Path, destination: Path, /) -> None:
-        """Replace the destination by the source, atomically."""
+        """Atomically rename the source, replacing the destination if it exists."""
 
     def close(self, descriptor: int, /) -> None:
-        """Close a descriptor."""
+        """Close a file descriptor."""
--- a/spurdeal/store/guard.py
+++ b/spurdeal/store/guard.py
@@ -1,7 +1,8 @@
-"""A guard that keeps the ledger: what may have run is known after a kill, whichever path it came by.
+"""A guard that records guarded attempts in the ledger before they are sent, whichever front they came by.
 
-The guarded attempts of one turn are written in one append. With `flush: always` they leave when a thread has
-flushed them; those that come meanwhile are gathered for the next flush.
+After a crash the ledger thus names every guarded request that may have run. The attempts of one batch are
+written in one append. With `flush: always` they are sent after a worker thread has flushed them; attempts
+that arrive during a flush wait for the next append (group commit).
 """
 
 from __future__ import annotations
@@ -17,21 +18,21 @@
 from ..net.counters import Counters
 from ..net.engine_list import Endpoint
 from ..net.link import Answer, Failed, Guard, OpenRequest, Shed
-from .ledger import TURN, Ledger, LedgerFullError
+from .ledger import FLUSH_INTERVAL, Ledger, LedgerFullError
 from .records import Kind, Record
 
-Go = Callable[[bool | None], None]
+Verdict = Callable[[bool | None], None]
 RunInThread = Callable[[Callable[[], None]], Deferred[None]]
 
 
 @dataclass(frozen=True)
 class GuardSettings:
-    """What is guarded, and for how long.
+    """Which workloads are guarded, and the times in ms.
 
     Attributes:
-        guarded: By workload: whether its requests must not run twice.
-        keep: How long an id is kept beyond its request's deadline, in ms.
-        come_back: When a client that is shed may come back, in ms.
+        guarded: By index of the workload: whether its requests must run at most once.
+        keep: How long an id is kept after its request's deadline, in ms.
+        retry_after: After how many ms a shed client may retry.
     """
 
     guarded: tuple[bool, ...]
@@ -41,7 +42,14 @@
 
 @dataclass(frozen=True)
 class GuardRuntime:
-    """The parts of the process that a guard uses. in_thread runs a blocking call in a worker thread."""
+    """The parts of the process that a guard uses.
+
+    Attributes:
+        reactor: Schedules calls; its times are in seconds.
+        counters: Where failures are counted.
+        log: The process's log.
+        in_thread: Runs a blocking call in a worker thread and fires in the event loop's thread.
+    """
 
     reactor: Scheduler
     counters: Counters
@@ -50,7 +58,7 @@
 
 
 class LedgerGuard:
-    """A Guard that keeps a ledger, in front of another guard (or none), which it asks next."""
+    """A Guard that writes the ledger and delegates to an inner guard, if there is one."""
 
     def __init__(
         self,
@@ -62,27 +70,27 @@
         self.ledger, self.settings, self.inner = ledger, settings, inner
         self.reactor, self.counters, self.log = runtime.reactor, runtime.counters, runtime.log
         self.in_thread = runtime.in_thread
-        self.waiting: dict[tuple[int, int], tuple[OpenRequest, Go]] = {}
-        self.ready: list[tuple[int, int]] = []
-        self.writing = self.flushing = False
+        self.pending: dict[tuple[int, int], tuple[OpenRequest, Verdict]] = {}
+        self.append_queue: list[tuple[int, int]] = []
+        self.append_scheduled = self.flushing = False
         if ledger.settings.flush == "turn":
-            self.flush_again()
+            self.flush_periodically()
 
-    def flush_again(self) -> None:
-        """Flush in a thread, as a disk may stall for long; repeats every TURN seconds.
+    def flush_periodically(self) -> None:
+        """Flush in a worker thread, since a disk may stall; repeats after FLUSH_INTERVAL seconds.
 
-        A failure shows in the ledger's `full`.
+        A failure sets the ledger's `write_failed`.
         """
         if self.ledger.dirty:
-            self.in_thread(self.ledger.syncer()).addBoth(self.later)
+            self.in_thread(self.ledger.prepare_sync()).addBoth(self.schedule_flush)
         else:
-            self.later(None)
+            self.schedule_flush(None)
 
-    def later(self, _: object) -> None:
-        """Schedule the next periodic flush, whatever the last one gave."""
-        self.reactor.callLater(TURN, self.flush_again)
+    def schedule_flush(self, _: object) -> None:
+        """Schedule the next periodic flush, whether the last one succeeded or failed."""
+        self.reactor.callLater(FLUSH_INTERVAL, self.flush_periodically)
 
-    # The link's Guard.
+    # The Guard protocol.
 
     def batch_started(self, now: float) -> None:
         """See Guard."""
@@ -90,51 +98,55 @@
             self.inner.batch_started(now)
 
     def door(self, kind: int, ident: bytes) -> Answer | None:
-        """Refuse what may have run, and shed guarded requests while the ledger cannot be written."""
+        """Fail a guarded request that may have run already; shed it while the ledger is unwritable."""
         if self.settings.guarded[kind]:
             if self.ledger.may_have_run(ident.lower()):
                 self.counters.add("ledger_known")
                 return Failed()
-            if self.ledger.full and not self.ledger.try_again():
+            if self.ledger.write_failed and not self.ledger.recover_from_failure():
                 self.counters.add("ledger_full")
                 return Shed(self.settings.retry_after)
         return self.inner.door(kind, ident) if self.inner is not None else None
 
-    def before(self, request: OpenRequest, attempt: int, go: Go) -> bool:
-        """Hold a guarded attempt until its record is written; `go` is then called with the verdict."""
+    def before(self, request: OpenRequest, attempt: int, go: Verdict) -> bool:
+        """Delay a guarded attempt until its record is written; `go` is then called with the verdict.
+
+        Returns:
+            True if the attempt may be sent at once; False if `go` will be called, unless it is given up.
+        """
         if not self.settings.guarded[request.kind]:
             return self.inner.before(request, attempt, go) if self.inner is not None else True
         token = (request.number, attempt)
-        self.waiting[token] = (request, go)
+        self.pending[token] = (request, go)
 
-        def told(verdict: bool | None) -> None:
-            if token not in self.waiting:
+        def on_inner_verdict(verdict: bool | None) -> None:
+            if token not in self.pending:
                 return
             if verdict:
-                self.gather(token)
+                self.enqueue(token)
             else:
-                del self.waiting[token]
+                del self.pending[token]
                 go(verdict)
 
-        if self.inner is None or self.inner.before(request, attempt, told):
-            self.gather(token)
+        if self.inner is None or self.inner.before(request, attempt, on_inner_verdict):
+            self.enqueue(token)
         return False
 
     def given_up(self, number: int, attempt: int) -> None:
-        """Forget an attempt that waits for its record."""
-        self.waiting.pop((number, attempt), None)
+        """Drop an attempt that still waits for its record; its `go` is not called."""
+        self.pending.pop((number, attempt), None)
         if self.inner is not None:
             self.inner.given_up(number, attempt)
 
     def answered(self, request: OpenRequest, answer: Answer | None) -> None:
-        """A shed request has not run: its record is cancelled."""
+        """Cancel the record of a shed request, since it has not run."""
         if self.settings.guarded[request.kind] and isinstance(answer, Shed):
             self.never_ran(request)
         if self.inner is not None:
             self.inner.answered(request, answer)
 
     def never_ran(self, request: OpenRequest) -> None:
-        """Record that no attempt of a request has run; if that cannot be written, its record stands."""
+        """Record that no attempt of a request has run; if that fails, the request counts as possibly run."""
         ident = request.ident.lower()
         if self.settings.guarded[request.kind] and ident in self.ledger.ends:
             try:
@@ -165,51 +177,51 @@
         """See Guard."""
         return self.inner.endpoint(endpoint) if self.inner is not None else endpoint
 
-    # Writing.
+    # Group commit.
 
-    def gather(self, token: tuple[int, int]) -> None:
-        """Add an attempt to the next append, in the loop's next round or after the flush under way."""
-        self.ready.append(token)
-        if not self.writing and not self.flushing:
-            self.writing = True
-            self.reactor.callLater(0, self.write)
+    def enqueue(self, token: tuple[int, int]) -> None:
+        """Queue an attempt for the next append: in the next loop iteration, or after a flush in progress."""
+        self.append_queue.append(token)
+        if not self.append_scheduled and not self.flushing:
+            self.append_scheduled = True
+            self.reactor.callLater(0, self.append_queued)
 
-    def write(self) -> None:
-        """Append the records of all attempts gathered, and release the attempts or wait for the flush."""
-        self.writing = False
-        tokens, self.ready = [token for token in self.ready if token in self.waiting], []
+    def append_queued(self) -> None:
+        """Append the records of all queued attempts, then release the attempts or start the flush."""
+        self.append_scheduled = False
+        tokens, self.append_queue = [token for token in self.append_queue if token in self.pending], []
         if not tokens:
             return
         records = []
         for token in tokens:
-            request = self.waiting[token][0]
+            request = self.pending[token][0]
             records.append(Record(Kind.MAY_RUN, request.ident.lower(), request.deadline + self.settings.keep))
         try:
             self.ledger.append(records)
         except LedgerFullError as fault:
             self.counters.add("ledger_not_written", len(tokens))
             self.log.error("ledger_full", extra={"figures": {"why": str(fault), "trips": len(tokens)}})
-            self.verdicts(tokens, False)
+            self.resume(tokens, False)
             return
         if self.ledger.settings.flush == "always":
             self.flushing = True
-            self.in_thread(self.ledger.syncer()).addCallbacks(
-                lambda _: self.flushed(tokens, True), lambda _: self.flushed(tokens, False)
+            self.in_thread(self.ledger.prepare_sync()).addCallbacks(
+                lambda _: self.on_flushed(tokens, True), lambda _: self.on_flushed(tokens, False)
             )
         else:
-            self.verdicts(tokens, True)
+            self.resume(tokens, True)
 
-    def flushed(self, tokens: list[tuple[int, int]], safe: bool) -> None:
-        """A flush has ended: its attempts are released if `safe`; what was gathered meanwhile is written."""
+    def on_flushed(self, tokens: list[tuple[int, int]], durable: bool) -> None:
+        """End a flush: release its attempts if `durable`, else refuse them; append the queued ones."""
         self.flushing = False
-        self.verdicts(tokens, safe)
-        if self.ready:
-            self.writing = True
-            self.reactor.callLater(0, self.write)
+        self.resume(tokens, durable)
+        if self.append_queue:
+            self.append_scheduled = True
+            self.reactor.callLater(0, self.append_queued)
 
-    def verdicts(self, tokens: list[tuple[int, int]], go: bool) -> None:
-        """Tell each of these attempts that still waits whether it may be sent."""
+    def resume(self, tokens: list[tuple[int, int]], go: bool) -> None:
+        """Call back each of these attempts that still waits, with whether it may be sent."""
         for token in tokens:
-            found = self.waiting.pop(token, None)
+            found = self.pending.pop(token, None)
             if found is not None:
                 found[1](go)
--- a/spurdeal/store/ledger.py
+++ b/spurdeal/store/ledger.py
@@ -1,13 +1,12 @@
-"""The durable ledger: an append-only log with snapshots, and what is promised when.
+"""The durable ledger: a write-ahead log of the requests that must run at most once, with compaction.
 
-Options weighed: SQLite (a journal, locks and 0.1 ms and more for each commit without a flush), LMDB (a map of
-fixed size, flushes whole pages), a log of our own (one write for all of a turn, 30 bytes a record). What is
-needed is a set of ids with ends, read once at a start; so a log. Its decisions are few: when to rewrite the
-log, and what a failure means.
+The state is a set of ids with expiration times that is read once, at a start. An append-only log of our own
+holds it with one write per batch and 30 bytes per record. Alternatives considered: SQLite (a journal, locks,
+and at least 0.1 ms per commit even without a flush) and LMDB (a map of fixed size that flushes whole pages).
 
-flush: `always` (each write is on the disk before a request is sent: outlives the machine), `turn` (left to
-a timer of 50 ms: outlives the process, and the machine but for the last 50 ms), `never` (outlives the
-process).
+Flush policies: `always` (a record is on the disk before its request is sent; survives a crash of the
+machine), `turn` (flushed by a timer every 50 ms; survives a crash of the process, and one of the machine
+except for the last 50 ms), `never` (not flushed; survives a crash of the process only).
 """
 
 from __future__ import annotations
@@ -21,45 +20,51 @@
 from typing import Literal
 
 from .files import FileCalls
-from .records import MAGIC, Kind, Record, read, write
+from .records import MAGIC, Kind, Record, decode_records, encode_record
 
 Flush = Literal["always", "turn", "never"]
 FLUSHES: tuple[Flush, ...] = ("always", "turn", "never")
-TURN = 0.05  # seconds between two flushes with `turn`
-GROWN = 2.0  # a log so many times its snapshot's size is written anew
-LEAST = 65_536  # bytes below which it is not
-MOST_STEP = 2 * 3_600_000.0  # ms by which the wall clock may have been stepped between two processes
-TRY_EVERY = 1000.0  # ms between two tries to write anew after a failure
+FLUSH_INTERVAL = 0.05  # seconds between two flushes with the policy `turn`
+COMPACTION_FACTOR = 2.0  # the log is compacted when it exceeds its last snapshot by this factor
+MIN_COMPACTION_SIZE = 65_536  # bytes; a smaller log is not compacted
+MAX_CLOCK_STEP = 2 * 3_600_000.0  # ms; largest step of the wall clock, either way, between two processes
+RETRY_INTERVAL = 1000.0  # ms between two attempts to replace the log after a failure
 
 
 class LedgerFullError(Exception):
-    """Nothing more can be written; what was written stands."""
+    """The records were not appended: a bound is reached or the disk failed. Earlier records stay valid."""
 
 
 @dataclass(frozen=True)
 class LedgerSettings:
-    """When a ledger is flushed, and its bounds.
+    """Flush policy and bounds of a ledger.
 
     Attributes:
-        flush: How much an appended record outlives; see the module.
+        flush: The flush policy, one of FLUSHES; see the module.
         max_ids: Most ids that are kept at once.
-        max_bytes: Most bytes of the log on disk.
-        longest: For how long an id usually counts from its record on, in ms. What an earlier process wrote
-            counts for so long at least from the start on, as the clock may have been stepped meanwhile; None:
-            as long as it tells.
+        max_bytes: Most bytes of the log file.
+        retention: How long an id is usually kept after its record was written, in ms. Ids that an earlier
+            process wrote are kept at least this long after the start, since the wall clock may have been
+            stepped in between. None: the stored expiration times are taken as they are.
     """
 
     flush: Flush = "turn"
     max_ids: int = 1_000_000
     max_bytes: int = 256 * 1_048_576
-    longest: float | None = None
+    retention: float | None = None
 
 
 class Ledger:
-    """Ids that may have run, with their ends.
+    """The ids of requests that may have run, with their expiration times.
 
-    path is a directory of the ledger's own. clock gives ms that run on evenly while the process lives, from
-    an origin close to Unix time, since ends must outlive a restart of the machine.
+    Opening a ledger recovers the log; see `recover` for its errors.
+
+    Args:
+        path: A directory that holds only this ledger. It is created if it is missing.
+        clock: Returns ms that are not stepped while the process lives, from an origin close to Unix time,
+            since expiration times must stay valid after a restart of the machine.
+        settings: Flush policy and bounds.
+        calls: The system calls for writing; tests inject failures.
     """
 
     def __init__(
@@ -67,78 +72,81 @@
         path: Path,
         clock: Callable[[], float],
         settings: LedgerSettings = LedgerSettings(),
-        system: FileCalls = os,
+        calls: FileCalls = os,
     ) -> None:
         assert settings.flush in FLUSHES
-        self.path, self.clock, self.settings, self.system = path, clock, settings, system
+        self.path, self.clock, self.settings, self.calls = path, clock, settings, calls
         self.ends: dict[bytes, float] = {}
         self.appended = self.torn = self.recovered = self.failures = self.rewritten = 0
-        self.bytes = self.bytes_most = self.base = 0
-        self.dirty = self.full = False
-        self.file = -1
-        self.next_try = 0.0
-        self.name = path / "ledger.log"
+        self.bytes = self.bytes_most = self.snapshot_size = 0
+        self.dirty = self.write_failed = False
+        self.descriptor = -1
+        self.next_retry = 0.0
+        self.log_path = path / "ledger.log"
         self.recover()
 
-    # Start.
+    # Recovery.
 
     def recover(self) -> None:
-        """Read the log, cut a torn tail, and write a snapshot without the ids that have ended.
+        """Read the log up to a torn tail and replace it by a snapshot of the ids that are still valid.
 
         Raises:
             OSError: The directory or the log cannot be read or written.
         """
         self.path.mkdir(parents=True, exist_ok=True)
-        (self.path / "ledger.new").unlink(missing_ok=True)  # a rewrite that was killed: the old one holds
-        data = self.name.read_bytes() if self.name.exists() else b""
+        (self.path / "ledger.new").unlink(missing_ok=True)  # an interrupted compaction: the old log is valid
+        data = self.log_path.read_bytes() if self.log_path.exists() else b""
         end = len(MAGIC) if data else 0
-        for record, end in read(data):  # noqa: B007
+        for record, end in decode_records(data):  # noqa: B007
             self.apply(record)
         if data and end < len(data):
             self.torn += 1
-        self.ends = recovered(self.ends, self.clock(), self.settings)
+        self.ends = recovered_ids(self.ends, self.clock(), self.settings)
         self.recovered = len(self.ends)
-        self.rewrite()
+        self.compact()
 
     def apply(self, record: Record) -> None:
-        """Change the ids as a record says."""
+        """Apply a record to the ids in memory."""
         if record.kind is Kind.MAY_RUN:
-            self.ends[record.ident] = max(record.until, self.ends.get(record.ident, 0.0))
+            self.ends[record.ident] = max(record.expires_at, self.ends.get(record.ident, 0.0))
         else:
             self.ends.pop(record.ident, None)
 
-    # What is asked of it.
+    # Reading and appending.
 
     def may_have_run(self, ident: bytes) -> bool:
-        """Whether that id has a record that has not ended."""
+        """Whether the id has a record that has not expired."""
         return self.ends.get(ident, 0.0) > self.clock()
 
     def append(self, records: list[Record]) -> None:
-        """Write all of the records or none; they outlive the process from then on, and more once flushed.
+        """Append all of the records or none.
+
+        They survive a crash of the process from then on, and one of the machine once they are flushed.
 
         Raises:
-            LedgerFullError: They were not written.
+            LedgerFullError: No record was written.
+            ValueError: An id is empty or too long; no record was written.
         """
-        if not records or (self.full and not self.try_again()):
+        if not records or (self.write_failed and not self.recover_from_failure()):
             if records:
-                raise LedgerFullError("nothing can be written")
+                raise LedgerFullError("an earlier write failed, and the log could not be replaced since")
             return
-        data = b"".join(write(record) for record in records)
+        data = b"".join(encode_record(record) for record in records)
         if len(self.ends) + len(records) > self.settings.max_ids:
-            self.forget()
+            self.drop_expired()
             if len(self.ends) + len(records) > self.settings.max_ids:
                 raise LedgerFullError("no room for another id")
-        if self.bytes + len(data) > max(LEAST, GROWN * self.base):
-            self.rewrite_if_it_pays()
+        if self.bytes + len(data) > max(MIN_COMPACTION_SIZE, COMPACTION_FACTOR * self.snapshot_size):
+            self.try_compact()
         if self.bytes + len(data) > self.settings.max_bytes:
-            raise LedgerFullError("no room on the disk that it may use")
+            raise LedgerFullError("the log has reached its bound in bytes")
         try:
-            self.write(data)
+            self.write_all(data)
             self.dirty = True
         except OSError as fault:
             self.failures += 1
-            self.full = True
-            self.cut()
+            self.write_failed = True
+            self.truncate_torn_write()
             raise LedgerFullError(os.strerror(fault.errno or errno.EIO)) from None
         for record in records:
             self.apply(record)
@@ -146,134 +154,147 @@
         self.bytes_most = max(self.bytes_most, self.bytes)
         self.appended += len(records)
 
-    def try_again(self) -> bool:
-        """Rewrite the log after a failure, as only a new file is trusted; at most once in TRY_EVERY.
+    def recover_from_failure(self) -> bool:
+        """Replace the log after a failed write or flush, at most once per RETRY_INTERVAL.
+
+        Only a new file is trusted: after a failed flush nothing is known of the old file's pages on disk.
 
         Returns:
-            Whether the ledger can be written again.
+            Whether the ledger accepts records again.
         """
         now = self.clock()
-        if now < self.next_try:
+        if now < self.next_retry:
             return False
-        self.next_try = now + TRY_EVERY
-        self.forget()
+        self.next_retry = now + RETRY_INTERVAL
+        self.drop_expired()
         try:
-            self.rewrite()
+            self.compact()
         except OSError:
             self.failures += 1
             return False
-        self.full = False
+        self.write_failed = False
         return True
 
     def sync(self) -> None:
-        """Flush all that was written before this call.
+        """Flush everything that was written before this call; blocks.
 
         Raises:
-            OSError: The disk did not take it.
+            OSError: The flush failed; the ledger then counts as failed until the log is replaced.
         """
-        self.syncer()()
+        self.prepare_sync()()
 
-    def syncer(self) -> Callable[[], None]:
-        """What `sync` does, to be called in a thread.
+    def prepare_sync(self) -> Callable[[], None]:
+        """Return a function that does what `sync` does and may be called in a worker thread.
 
-        It has a descriptor of its own, as the log may be rewritten meanwhile.
+        It flushes a duplicate of the descriptor, since the log may be compacted in the meantime.
         """
-        file, self.dirty = os.dup(self.file), False
+        descriptor, self.dirty = os.dup(self.descriptor), False
 
         def sync() -> None:
             try:
-                self.system.fdatasync(file)  # the size with it, not the times
+                self.calls.fdatasync(descriptor)  # flushes the size too, but not the timestamps
             except OSError:
                 self.failures += 1
-                self.full = True
+                self.write_failed = True
                 raise
             finally:
-                os.close(file)
+                os.close(descriptor)
 
         return sync
 
-    def write(self, data: bytes) -> None:
-        """Write all of the data at the end of the log.
+    def write_all(self, data: bytes) -> None:
+        """Write all of the data at the end of the log, in as many calls as needed.
 
         Raises:
-            OSError: Some of it could not be written.
+            OSError: Some of the data could not be written; the file may end in a torn write.
         """
         view = memoryview(data)
         while view:
-            view = view[self.system.write(self.file, view) :]
+            view = view[self.calls.write(self.descriptor, view) :]
 
-    def cut(self) -> None:
-        """Cut off a partly written record, so that the next one does not follow a torn one."""
+    def truncate_torn_write(self) -> None:
+        """Truncate a torn write, since recovery would ignore every record that follows it."""
         try:
-            self.system.ftruncate(self.file, self.bytes)
-            self.system.lseek(self.file, self.bytes, os.SEEK_SET)
+            self.calls.ftruncate(self.descriptor, self.bytes)
+            self.calls.lseek(self.descriptor, self.bytes, os.SEEK_SET)
         except OSError:
             self.failures += 1
 
     def close(self) -> None:
-        """Flush, as far as the disk takes it, and close the log."""
-        if self.file >= 0:
+        """Flush and close the log; a failed flush is ignored. Closing it again does nothing."""
+        if self.descriptor >= 0:
             with suppress(OSError):
                 self.sync()
-            self.system.close(self.file)
-            self.file = -1
+            self.calls.close(self.descriptor)
+            self.descriptor = -1
 
-    # Writing anew.
+    # Compaction.
 
-    def forget(self) -> None:
-        """Drop the ids that have ended."""
+    def drop_expired(self) -> None:
+        """Drop the ids that have expired from memory."""
         now = self.clock()
-        self.ends = {ident: until for ident, until in self.ends.items() if until > now}
+        self.ends = {ident: expires_at for ident, expires_at in self.ends.items() if expires_at > now}
 
-    def rewrite_if_it_pays(self) -> None:
-        """Rewrite a log that has grown; if that fails, the old one is used further."""
-        self.forget()
+    def try_compact(self) -> None:
+        """Compact a log that has grown; if that fails, the old log stays in use."""
+        self.drop_expired()
         try:
-            self.rewrite()
+            self.compact()
         except OSError:
-            self.failures += 1  # the old one goes on
+            self.failures += 1  # the old log stays in use
 
-    def rewrite(self) -> None:
-        """Write a snapshot beside the log, flush it and rename it: a kill leaves one or the other.
+    def compact(self) -> None:
+        """Write a snapshot to a new file, flush it and rename it over the log.
+
+        A crash at any point leaves either the old log or the complete snapshot.
 
         Raises:
-            OSError: The old log stands.
+            OSError: The snapshot could not be written; unless the flush of the directory failed, the old log
+                stays in use.
         """
         fresh = self.path / "ledger.new"
-        data = MAGIC + b"".join(write(Record(Kind.MAY_RUN, *each)) for each in self.ends.items())
-        file = self.system.open(fresh, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
+        data = MAGIC + b"".join(encode_record(Record(Kind.MAY_RUN, *each)) for each in self.ends.items())
+        descriptor = self.calls.open(fresh, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
         try:
             view = memoryview(data)
             while view:
-                view = view[self.system.write(file, view) :]
-            self.system.fsync(file)
-            self.system.rename(fresh, self.name)
+                view = view[self.calls.write(descriptor, view) :]
+            self.calls.fsync(descriptor)
+            self.calls.rename(fresh, self.log_path)
         except OSError:
-            self.system.close(file)
+            self.calls.close(descriptor)
             raise
         folder = os.open(self.path, os.O_RDONLY)
         try:
             os.fsync(folder)
         finally:
             os.close(folder)
-        if self.file >= 0:
-            self.system.close(self.file)
-        self.file, self.bytes, self.base = file, len(data), len(data)
+        if self.descriptor >= 0:
+            self.calls.close(self.descriptor)
+        self.descriptor, self.bytes, self.snapshot_size = descriptor, len(data), len(data)
         self.bytes_most = max(self.bytes_most, self.bytes)
         self.rewritten += 1
         self.dirty = False
 
 
-def recovered(ends: Mapping[bytes, float], now: float, settings: LedgerSettings) -> dict[bytes, float]:
-    """The ids of an earlier process that still count, with their ends on the clock of this one.
+def recovered_ids(ends: Mapping[bytes, float], now: float, settings: LedgerSettings) -> dict[bytes, float]:
+    """The ids of an earlier process that are still valid, with expiration times on this process's clock.
+
+    The stored times come from a wall clock that may have been stepped since by up to MAX_CLOCK_STEP either
+    way. An id whose time has passed by less than that is therefore kept for the full retention from now on;
+    no id is kept longer than the retention plus MAX_CLOCK_STEP. If more than max_ids remain, those with the
+    latest expiration times are kept. Without a retention the stored times are taken as they are.
 
-    The ends were written by a wall clock that may have been stepped since, either way, by MOST_STEP at most.
-    So an end that lies in the past by less proves nothing: the id counts for its usual time from now on.
-    Where there are more than may be kept, those with the latest ends are.
+    Args:
+        ends: Expiration times in Unix ms by id, as recovered from the log.
+        now: The current time in Unix ms.
+        settings: The ledger's bounds.
     """
-    if settings.longest is None:
-        return {ident: until for ident, until in ends.items() if until > now}
-    may_count = [(until, ident) for ident, until in ends.items() if until > now - MOST_STEP]
+    if settings.retention is None:
+        return {ident: expires_at for ident, expires_at in ends.items() if expires_at > now}
+    may_count = [
+        (expires_at, ident) for ident, expires_at in ends.items() if expires_at > now - MAX_CLOCK_STEP
+    ]
     may_count.sort(reverse=True)
-    least, most = now + settings.longest, now + settings.longest + MOST_STEP
-    return {ident: min(max(until, least), most) for until, ident in may_count[: settings.max_ids]}
+    least, most = now + settings.retention, now + settings.retention + MAX_CLOCK_STEP
+    return {ident: min(max(expires_at, least), most) for expires_at, ident in may_count[: settings.max_ids]}
