--- a/spurdeal/store/guard.py
+++ b/spurdeal/store/guard.py
@@ -148,7 +148,7 @@
     def never_ran(self, request: OpenRequest) -> None:
         """Record that no attempt of a request has run; if that fails, the request counts as possibly run."""
         ident = request.ident.lower()
-        if self.settings.guarded[request.kind] and ident in self.ledger.ends:
+        if self.settings.guarded[request.kind] and ident in self.ledger.expirations:
             try:
                 self.ledger.append([Record(Kind.NEVER_RAN, ident, 0.0)])
             except LedgerFullError:
--- a/spurdeal/store/ledger.py
+++ b/spurdeal/store/ledger.py
@@ -76,7 +76,7 @@
     ) -> None:
         assert settings.flush in FLUSHES
         self.path, self.clock, self.settings, self.calls = path, clock, settings, calls
-        self.ends: dict[bytes, float] = {}
+        self.expirations: dict[bytes, float] = {}
         self.appended = self.torn = self.recovered = self.failures = self.rewritten = 0
         self.bytes = self.bytes_most = self.snapshot_size = 0
         self.dirty = self.write_failed = False
@@ -101,22 +101,22 @@
             self.apply(record)
         if data and end < len(data):
             self.torn += 1
-        self.ends = recovered_ids(self.ends, self.clock(), self.settings)
-        self.recovered = len(self.ends)
+        self.expirations = recovered_ids(self.expirations, self.clock(), self.settings)
+        self.recovered = len(self.expirations)
         self.compact()
 
     def apply(self, record: Record) -> None:
         """Apply a record to the ids in memory."""
         if record.kind is Kind.MAY_RUN:
-            self.ends[record.ident] = max(record.expires_at, self.ends.get(record.ident, 0.0))
+            self.expirations[record.ident] = max(record.expires_at, self.expirations.get(record.ident, 0.0))
         else:
-            self.ends.pop(record.ident, None)
+            self.expirations.pop(record.ident, None)
 
     # Reading and appending.
 
     def may_have_run(self, ident: bytes) -> bool:
         """Whether the id has a record that has not expired."""
-        return self.ends.get(ident, 0.0) > self.clock()
+        return self.expirations.get(ident, 0.0) > self.clock()
 
     def append(self, records: list[Record]) -> None:
         """Append all of the records or none.
@@ -132,9 +132,9 @@
                 raise LedgerFullError("an earlier write failed, and the log could not be replaced since")
             return
         data = b"".join(encode_record(record) for record in records)
-        if len(self.ends) + len(records) > self.settings.max_ids:
+        if len(self.expirations) + len(records) > self.settings.max_ids:
             self.drop_expired()
-            if len(self.ends) + len(records) > self.settings.max_ids:
+            if len(self.expirations) + len(records) > self.settings.max_ids:
                 raise LedgerFullError("no room for another id")
         if self.bytes + len(data) > max(MIN_COMPACTION_SIZE, COMPACTION_FACTOR * self.snapshot_size):
             self.try_compact()
@@ -233,7 +233,9 @@
     def drop_expired(self) -> None:
         """Drop the ids that have expired from memory."""
         now = self.clock()
-        self.ends = {ident: expires_at for ident, expires_at in self.ends.items() if expires_at > now}
+        self.expirations = {
+            ident: expires_at for ident, expires_at in self.expirations.items() if expires_at > now
+        }
 
     def try_compact(self) -> None:
         """Compact a log that has grown; if that fails, the old log stays in use."""
@@ -253,7 +255,9 @@
                 stays in use.
         """
         fresh = self.path / "ledger.new"
-        data = MAGIC + b"".join(encode_record(Record(Kind.MAY_RUN, *each)) for each in self.ends.items())
+        data = MAGIC + b"".join(
+            encode_record(Record(Kind.MAY_RUN, *each)) for each in self.expirations.items()
+        )
         descriptor = self.calls.open(fresh, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
         try:
             view = memoryview(data)
@@ -277,7 +281,9 @@
         self.dirty = False
 
 
-def recovered_ids(ends: Mapping[bytes, float], now: float, settings: LedgerSettings) -> dict[bytes, float]:
+def recovered_ids(
+    expirations: Mapping[bytes, float], now: float, settings: LedgerSettings
+) -> dict[bytes, float]:
     """The ids of an earlier process that are still valid, with expiration times on this process's clock.
 
     The stored times come from a wall clock that may have been stepped since by up to MAX_CLOCK_STEP either
@@ -286,14 +292,14 @@
     latest expiration times are kept. Without a retention the stored times are taken as they are.
 
     Args:
-        ends: Expiration times in Unix ms by id, as recovered from the log.
+        expirations: Expiration times in Unix ms by id, as recovered from the log.
         now: The current time in Unix ms.
         settings: The ledger's bounds.
     """
     if settings.retention is None:
-        return {ident: expires_at for ident, expires_at in ends.items() if expires_at > now}
+        return {ident: expires_at for ident, expires_at in expirations.items() if expires_at > now}
     may_count = [
-        (expires_at, ident) for ident, expires_at in ends.items() if expires_at > now - MAX_CLOCK_STEP
+        (expires_at, ident) for ident, expires_at in expirations.items() if expires_at > now - MAX_CLOCK_STEP
     ]
     may_count.sort(reverse=True)
     least, most = now + settings.retention, now + settings.retention + MAX_CLOCK_STEP
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -81,7 +81,7 @@
         one.append([may(b"id-%d" % number, self.now[0] + number) for number in range(1, 31)])
         one.close()
         again = self.ledger(retention=1000.0, max_ids=10)
-        self.assertEqual(set(again.ends), {b"id-%d" % number for number in range(21, 31)})
+        self.assertEqual(set(again.expirations), {b"id-%d" % number for number in range(21, 31)})
 
     def test_recovery_after_a_crash_at_any_byte_keeps_all_complete_records(self) -> None:
         one = self.ledger()
@@ -150,7 +150,7 @@
             one.append([may(b"%016x" % number, self.now[0] + 1000)])
         self.assertLess(one.bytes_most, 100_000)
         self.assertGreater(one.rewritten, 5)
-        self.assertLessEqual(len(one.ends), 500)
+        self.assertLessEqual(len(one.expirations), 500)
         with self.assertRaisesRegex(LedgerFullError, "no room for another id"):
             for number in range(600):
                 one.append([may(b"x%015x" % number, 9e12)])
