--- a/spurdeal/cli/main.py
+++ b/spurdeal/cli/main.py
@@ -190,12 +190,12 @@
     as_json: bool,
 ) -> None:
     """Prints entries of audit logs."""
-    from ..fleet.asking import Asked, chosen, merged
+    from ..fleet.asking import AuditQuery, merge_logs, select_entries
 
     since, until = between or (0.0, float("inf"))
-    asked = Asked(submission, engine, dispatcher, version, since, until)
-    for entry in chosen(merged(logs_of(folders, True)), asked):
-        click.echo(json.dumps(entry.told()) if as_json else entry.words())
+    asked = AuditQuery(submission, engine, dispatcher, version, since, until)
+    for entry in select_entries(merge_logs(logs_of(folders, True)), asked):
+        click.echo(json.dumps(entry.to_json()) if as_json else entry.to_text())
 
 
 @fleet.command("check", help="What went against the versions, in words; exit code 1 where anything did.")
@@ -215,9 +215,9 @@
     for found in findings:
         at = str(found.entry.record.stamp) if found.entry is not None else None
         click.echo(
-            json.dumps({"kind": found.kind, "says": found.words, "at": at})
+            json.dumps({"kind": found.kind, "says": found.text, "at": at})
             if as_json
-            else f"{found.kind}: {found.words}"
+            else f"{found.kind}: {found.text}"
         )
     if not as_json:
         click.echo(f"{len(findings)} findings in {len(folders)} logs")
--- a/spurdeal/fleet/asking.py
+++ b/spurdeal/fleet/asking.py
@@ -36,7 +36,7 @@
         """Sorts entries by cause; the name decides between equal stamps."""
         return self.record.stamp, self.name
 
-    def told(self) -> dict[str, Any]:
+    def to_json(self) -> dict[str, Any]:
         """The entry, ready for JSON."""
         record = self.record
         found: dict[str, Any] = {
@@ -56,19 +56,19 @@
             }
         if record.kind is Kind.CALLED_OFF:
             found["trip"] = record.attempt
-        found |= {key: value for key, value in record.told.items() if key != "engines"}
+        found |= {key: value for key, value in record.fields.items() if key != "engines"}
         return found | {"versions": {line: self.versions[line] for line in LINES if line in self.versions}}
 
-    def words(self) -> str:
+    def to_text(self) -> str:
         """The entry in one line, for people."""
-        found = self.told()
+        found = self.to_json()
         versions = found.pop("versions")
         text = " ".join(f"{key}={value}" for key, value in found.items() if key not in ("at", "boot"))
         return f"{found['at']} {text} list={versions.get('list', '?')}"
 
 
 @dataclass
-class Log:
+class DispatcherLog:
     """One dispatcher's folder, all its starts."""
 
     folder: str
@@ -81,7 +81,7 @@
     lost: int = 0
 
 
-def read_log(folder: Path, strict: bool = True) -> Log:
+def read_log(folder: Path, strict: bool = True) -> DispatcherLog:
     """All files of a folder, in order.
 
     Args:
@@ -91,7 +91,7 @@
     Raises:
         UnreadableLogError: There is no log, a file is of another dispatcher, or it is broken and `strict`.
     """
-    log = Log(str(folder))
+    log = DispatcherLog(str(folder))
     files = sorted(folder.glob("audit-*.log"))
     if not files:
         raise UnreadableLogError(f"{folder}: no audit log there")
@@ -114,7 +114,7 @@
     return log
 
 
-def add_file(log: Log, file: Path, found: Read, before: str | None) -> None:
+def add_file(log: DispatcherLog, file: Path, found: Read, before: str | None) -> None:
     """Add the contents of a file to its log.
 
     Args:
@@ -143,23 +143,23 @@
         log.last_page.setdefault(boot, found.page - 2)
 
 
-def add_records(log: Log, boot: str, records: Iterable[Record]) -> None:
+def add_records(log: DispatcherLog, boot: str, records: Iterable[Record]) -> None:
     """Add one file's records, each with the versions that it was made under."""
     versions: dict[int, Mapping[str, Any]] = {}
     for record in records:
         if record.kind is Kind.VERSIONS:
-            versions[int(record.told["index"])] = record.told
+            versions[int(record.fields["index"])] = record.fields
         if record.kind is Kind.LOST:
-            log.lost += int(record.told["records"])
+            log.lost += int(record.fields["records"])
         log.entries.append(Entry(log.name, boot, record, versions.get(record.under, {})))
 
 
-def merged(logs: Iterable[Log]) -> list[Entry]:
+def merge_logs(logs: Iterable[DispatcherLog]) -> list[Entry]:
     """All entries in an order that is true to cause: the hybrid stamps'."""
     return sorted((entry for log in logs for entry in log.entries), key=lambda entry: entry.order)
 
 
-class Asked(NamedTuple):
+class AuditQuery(NamedTuple):
     """What entries to give; what is None or empty asks for nothing."""
 
     request: str = ""
@@ -170,7 +170,7 @@
     until: float = float("inf")
 
 
-def chosen(entries: Iterable[Entry], asked: Asked) -> Iterator[Entry]:
+def select_entries(entries: Iterable[Entry], asked: AuditQuery) -> Iterator[Entry]:
     """The entries that were asked for, in their order."""
     for entry in entries:
         record = entry.record
@@ -180,9 +180,13 @@
             continue
         if asked.request and record.ident.lower() != asked.request.lower():
             continue
-        if asked.engine and asked.engine != record.engine and asked.engine not in record.told.get("says", ""):
+        if (
+            asked.engine
+            and asked.engine != record.engine
+            and asked.engine not in record.fields.get("says", "")
+        ):
             continue
-        if asked.dispatcher and asked.dispatcher not in (entry.name, record.told.get("name")):
+        if asked.dispatcher and asked.dispatcher not in (entry.name, record.fields.get("name")):
             continue
         under = [str(entry.versions.get(line, "")) for line in LINES]
         if asked.version and not any(each.startswith(asked.version) for each in under):
@@ -194,11 +198,11 @@
     """Something that went against the versions, or a log that is not whole."""
 
     kind: str  # own_version, newer_version, clash, chain, lost, witness
-    words: str
+    text: str
     entry: Entry | None = None
 
 
-def check(logs: Sequence[Log], grace: float) -> list[Finding]:
+def check(logs: Sequence[DispatcherLog], grace: float) -> list[Finding]:
     """All that contradicts the versions, or is missing.
 
     Args:
@@ -206,7 +210,7 @@
         grace: After a version is told, how long a dispatcher has, in ms, until nothing may go to what it has
             draining.
     """
-    entries = merged(logs)
+    entries = merge_logs(logs)
     findings = [*against_own(entries), *against_newer(entries, grace), *clashes(entries)]
     for log in logs:
         findings += [Finding("chain", f"{log.name}: {problem}") for problem in log.problems]
@@ -255,10 +259,10 @@
     first: list[Acted] = []  # numbers grow
     for entry in entries:
         record = entry.record
-        if record.kind is Kind.VERSIONS and record.told.get("list") in believed:
-            number = number_of(record.told["list"])
+        if record.kind is Kind.VERSIONS and record.fields.get("list") in believed:
+            number = number_of(record.fields["list"])
             if not first or number > first[-1].number:
-                first.append(Acted(number, record.stamp.ms, record.told))
+                first.append(Acted(number, record.stamp.ms, record.fields))
         if record.kind is Kind.SENT and "list" in entry.versions:
             newer = newest_in_force(first, number_of(entry.versions["list"]), record.stamp.ms - grace)
             if newer is not None:
@@ -273,8 +277,8 @@
     names = {entry.name for entry in entries}
     acted: dict[str, set[str]] = {}
     for entry in entries:
-        if entry.record.kind is Kind.VERSIONS and "list" in entry.record.told:
-            acted.setdefault(entry.record.told["list"], set()).add(entry.name)
+        if entry.record.kind is Kind.VERSIONS and "list" in entry.record.fields:
+            acted.setdefault(entry.record.fields["list"], set()).add(entry.name)
     return {told for told, by in acted.items() if len(by) >= min(WITNESSES, len(names) - 1)}
 
 
@@ -315,8 +319,8 @@
     for entry in entries:
         if entry.record.kind is Kind.VERSIONS:
             for line in LINES:
-                if line in entry.record.told and line != "program":
-                    number, _, digest = str(entry.record.told[line]).partition("/")
+                if line in entry.record.fields and line != "program":
+                    number, _, digest = str(entry.record.fields[line]).partition("/")
                     seen.setdefault((line, number), {}).setdefault(digest, entry.name)
     for (line, number), names in sorted(seen.items()):
         if len(names) > 1:
@@ -324,16 +328,16 @@
             yield Finding("clash", f"{line} {number} had {len(names)} contents: {told}")
 
 
-def witnessed(logs: Sequence[Log], entries: Iterable[Entry]) -> Iterator[Finding]:
+def witnessed(logs: Sequence[DispatcherLog], entries: Iterable[Entry]) -> Iterator[Finding]:
     """Pages as others were told of them, against the logs: one that differs, and a log that ends before."""
-    by_name: dict[str, list[Log]] = {}  # several folders may hold parts of one dispatcher's
+    by_name: dict[str, list[DispatcherLog]] = {}  # several folders may hold parts of one dispatcher's
     for log in logs:
         by_name.setdefault(log.name, []).append(log)
     told_of: set[tuple[str, str]] = set()
     for entry in entries:
         if entry.record.kind is not Kind.WITNESS:
             continue
-        told = entry.record.told
+        told = entry.record.fields
         name, boot, page = str(told["name"]), str(told["boot"]), int(told["page"])
         parts = by_name.get(name)
         if parts is None or (name, boot) in told_of:
--- a/spurdeal/fleet/audit.py
+++ b/spurdeal/fleet/audit.py
@@ -28,10 +28,10 @@
 
 MAGIC = b"SPA1\n"
 FRAME = struct.Struct("!II")
-TIME = struct.Struct("!HIHI")  # ms in 2 and 4 bytes, tally, index of versions
+FRAME_STAMP = struct.Struct("!HIHI")  # ms in 2 and 4 bytes, tally, index of versions
 SENT = struct.Struct("!BBBB")  # kind, attempt, flags, length of the id; then the id, and the engine's place
 TEXT = struct.Struct("!BH")
-SEAL = struct.Struct("!BQQ")
+SEAL_RECORD = struct.Struct("!BQQ")
 DIGEST = 16
 LARGEST = 1 << 24  # bytes of a frame
 LONGEST_ID = 64
@@ -65,7 +65,7 @@
 COLD, DOUBTFUL = 1, 2  # flags of one that was sent
 
 
-NOTHING_TOLD: Mapping[str, Any] = MappingProxyType({})
+NO_FIELDS: Mapping[str, Any] = MappingProxyType({})
 
 
 class Record(NamedTuple):
@@ -78,7 +78,7 @@
     engine: str = ""
     attempt: int = 0
     flags: int = 0
-    told: Mapping[str, Any] = NOTHING_TOLD
+    fields: Mapping[str, Any] = NO_FIELDS
 
 
 class SealedPage(NamedTuple):
@@ -118,7 +118,7 @@
     return hashlib.blake2b(before + data, digest_size=DIGEST).digest()
 
 
-class Pages:
+class PageBuilder:
     """What is to be written, in order. `frame` gives the bytes of a turn, `seal` those that end a page."""
 
     def __init__(self, page: int = 0, count: int = 0, digest: bytes = NO_DIGEST) -> None:
@@ -130,21 +130,21 @@
 
     # Records, kept until the turn's frame is asked for.
 
-    def sent(self, ident: bytes, attempt: int, engine: str, flags: int) -> None:
+    def add_attempt(self, ident: bytes, attempt: int, engine: str, flags: int) -> None:
         """An attempt was sent to an engine; flags are COLD and DOUBTFUL."""
         place = self.engines.get(engine)
         if place is None:
             place = self.engines[engine] = len(self.engines)
-            self.tell(Kind.ENGINE, {"place": place, "engine": engine})
+            self.add_json(Kind.ENGINE, {"place": place, "engine": engine})
         self.records.append(
             SENT.pack(Kind.SENT, min(attempt, 255), flags, len(ident)) + ident + place.to_bytes(4, "big")
         )
 
-    def short(self, kind: Kind, ident: bytes, attempt: int = 0) -> None:
+    def add_event(self, kind: Kind, ident: bytes, attempt: int = 0) -> None:
         """Something happened to a request; the kind is one of SHORT."""
         self.records.append(SENT.pack(kind, min(attempt, 255), 0, len(ident)) + ident)
 
-    def tell(self, kind: Kind, told: dict[str, Any]) -> None:
+    def add_json(self, kind: Kind, told: dict[str, Any]) -> None:
         """A record with figures, as JSON; one that is larger than 64 KiB packed is dropped."""
         text = zlib.compress(json.dumps(told, separators=(",", ":")).encode(), 6)
         if len(text) < 1 << 16:
@@ -156,10 +156,12 @@
         """All that was told since the last, as one moment; b"" without any."""
         if not self.records:
             return b""
-        body = TIME.pack(stamp.ms >> 32, stamp.ms & 0xFFFFFFFF, stamp.tally, index) + b"".join(self.records)
+        body = FRAME_STAMP.pack(stamp.ms >> 32, stamp.ms & 0xFFFFFFFF, stamp.tally, index) + b"".join(
+            self.records
+        )
         return FRAME.pack(len(body), zlib.crc32(body)) + body
 
-    def wrote(self, data: bytes, written: bool) -> int:
+    def on_written(self, data: bytes, written: bool) -> int:
         """The frame's bytes are in the file, or not: then its records are lost, and how many is given."""
         count, self.records = len(self.records), []
         if not written:
@@ -176,13 +178,13 @@
             return b""
         digest = self.unsealed.digest()
         body = (
-            TIME.pack(stamp.ms >> 32, stamp.ms & 0xFFFFFFFF, stamp.tally, index)
-            + SEAL.pack(Kind.SEAL, self.page, self.count)
+            FRAME_STAMP.pack(stamp.ms >> 32, stamp.ms & 0xFFFFFFFF, stamp.tally, index)
+            + SEAL_RECORD.pack(Kind.SEAL, self.page, self.count)
             + digest
         )
         return FRAME.pack(len(body), zlib.crc32(body)) + body
 
-    def sealed(self) -> SealedPage:
+    def on_sealed(self) -> SealedPage:
         """The seal is written: the page, as others are told of it."""
         told = SealedPage(self.page, self.unsealed.hexdigest(), self.count)
         self.close()
@@ -233,12 +235,12 @@
         body, after = whole
         found = list(records_of(body, at, engines))
         if found and found[0].kind is Kind.HEAD and not head:
-            head = found[0].told
+            head = found[0].fields
             page, count, digest = int(head["page"]), int(head["records"]), bytes.fromhex(head["before"])
         elif not head:
             raise BrokenLogError(at, "no head")
         if found and found[0].kind is Kind.SEAL:
-            told = found[0].told
+            told = found[0].fields
             digest = digest_after(digest, pending)
             if told["page"] != page or told["digest"] != digest.hex() or told["records"] != count + in_page:
                 raise BrokenLogError(
@@ -265,7 +267,7 @@
         found = list(records_of(whole[0], len(MAGIC), {})) if whole is not None else []
     except BrokenLogError:
         return {}
-    return found[0].told if found and found[0].kind is Kind.HEAD else {}
+    return found[0].fields if found and found[0].kind is Kind.HEAD else {}
 
 
 def frame_at(data: bytes, at: int) -> tuple[bytes, int] | None:
@@ -274,7 +276,7 @@
         return None
     size, told = FRAME.unpack_from(data, at)
     body = data[at + FRAME.size : at + FRAME.size + size]
-    if not TIME.size < size <= LARGEST or len(body) < size or zlib.crc32(body) != told:
+    if not FRAME_STAMP.size < size <= LARGEST or len(body) < size or zlib.crc32(body) != told:
         return None
     return body, at + FRAME.size + size
 
@@ -298,8 +300,8 @@
     Raises:
         BrokenLogError: A record has not its form.
     """
-    high, low, tally, index = TIME.unpack_from(body)
-    stamp, at = Stamp(high << 32 | low, tally), TIME.size
+    high, low, tally, index = FRAME_STAMP.unpack_from(body)
+    stamp, at = Stamp(high << 32 | low, tally), FRAME_STAMP.size
     try:
         while at < len(body):
             kind = Kind(body[at])
@@ -314,11 +316,11 @@
                     at += 4
                 yield Record(stamp, index, kind, ident, engine, attempt, flags)
             elif kind is Kind.SEAL:
-                _, page, count = SEAL.unpack_from(body, at)
-                at += SEAL.size
+                _, page, count = SEAL_RECORD.unpack_from(body, at)
+                at += SEAL_RECORD.size
                 digest = body[at : at + DIGEST].hex()
                 at += DIGEST
-                yield Record(stamp, index, kind, told={"page": page, "records": count, "digest": digest})
+                yield Record(stamp, index, kind, fields={"page": page, "records": count, "digest": digest})
             else:
                 _, size = TEXT.unpack_from(body, at)
                 at += TEXT.size
@@ -326,6 +328,6 @@
                 at += size
                 if kind is Kind.ENGINE:
                     engines[int(told["place"])] = str(told["engine"])
-                yield Record(stamp, index, kind, told=told)
+                yield Record(stamp, index, kind, fields=told)
     except (ValueError, KeyError, IndexError, struct.error, zlib.error) as fault:
         raise BrokenLogError(offset, f"a record cannot be read: {fault!r}") from None
--- a/spurdeal/fleet/journal.py
+++ b/spurdeal/fleet/journal.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from ..store.files import FileCalls
-from .audit import MAGIC, NO_DIGEST, BrokenLogError, Kind, LogEnd, Pages, Read, SealedPage, read
+from .audit import MAGIC, NO_DIGEST, BrokenLogError, Kind, LogEnd, PageBuilder, Read, SealedPage, read
 from .hybrid import Stamp
 
 FILES = 8  # of which the oldest goes when the bytes are used up
@@ -58,7 +58,7 @@
         self.index = 0
         self.versions: dict[str, Any] = {}
         self.sizes: dict[int, int] = {}
-        self.pages = Pages(*self.recover())
+        self.pages = PageBuilder(*self.recover())
         self.begin()
 
     def name_of(self, number: int) -> Path:
@@ -115,7 +115,7 @@
         kept, self.pages.records = self.pages.records, []
         self.pages.close()
         self.pages.engines.clear()
-        self.pages.tell(
+        self.pages.add_json(
             Kind.HEAD,
             {
                 "name": self.name,
@@ -127,7 +127,7 @@
             },
         )
         if self.versions:
-            self.pages.tell(Kind.VERSIONS, self.versions | {"again": True})
+            self.pages.add_json(Kind.VERSIONS, self.versions | {"again": True})
         begun = self.put(self.pages.frame(self.stamp(), self.index), MAGIC)
         self.pages.records += kept
         if not begun:  # no room even for a head
@@ -139,12 +139,12 @@
 
     # What is asked of it.
 
-    def act_on(self, told: dict[str, Any]) -> None:
+    def set_versions(self, told: dict[str, Any]) -> None:
         """These versions are in force from here on; their index is in every frame."""
         self.flush()
         self.index += 1
         self.versions = told | {"index": self.index}
-        self.pages.tell(Kind.VERSIONS, self.versions)
+        self.pages.add_json(Kind.VERSIONS, self.versions)
         self.flush()
 
     def flush(self) -> None:
@@ -163,7 +163,7 @@
         lost = self.lost_untold
         if self.begin():
             self.lost_untold = 0
-            self.pages.tell(Kind.LOST, {"records": lost})
+            self.pages.add_json(Kind.LOST, {"records": lost})
 
     def put(self, data: bytes, before: bytes = b"") -> bool:
         """Write one frame.
@@ -180,7 +180,7 @@
             except OSError:
                 self.failures += 1
                 self.cut()
-        lost = self.pages.wrote(data, written)
+        lost = self.pages.on_written(data, written)
         self.lost += lost
         self.lost_untold += lost
         if written:
@@ -214,7 +214,7 @@
             return None
         self.bytes += len(data)
         self.sizes[self.number] = self.bytes
-        told = self.pages.sealed()
+        told = self.pages.on_sealed()
         if self.bytes > max(LEAST_FILE, self.max_bytes // FILES):
             self.begin()
         return told
@@ -230,7 +230,7 @@
 
     def close(self) -> None:
         """Note the planned end, seal the page and close the file."""
-        self.pages.tell(Kind.STOPPED, {})
+        self.pages.add_json(Kind.STOPPED, {})
         self.seal()
         if self.file >= 0:
             with suppress(OSError):
--- a/spurdeal/fleet/station.py
+++ b/spurdeal/fleet/station.py
@@ -214,7 +214,7 @@
         if self.journal is not None:
             force = {line.name.lower(): str(version) for line, version in self.fleet.book.force.items()}
             engines = {ident: row[6] for ident, row in self.fleet.rows.items()}
-            self.journal.act_on(force | {"by": by, "engines": engines})
+            self.journal.set_versions(force | {"by": by, "engines": engines})
 
     # Time and datagrams.
 
@@ -274,7 +274,7 @@
         if self.journal is not None:
             kind = KINDS.get(told.what, Kind.OTHER)
             figures = told.figures if kind is not Kind.OTHER else {"event": told.what} | told.figures
-            self.journal.pages.tell(kind, figures)
+            self.journal.pages.add_json(kind, figures)
             if not self.adapter.in_batch:
                 self.journal.flush()
 
@@ -346,7 +346,7 @@
             return False
         if self.journal is not None:
             flags = COLD * cold | DOUBTFUL * self.guarded[request.kind]
-            self.journal.pages.sent(request.ident, attempt, ident, flags)
+            self.journal.pages.add_attempt(request.ident, attempt, ident, flags)
             if not self.adapter.in_batch:
                 self.journal.flush()
         return True
@@ -366,7 +366,7 @@
     def said(self, line: str) -> None:
         """Note it in the audit."""
         if self.journal is not None:
-            self.journal.pages.tell(Kind.MODE, {"says": line})
+            self.journal.pages.add_json(Kind.MODE, {"says": line})
         if self.inner is not None:
             self.inner.said(line)
 
@@ -384,6 +384,6 @@
     def short(self, kind: Kind, ident: bytes, attempt: int = 0) -> None:
         """Note in the audit what happened to a request, at once when no turn is under way."""
         if self.journal is not None:
-            self.journal.pages.short(kind, ident, attempt)
+            self.journal.pages.add_event(kind, ident, attempt)
             if not self.adapter.in_batch:
                 self.journal.flush()
--- a/spurdeal/lab/audited/judging.py
+++ b/spurdeal/lab/audited/judging.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from ...fleet.asking import Entry, check, merged, read_log
+from ...fleet.asking import Entry, check, merge_logs, read_log
 from ...fleet.audit import Kind
 from ..rig import GRACE, Rig
 from ..rig_process import Process
@@ -86,14 +86,14 @@
     rig, faults = run.rig, run.faults
     folders = log_folders(rig, faults)
     logs = [read_log(folder, strict=False) for folder in folders]
-    entries = merged(logs)
+    entries = merge_logs(logs)
     findings = check(logs, GRACE)
     kinds = Counter(finding.kind for finding in findings)
-    numbers = {entry.record.told["list"] for entry in entries if entry.record.kind is Kind.VERSIONS}
+    numbers = {entry.record.fields["list"] for entry in entries if entry.record.kind is Kind.VERSIONS}
     sends = [entry for entry in entries if entry.record.kind is Kind.SENT]
     lost = sum(log.lost for log in logs)
     caught_up = caught_up_with_peers(rig, faults, entries)
-    others = [finding.words for finding in findings if finding.kind not in ("newer_version", "clash")]
+    others = [finding.text for finding in findings if finding.kind not in ("newer_version", "clash")]
     return {
         "versions": len(numbers),
         "decisions": sum(entry.record.kind in DECIDED for entry in entries),
@@ -176,12 +176,12 @@
     started: dict[tuple[str, str], int] = {}
     for entry in entries:
         if entry.record.kind is Kind.VERSIONS:
-            first.setdefault(entry.record.told["list"], entry.record.stamp.ms)
+            first.setdefault(entry.record.fields["list"], entry.record.stamp.ms)
         started.setdefault((entry.name, entry.boot), entry.record.stamp.ms)
     seen = newer_seen(rig)
     caught_up = CatchUp([], [])
     for entry in entries:
-        told = entry.record.told
+        told = entry.record.fields
         if entry.record.kind is not Kind.VERSIONS or told.get("by") != "peer" or told.get("again"):
             continue
         at = float(entry.record.stamp.ms)
--- a/spurdeal/lab/audited/tampering.py
+++ b/spurdeal/lab/audited/tampering.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from ...fleet.asking import Log, check, read_log
-from ...fleet.audit import FRAME, MAGIC, SEAL, TIME, Kind, digest_after, frame_at
+from ...fleet.asking import DispatcherLog, check, read_log
+from ...fleet.audit import FRAME, FRAME_STAMP, MAGIC, SEAL_RECORD, Kind, digest_after, frame_at
 from ..rig import GRACE, Rig
 
 LOGS = "audit-*.log"
@@ -42,10 +42,10 @@
     return {"chain_breaks_planted": planted, "chain_breaks_found": found}
 
 
-def broken_words(logs: Sequence[Log]) -> set[str]:
+def broken_words(logs: Sequence[DispatcherLog]) -> set[str]:
     """What is said of logs that are not whole; what was decided in them is left out."""
     told = [
-        Log(
+        DispatcherLog(
             log.folder,
             log.name,
             [entry for entry in log.entries if entry.record.kind is Kind.WITNESS],
@@ -55,7 +55,7 @@
         )
         for log in logs
     ]
-    return {finding.words for finding in check(told, GRACE)}
+    return {finding.text for finding in check(told, GRACE)}
 
 
 def flip(folder: Path, chance: random.Random) -> bool:
@@ -77,7 +77,7 @@
     @property
     def kind(self) -> int:
         """The kind of its record, one of Kind."""
-        return self.body[TIME.size]
+        return self.body[FRAME_STAMP.size]
 
 
 def frames(data: bytes) -> list[Frame]:
@@ -125,7 +125,7 @@
         return False
     bodies = [frame.body for frame in rows]
     changed = bytearray(bodies[sent])
-    changed[TIME.size + 1] ^= 1  # the attempt's number
+    changed[FRAME_STAMP.size + 1] ^= 1  # the attempt's number
     bodies[sent] = bytes(changed)
     before = bytes.fromhex(log_head(rows[0].body)["before"])
     file.write_bytes(MAGIC + sealed_anew(before, bodies))
@@ -136,10 +136,10 @@
     """Frames of these bodies, with each seal's digest as the bodies before it give it."""
     out, page = bytearray(), b""
     for body in bodies:
-        if body[TIME.size] == Kind.SEAL:
+        if body[FRAME_STAMP.size] == Kind.SEAL:
             digest = digest_after(digest, page)
-            kind, number, count = SEAL.unpack_from(body, TIME.size)
-            out += framed(body[: TIME.size] + SEAL.pack(kind, number, count) + digest)
+            kind, number, count = SEAL_RECORD.unpack_from(body, FRAME_STAMP.size)
+            out += framed(body[: FRAME_STAMP.size] + SEAL_RECORD.pack(kind, number, count) + digest)
             page = b""
         else:
             page += framed(body)
@@ -149,8 +149,10 @@
 
 def log_head(body: bytes) -> dict[str, Any]:
     """What a file's first record tells."""
-    (size,) = struct.unpack_from("!H", body, TIME.size + 1)
-    told: dict[str, Any] = json.loads(zlib.decompress(body[TIME.size + 3 : TIME.size + 3 + size]))
+    (size,) = struct.unpack_from("!H", body, FRAME_STAMP.size + 1)
+    told: dict[str, Any] = json.loads(
+        zlib.decompress(body[FRAME_STAMP.size + 3 : FRAME_STAMP.size + 3 + size])
+    )
     return told
 
 
--- a/spurdeal/lab/audited/virtual.py
+++ b/spurdeal/lab/audited/virtual.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from ...fleet.audit import Pages
+from ...fleet.audit import PageBuilder
 from ...fleet.fleet import Fleet
 from ...fleet.hybrid import Hybrid
 from ...fleet.messenger import RequestKind
@@ -122,14 +122,14 @@
 def stamping(times: int = 20_000) -> float:
     """us of CPU for what a request's send adds: its record, and its turn's frame with one write."""
     folder = Path(tempfile.mkdtemp(prefix="spurdeal-lab-"))
-    pages, clock = Pages(), Hybrid(0.0)
+    pages, clock = PageBuilder(), Hybrid(0.0)
     with open(folder / "stamped", "wb", buffering=0) as file:
         began = time.process_time()
         for number in range(times):
-            pages.sent(b"0123456789abcdef", 0, "s-7", 2)
+            pages.add_attempt(b"0123456789abcdef", 0, "s-7", 2)
             data = pages.frame(clock.stamp(float(number)), 3)
             file.write(data)
-            pages.wrote(data, True)
+            pages.on_written(data, True)
         used = time.process_time() - began
     shutil.rmtree(folder)
     return round(used / times * 1e6, 2)
--- a/spurdeal/lab/capacity/recorded.py
+++ b/spurdeal/lab/capacity/recorded.py
@@ -5,7 +5,7 @@
 import json
 from collections.abc import Callable, Sequence
 
-from ...fleet.audit import Pages
+from ...fleet.audit import PageBuilder
 from ...fleet.hybrid import Stamp
 from ...net.counters import Counters
 from . import design
@@ -22,12 +22,12 @@
 
 def audit_bytes(sends: int) -> int:
     """Bytes of one second's frames, so many sends to as many engines as the list has."""
-    pages, written = Pages(), 0
+    pages, written = PageBuilder(), 0
     for first in range(0, sends, SENDS_PER_TURN):
         for number in range(first, min(first + SENDS_PER_TURN, sends)):
-            pages.sent(b"%016x" % number, 0, f"s-{number % 36}", 0)
+            pages.add_attempt(b"%016x" % number, 0, f"s-{number % 36}", 0)
         frame = pages.frame(Stamp(1_790_000_000_000 + first, 0), 1)
-        pages.wrote(frame, True)
+        pages.on_written(frame, True)
         written += len(frame)
     return written
 
@@ -54,7 +54,7 @@
         Role(
             "audit",
             "sends a second",
-            "Pages, spurdeal/fleet/audit.py; Journal, fleet/journal.py",
+            "PageBuilder, spurdeal/fleet/audit.py; Journal, fleet/journal.py",
             "files up to a bound on their bytes",
             f"one frame a turn of {SENDS_PER_TURN} sends",
             (
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -9,8 +9,8 @@
 from pathlib import Path
 from typing import Any
 
-from spurdeal.fleet.asking import Asked, UnreadableLogError, check, chosen, merged, read_log
-from spurdeal.fleet.audit import BrokenLogError, Kind, Pages, read
+from spurdeal.fleet.asking import AuditQuery, UnreadableLogError, check, merge_logs, read_log, select_entries
+from spurdeal.fleet.audit import BrokenLogError, Kind, PageBuilder, read
 from spurdeal.fleet.hybrid import Stamp
 from spurdeal.fleet.journal import Journal, JournalSettings
 from spurdeal.fleet.station import Clocks, FleetStation, StationSettings
@@ -66,11 +66,11 @@
 
     def listed(self, journal: Journal, number: int, engines: dict[str, int], digest: str = "aa") -> None:
         self.now += 10
-        journal.act_on({"list": f"0.{number}/{digest}", "by": "names", "engines": engines})
+        journal.set_versions({"list": f"0.{number}/{digest}", "by": "names", "engines": engines})
 
     def send(self, journal: Journal, ident: str, engine: str = "s-0", attempt: int = 0) -> None:
         self.now += 1
-        journal.pages.sent(ident.encode(), attempt, engine, 0)
+        journal.pages.add_attempt(ident.encode(), attempt, engine, 0)
         journal.flush()
 
     def usual(self, name: str = "d1") -> Journal:
@@ -85,8 +85,8 @@
 
     def test_what_was_written_is_read(self) -> None:
         journal = self.usual()
-        journal.pages.short(Kind.SHED, b"00ff")
-        journal.pages.tell(Kind.MODE, {"says": "engine 3 aside"})
+        journal.pages.add_event(Kind.SHED, b"00ff")
+        journal.pages.add_json(Kind.MODE, {"says": "engine 3 aside"})
         journal.flush()
         log = read_log(self.root / "d1")
         kinds = [entry.record.kind for entry in log.entries]
@@ -252,7 +252,7 @@
     def test_a_log_that_was_cut_or_put_back(self) -> None:
         journal, other = self.usual(), self.journal("d2")
         page, digest, count = journal.pages.page - 1, journal.pages.digest.hex(), journal.pages.count
-        other.pages.tell(
+        other.pages.add_json(
             Kind.WITNESS,
             {"name": "d1", "boot": f"{1:016x}", "page": page, "digest": digest, "records": count},
         )
@@ -270,10 +270,10 @@
         self.send(two, "abcd", attempt=0)
         self.send(one, "abcd", attempt=1)
         self.send(one, "ffff")
-        entries = merged([read_log(self.root / "d1"), read_log(self.root / "d2")])
-        found = list(chosen(entries, Asked(request="ABCD")))
+        entries = merge_logs([read_log(self.root / "d1"), read_log(self.root / "d2")])
+        found = list(select_entries(entries, AuditQuery(request="ABCD")))
         self.assertEqual([("d2", 0), ("d1", 1)], [(entry.name, entry.record.attempt) for entry in found])
-        self.assertEqual(3, len(list(chosen(entries, Asked(engine="s-0", version="0.1")))))
+        self.assertEqual(3, len(list(select_entries(entries, AuditQuery(engine="s-0", version="0.1")))))
 
     def test_the_commands(self) -> None:
         self.listed(journal := self.usual(), 2, {"s-0": 1})
@@ -370,7 +370,8 @@
         endpoints = [Endpoint(f"s-{number}", f"127.0.9.{number}", 7001) for number in range(3)]
         world.list(2, *(endpoint.record() for endpoint in endpoints))
         self.assertEqual(
-            ["0.1", "0.2"], [record.told["list"].partition("/")[0] for record in self.entries(Kind.VERSIONS)]
+            ["0.1", "0.2"],
+            [record.fields["list"].partition("/")[0] for record in self.entries(Kind.VERSIONS)],
         )
         world.list(2, *(endpoint.record() for endpoint in endpoints[:2]))
         world.go(100)
@@ -421,11 +422,11 @@
 
 class Chains(unittest.TestCase):
     def test_a_page_holds_all_that_came_before(self) -> None:
-        one, two = Pages(), Pages()
+        one, two = PageBuilder(), PageBuilder()
         for pages, ident in ((one, b"a"), (two, b"b")):
             for each in (ident, b"c"):
-                pages.sent(each, 0, "s-0", 0)
-                pages.wrote(pages.frame(Stamp(1, 0), 0), True)
+                pages.add_attempt(each, 0, "s-0", 0)
+                pages.on_written(pages.frame(Stamp(1, 0), 0), True)
                 pages.seal(Stamp(1, 1), 0)
-                pages.sealed()
+                pages.on_sealed()
         self.assertNotEqual(one.digest, two.digest)
