--- a/spurdeal/fleet/asking.py
+++ b/spurdeal/fleet/asking.py
@@ -1,6 +1,6 @@
-"""What the logs of many dispatchers say: who did what under which version, and what contradicts it.
+"""Queries over the audit logs of several dispatchers, and the check of the logs against the versions.
 
-Free of I/O but for reading the files.
+The only I/O is reading the files.
 """
 
 from __future__ import annotations
@@ -10,21 +10,28 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from .audit import COLD, DOUBTFUL, BrokenLogError, Kind, Read, Record, head_of, read
+from .audit import COLD, DOUBTFUL, BrokenLogError, Kind, ParsedFile, Record, read, read_head
 from .errors import FleetError
 from .hybrid import Stamp
 from .versions import WITNESSES, Line
 
 READY = 2
-LINES = tuple(line.name.lower() for line in Line)
+ARTIFACTS = tuple(artifact.name.lower() for artifact in Line)
 
 
 class UnreadableLogError(FleetError):
-    """A log that cannot be used: file, offset and reason."""
+    """A log that cannot be used; the text names the file, the offset in bytes and the reason."""
 
 
 class Entry(NamedTuple):
-    """One record with whose it is, and the versions it was made under."""
+    """One record in its context.
+
+    Attributes:
+        name: The dispatcher that wrote it.
+        boot: That dispatcher's start, in hex.
+        record: The record.
+        versions: The fields of the VERSIONS record in force; empty if the log does not hold it.
+    """
 
     name: str
     boot: str
@@ -32,12 +39,12 @@
     versions: Mapping[str, Any]
 
     @property
-    def order(self) -> tuple[Stamp, str]:
-        """Sorts entries by cause; the name decides between equal stamps."""
+    def sort_key(self) -> tuple[Stamp, str]:
+        """A key that sorts entries causally; the name breaks ties between equal timestamps."""
         return self.record.stamp, self.name
 
     def to_json(self) -> dict[str, Any]:
-        """The entry, ready for JSON."""
+        """The entry as a dict that can be encoded as JSON."""
         record = self.record
         found: dict[str, Any] = {
             "at": str(record.stamp),
@@ -57,10 +64,14 @@
         if record.kind is Kind.CALLED_OFF:
             found["trip"] = record.attempt
         found |= {key: value for key, value in record.fields.items() if key != "engines"}
-        return found | {"versions": {line: self.versions[line] for line in LINES if line in self.versions}}
+        return found | {
+            "versions": {
+                artifact: self.versions[artifact] for artifact in ARTIFACTS if artifact in self.versions
+            }
+        }
 
     def to_text(self) -> str:
-        """The entry in one line, for people."""
+        """The entry as one line of text."""
         found = self.to_json()
         versions = found.pop("versions")
         text = " ".join(f"{key}={value}" for key, value in found.items() if key not in ("at", "boot"))
@@ -69,12 +80,23 @@
 
 @dataclass
 class DispatcherLog:
-    """One dispatcher's folder, all its starts."""
+    """The contents of one dispatcher's directory, over all its starts.
+
+    Attributes:
+        folder: The directory.
+        name: The dispatcher.
+        entries: All records, in the order of the files.
+        seals: Digests in hex, by start and page.
+        last_page: By start: the number of the last page that the log must hold; -1 or less for none.
+        problems: Damage that was found, for people.
+        torn: Files with a torn tail or a torn head.
+        lost: Records that the dispatcher could not write.
+    """
 
     folder: str
     name: str = ""
     entries: list[Entry] = field(default_factory=list)
-    seals: dict[tuple[str, int], str] = field(default_factory=dict)  # by start and page
+    seals: dict[tuple[str, int], str] = field(default_factory=dict)
     last_page: dict[str, int] = field(default_factory=dict)
     problems: list[str] = field(default_factory=list)
     torn: int = 0
@@ -82,14 +104,15 @@
 
 
 def read_log(folder: Path, strict: bool = True) -> DispatcherLog:
-    """All files of a folder, in order.
+    """Read all files of a directory, in order.
 
     Args:
-        folder: Where one dispatcher keeps its audit.
-        strict: Whether a file that is broken ends the reading; else it is a problem, and the rest is read.
+        folder: The directory of one dispatcher's audit log.
+        strict: Whether a broken file raises; otherwise it is added to the problems and the rest is read.
 
     Raises:
-        UnreadableLogError: There is no log, a file is of another dispatcher, or it is broken and `strict`.
+        UnreadableLogError: There is no log, a file is another dispatcher's, or one is broken and `strict`.
+        OSError: A file cannot be read.
     """
     log = DispatcherLog(str(folder))
     files = sorted(folder.glob("audit-*.log"))
@@ -104,7 +127,7 @@
             if strict:
                 raise UnreadableLogError(f"{file}: at byte {fault.offset}: {fault.why}") from None
             log.problems.append(f"{file.name}: at byte {fault.offset}: {fault.why}")
-            log.name = log.name or str(head_of(data).get("name", folder.name))
+            log.name = log.name or str(read_head(data).get("name", folder.name))
             before = None
             continue
         log.torn += found.end < len(data) or not found.head
@@ -114,122 +137,137 @@
     return log
 
 
-def add_file(log: DispatcherLog, file: Path, found: Read, before: str | None) -> None:
-    """Add the contents of a file to its log.
+def add_file(log: DispatcherLog, file: Path, found: ParsedFile, before: str | None) -> None:
+    """Add a file's contents to its log, and check that it continues the chain.
 
     Args:
-        log: What has been read of the folder so far.
-        file: Where it is.
-        found: What it holds.
-        before: The digest at the end of the file before; None where that is not known.
+        log: The contents of the earlier files.
+        file: The file's path.
+        found: The file's contents.
+        before: The digest in hex at the end of the previous file; None if it is not known.
 
     Raises:
-        UnreadableLogError: The file is of another dispatcher.
+        UnreadableLogError: The file is another dispatcher's.
     """
-    told = found.head
-    if log.name and told["name"] != log.name:
+    head = found.head
+    if log.name and head["name"] != log.name:
         raise UnreadableLogError(
-            f"{file}: at byte 0: it is {told['name']}'s, the files before are {log.name}'s"
+            f"{file}: at byte 0: it is {head['name']}'s, the files before are {log.name}'s"
         )
-    log.name = str(told["name"])
-    if before is not None and told["before"] != before:
+    log.name = str(head["name"])
+    if before is not None and head["before"] != before:
         log.problems.append(f"{file.name}: a page before it was altered or cut")
-    boot = str(told["boot"])
+    boot = str(head["boot"])
     add_records(log, boot, found.records)
     for page, seal in found.seals.items():
         log.seals[boot, page] = seal.digest
         log.last_page[boot] = max(page, log.last_page.get(boot, -1))
-    if found.unsealed:  # the next start goes on behind this page, which nobody sealed
+    if found.unsealed:  # the next start continues after this page, which has no seal
         log.last_page.setdefault(boot, found.page - 2)
 
 
 def add_records(log: DispatcherLog, boot: str, records: Iterable[Record]) -> None:
-    """Add one file's records, each with the versions that it was made under."""
+    """Add one file's records, each with the versions that were in force."""
     versions: dict[int, Mapping[str, Any]] = {}
     for record in records:
         if record.kind is Kind.VERSIONS:
             versions[int(record.fields["index"])] = record.fields
         if record.kind is Kind.LOST:
             log.lost += int(record.fields["records"])
-        log.entries.append(Entry(log.name, boot, record, versions.get(record.under, {})))
+        log.entries.append(Entry(log.name, boot, record, versions.get(record.versions_index, {})))
 
 
 def merge_logs(logs: Iterable[DispatcherLog]) -> list[Entry]:
-    """All entries in an order that is true to cause: the hybrid stamps'."""
-    return sorted((entry for log in logs for entry in log.entries), key=lambda entry: entry.order)
+    """All entries in causal order, by their hybrid timestamps."""
+    return sorted((entry for log in logs for entry in log.entries), key=lambda entry: entry.sort_key)
 
 
 class AuditQuery(NamedTuple):
-    """What entries to give; what is None or empty asks for nothing."""
+    """Conditions that all must hold for an entry; an empty text is no condition.
+
+    Attributes:
+        request: The request's id, in either case.
+        engine: The engine of an attempt, or a part of the text of a MODE record.
+        dispatcher: The dispatcher that wrote the entry, or that its fields name.
+        version: A prefix of the version of any artifact in force.
+        since: The earliest time, in Unix ms.
+        until: The latest time, in Unix ms.
+    """
 
     request: str = ""
     engine: str = ""
     dispatcher: str = ""
     version: str = ""
-    since: float = 0.0  # Unix ms
+    since: float = 0.0
     until: float = float("inf")
 
 
-def select_entries(entries: Iterable[Entry], asked: AuditQuery) -> Iterator[Entry]:
-    """The entries that were asked for, in their order."""
+def select_entries(entries: Iterable[Entry], query: AuditQuery) -> Iterator[Entry]:
+    """The entries that match a query, in their order; heads, seals and tables of engines never match."""
     for entry in entries:
         record = entry.record
         if record.kind in (Kind.HEAD, Kind.ENGINE, Kind.SEAL):
             continue
-        if not asked.since <= record.stamp.ms <= asked.until:
+        if not query.since <= record.stamp.ms <= query.until:
             continue
-        if asked.request and record.ident.lower() != asked.request.lower():
+        if query.request and record.ident.lower() != query.request.lower():
             continue
         if (
-            asked.engine
-            and asked.engine != record.engine
-            and asked.engine not in record.fields.get("says", "")
+            query.engine
+            and query.engine != record.engine
+            and query.engine not in record.fields.get("says", "")
         ):
             continue
-        if asked.dispatcher and asked.dispatcher not in (entry.name, record.fields.get("name")):
+        if query.dispatcher and query.dispatcher not in (entry.name, record.fields.get("name")):
             continue
-        under = [str(entry.versions.get(line, "")) for line in LINES]
-        if asked.version and not any(each.startswith(asked.version) for each in under):
+        under = [str(entry.versions.get(artifact, "")) for artifact in ARTIFACTS]
+        if query.version and not any(each.startswith(query.version) for each in under):
             continue
         yield entry
 
 
 class Finding(NamedTuple):
-    """Something that went against the versions, or a log that is not whole."""
+    """A decision that contradicts the versions, or a log that is damaged or incomplete.
+
+    Attributes:
+        kind: own_version, newer_version, clash, chain, lost or witness.
+        text: The description, for people.
+        entry: The entry that shows it, if there is one.
+    """
 
-    kind: str  # own_version, newer_version, clash, chain, lost, witness
+    kind: str
     text: str
     entry: Entry | None = None
 
 
 def check(logs: Sequence[DispatcherLog], grace: float) -> list[Finding]:
-    """All that contradicts the versions, or is missing.
+    """Check logs for decisions that contradict the versions, and for missing or altered records.
 
     Args:
-        logs: One for each dispatcher, or part of one.
-        grace: After a version is told, how long a dispatcher has, in ms, until nothing may go to what it has
-            draining.
+        logs: One per dispatcher, or several that are parts of one dispatcher's log.
+        grace: How long after a list is first acted on, in ms, attempts may still go to engines that it has
+            draining or gone.
     """
     entries = merge_logs(logs)
-    findings = [*against_own(entries), *against_newer(entries, grace), *clashes(entries)]
+    findings = [*check_own_list(entries), *check_newer_lists(entries, grace), *check_conflicts(entries)]
     for log in logs:
         findings += [Finding("chain", f"{log.name}: {problem}") for problem in log.problems]
         if log.lost:
             findings.append(Finding("lost", f"{log.name}: {log.lost} records could not be written"))
-    return findings + list(witnessed(logs, entries))
+    return findings + list(check_witnesses(logs, entries))
 
 
-def life_of(versions: Mapping[str, Any], engine: str) -> int | None:
-    """Of an engine in a list: 2 ready, 1 draining, 0 gone; None where the log does not hold the list."""
+def engine_life(versions: Mapping[str, Any], engine: str) -> int | None:
+    """An engine's state in a list: 2 ready, 1 draining, 0 gone; None if the log does not hold the list."""
     engines = versions.get("engines")
     return None if engines is None else int(engines.get(engine, 0))
 
 
-def against_own(entries: Iterable[Entry]) -> Iterator[Finding]:
-    """Sends to engines that the sender's own list has draining or gone."""
+def check_own_list(entries: Iterable[Entry]) -> Iterator[Finding]:
+    """Find attempts to engines that are draining or gone in the sender's own list."""
     for entry in entries:
         if entry.record.kind is Kind.SENT:
-            life = life_of(entry.versions, entry.record.engine)
+            life = engine_life(entry.versions, entry.record.engine)
             if life is not None and life != READY:
                 yield Finding(
                     "own_version",
@@ -240,50 +278,50 @@
                 )
 
 
-class Acted(NamedTuple):
-    """A list that somebody has acted on: its number, since when (Unix ms), and the versions with it."""
+class ListInForce(NamedTuple):
+    """A list's number, when a dispatcher first acted on it (Unix ms), and the versions recorded then."""
 
     number: int
     at: int
     versions: Mapping[str, Any]
 
 
-def against_newer(entries: Sequence[Entry], grace: float) -> Iterator[Finding]:
-    """Sends that a newer list forbade, which someone had acted on more than the grace ago.
+def check_newer_lists(entries: Sequence[Entry], grace: float) -> Iterator[Finding]:
+    """Find attempts to engines that are draining or gone in a newer list, acted on before the grace.
 
     Args:
-        entries: In order of their stamps.
-        grace: In ms.
+        entries: In the order of their timestamps.
+        grace: How long before the attempt the newer list must have been acted on, in ms.
     """
-    believed = believed_lists(entries)
-    first: list[Acted] = []  # numbers grow
+    corroborated = corroborated_lists(entries)
+    first: list[ListInForce] = []  # in increasing order of their numbers
     for entry in entries:
         record = entry.record
-        if record.kind is Kind.VERSIONS and record.fields.get("list") in believed:
-            number = number_of(record.fields["list"])
+        if record.kind is Kind.VERSIONS and record.fields.get("list") in corroborated:
+            number = list_number(record.fields["list"])
             if not first or number > first[-1].number:
-                first.append(Acted(number, record.stamp.ms, record.fields))
+                first.append(ListInForce(number, record.stamp.ms, record.fields))
         if record.kind is Kind.SENT and "list" in entry.versions:
-            newer = newest_in_force(first, number_of(entry.versions["list"]), record.stamp.ms - grace)
+            newer = newest_list_before(first, list_number(entry.versions["list"]), record.stamp.ms - grace)
             if newer is not None:
-                yield from forbidden(entry, newer)
+                yield from newer_list_finding(entry, newer)
 
 
-def believed_lists(entries: Sequence[Entry]) -> set[str]:
-    """Lists that enough dispatchers have acted on.
+def corroborated_lists(entries: Sequence[Entry]) -> set[str]:
+    """The versions of lists that at least WITNESSES dispatchers have acted on, or all but one of fewer.
 
-    One that only one of several did is one witness's word, who may have made it up.
+    A list that only one of several dispatchers acted on may have been made up by that one.
     """
     names = {entry.name for entry in entries}
     acted: dict[str, set[str]] = {}
     for entry in entries:
         if entry.record.kind is Kind.VERSIONS and "list" in entry.record.fields:
             acted.setdefault(entry.record.fields["list"], set()).add(entry.name)
-    return {told for told, by in acted.items() if len(by) >= min(WITNESSES, len(names) - 1)}
+    return {version for version, by in acted.items() if len(by) >= min(WITNESSES, len(names) - 1)}
 
 
-def newest_in_force(first: list[Acted], beyond: int, before: float) -> Acted | None:
-    """The newest list of a number beyond that, which was acted on before that moment (Unix ms)."""
+def newest_list_before(first: list[ListInForce], beyond: int, before: float) -> ListInForce | None:
+    """The newest list with a number above `beyond` that was acted on before a time (Unix ms), if any."""
     for acted in first[::-1]:
         if acted.number <= beyond:
             return None
@@ -292,61 +330,64 @@
     return None
 
 
-def forbidden(entry: Entry, newer: Acted) -> Iterator[Finding]:
-    """A finding, where the newer list has the engine draining or gone."""
+def newer_list_finding(entry: Entry, newer: ListInForce) -> Iterator[Finding]:
+    """Yield a finding if the newer list has the attempt's engine draining or gone."""
     record = entry.record
-    life = life_of(newer.versions, record.engine)
+    life = engine_life(newer.versions, record.engine)
     if life is not None and life != READY:
-        words = (
+        text = (
             f"{entry.name} sent {record.ident} to {record.engine} on list {entry.versions['list']}; list "
             f"{newer.versions['list']}, acted on {record.stamp.ms - newer.at} ms before, "
             f"has it {'draining' if life else 'gone'}"
         )
-        yield Finding("newer_version", words, entry)
+        yield Finding("newer_version", text, entry)
 
 
-def number_of(version: str) -> int:
-    """The number in a version as logs tell it, which is generation.number/digest."""
+def list_number(version: str) -> int:
+    """The number in a version, which logs hold as generation.number/digest."""
     return int(version.partition("/")[0].partition(".")[2])
 
 
-def clashes(entries: Iterable[Entry]) -> Iterator[Finding]:
-    """Versions that two dispatchers acted on with different contents.
+def check_conflicts(entries: Iterable[Entry]) -> Iterator[Finding]:
+    """Find versions that dispatchers acted on with different contents.
 
-    The program has no numbers: other contents of it are no clash.
+    The program is left out: it has no version numbers, so different contents are no conflict.
     """
     seen: dict[tuple[str, str], dict[str, str]] = {}
     for entry in entries:
         if entry.record.kind is Kind.VERSIONS:
-            for line in LINES:
-                if line in entry.record.fields and line != "program":
-                    number, _, digest = str(entry.record.fields[line]).partition("/")
-                    seen.setdefault((line, number), {}).setdefault(digest, entry.name)
-    for (line, number), names in sorted(seen.items()):
+            for artifact in ARTIFACTS:
+                if artifact in entry.record.fields and artifact != "program":
+                    number, _, digest = str(entry.record.fields[artifact]).partition("/")
+                    seen.setdefault((artifact, number), {}).setdefault(digest, entry.name)
+    for (artifact, number), names in sorted(seen.items()):
         if len(names) > 1:
-            told = " and ".join(f"{digest} at {name}" for digest, name in sorted(names.items()))
-            yield Finding("clash", f"{line} {number} had {len(names)} contents: {told}")
+            contents = " and ".join(f"{digest} at {name}" for digest, name in sorted(names.items()))
+            yield Finding("clash", f"{artifact} {number} had {len(names)} contents: {contents}")
 
 
-def witnessed(logs: Sequence[DispatcherLog], entries: Iterable[Entry]) -> Iterator[Finding]:
-    """Pages as others were told of them, against the logs: one that differs, and a log that ends before."""
-    by_name: dict[str, list[DispatcherLog]] = {}  # several folders may hold parts of one dispatcher's
+def check_witnesses(logs: Sequence[DispatcherLog], entries: Iterable[Entry]) -> Iterator[Finding]:
+    """Compare the seals that other members recorded with the logs.
+
+    Finds a page whose digest differs, and a log that ends before such a page; one finding per start.
+    """
+    by_name: dict[str, list[DispatcherLog]] = {}  # several directories may hold parts of one dispatcher's log
     for log in logs:
         by_name.setdefault(log.name, []).append(log)
-    told_of: set[tuple[str, str]] = set()
+    reported: set[tuple[str, str]] = set()
     for entry in entries:
         if entry.record.kind is not Kind.WITNESS:
             continue
-        told = entry.record.fields
-        name, boot, page = str(told["name"]), str(told["boot"]), int(told["page"])
+        claim = entry.record.fields
+        name, boot, page = str(claim["name"]), str(claim["boot"]), int(claim["page"])
         parts = by_name.get(name)
-        if parts is None or (name, boot) in told_of:
+        if parts is None or (name, boot) in reported:
             continue
         digest = next((log.seals[boot, page] for log in parts if (boot, page) in log.seals), None)
         last = max(log.last_page.get(boot, -1) for log in parts)
         broken = any(log.problems for log in parts)
-        if digest is not None and digest != told["digest"]:
-            told_of.add((name, boot))
+        if digest is not None and digest != claim["digest"]:
+            reported.add((name, boot))
             yield Finding(
                 "witness",
                 f"{name}: page {page} of start {boot} is not the one that {entry.name} "
@@ -354,7 +395,7 @@
                 entry,
             )
         elif digest is None and page > last and not broken:
-            told_of.add((name, boot))
+            reported.add((name, boot))
             yield Finding(
                 "witness",
                 f"{name}: {entry.name} was told of page {page} of start {boot}, and the "
--- a/spurdeal/fleet/audit.py
+++ b/spurdeal/fleet/audit.py
@@ -1,15 +1,15 @@
-"""The audit log as bytes: what each dispatcher decided, under which versions, in chained pages. Free of I/O.
-
-A file begins with MAGIC. Then frames: length (4 bytes), CRC-32 of the body (4), body. A body is a stamp (6
-bytes of Unix ms, 2 of the tally), the index of the versions in force (4), and the records of one turn, which
-are one moment to the rules. A record is its kind and its fields; texts are led by their length. Numbers are
-big-endian.
-
-A page ends with a frame that holds its seal: its number, how many records there are up to it, and a digest
-over the digest before and the page's bytes. So a byte that is altered, or a page that is cut out, shows in
-every later digest; and a tail that is cut off shows in the digests that others were told. Weighed: SQLite
-(locks, a flush each commit), one CRC a record (three times the work a turn), a Merkle tree (proofs of single
-records, which nobody asks for).
+"""Encoding of the audit log: decisions and the versions they rest on, in a hash chain of pages. No I/O.
+
+A file begins with MAGIC, followed by frames: length of the body (4 bytes), CRC-32 of the body (4), body. A
+body is a hybrid timestamp (6 bytes of Unix ms, 2 of the tally), the index of the versions in force (4), and
+the records of one batch, which the rules decided at one moment. A record is its kind and its fields; texts
+are prefixed with their length. Numbers are big-endian.
+
+A page ends with a frame that holds its seal: the page's number, the number of records up to its end, and a
+digest over the previous page's digest and this page's bytes. An altered byte or a removed page therefore
+changes every later digest; a truncated tail is detected by the digests that other members have recorded.
+Alternatives considered: SQLite (locks, a flush per commit), a CRC per record (three times the work per
+batch), and a Merkle tree (proofs of single records, which nothing needs).
 """
 
 from __future__ import annotations
@@ -29,50 +29,63 @@
 MAGIC = b"SPA1\n"
 FRAME = struct.Struct("!II")
 FRAME_STAMP = struct.Struct("!HIHI")  # ms in 2 and 4 bytes, tally, index of versions
-SENT = struct.Struct("!BBBB")  # kind, attempt, flags, length of the id; then the id, and the engine's place
-TEXT = struct.Struct("!BH")
+REQUEST_RECORD = struct.Struct(
+    "!BBBB"
+)  # kind, attempt, flags, length of the id; then the id, and the engine's place
+JSON_RECORD = struct.Struct("!BH")
 SEAL_RECORD = struct.Struct("!BQQ")
-DIGEST = 16
-LARGEST = 1 << 24  # bytes of a frame
-LONGEST_ID = 64
-NO_DIGEST = b"\0" * DIGEST
+DIGEST_SIZE = 16
+MAX_FRAME_SIZE = 1 << 24  # bytes of a frame
+MAX_ID_LENGTH = 64
+INITIAL_DIGEST = b"\0" * DIGEST_SIZE
 
 
 class Kind(IntEnum):
-    """What a record is."""
+    """The kind of a record. The values are stored on disk."""
 
-    HEAD = 0  # of a file: whose, which start, what came before
-    VERSIONS = 1  # an index from here on means these; with the list's engines
+    HEAD = 0  # first record of a file: dispatcher, start, and the state of the chain before the file
+    VERSIONS = 1  # the versions that an index denotes from here on, with the engines of the list
     SENT = 2
     SHED = 3
     BROKEN_OFF = 4
     WITHDRAWN = 5
     GRANTED = 6
     CALLED_OFF = 7
-    MODE = 8  # a line of the rules: an engine set aside, and others
+    MODE = 8  # a change of state that the rules report, such as an ejected engine
     STANDING = 9
     MEMBER = 10
-    WITNESS = 11  # another's page, as it told
+    WITNESS = 11  # the seal of another member's page, as that member announced it
     CLASH = 12
-    LOST = 13  # so many records could not be written
+    LOST = 13  # the number of records that could not be written
     STOPPED = 14
     OTHER = 15
     SEAL = 16
-    ENGINE = 17  # a place in this file's table of engines means this one
+    ENGINE = 17  # assigns an engine to a place in this file's table of engines
 
 
-SHORT = (Kind.SHED, Kind.BROKEN_OFF, Kind.WITHDRAWN, Kind.GRANTED, Kind.CALLED_OFF)
-COLD, DOUBTFUL = 1, 2  # flags of one that was sent
+REQUEST_EVENTS = (Kind.SHED, Kind.BROKEN_OFF, Kind.WITHDRAWN, Kind.GRANTED, Kind.CALLED_OFF)
+COLD, DOUBTFUL = 1, 2  # flags of a SENT record: a cold engine; an at-most-once request
 
 
 NO_FIELDS: Mapping[str, Any] = MappingProxyType({})
 
 
 class Record(NamedTuple):
-    """One decision or fact, as read."""
+    """One decoded decision or fact.
+
+    Attributes:
+        stamp: When it was written, by the hybrid clock.
+        versions_index: The index of the versions in force.
+        kind: What happened.
+        ident: The request's id in hex; "" for records that are not about a request.
+        engine: The engine's name, for SENT.
+        attempt: The attempt's number, at most 255.
+        flags: COLD and DOUBTFUL, for SENT.
+        fields: The fields of records that are stored as JSON, and of seals.
+    """
 
     stamp: Stamp
-    under: int  # the index of the versions in force
+    versions_index: int
     kind: Kind
     ident: str = ""
     engine: str = ""
@@ -82,7 +95,7 @@
 
 
 class SealedPage(NamedTuple):
-    """A page of an audit log that its seal has closed. records: how many the log has up to it."""
+    """A sealed page: its number, its digest in hex, and the number of the log's records up to its end."""
 
     number: int
     digest: str
@@ -90,7 +103,7 @@
 
 
 class PageSeal(NamedTuple):
-    """The seal of a page, as it stands in a log: its digest, records up to it, and when it was written."""
+    """A seal as read: the digest in hex, the number of records up to it, and when it was written."""
 
     digest: str
     records: int
@@ -98,7 +111,7 @@
 
 
 class LogEnd(NamedTuple):
-    """Where a log goes on: the page, records so far, and the digest before it."""
+    """Where a log continues: the next page's number, the records so far, and the digest before the page."""
 
     page: int
     records: int
@@ -106,7 +119,12 @@
 
 
 class BrokenLogError(FleetError):
-    """A log that cannot be used from some place on; the text says why."""
+    """A log that cannot be used from some byte on.
+
+    Attributes:
+        offset: That byte's offset in the file.
+        why: The reason, for people.
+    """
 
     def __init__(self, offset: int, why: str) -> None:
         super().__init__(why)
@@ -114,46 +132,60 @@
 
 
 def digest_after(before: bytes, data: bytes) -> bytes:
-    """The digest over the digest before and a page's bytes."""
-    return hashlib.blake2b(before + data, digest_size=DIGEST).digest()
+    """The digest of a page: over the previous page's digest and the page's bytes; DIGEST_SIZE bytes."""
+    return hashlib.blake2b(before + data, digest_size=DIGEST_SIZE).digest()
 
 
 class PageBuilder:
-    """What is to be written, in order. `frame` gives the bytes of a turn, `seal` those that end a page."""
+    """Collects records and encodes frames and seals, in the order in which they are written.
 
-    def __init__(self, page: int = 0, count: int = 0, digest: bytes = NO_DIGEST) -> None:
+    `frame` and `seal` only return bytes. After writing them, the caller reports the result with `on_written`
+    or `on_sealed`, and the chain advances.
+
+    Args:
+        page: The number of the first page.
+        count: The records of the log so far.
+        digest: The digest of the previous page.
+    """
+
+    def __init__(self, page: int = 0, count: int = 0, digest: bytes = INITIAL_DIGEST) -> None:
         self.page, self.count, self.digest = page, count, digest
         self.records: list[bytes] = []
-        self.unsealed = hashlib.blake2b(digest, digest_size=DIGEST)
+        self.unsealed = hashlib.blake2b(digest, digest_size=DIGEST_SIZE)
         self.in_page = 0
         self.engines: dict[str, int] = {}
 
-    # Records, kept until the turn's frame is asked for.
+    # Records, kept until the next frame.
 
     def add_attempt(self, ident: bytes, attempt: int, engine: str, flags: int) -> None:
-        """An attempt was sent to an engine; flags are COLD and DOUBTFUL."""
+        """Add a SENT record: an attempt was sent to an engine; flags are COLD and DOUBTFUL.
+
+        An attempt above 255 is recorded as 255. ident is at most 255 bytes of ASCII.
+        """
         place = self.engines.get(engine)
         if place is None:
             place = self.engines[engine] = len(self.engines)
             self.add_json(Kind.ENGINE, {"place": place, "engine": engine})
         self.records.append(
-            SENT.pack(Kind.SENT, min(attempt, 255), flags, len(ident)) + ident + place.to_bytes(4, "big")
+            REQUEST_RECORD.pack(Kind.SENT, min(attempt, 255), flags, len(ident))
+            + ident
+            + place.to_bytes(4, "big")
         )
 
     def add_event(self, kind: Kind, ident: bytes, attempt: int = 0) -> None:
-        """Something happened to a request; the kind is one of SHORT."""
-        self.records.append(SENT.pack(kind, min(attempt, 255), 0, len(ident)) + ident)
+        """Add a request's event, one of REQUEST_EVENTS; the bounds are those of `add_attempt`."""
+        self.records.append(REQUEST_RECORD.pack(kind, min(attempt, 255), 0, len(ident)) + ident)
 
-    def add_json(self, kind: Kind, told: dict[str, Any]) -> None:
-        """A record with figures, as JSON; one that is larger than 64 KiB packed is dropped."""
-        text = zlib.compress(json.dumps(told, separators=(",", ":")).encode(), 6)
+    def add_json(self, kind: Kind, fields: dict[str, Any]) -> None:
+        """Add a record with fields, as compressed JSON; one of 64 KiB or more compressed is dropped."""
+        text = zlib.compress(json.dumps(fields, separators=(",", ":")).encode(), 6)
         if len(text) < 1 << 16:
-            self.records.append(TEXT.pack(kind, len(text)) + text)
+            self.records.append(JSON_RECORD.pack(kind, len(text)) + text)
 
     # Bytes.
 
     def frame(self, stamp: Stamp, index: int) -> bytes:
-        """All that was told since the last, as one moment; b"" without any."""
+        """Encode all records since the last frame with one timestamp; b"" if there are none."""
         if not self.records:
             return b""
         body = FRAME_STAMP.pack(stamp.ms >> 32, stamp.ms & 0xFFFFFFFF, stamp.tally, index) + b"".join(
@@ -162,10 +194,10 @@
         return FRAME.pack(len(body), zlib.crc32(body)) + body
 
     def on_written(self, data: bytes, written: bool) -> int:
-        """The frame's bytes are in the file, or not: then its records are lost, and how many is given."""
+        """Report whether a frame's bytes were written; return how many records were lost if not, else 0."""
         count, self.records = len(self.records), []
         if not written:
-            self.engines.clear()  # what told their places may be among them
+            self.engines.clear()  # the lost records may have included ENGINE records
             return count
         self.count += count
         self.in_page += count
@@ -173,7 +205,7 @@
         return 0
 
     def seal(self, stamp: Stamp, index: int) -> bytes:
-        """Ends the page: its seal's frame. Nothing where nothing was written since the last."""
+        """Encode the frame of the page's seal; b"" if the page has no records."""
         if not self.in_page:
             return b""
         digest = self.unsealed.digest()
@@ -185,64 +217,75 @@
         return FRAME.pack(len(body), zlib.crc32(body)) + body
 
     def on_sealed(self) -> SealedPage:
-        """The seal is written: the page, as others are told of it."""
-        told = SealedPage(self.page, self.unsealed.hexdigest(), self.count)
+        """Report that the seal was written, start the next page and return the sealed one."""
+        page = SealedPage(self.page, self.unsealed.hexdigest(), self.count)
         self.close()
-        return told
+        return page
 
     def close(self) -> None:
-        """The page ends, also where its file ends before a seal."""
+        """End the page and advance the chain, also if the file ends before the page's seal."""
         if self.in_page:
             self.digest = self.unsealed.digest()
             self.page, self.in_page = self.page + 1, 0
-            self.unsealed = hashlib.blake2b(self.digest, digest_size=DIGEST)
+            self.unsealed = hashlib.blake2b(self.digest, digest_size=DIGEST_SIZE)
 
 
-class Read(NamedTuple):
-    """One file's contents: records, seals by page, and the state at its end."""
+class ParsedFile(NamedTuple):
+    """The contents of one file and the state of the chain at its end.
+
+    Attributes:
+        records: All records but seals.
+        seals: By number of the page.
+        page: The number of the next page.
+        total: Records of the log up to the file's end.
+        digest: Over everything in the file, sealed or not.
+        end: Length in bytes of the intact part; anything behind it is a torn tail.
+        head: The fields of the file's HEAD record; empty if that record is torn.
+        unsealed: Records after the last seal.
+    """
 
     records: list[Record]
     seals: dict[int, PageSeal]
     page: int
     total: int
-    digest: bytes  # after all that stands in the file, sealed or not
-    end: int  # bytes that are whole
+    digest: bytes
+    end: int
     head: Mapping[str, Any]
-    unsealed: int  # records behind the last seal
+    unsealed: int
 
 
-def read(data: bytes) -> Read:
-    """Read a file, checked from its head on.
+def read(data: bytes) -> ParsedFile:
+    """Decode a file and verify its checksums and its hash chain, starting from the digest in its head.
 
-    A torn tail is no fault: `end` lies before it.
+    A torn tail is no error: `end` is the offset where it begins.
 
     Raises:
-        BrokenLogError: From its offset on, the file cannot be used.
+        BrokenLogError: The file is not an audit log, is damaged, or contradicts a seal.
     """
-    if MAGIC.startswith(data):  # its very beginning was torn off
-        return Read([], {}, 0, 0, NO_DIGEST, 0, {}, 0)
+    if MAGIC.startswith(data):  # torn within MAGIC, or empty
+        return ParsedFile([], {}, 0, 0, INITIAL_DIGEST, 0, {}, 0)
     if data[: len(MAGIC)] != MAGIC:
         raise BrokenLogError(0, "no audit log: it does not begin as one")
     at, records, seals = len(MAGIC), list[Record](), dict[int, PageSeal]()
     head: Mapping[str, Any] = {}
-    page, count, digest, pending = 0, 0, NO_DIGEST, b""
+    page, count, digest, pending = 0, 0, INITIAL_DIGEST, b""
     in_page = 0
     engines: dict[int, str] = {}
     while True:
-        whole = frame_at(data, at)
-        if whole is None:
+        frame = frame_at(data, at)
+        if frame is None:
             break
-        body, after = whole
-        found = list(records_of(body, at, engines))
+        body, after = frame
+        found = list(decode_records(body, at, engines))
         if found and found[0].kind is Kind.HEAD and not head:
             head = found[0].fields
             page, count, digest = int(head["page"]), int(head["records"]), bytes.fromhex(head["before"])
         elif not head:
             raise BrokenLogError(at, "no head")
         if found and found[0].kind is Kind.SEAL:
-            told = found[0].fields
+            seal = found[0].fields
             digest = digest_after(digest, pending)
-            if told["page"] != page or told["digest"] != digest.hex() or told["records"] != count + in_page:
+            if seal["page"] != page or seal["digest"] != digest.hex() or seal["records"] != count + in_page:
                 raise BrokenLogError(
                     at, f"page {page} is not what its seal says: altered, or a part is cut out"
                 )
@@ -254,60 +297,60 @@
             pending += data[at:after]
             records += found
         at = after
-    if at < len(data) and later_frame(data, at):
+    if at < len(data) and is_followed_by_frame(data, at):
         raise BrokenLogError(at, "a frame is spoilt, and whole ones follow it")
-    closing = digest_after(digest, pending) if pending else digest
-    return Read(records, seals, page + bool(pending), count + in_page, closing, at, head, in_page)
+    final_digest = digest_after(digest, pending) if pending else digest
+    return ParsedFile(records, seals, page + bool(pending), count + in_page, final_digest, at, head, in_page)
 
 
-def head_of(data: bytes) -> Mapping[str, Any]:
-    """A file's head, also where the rest is broken; {} where it has none."""
-    whole = frame_at(data, len(MAGIC))
+def read_head(data: bytes) -> Mapping[str, Any]:
+    """The fields of a file's HEAD record, even if the rest is broken; {} if it has none."""
+    frame = frame_at(data, len(MAGIC))
     try:
-        found = list(records_of(whole[0], len(MAGIC), {})) if whole is not None else []
+        found = list(decode_records(frame[0], len(MAGIC), {})) if frame is not None else []
     except BrokenLogError:
         return {}
     return found[0].fields if found and found[0].kind is Kind.HEAD else {}
 
 
 def frame_at(data: bytes, at: int) -> tuple[bytes, int] | None:
-    """The body of the frame that begins there, and where it ends; None where no whole one does."""
+    """The body and the end offset of the frame at an offset; None if no intact frame begins there."""
     if at + FRAME.size > len(data):
         return None
-    size, told = FRAME.unpack_from(data, at)
+    size, checksum = FRAME.unpack_from(data, at)
     body = data[at + FRAME.size : at + FRAME.size + size]
-    if not FRAME_STAMP.size < size <= LARGEST or len(body) < size or zlib.crc32(body) != told:
+    if not FRAME_STAMP.size < size <= MAX_FRAME_SIZE or len(body) < size or zlib.crc32(body) != checksum:
         return None
     return body, at + FRAME.size + size
 
 
-def later_frame(data: bytes, at: int) -> bool:
-    """Whether whole frames follow, so that the frame there is damaged and not a torn tail.
+def is_followed_by_frame(data: bytes, at: int) -> bool:
+    """Whether an intact frame follows, so that the frame at the offset is damaged and not a torn tail.
 
-    A damaged length is skipped, as each later byte is tried, up to 64 KiB on.
+    Every later offset within 64 KiB is tried, since the damaged frame's length may be wrong.
     """
     return any(frame_at(data, place) is not None for place in range(at + 1, min(len(data), at + 65_536)))
 
 
-def records_of(body: bytes, offset: int, engines: dict[int, str]) -> Iterator[Record]:
-    """The records in a frame's body.
+def decode_records(body: bytes, offset: int, engines: dict[int, str]) -> Iterator[Record]:
+    """Decode the records in a frame's body.
 
     Args:
-        body: Of the frame.
-        offset: Of the frame in its file, for errors.
-        engines: The file's table of engines so far; it is added to.
+        body: The frame's body.
+        offset: The frame's offset in its file, for errors.
+        engines: The file's table of engines so far; ENGINE records extend it.
 
     Raises:
-        BrokenLogError: A record has not its form.
+        BrokenLogError: A record is malformed.
     """
     high, low, tally, index = FRAME_STAMP.unpack_from(body)
     stamp, at = Stamp(high << 32 | low, tally), FRAME_STAMP.size
     try:
         while at < len(body):
             kind = Kind(body[at])
-            if kind is Kind.SENT or kind in SHORT:
-                _, attempt, flags, size = SENT.unpack_from(body, at)
-                at += SENT.size
+            if kind is Kind.SENT or kind in REQUEST_EVENTS:
+                _, attempt, flags, size = REQUEST_RECORD.unpack_from(body, at)
+                at += REQUEST_RECORD.size
                 ident = body[at : at + size].decode("ascii")
                 at += size
                 engine = ""
@@ -318,16 +361,16 @@
             elif kind is Kind.SEAL:
                 _, page, count = SEAL_RECORD.unpack_from(body, at)
                 at += SEAL_RECORD.size
-                digest = body[at : at + DIGEST].hex()
-                at += DIGEST
+                digest = body[at : at + DIGEST_SIZE].hex()
+                at += DIGEST_SIZE
                 yield Record(stamp, index, kind, fields={"page": page, "records": count, "digest": digest})
             else:
-                _, size = TEXT.unpack_from(body, at)
-                at += TEXT.size
-                told = json.loads(zlib.decompress(body[at : at + size]))
+                _, size = JSON_RECORD.unpack_from(body, at)
+                at += JSON_RECORD.size
+                fields = json.loads(zlib.decompress(body[at : at + size]))
                 at += size
                 if kind is Kind.ENGINE:
-                    engines[int(told["place"])] = str(told["engine"])
-                yield Record(stamp, index, kind, fields=told)
+                    engines[int(fields["place"])] = str(fields["engine"])
+                yield Record(stamp, index, kind, fields=fields)
     except (ValueError, KeyError, IndexError, struct.error, zlib.error) as fault:
         raise BrokenLogError(offset, f"a record cannot be read: {fault!r}") from None
--- a/spurdeal/fleet/journal.py
+++ b/spurdeal/fleet/journal.py
@@ -1,8 +1,9 @@
-"""The audit on disk: files in a folder of its own, a bound on their bytes, and what a failure costs.
+"""The audit log on disk: one directory of files, their retention by size, and the handling of write failures.
 
-It never holds up a request: what cannot be written is counted, told in the log once the disk takes it
-again, and the decisions go on. A turn's frame is written, in one call, before anything that was decided in it
-leaves; so what an engine has got is in the log also after a kill. The system's calls are passed in.
+A write failure never delays a request: records that cannot be written are counted, and their number is
+recorded once the disk accepts writes again. A batch's frame is written before anything decided in it is sent,
+so after a crash of the process the log holds every attempt that reached an engine. Frames are not flushed: a
+crash of the machine may lose the latest ones.
 """
 
 from __future__ import annotations
@@ -15,22 +16,32 @@
 from typing import Any
 
 from ..store.files import FileCalls
-from .audit import MAGIC, NO_DIGEST, BrokenLogError, Kind, LogEnd, PageBuilder, Read, SealedPage, read
+from .audit import (
+    INITIAL_DIGEST,
+    MAGIC,
+    BrokenLogError,
+    Kind,
+    LogEnd,
+    PageBuilder,
+    ParsedFile,
+    SealedPage,
+    read,
+)
 from .hybrid import Stamp
 
-FILES = 8  # of which the oldest goes when the bytes are used up
-LEAST_FILE = 16_384  # bytes
-TRY_EVERY = 500.0  # ms between two tries after a failure
+MAX_FILES = 8  # max_bytes is divided by this into files; the oldest is deleted first
+MIN_FILE_SIZE = 16_384  # bytes; a smaller file is not rotated
+RETRY_INTERVAL = 500.0  # ms between two attempts to start a new file after a failure
 
 
 @dataclass(frozen=True)
 class JournalSettings:
-    """Where a dispatcher's log is, and whose.
+    """Location, owner and size of a dispatcher's log.
 
     Attributes:
-        path: A directory of the log's own.
-        name: The dispatcher.
-        boot: The number of this start of it.
+        path: A directory that holds only this log. It is created if it is missing.
+        name: The dispatcher's name.
+        boot: The number that identifies this start of the dispatcher.
         max_bytes: Most bytes of all files in the directory.
     """
 
@@ -41,78 +52,89 @@
 
 
 class Journal:
-    """One dispatcher's log. now gives ms for the pauses between tries."""
+    """One dispatcher's log. Opening it recovers the existing files; see `recover` for its errors.
+
+    Args:
+        settings: Location, owner and size.
+        stamp: Returns the hybrid clock's next timestamp.
+        now: Returns monotonic ms, for the pauses between retries.
+        calls: The system calls for writing; tests inject failures.
+    """
 
     def __init__(
         self,
         settings: JournalSettings,
         stamp: Callable[[], Stamp],
         now: Callable[[], float],
-        system: FileCalls = os,
+        calls: FileCalls = os,
     ) -> None:
         self.path, self.name, self.boot = settings.path, settings.name, settings.boot
-        self.max_bytes, self.stamp, self.now, self.system = settings.max_bytes, stamp, now, system
-        self.file, self.bytes, self.number = -1, 0, 0
+        self.max_bytes, self.stamp, self.now, self.calls = settings.max_bytes, stamp, now, calls
+        self.descriptor, self.bytes, self.file_number = -1, 0, 0
         self.torn = self.failures = self.lost = self.dropped = self.broken = self.written = 0
-        self.lost_untold, self.next_try = 0, 0.0
-        self.index = 0
+        self.lost_unreported, self.next_retry = 0, 0.0
+        self.versions_index = 0
         self.versions: dict[str, Any] = {}
-        self.sizes: dict[int, int] = {}
+        self.file_sizes: dict[int, int] = {}
         self.pages = PageBuilder(*self.recover())
-        self.begin()
+        self.start_file()
 
-    def name_of(self, number: int) -> Path:
-        """The path of the file with that number."""
-        return self.path / f"audit-{number:08d}.log"
+    def path_of(self, file_number: int) -> Path:
+        """The path of a file by its number."""
+        return self.path / f"audit-{file_number:08d}.log"
 
-    # Start.
+    # Recovery and rotation.
 
     def recover(self) -> LogEnd:
-        """Where to go on. A torn tail is cut; what cannot be read is put aside, not deleted.
+        """Find where the log continues: truncate a torn tail, and rename broken files to *.broken.
 
         Raises:
-            OSError: The folder cannot be used.
+            OSError: The directory cannot be created, read or written.
         """
         self.path.mkdir(parents=True, exist_ok=True)
-        found: Read | None = None
+        found: ParsedFile | None = None
         for file in sorted(self.path.glob("audit-*.log")):
-            self.number = max(self.number, int(file.stem[6:]))
-            self.sizes[int(file.stem[6:])] = file.stat().st_size
-        while self.sizes and found is None:
-            newest = max(self.sizes)
-            file = self.name_of(newest)
+            self.file_number = max(self.file_number, int(file.stem[6:]))
+            self.file_sizes[int(file.stem[6:])] = file.stat().st_size
+        while self.file_sizes and found is None:
+            newest = max(self.file_sizes)
+            file = self.path_of(newest)
             data = file.read_bytes()
             try:
                 found = read(data)
             except BrokenLogError:
                 self.broken += 1
                 file.rename(file.with_suffix(".broken"))
-                del self.sizes[newest]
+                del self.file_sizes[newest]
                 continue
-            if not found.head:  # killed, or out of room, as it was begun
+            if not found.head:  # the process was killed, or the disk was full, while the file was started
                 self.torn += 1
                 file.unlink()
-                del self.sizes[newest]
+                del self.file_sizes[newest]
                 found = None
             elif found.end < len(data):
                 self.torn += 1
                 os.truncate(file, found.end)
-                self.sizes[newest] = found.end
-        return LogEnd(found.page, found.total, found.digest) if found is not None else LogEnd(0, 0, NO_DIGEST)
+                self.file_sizes[newest] = found.end
+        return (
+            LogEnd(found.page, found.total, found.digest)
+            if found is not None
+            else LogEnd(0, 0, INITIAL_DIGEST)
+        )
 
-    def begin(self) -> bool:
-        """A new file, whose head says what came before it."""
-        self.number += 1
+    def start_file(self) -> bool:
+        """Start a new file whose HEAD record continues the chain; return whether that succeeded."""
+        self.file_number += 1
         flags = os.O_WRONLY | os.O_CREAT | os.O_EXCL | os.O_APPEND | os.O_CLOEXEC
         try:
-            file = self.system.open(self.name_of(self.number), flags, 0o600)
+            descriptor = self.calls.open(self.path_of(self.file_number), flags, 0o600)
         except OSError:
             self.failures += 1
             return False
-        if self.file >= 0:
-            self.system.close(self.file)
-        self.file, self.bytes, self.sizes[self.number] = file, 0, 0
-        kept, self.pages.records = self.pages.records, []
+        if self.descriptor >= 0:
+            self.calls.close(self.descriptor)
+        self.descriptor, self.bytes, self.file_sizes[self.file_number] = descriptor, 0, 0
+        pending, self.pages.records = self.pages.records, []
         self.pages.close()
         self.pages.engines.clear()
         self.pages.add_json(
@@ -120,7 +142,7 @@
             {
                 "name": self.name,
                 "boot": f"{self.boot:016x}",
-                "file": self.number,
+                "file": self.file_number,
                 "page": self.pages.page,
                 "records": self.pages.count,
                 "before": self.pages.digest.hex(),
@@ -128,112 +150,118 @@
         )
         if self.versions:
             self.pages.add_json(Kind.VERSIONS, self.versions | {"again": True})
-        begun = self.put(self.pages.frame(self.stamp(), self.index), MAGIC)
-        self.pages.records += kept
-        if not begun:  # no room even for a head
+        started = self.write_frame(self.pages.frame(self.stamp(), self.versions_index), MAGIC)
+        self.pages.records += pending
+        if not started:  # the disk is full
             with suppress(OSError):
-                self.name_of(self.number).unlink()
-            del self.sizes[self.number]
-        self.shrink()
-        return begun
+                self.path_of(self.file_number).unlink()
+            del self.file_sizes[self.file_number]
+        self.drop_oldest_files()
+        return started
 
-    # What is asked of it.
+    # Writing.
 
-    def set_versions(self, told: dict[str, Any]) -> None:
-        """These versions are in force from here on; their index is in every frame."""
+    def set_versions(self, versions: dict[str, Any]) -> None:
+        """Record the versions in force from here on; every later frame holds their index."""
         self.flush()
-        self.index += 1
-        self.versions = told | {"index": self.index}
+        self.versions_index += 1
+        self.versions = versions | {"index": self.versions_index}
         self.pages.add_json(Kind.VERSIONS, self.versions)
         self.flush()
 
     def flush(self) -> None:
-        """All that was told since the last goes to the file, as one moment."""
+        """Write the records added since the last frame as one frame. A failure is counted, not raised."""
         if not self.pages.records:
             return
-        if self.file < 0 or self.lost_untold:
-            self.again()
-        self.put(self.pages.frame(self.stamp(), self.index))
+        if self.descriptor < 0 or self.lost_unreported:
+            self.reopen()
+        self.write_frame(self.pages.frame(self.stamp(), self.versions_index))
 
-    def again(self) -> None:
-        """After a failure: a new file, and in it how many were lost."""
-        if self.now() < self.next_try:
+    def reopen(self) -> None:
+        """Start a new file after a failure and record how many records were lost; once per RETRY_INTERVAL."""
+        if self.now() < self.next_retry:
             return
-        self.next_try = self.now() + TRY_EVERY
-        lost = self.lost_untold
-        if self.begin():
-            self.lost_untold = 0
+        self.next_retry = self.now() + RETRY_INTERVAL
+        lost = self.lost_unreported
+        if self.start_file():
+            self.lost_unreported = 0
             self.pages.add_json(Kind.LOST, {"records": lost})
 
-    def put(self, data: bytes, before: bytes = b"") -> bool:
-        """Write one frame.
+    def write_frame(self, data: bytes, before: bytes = b"") -> bool:
+        """Write one frame, after the bytes in `before`, and return whether it was written.
 
-        A partly written frame is cut off again; where that fails, the file is left and a new one begun.
+        A torn write is truncated; if that fails, the file is abandoned and a later call starts a new one.
         """
         written = False
-        if self.file >= 0 and (not self.lost_untold or before):
+        if self.descriptor >= 0 and (not self.lost_unreported or before):
             try:
                 view = memoryview(before + data)
                 while view:
-                    view = view[self.system.write(self.file, view) :]
+                    view = view[self.calls.write(self.descriptor, view) :]
                 written = True
             except OSError:
                 self.failures += 1
-                self.cut()
+                self.truncate_torn_write()
         lost = self.pages.on_written(data, written)
         self.lost += lost
-        self.lost_untold += lost
+        self.lost_unreported += lost
         if written:
             self.bytes += len(before) + len(data)
             self.written += len(data)
-            self.sizes[self.number] = self.bytes
+            self.file_sizes[self.file_number] = self.bytes
         return written
 
-    def cut(self) -> None:
-        """Cut off a partly written frame; the file is given up where that fails."""
+    def truncate_torn_write(self) -> None:
+        """Truncate a torn write; abandon the file if that fails."""
         try:
-            self.system.ftruncate(self.file, self.bytes)
+            self.calls.ftruncate(self.descriptor, self.bytes)
         except OSError:
             with suppress(OSError):
-                self.system.close(self.file)
-            self.file = -1
+                self.calls.close(self.descriptor)
+            self.descriptor = -1
 
     def seal(self) -> SealedPage | None:
-        """Ends the page, for others to be told; None where nothing was written, or it cannot be."""
+        """Seal the page and return it for the other members; rotate a full file.
+
+        None if the page has no records, or if the seal could not be written.
+        """
         self.flush()
-        data = self.pages.seal(self.stamp(), self.index)
-        if not data or self.file < 0 or self.lost_untold:
+        data = self.pages.seal(self.stamp(), self.versions_index)
+        if not data or self.descriptor < 0 or self.lost_unreported:
             return None
         try:
-            if self.system.write(self.file, data) != len(data):
-                self.cut()
+            if self.calls.write(self.descriptor, data) != len(data):
+                self.truncate_torn_write()
                 return None
         except OSError:
             self.failures += 1
-            self.cut()
+            self.truncate_torn_write()
             return None
         self.bytes += len(data)
-        self.sizes[self.number] = self.bytes
-        told = self.pages.on_sealed()
-        if self.bytes > max(LEAST_FILE, self.max_bytes // FILES):
-            self.begin()
-        return told
-
-    def shrink(self) -> None:
-        """The oldest files go where all together are more than may be."""
-        while len(self.sizes) > 1 and sum(self.sizes.values()) > self.max_bytes - self.max_bytes // FILES:
-            oldest = min(self.sizes)
+        self.file_sizes[self.file_number] = self.bytes
+        page = self.pages.on_sealed()
+        if self.bytes > max(MIN_FILE_SIZE, self.max_bytes // MAX_FILES):
+            self.start_file()
+        return page
+
+    def drop_oldest_files(self) -> None:
+        """Delete the oldest files until the rest leaves room for one more within max_bytes."""
+        while (
+            len(self.file_sizes) > 1
+            and sum(self.file_sizes.values()) > self.max_bytes - self.max_bytes // MAX_FILES
+        ):
+            oldest = min(self.file_sizes)
             with suppress(OSError):
-                self.name_of(oldest).unlink()
-            del self.sizes[oldest]
+                self.path_of(oldest).unlink()
+            del self.file_sizes[oldest]
             self.dropped += 1
 
     def close(self) -> None:
-        """Note the planned end, seal the page and close the file."""
+        """Record the graceful shutdown, seal the page, flush and close the file; failures are ignored."""
         self.pages.add_json(Kind.STOPPED, {})
         self.seal()
-        if self.file >= 0:
+        if self.descriptor >= 0:
             with suppress(OSError):
-                self.system.fsync(self.file)
-            self.system.close(self.file)
-            self.file = -1
+                self.calls.fsync(self.descriptor)
+            self.calls.close(self.descriptor)
+            self.descriptor = -1
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -160,8 +160,8 @@
             self.assertEqual((left, []), (found[: len(left)], log.problems), byte)
             self.assertLessEqual(len(found), len(left) + 1)
             again.close()
-            os.close(journal.file)
-            journal.file = -1
+            os.close(journal.descriptor)
+            journal.descriptor = -1
 
     def test_a_full_disk_costs_records_and_says_how_many(self) -> None:
         disk = Disk()
