--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -1,4 +1,4 @@
-"""The fleet's audit: what is written, what a failure costs, what is told of a log that was altered."""
+"""The audit log: format, recovery, write failures, retention, queries, and detection of altered logs."""
 
 import errno
 import json
@@ -25,11 +25,11 @@
 
 
 class Disk:
-    """The system's calls, of which a test makes some fail."""
+    """System calls on a disk that a test can fill or whose truncation it can make fail."""
 
     def __init__(self) -> None:
         self.left = float("inf")  # bytes that still fit
-        self.cuts = True
+        self.can_truncate = True
 
     def __getattr__(self, name: str) -> Any:
         return getattr(os, name)
@@ -42,12 +42,12 @@
         return os.write(file, data[:fits])
 
     def ftruncate(self, file: int, size: int) -> None:
-        if not self.cuts:
+        if not self.can_truncate:
             raise OSError(errno.EIO, "no")
         os.ftruncate(file, size)
 
 
-class Logs(unittest.TestCase):
+class AuditLogTests(unittest.TestCase):
     def setUp(self) -> None:
         self.root = Path(tempfile.mkdtemp(prefix="spurdeal-test-"))
         self.now = 1000.0
@@ -64,7 +64,7 @@
         self.addCleanup(found.close)
         return found
 
-    def listed(self, journal: Journal, number: int, engines: dict[str, int], digest: str = "aa") -> None:
+    def set_list(self, journal: Journal, number: int, engines: dict[str, int], digest: str = "aa") -> None:
         self.now += 10
         journal.set_versions({"list": f"0.{number}/{digest}", "by": "names", "engines": engines})
 
@@ -73,18 +73,18 @@
         journal.pages.add_attempt(ident.encode(), attempt, engine, 0)
         journal.flush()
 
-    def usual(self, name: str = "d1") -> Journal:
+    def sealed_journal(self, name: str = "d1") -> Journal:
         """Thirty sends in six sealed pages."""
         journal = self.journal(name)
-        self.listed(journal, 1, {"s-0": 2, "s-1": 2})
+        self.set_list(journal, 1, {"s-0": 2, "s-1": 2})
         for number in range(30):
             self.send(journal, f"{number:016x}")
             if number % 5 == 4:
                 journal.seal()
         return journal
 
-    def test_what_was_written_is_read(self) -> None:
-        journal = self.usual()
+    def test_records_are_read_as_written(self) -> None:
+        journal = self.sealed_journal()
         journal.pages.add_event(Kind.SHED, b"00ff")
         journal.pages.add_json(Kind.MODE, {"says": "engine 3 aside"})
         journal.flush()
@@ -96,23 +96,24 @@
         self.assertEqual(("s-0", "0.1/aa"), (sent.record.engine, sent.versions["list"]))
         self.assertEqual([], check([log], 250.0))
 
-    def test_each_byte_that_is_altered_is_seen(self) -> None:
-        self.usual().close()
+    def test_each_altered_byte_is_detected(self) -> None:
+        self.sealed_journal().close()
         file = next((self.root / "d1").glob("*.log"))
         data = file.read_bytes()
-        good = read(data)
+        intact = read(data)
         for place in range(len(data)):
-            spoilt = bytearray(data)
-            spoilt[place] ^= 0x10
+            corrupted = bytearray(data)
+            corrupted[place] ^= 0x10
             try:
-                found = read(bytes(spoilt))
+                found = read(bytes(corrupted))
             except BrokenLogError:
                 continue
-            self.assertLess(found.end, len(data), place)  # as a torn tail, which others' digests give away
-            self.assertEqual(good.records[: len(found.records)], found.records)
+            # It looks like a torn tail; only the digests that other members recorded reveal it.
+            self.assertLess(found.end, len(data), place)
+            self.assertEqual(intact.records[: len(found.records)], found.records)
 
-    def test_each_torn_tail_is_cut_and_the_next_start_goes_on(self) -> None:
-        self.usual().close()
+    def test_each_torn_tail_is_truncated_and_the_next_start_continues_the_chain(self) -> None:
+        self.sealed_journal().close()
         file = next((self.root / "d1").glob("*.log"))
         data = file.read_bytes()
         for cut in range(len(data) - 60, len(data), 7):
@@ -126,8 +127,8 @@
             for later in sorted((self.root / "d1").glob("*.log"))[1:]:
                 later.unlink()
 
-    def test_a_kill_at_any_byte_loses_nothing_that_left(self) -> None:
-        """Decided, stamped, sent: whatever byte the process ends at, what has left is in the log."""
+    def test_a_kill_at_any_byte_loses_no_attempt_that_was_sent(self) -> None:
+        """Whatever byte the process is killed at, every attempt that was sent before is in the log."""
 
         class Killed(BaseException):
             pass
@@ -143,13 +144,13 @@
         for byte in range(0, 900, 3):
             disk, name = Dying(), f"k{byte}"
             journal = self.journal(name, system=disk)
-            self.listed(journal, 1, {"s-0": 2})
+            self.set_list(journal, 1, {"s-0": 2})
             disk.left = byte
             left: list[str] = []
             try:
                 for number in range(20):
                     self.send(journal, f"{number:016x}")
-                    left.append(f"{number:016x}")  # the reactor's next round writes it to the engine
+                    left.append(f"{number:016x}")  # the event loop's next iteration sends it
                     if number % 4 == 3:
                         journal.seal()
             except Killed:
@@ -163,10 +164,10 @@
             os.close(journal.descriptor)
             journal.descriptor = -1
 
-    def test_a_full_disk_costs_records_and_says_how_many(self) -> None:
+    def test_records_lost_on_a_full_disk_are_counted_in_the_log(self) -> None:
         disk = Disk()
         journal = self.journal(system=disk)
-        self.listed(journal, 1, {"s-0": 2})
+        self.set_list(journal, 1, {"s-0": 2})
         for number in range(40):
             disk.left = 3 if 10 <= number < 20 else float("inf")
             self.send(journal, f"{number:016x}")
@@ -176,18 +177,18 @@
         log = read_log(self.root / "d1")
         sends = sum(entry.record.kind is Kind.SENT for entry in log.entries)
         self.assertGreater(journal.lost, 9)
-        self.assertEqual((True, []), (25 <= sends <= 30, log.problems), "tried again every half second")
+        self.assertEqual((True, []), (25 <= sends <= 30, log.problems), "retried every half second")
         self.assertEqual(journal.lost, log.lost)
         self.assertGreaterEqual(journal.lost, 40 - sends)
         self.assertIn("lost", [finding.kind for finding in check([log], 250.0)])
 
-    def test_a_disk_that_cannot_even_cut_gets_a_new_file(self) -> None:
+    def test_a_torn_write_that_cannot_be_truncated_starts_a_new_file(self) -> None:
         disk = Disk()
         journal = self.journal(system=disk)
-        self.listed(journal, 1, {"s-0": 2})
-        disk.left, disk.cuts = 5, False
+        self.set_list(journal, 1, {"s-0": 2})
+        disk.left, disk.can_truncate = 5, False
         self.send(journal, "aa" * 8)
-        disk.left, disk.cuts = float("inf"), True
+        disk.left, disk.can_truncate = float("inf"), True
         self.now += 1000
         self.send(journal, "bb" * 8)
         self.send(journal, "cc" * 8)
@@ -195,9 +196,9 @@
         idents = [entry.record.ident for entry in read_log(self.root / "d1", strict=False).entries]
         self.assertIn("cc" * 8, idents)
 
-    def test_the_folder_stays_in_its_bound(self) -> None:
+    def test_retention_keeps_the_directory_within_its_bound(self) -> None:
         journal = self.journal(most=131_072)
-        self.listed(journal, 1, {"s-0": 2})
+        self.set_list(journal, 1, {"s-0": 2})
         for number in range(6000):
             self.send(journal, f"{number:016x}")
             if number % 20 == 0:
@@ -207,8 +208,8 @@
         journal.close()
         self.assertEqual([], read_log(self.root / "d1").problems)
 
-    def test_what_cannot_be_read_is_put_aside_at_a_start_and_refused_when_asked(self) -> None:
-        self.usual().close()
+    def test_a_broken_file_is_renamed_at_a_start_and_rejected_by_queries(self) -> None:
+        self.sealed_journal().close()
         file = next((self.root / "d1").glob("*.log"))
         file.write_bytes(b"something else")
         with self.assertRaises(UnreadableLogError) as caught:
@@ -218,25 +219,25 @@
         self.assertEqual(1, journal.broken)
         self.assertTrue(file.with_suffix(".broken").exists())
 
-    # What went against the versions.
+    # Decisions that contradict the versions.
 
     def findings(self, *names: str) -> list[str]:
         logs = [read_log(self.root / name, False) for name in names]
         return [finding.kind for finding in check(logs, 250.0)]
 
-    def test_a_send_to_what_its_own_list_has_draining(self) -> None:
+    def test_a_send_to_an_engine_draining_or_gone_in_its_own_list_is_found(self) -> None:
         journal = self.journal()
-        self.listed(journal, 2, {"s-0": 1, "s-1": 2})
+        self.set_list(journal, 2, {"s-0": 1, "s-1": 2})
         self.send(journal, "aa", "s-1")
         self.assertEqual([], self.findings("d1"))
         self.send(journal, "bb", "s-0")
         self.send(journal, "cc", "s-9")
         self.assertEqual(["own_version"] * 2, self.findings("d1"))
 
-    def test_a_send_that_a_newer_list_forbade_by_then(self) -> None:
+    def test_a_send_against_a_newer_list_is_found_after_the_grace(self) -> None:
         old, new = self.journal("d1"), self.journal("d2")
-        self.listed(old, 1, {"s-0": 2})
-        self.listed(new, 2, {"s-0": 1})
+        self.set_list(old, 1, {"s-0": 2})
+        self.set_list(new, 2, {"s-0": 1})
         self.now += 240
         self.send(old, "aa")
         self.assertEqual([], self.findings("d1", "d2"), "within the grace")
@@ -244,13 +245,13 @@
         self.send(old, "bb")
         self.assertEqual(["newer_version"], self.findings("d1", "d2"))
 
-    def test_two_contents_of_one_version(self) -> None:
-        self.listed(self.journal("d1"), 3, {"s-0": 2}, "aa")
-        self.listed(self.journal("d2"), 3, {"s-0": 2}, "bb")
+    def test_two_contents_of_one_version_are_a_conflict(self) -> None:
+        self.set_list(self.journal("d1"), 3, {"s-0": 2}, "aa")
+        self.set_list(self.journal("d2"), 3, {"s-0": 2}, "bb")
         self.assertEqual(["clash"], self.findings("d1", "d2"))
 
-    def test_a_log_that_was_cut_or_put_back(self) -> None:
-        journal, other = self.usual(), self.journal("d2")
+    def test_a_log_cut_short_is_found_by_the_seal_that_another_recorded(self) -> None:
+        journal, other = self.sealed_journal(), self.journal("d2")
         page, digest, count = journal.pages.page - 1, journal.pages.digest.hex(), journal.pages.count
         other.pages.add_json(
             Kind.WITNESS,
@@ -263,10 +264,10 @@
         file.write_bytes(whole[: len(whole) // 2])
         self.assertEqual(["witness"], self.findings("d1", "d2"))
 
-    def test_asked_for_one_submission_in_a_true_order(self) -> None:
+    def test_a_query_for_one_request_gives_causal_order(self) -> None:
         one, two = self.journal("d1"), self.journal("d2")
-        self.listed(one, 1, {"s-0": 2})
-        self.listed(two, 1, {"s-0": 2})
+        self.set_list(one, 1, {"s-0": 2})
+        self.set_list(two, 1, {"s-0": 2})
         self.send(two, "abcd", attempt=0)
         self.send(one, "abcd", attempt=1)
         self.send(one, "ffff")
@@ -276,7 +277,7 @@
         self.assertEqual(3, len(list(select_entries(entries, AuditQuery(engine="s-0", version="0.1")))))
 
     def test_the_commands(self) -> None:
-        self.listed(journal := self.usual(), 2, {"s-0": 1})
+        self.set_list(journal := self.sealed_journal(), 2, {"s-0": 1})
         self.send(journal, "dd" * 8)
         journal.close()
         folder = str(self.root / "d1")
@@ -304,7 +305,7 @@
 """
 
 
-class Stations(unittest.TestCase):
+class StationTests(unittest.TestCase):
     def world(self, seeds: str = "") -> World:
         self.folder = Path(tempfile.mkdtemp(prefix="spurdeal-test-"))
         plan = read_text("plan", (PLAN % (seeds, self.folder / "audit")).encode())
@@ -348,14 +349,14 @@
         self.assertEqual(["serve"], [each[0] for each in peer.heard()])
         self.assertEqual([f"{7:016x}"], [record.ident for record in self.entries(Kind.SENT)])
 
-    def test_what_is_shed_and_left_is_in_the_log(self) -> None:
+    def test_a_withdrawn_request_is_in_the_log(self) -> None:
         world = self.world()
         caller = world_caller(world)
         caller.post(7)
         caller.leave()
         self.assertEqual([f"{7:016x}"], [record.ident for record in self.entries(Kind.WITHDRAWN)])
 
-    def test_without_a_lease_irreversible_ones_are_shed_at_once(self) -> None:
+    def test_without_a_lease_non_idempotent_requests_are_shed_at_once(self) -> None:
         world = self.world("{name: n2, at: 127.0.8.2:7114}")
         caller = world_caller(world)
         caller.post(7, "load")
@@ -365,7 +366,7 @@
         self.assertEqual([f"{8:016x}"], [record.ident for record in self.entries(Kind.SENT)])
         self.assertEqual(0.0, world.service.adapter.rules.cold_budget)
 
-    def test_each_list_is_a_version_and_one_of_the_same_number_a_clash(self) -> None:
+    def test_each_list_is_a_version_and_a_second_of_the_same_number_a_conflict(self) -> None:
         world = self.world()
         endpoints = [Endpoint(f"s-{number}", f"127.0.9.{number}", 7001) for number in range(3)]
         world.list(2, *(endpoint.record() for endpoint in endpoints))
@@ -378,14 +379,14 @@
         self.assertEqual(1, len(self.entries(Kind.CLASH)))
         self.assertEqual(3, len(world.service.adapter.endpoints))
 
-    def test_a_list_between_choice_and_send_holds_the_send_back(self) -> None:
-        for stays in ("s-0", "s-1"):  # one of them is what the rules choose
+    def test_a_list_that_arrives_between_choice_and_send_stops_the_send(self) -> None:
+        for stays in ("s-0", "s-1"):  # the rules choose one of them
             world = self.world()
             adapter = world.service.adapter
             call = adapter.take(b"a" * 16, b"lookup", 0, 5000, 20.0, 0.0, -1, b"x")
             assert call is not None
             call.addErrback(lambda _: None)
-            # Gathered behind the request, and so in force before its turn has carried anything out.
+            # Queued behind the request: the list is in force before the request's batch carries anything out.
             kept = {ident: endpoint for ident, endpoint in adapter.endpoints.items() if ident == stays}
             self.station.service.names.take_known(KnownList(2, kept))
             self.station.listed(kept)
@@ -400,7 +401,7 @@
             self.assertEqual({stays}, {record.engine for record in self.entries(Kind.SENT)})
             self.assertEqual([], check([read_log(self.folder / "audit")], 250.0))
 
-    def test_its_view_can_be_asked_for(self) -> None:
+    def test_the_fleet_view_is_served(self) -> None:
         world = self.world("{name: n2, at: 127.0.8.2:7114}")
         caller = world_caller(world)
         caller.say(b"GET /fleet HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -408,7 +409,7 @@
         self.assertEqual((200, "n1", "joining"), (status, found["name"], found["standing"]))
         self.assertIn("lease not held", next(status_words(found)))
 
-    def test_without_a_fleet_there_is_no_such_view(self) -> None:
+    def test_without_a_fleet_the_view_is_not_found(self) -> None:
         caller = world_caller(World(self))
         caller.say(b"GET /fleet HTTP/1.1\r\nHost: x\r\n\r\n")
         self.assertEqual([404], [status for status, _, _ in caller.answers()])
@@ -420,8 +421,8 @@
     return Caller(world)
 
 
-class Chains(unittest.TestCase):
-    def test_a_page_holds_all_that_came_before(self) -> None:
+class HashChainTests(unittest.TestCase):
+    def test_a_digest_covers_all_earlier_pages(self) -> None:
         one, two = PageBuilder(), PageBuilder()
         for pages, ident in ((one, b"a"), (two, b"b")):
             for each in (ident, b"c"):
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -118,9 +118,8 @@
         with self.assertRaisesRegex(LedgerFullError, "No space|full"):
             one.append([may(b"b"), may(b"c")])
         self.assertEqual([one.may_have_run(ident) for ident in (b"a", b"b", b"c")], [True, False, False])
-        self.assertEqual(
-            [record.ident for record, _ in decode_records(one.log_path.read_bytes())], [b"a"]
-        )  # the torn write is truncated
+        # The torn write is truncated.
+        self.assertEqual([record.ident for record, _ in decode_records(one.log_path.read_bytes())], [b"a"])
         with self.assertRaises(LedgerFullError):
             one.append([may(b"d")])
         self.disk.room = 1 << 40
