--- a/spurdeal/fleet/audit.py
+++ b/spurdeal/fleet/audit.py
@@ -27,16 +27,15 @@
 from .hybrid import Stamp
 
 MAGIC = b"SPA1\n"
-FRAME = struct.Struct("!II")
+FRAME = struct.Struct("!II")  # length and CRC-32 of the body
 FRAME_STAMP = struct.Struct("!HIHI")  # ms in 2 and 4 bytes, tally, index of versions
-REQUEST_RECORD = struct.Struct(
-    "!BBBB"
-)  # kind, attempt, flags, length of the id; then the id, and the engine's place
-JSON_RECORD = struct.Struct("!BH")
-SEAL_RECORD = struct.Struct("!BQQ")
-DIGEST_SIZE = 16
-MAX_FRAME_SIZE = 1 << 24  # bytes of a frame
-MAX_ID_LENGTH = 64
+# Kind, attempt, flags, length of the id; then the id and, for SENT, the engine's place (4 bytes).
+REQUEST_RECORD = struct.Struct("!BBBB")
+JSON_RECORD = struct.Struct("!BH")  # kind, length; then that many bytes of zlib-compressed JSON
+SEAL_RECORD = struct.Struct("!BQQ")  # kind, page, records up to its end; then the digest
+DIGEST_SIZE = 16  # bytes
+MAX_FRAME_SIZE = 1 << 24  # bytes of a frame's body
+MAX_ID_LENGTH = 64  # bytes
 INITIAL_DIGEST = b"\0" * DIGEST_SIZE
 
 
@@ -45,20 +44,20 @@
 
     HEAD = 0  # first record of a file: dispatcher, start, and the state of the chain before the file
     VERSIONS = 1  # the versions that an index denotes from here on, with the engines of the list
-    SENT = 2
-    SHED = 3
-    BROKEN_OFF = 4
-    WITHDRAWN = 5
-    GRANTED = 6
-    CALLED_OFF = 7
+    SENT = 2  # an attempt was sent to an engine
+    SHED = 3  # a request was shed
+    BROKEN_OFF = 4  # a request failed
+    WITHDRAWN = 5  # the client withdrew the request
+    GRANTED = 6  # the caller was granted an engine to which it sends the request itself
+    CALLED_OFF = 7  # an attempt was cancelled
     MODE = 8  # a change of state that the rules report, such as an ejected engine
-    STANDING = 9
-    MEMBER = 10
+    STANDING = 9  # a change of this dispatcher's standing in the fleet
+    MEMBER = 10  # a change of a member's state
     WITNESS = 11  # the seal of another member's page, as that member announced it
-    CLASH = 12
+    CLASH = 12  # two contents of one version
     LOST = 13  # the number of records that could not be written
-    STOPPED = 14
-    OTHER = 15
+    STOPPED = 14  # a graceful shutdown
+    OTHER = 15  # another event of the fleet, named in the fields
     SEAL = 16
     ENGINE = 17  # assigns an engine to a place in this file's table of engines
 
--- a/spurdeal/store/ledger.py
+++ b/spurdeal/store/ledger.py
@@ -268,11 +268,11 @@
         except OSError:
             self.calls.close(descriptor)
             raise
-        folder = os.open(self.path, os.O_RDONLY)
+        directory = os.open(self.path, os.O_RDONLY)
         try:
-            os.fsync(folder)
+            os.fsync(directory)
         finally:
-            os.close(folder)
+            os.close(directory)
         if self.descriptor >= 0:
             self.calls.close(self.descriptor)
         self.descriptor, self.bytes, self.snapshot_size = descriptor, len(data), len(data)
--- a/spurdeal/store/records.py
+++ b/spurdeal/store/records.py
@@ -14,10 +14,10 @@
 from typing import NamedTuple
 
 MAGIC = b"SPL1\n"
-RECORD_HEADER = struct.Struct("!HI")
-RECORD_BODY = struct.Struct("!BQB")
-MAX_ID_LENGTH = 64
-MAX_BODY_SIZE = RECORD_BODY.size + MAX_ID_LENGTH
+RECORD_HEADER = struct.Struct("!HI")  # length and CRC-32 of the body
+RECORD_BODY = struct.Struct("!BQB")  # kind, expiration time, length of the id; then the id
+MAX_ID_LENGTH = 64  # bytes
+MAX_BODY_SIZE = RECORD_BODY.size + MAX_ID_LENGTH  # bytes
 
 
 class Kind(IntEnum):
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -281,10 +281,10 @@
         self.send(journal, "dd" * 8)
         journal.close()
         folder = str(self.root / "d1")
-        told = call("fleet", "audit", folder, "--submission", "dd" * 8, "--json")
+        result = call("fleet", "audit", folder, "--submission", "dd" * 8, "--json")
         self.assertEqual(
             ["s-0", "0.2/aa"],
-            [json.loads(told.stdout)["engine"], json.loads(told.stdout)["versions"]["list"]],
+            [json.loads(result.stdout)["engine"], json.loads(result.stdout)["versions"]["list"]],
         )
         checked = call("fleet", "check", folder)
         self.assertEqual(1, checked.returncode)
