--- a/spurdeal/extproc/stream.py
+++ b/spurdeal/extproc/stream.py
@@ -123,7 +123,7 @@
             BadCallError: One with its id is open.
         """
         server, terms = self.server, self.server.terms
-        answer = server.adapter.take(
+        answer = server.adapter.accept_request(
             ask.ident, ask.workload, kind, ask.wait, ask.cost, ask.memory, ask.group, b"", server.granter
         )
         if answer is None:
--- a/spurdeal/fleet/station.py
+++ b/spurdeal/fleet/station.py
@@ -281,11 +281,11 @@
     def tell_parts(self, doubtful: bool) -> None:
         """Set our part of cold budgets: nothing without a lease, so that the rules choose no cold engine.
 
-        Where VRRP's tenure says the parts, it goes on to, and `departs` withholds.
+        Where VRRP's tenure says the parts, it goes on to, and `allow_send` withholds.
         """
         self.parts = doubtful
         if self.inner is None or self.plan.vrrp is None:
-            self.adapter.gather(
+            self.adapter.enqueue(
                 self.adapter.rules.capacity_shares_changed, self.share if doubtful else 0.0, self.share
             )
 
@@ -296,23 +296,23 @@
         if self.inner is not None:
             self.inner.batch_started(now)
 
-    def door(self, kind: int, ident: bytes) -> Answer | None:
+    def immediate_answer(self, kind: int, ident: bytes) -> Answer | None:
         """Shed what may not be taken in our standing."""
         allowed = self.fleet.allowed(self.monotonic())
         if not allowed.idempotent or (self.guarded[kind] and not allowed.doubtful):
             self.counters.add("fleet_shed")
             self.short(Kind.SHED, ident)
             return Shed(self.come_back)
-        return self.inner.door(kind, ident) if self.inner is not None else None
+        return self.inner.immediate_answer(kind, ident) if self.inner is not None else None
 
-    def before(self, request: OpenRequest, attempt: int, go: Callable[[bool | None], None]) -> bool:
+    def before_send(self, request: OpenRequest, attempt: int, go: Callable[[bool | None], None]) -> bool:
         """See Guard."""
-        return self.inner.before(request, attempt, go) if self.inner is not None else True
+        return self.inner.before_send(request, attempt, go) if self.inner is not None else True
 
-    def given_up(self, number: int, attempt: int) -> None:
+    def attempt_abandoned(self, number: int, attempt: int) -> None:
         """See Guard."""
         if self.inner is not None:
-            self.inner.given_up(number, attempt)
+            self.inner.attempt_abandoned(number, attempt)
 
     def answered(self, request: OpenRequest, answer: Answer | None) -> None:
         """Note the answer in the audit, unless an attempt brought it."""
@@ -326,7 +326,7 @@
         if self.inner is not None:
             self.inner.never_ran(request)
 
-    def departs(self, request: OpenRequest, attempt: int, engine: int) -> bool:
+    def allow_send(self, request: OpenRequest, attempt: int, engine: int) -> bool:
         """The last look before a send: the lease may have run out since the rules chose, also in a pause."""
         found = self.adapter.rules.engines.get(engine)
         cold = found is not None and found.warm_at > self.adapter.clock()
@@ -340,7 +340,7 @@
         if row is None or row[6] != READY:  # a newer list came between the choice and this, in one turn
             self.counters.add("fleet_overtaken")
             return False
-        if self.inner is not None and not self.inner.departs(
+        if self.inner is not None and not self.inner.allow_send(
             request, attempt, engine
         ):  # last: it counts as used
             return False
@@ -363,12 +363,12 @@
         if self.inner is not None:
             self.inner.attempt_cancelled(request, attempt)
 
-    def said(self, line: str) -> None:
+    def mode_changed(self, line: str) -> None:
         """Note it in the audit."""
         if self.journal is not None:
             self.journal.pages.tell(Kind.MODE, {"says": line})
         if self.inner is not None:
-            self.inner.said(line)
+            self.inner.mode_changed(line)
 
     def batch_ended(self) -> None:
         """Write the turn's frame before anything of it leaves."""
--- a/spurdeal/lab/capacity/links_process.py
+++ b/spurdeal/lab/capacity/links_process.py
@@ -40,7 +40,7 @@
     def __init__(self, port: int, count: int) -> None:
         self.port, self.count, self.dialled = port, count, 0
         self.engines = Engines(reactor, clock, (), Counters(), logger("links", Silent()))
-        self.engines.bound(DIAL_WITHIN_MS, IDLE_AFTER_MS, 1, count, 0.0)
+        self.engines.set_limits(DIAL_WITHIN_MS, IDLE_AFTER_MS, 1, count, 0.0)
         self.before = resident_kb()
         self.cpu: list[float] = []
         self.memory = 0.0
@@ -62,7 +62,7 @@
             return
         for number in range(self.dialled, min(self.count, self.up() + DIALS_AT_ONCE)):
             endpoint = Endpoint(f"s-{number}", "127.0.0.1", self.port, "east", "std", 0, Life.READY, 1.0, 0.0)
-            self.engines.listed(number, endpoint)
+            self.engines.update_engine(number, endpoint)
             # The connection comes up for an attempt that is withdrawn before its first byte.
             self.engines.send(number, b"%016x" % number, b"lookup", b"", FAR, False, lambda: None)
             self.dialled += 1
--- a/spurdeal/lab/capacity/request_path.py
+++ b/spurdeal/lab/capacity/request_path.py
@@ -160,7 +160,7 @@
     now: Callable[[], float] = lambda: clock.seconds() * 1000  # noqa: E731
     counters, log = Counters(), logger("capacity", Silent())
     engines = Engines(clock, now, (), counters, log)
-    engines.bound(250.0, 30_000.0, 4, 409, 0.0)
+    engines.set_limits(250.0, 30_000.0, 4, 409, 0.0)
     return SocketAdapter(site(), 1, ["east"], ["std"], engines, clock, now, counters, log), clock
 
 
--- a/spurdeal/net/batches.py
+++ b/spurdeal/net/batches.py
@@ -25,7 +25,7 @@
         self.loop = LoopWatch(clock, counters, log)
         self.loop.install(reactor)
         self.order = count()
-        self.inbox: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
+        self.pending_events: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
         self.asked: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
         self.alarms: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.in_batch = False
@@ -44,9 +44,9 @@
     def write_out(self) -> None:
         """The turn is over: what it held back leaves. What that brings waits for the next turn."""
 
-    def gather(self, call: Callable[..., None], *words: Any) -> None:
+    def enqueue(self, call: Callable[..., None], *words: Any) -> None:
         """An event waits for the next turn."""
-        self.inbox.append((call, words))
+        self.pending_events.append((call, words))
         if self.scheduled is None and not self.in_batch:
             self.scheduled = self.reactor.callLater(0, self.run_batch)
 
@@ -71,11 +71,11 @@
         self.in_batch = False
         self.guarded(self.write_out)
         took = self.clock() - began
-        self.counters.most("longest_turn_ms", took)
+        self.counters.record_max("longest_turn_ms", took)
         self.loop.batch_ended(took, handed)
         if self.scheduled is not None:
             return  # what was written has brought the next one on
-        if self.inbox:
+        if self.pending_events:
             self.scheduled = self.reactor.callLater(0, self.run_batch)
         elif self.alarms:
             self.alarm = self.reactor.callLater(
@@ -85,14 +85,14 @@
     def call_alarms(self, now: float) -> None:
         while self.alarms and self.alarms[0][0] <= now:
             due, _, call, words = heapq.heappop(self.alarms)
-            self.counters.most("latest_turn_ms", now - due)
+            self.counters.record_max("latest_turn_ms", now - due)
             self.counters.add("turns_late", now - due > LATE)
             self.guarded(call, *words)
 
     def hand_over(self, now: float) -> int:
         """The events that have waited longest; how many."""
-        events = self.inbox[:MOST_EVENTS]
-        del self.inbox[:MOST_EVENTS]
+        events = self.pending_events[:MOST_EVENTS]
+        del self.pending_events[:MOST_EVENTS]
         self.counters.add("turns")
         self.counters.add("events", len(events))
         for event, words in events:
--- a/spurdeal/net/client.py
+++ b/spurdeal/net/client.py
@@ -270,7 +270,7 @@
         owner, idempotency_key = bytes(fields.get(b"req-owner", b"")), bytes(fields.get(b"req-token", b""))
         if idempotency_key and not IDEMPOTENCY_KEY.fullmatch(idempotency_key):
             raise BadMessage(400, "req-token cannot be used")
-        call = self.clients.adapter.take(
+        call = self.clients.adapter.accept_request(
             ident,
             self.clients.names[kind],
             kind,
@@ -279,7 +279,7 @@
             memory,
             group_of(statement),
             statement,
-            here=self.is_here,
+            client_connected=self.is_here,
             tenant=self.clients.tenants.get(owner),
             key=key_of(fields.get(b"req-key", b"")),
             idempotency_key=idempotency_key,
@@ -296,7 +296,9 @@
 
     def concluded(self, answer: Answer, keep: bool) -> None:
         """Writes the answer to the open call, then takes what has come behind it."""
-        if not self.clients.counters.must(self.call is not None and not self.closing, "answer_to_a_call"):
+        if not self.clients.counters.check_invariant(
+            self.call is not None and not self.closing, "answer_to_a_call"
+        ):
             return
         self.call = None
         match answer:
--- a/spurdeal/net/clients.py
+++ b/spurdeal/net/clients.py
@@ -70,7 +70,7 @@
             adapter.loop, BACKLOG + 1, self.count_waiting
         )  # Linux lets one more wait
 
-    def bound(self, most: int, accepts: int, memory_mb: float) -> None:
+    def set_limits(self, most: int, accepts: int, memory_mb: float) -> None:
         """Sets how many connections there may be, how many are accepted a round, and the memory for all."""
         self.most, self.accepts = most, accepts
         ahead = MEMORY_PART * memory_mb * 1_048_576 / self.most
@@ -125,7 +125,7 @@
     def came(self, client: Client) -> None:
         self.connections[client] = None
         self.counters.add("client_connections")
-        self.counters.most("most_client_connections", len(self.connections))
+        self.counters.record_max("most_client_connections", len(self.connections))
         self.settle_soon()
 
     def went(self, client: Client) -> None:
@@ -168,7 +168,7 @@
         return evicted
 
     def note_descriptors(self) -> None:
-        self.counters.most("most_descriptors", len(self.connections) + self.held_elsewhere())
+        self.counters.record_max("most_descriptors", len(self.connections) + self.held_elsewhere())
 
     def admit(self) -> None:
         """Sets how many connections the next round accepts; with no room, others wait in the backlog."""
--- a/spurdeal/net/connection.py
+++ b/spurdeal/net/connection.py
@@ -30,7 +30,7 @@
 STALL, STALL_LEAST, STALL_PART = 2.0, 200.0, 0.5  # for one answer: times the time to connect, ms, and of what
 # its attempt still has
 SEND_AGAIN = 0.005  # seconds until a message of which the system took nothing is offered again
-ABANDONED_WITHIN = 50.0  # ms in which the system must take the rest of an attempt that nobody waits for
+MAX_ABANDONED_WRITE = 50.0  # ms in which the system must take the rest of an attempt that nobody waits for
 DRAIN_PART = 0.5  # of the drain's grace: bytes that the system has not taken by then are cut off
 
 
@@ -242,7 +242,7 @@
                 self.engine.say("silent_engine", trips=len(self.attempts))
             self.closing = self.silent = True
         if attempt is self.leaving:
-            self.engines.reactor.callLater(ABANDONED_WITHIN / 1000, self.cut_abandoned, attempt)
+            self.engines.reactor.callLater(MAX_ABANDONED_WRITE / 1000, self.cut_abandoned, attempt)
         self.finish(attempt, Outcome(ending), given_up=True)
 
     def withdraw(self, attempt: Attempt) -> None:
@@ -295,7 +295,7 @@
         return news
 
     def finish(self, attempt: Attempt, outcome: Outcome, given_up: bool = False) -> None:
-        if not self.engines.counters.must(
+        if not self.engines.counters.check_invariant(
             self.attempts.pop(attempt.ident, None) is attempt, "trip_ends_once"
         ):
             return
--- a/spurdeal/net/counters.py
+++ b/spurdeal/net/counters.py
@@ -12,10 +12,10 @@
     def add(self, name: str, count: int = 1) -> None:
         self.sums[name] += count
 
-    def most(self, name: str, value: float) -> None:
+    def record_max(self, name: str, value: float) -> None:
         self.sums[name] = max(self.sums[name], round(value))
 
-    def must(self, holds: object, what: str) -> bool:
+    def check_invariant(self, holds: object, what: str) -> bool:
         """What must hold is asserted in debug builds and counted in release builds."""
         if not holds:
             if __debug__:
--- a/spurdeal/net/engines.py
+++ b/spurdeal/net/engines.py
@@ -120,18 +120,18 @@
         self.watch = LoopWatch(clock, counters, log)  # the link's, once there is one
         self.held: list[Connection] = []
 
-    def bound(
+    def set_limits(
         self,
         connect_within: float,
         idle_after: float,
         attempts_per_connection: int,
-        most_connections: int,
+        max_connections: int,
         drain_grace: float,
     ) -> None:
         self.connect_within, self.idle_after, self.drain_grace = connect_within, idle_after, drain_grace
-        self.attempts_per_connection, self.most_connections = (
+        self.attempts_per_connection, self.max_connections = (
             max(1, attempts_per_connection),
-            most_connections,
+            max_connections,
         )
         self.closes_after = idle_after  # as seen, where engines close idle ones earlier
 
@@ -153,7 +153,7 @@
             raise BadAnswer("a report holds no number")
         return figures
 
-    def listed(self, engine: int, endpoint: Endpoint) -> None:
+    def update_engine(self, engine: int, endpoint: Endpoint) -> None:
         if (known := self.engines.get(engine)) is not None:
             known.update_endpoint(endpoint)
             self.forget(known)
@@ -167,11 +167,11 @@
 
     def full(self) -> bool:
         """No further connection may be opened."""
-        return self.connections >= self.most_connections
+        return self.connections >= self.max_connections
 
     def share(self) -> int:
         """How many connections one engine may have, so that there are some for each."""
-        return max(1, self.most_connections // max(1, len(self.engines)))
+        return max(1, self.max_connections // max(1, len(self.engines)))
 
     def name_of(self, engine: int) -> str:
         """The engine's id, for the log; that of one which is gone may not be known any more."""
--- a/spurdeal/net/link.py
+++ b/spurdeal/net/link.py
@@ -27,7 +27,7 @@
 __all__ = ["Answer", "Delivered", "Failed", "Granted", "Guard", "OpenRequest", "Shed", "at_most_once"]
 
 ANSWER_WAY = 40.0  # ms kept of a client's time for the answer's way back
-LEFT_LATE = 100.0  # ms after a client's leaving from which on an attempt of its counts as late
+LATE_AFTER_LEAVING = 100.0  # ms after a client's leaving from which on an attempt of its counts as late
 UNCONFIRMED = 1000.0  # ms without an answer of the name service after which attempts by its list are told
 OVERDUE = 20.0  # ms after a request's time at which the rules must have answered
 
@@ -72,7 +72,7 @@
 
     # What comes from clients and from the list.
 
-    def take(
+    def accept_request(
         self,
         ident: bytes,
         workload: bytes,
@@ -83,7 +83,7 @@
         group: int,
         statement: bytes,
         sender: Sender | None = None,
-        here: Callable[[], bool] = lambda: True,
+        client_connected: Callable[[], bool] = lambda: True,
         tenant: int | None = None,
         key: int = 0,
         idempotency_key: bytes = b"",
@@ -97,7 +97,7 @@
             self.counters.add("taken")
             self.counters.add("withdrawn")
             return fail(CancelledError())
-        if self.guard is not None and (known := self.guard.door(kind, ident)) is not None:
+        if self.guard is not None and (known := self.guard.immediate_answer(kind, ident)) is not None:
             self.counters.add("taken")
             self.counters.add(COUNTED[type(known)])
             return succeed(known)
@@ -115,14 +115,14 @@
             deadline,
             answer,
             sender or self.engines,
-            here,
+            client_connected,
             idempotency_key,
         )
         self.open_requests[number] = self.by_ident[ident.lower()] = request
         self.counters.add("taken")
-        self.counters.most("most_open", len(self.by_ident))
+        self.counters.record_max("most_open", len(self.by_ident))
         owner = self.nobody if tenant is None else tenant
-        self.gather(self.submit, number, kind, owner, key, now, deadline, cost, memory, group)
+        self.enqueue(self.submit, number, kind, owner, key, now, deadline, cost, memory, group)
         return answer
 
     def submit(
@@ -138,7 +138,7 @@
         memory: float,
         group: int,
     ) -> None:
-        self.counters.most("longest_wait_for_a_turn_ms", now - came)
+        self.counters.record_max("longest_wait_for_a_turn_ms", now - came)
         self.at(deadline, self.expire, number)
         self.rules.request_received(now, number, kind, tenant, key, deadline, cost, memory, group)
 
@@ -150,7 +150,7 @@
         self.concluded(request)
         if self.guard is not None:
             self.guard.answered(request, None)
-        self.gather(self.withdrawn, request)
+        self.enqueue(self.withdrawn, request)
 
     def withdrawn(self, now: float, request: OpenRequest) -> None:
         self.rules.request_withdrawn(now, request.number)
@@ -175,10 +175,10 @@
             told = {ident: self.guard.endpoint(endpoint) for ident, endpoint in told.items()}
         lines = [self.index.line(ident, endpoint) for ident, endpoint in told.items()]
         # Told first: what the engines' connections then give back must not be sent there again.
-        self.gather(self.rules.list_changed, lines, True)
+        self.enqueue(self.rules.list_changed, lines, True)
         gone = {ident: endpoint._replace(life=Life.GONE) for ident, endpoint in self.endpoints.items()}
         for ident, endpoint in (gone | dict(endpoints)).items():
-            self.guarded(self.engines.listed, self.index.place_of(ident), endpoint)
+            self.guarded(self.engines.update_engine, self.index.place_of(ident), endpoint)
             if endpoint.life == Life.GONE:
                 self.index.forget(ident)
         self.request_log.states(self.endpoints, endpoints)
@@ -199,7 +199,7 @@
         left_at = self.clock() - seconds_ago * 1000
         return Asked(left_at, self.rules.list_asked(left_at))
 
-    def list_moved(self) -> None:
+    def name_service_changed(self) -> None:
         """Another name service is asked from now on."""
         self.rules.name_service_changed()
 
@@ -218,7 +218,7 @@
             if request.deadline > until:
                 request.deadline = until
                 self.at(until, self.expire, request.number)
-        self.gather(self.rules.shutdown_started, until)
+        self.enqueue(self.rules.shutdown_started, until)
 
     # The turn.
 
@@ -248,9 +248,9 @@
 
     def overdue(self, number: int) -> None:
         request = self.open_requests.get(number)
-        if request is not None and not self.counters.must(request.answered, "answer_in_time"):
+        if request is not None and not self.counters.check_invariant(request.answered, "answer_in_time"):
             self.asked.append((self.conclude, (request, Failed())))
-            self.gather(self.rules.request_withdrawn, number)  # or they would go on with it
+            self.enqueue(self.rules.request_withdrawn, number)  # or they would go on with it
 
     # What the rules ask for: kept until their turn is over.
 
@@ -276,7 +276,7 @@
         self.asked.append((self.cancel, (number, attempt)))
 
     def set_timer(self, delay: float, token: int) -> None:
-        self.at(self.clock() + delay, self.gather, self.rules_woken, token)
+        self.at(self.clock() + delay, self.enqueue, self.rules_woken, token)
 
     def rules_woken(self, now: float, token: int) -> None:
         """By name, as the rules ask to be woken while they are still being made."""
@@ -288,7 +288,7 @@
     def log(self, line: str) -> None:
         self.logger.info("rules", extra={"figures": {"says": line}})
         if self.guard is not None:
-            self.guard.said(line)
+            self.guard.mode_changed(line)
 
     # Carrying out.
 
@@ -296,7 +296,7 @@
         now = self.clock()
         if request.answered or not self.may_run_again(request):
             # Its client left before this turn, or it was answered for want of time: it is not sent at all.
-            self.gather(self.ended, request, attempt, engine, now, Outcome(Ending.MOOT))
+            self.enqueue(self.ended, request, attempt, engine, now, Outcome(Ending.MOOT))
             return
         if self.guard is not None:
 
@@ -304,7 +304,7 @@
                 self.told(request, attempt, engine, time_limit, verdict)
 
             request.waiting[attempt] = engine
-            if not self.guard.before(request, attempt, go):
+            if not self.guard.before_send(request, attempt, go):
                 return
             del request.waiting[attempt]
         self.depart(request, attempt, engine, time_limit, now)
@@ -312,7 +312,7 @@
     def may_run_again(self, request: OpenRequest) -> bool:
         """Whether another attempt can do no harm: what must not run twice has one out at most."""
         alone = not self.at_most_once[request.kind] or not (request.attempts or request.waiting)
-        return self.counters.must(alone, "one_attempt_at_a_time")
+        return self.counters.check_invariant(alone, "one_attempt_at_a_time")
 
     def told(
         self, request: OpenRequest, attempt: int, engine: int, time_limit: float, verdict: bool | None
@@ -326,13 +326,13 @@
         if verdict:
             self.depart(request, attempt, engine, time_limit, now)
         else:
-            self.gather(self.ended, request, attempt, engine, now, Outcome(Ending.MOOT))
+            self.enqueue(self.ended, request, attempt, engine, now, Outcome(Ending.MOOT))
 
     def depart(self, request: OpenRequest, attempt: int, engine: int, time_limit: float, now: float) -> None:
         if request.sender is self.engines and not self.engines.ready(engine):
             # A list came since the choice, maybe in this turn: there is no need to dial.
             self.counters.add("trips_overtaken")
-            self.gather(self.ended, request, attempt, engine, now, Outcome(Ending.MOOT))
+            self.enqueue(self.ended, request, attempt, engine, now, Outcome(Ending.MOOT))
             return
 
         agreed = False
@@ -372,10 +372,10 @@
         ):
             self.counters.add("trips_overtaken")
             return None
-        if not request.here():
+        if not request.client_connected():
             self.counters.add("trips_whose_client_left")
             return None
-        if self.guard is not None and not agreed and not self.guard.departs(request, attempt, engine):
+        if self.guard is not None and not agreed and not self.guard.allow_send(request, attempt, engine):
             return None
         if (age := now - (self.starts.current_at or now)) > UNCONFIRMED:
             self.request_log.left_unconfirmed(request, self.engines.name_of(engine), age)
@@ -393,9 +393,9 @@
 
         One whose client has left by now is counted, and as late where more than LEFT_LATE lies between: both
         are upper bounds, as it left at some time between. What has not arrived here by now is not seen."""
-        if request.client_left or not (request.answered or request.here()):
+        if request.client_left or not (request.answered or request.client_connected()):
             self.counters.add("attempts_after_client_left")
-            self.counters.add("attempts_late_after_client_left", self.clock() - looked > LEFT_LATE)
+            self.counters.add("attempts_late_after_client_left", self.clock() - looked > LATE_AFTER_LEAVING)
 
     def weigh(self, request: OpenRequest, priority: int) -> None:
         request.rank = priority
@@ -415,9 +415,9 @@
     def never_sent(self, request: OpenRequest, attempt: int) -> None:
         """An attempt that waited for its verdict is given up: nothing ran."""
         assert self.guard is not None
-        self.guard.given_up(request.number, attempt)
+        self.guard.attempt_abandoned(request.number, attempt)
         engine = request.waiting.pop(attempt)
-        self.gather(self.ended, request, attempt, engine, self.clock(), Outcome(Ending.MOOT))
+        self.enqueue(self.ended, request, attempt, engine, self.clock(), Outcome(Ending.MOOT))
 
     def conclude(self, request: OpenRequest, answer: Answer) -> None:
         if not request.answered:
@@ -444,7 +444,7 @@
         self, outcome: Outcome, request: OpenRequest, attempt: int, engine: int, sent: float
     ) -> None:
         self.counters.add("trips_" + outcome.ending.name.lower())
-        self.gather(self.ended, request, attempt, engine, sent, outcome)
+        self.enqueue(self.ended, request, attempt, engine, sent, outcome)
 
     def ended(
         self, now: float, request: OpenRequest, attempt: int, engine: int, sent: float, outcome: Outcome
--- a/spurdeal/net/names.py
+++ b/spurdeal/net/names.py
@@ -190,7 +190,7 @@
         """Tells, once, that the list in force may be out of date."""
         silence = self.unheard()
         if silence > SILENT_AFTER:
-            self.counters.most("names_longest_silence_ms", silence * 1000)
+            self.counters.record_max("names_longest_silence_ms", silence * 1000)
         if silence > SILENT_AFTER and not self.silent:
             self.silent = True
             self.tell("discovery_silent", silence)
@@ -198,7 +198,7 @@
     def heard(self, question: Question) -> None:
         """The name service has answered a question with a list."""
         now = self.reactor.seconds()
-        self.counters.most("names_longest_answer_ms", (now - question.left_at) * 1000)
+        self.counters.record_max("names_longest_answer_ms", (now - question.left_at) * 1000)
         self.note_missed(now)
         silence, self.answered_at = now - self.heard_or_began, now
         self.heard_or_began = now
--- a/spurdeal/net/requests.py
+++ b/spurdeal/net/requests.py
@@ -59,28 +59,28 @@
     def batch_started(self, now: float) -> None:
         """A turn begins: what has lapsed since the last, also in a pause, is said to the rules first."""
 
-    def door(self, kind: int, ident: bytes) -> Answer | None:
+    def immediate_answer(self, kind: int, ident: bytes) -> Answer | None:
         """An answer at once, where the request may have run elsewhere or cannot be guarded."""
 
-    def before(self, request: OpenRequest, attempt: int, go: Callable[[bool | None], None]) -> bool:
+    def before_send(self, request: OpenRequest, attempt: int, go: Callable[[bool | None], None]) -> bool:
         """An attempt is about to be sent. False: go() is called with the verdict, later."""
 
     def never_ran(self, request: OpenRequest) -> None:
         """It was granted, and the caller has shown that nothing ran."""
 
-    def given_up(self, number: int, attempt: int) -> None:
+    def attempt_abandoned(self, number: int, attempt: int) -> None:
         """An attempt that waits for its verdict is not to be sent any more."""
 
     def answered(self, request: OpenRequest, answer: Answer | None) -> None:
         """The answer has left, or the client (None)."""
 
-    def departs(self, request: OpenRequest, attempt: int, engine: int) -> bool:
+    def allow_send(self, request: OpenRequest, attempt: int, engine: int) -> bool:
         """An attempt is about to be sent to an engine; False: not now, and nothing of it has run."""
 
     def attempt_cancelled(self, request: OpenRequest, attempt: int) -> None:
         """An attempt that is out is being called off."""
 
-    def said(self, line: str) -> None:
+    def mode_changed(self, line: str) -> None:
         """The rules have changed a mode."""
 
     def batch_ended(self) -> None:
@@ -102,7 +102,7 @@
     deadline: float
     answer: Deferred[Answer]
     sender: Sender
-    here: Callable[[], bool]  # whether its client's connection is still open, where that can be seen
+    client_connected: Callable[[], bool]  # True where that cannot be seen
     idempotency_key: bytes  # by which engines know a repeat
     answered: bool = False
     client_left: bool = False  # it ended its connection, or withdrew the request
--- a/spurdeal/net/resp.py
+++ b/spurdeal/net/resp.py
@@ -2,8 +2,8 @@
 
 from .unread import Unread
 
-MOST_PARTS = 16
-LARGEST_PART = 65536
+MAX_PARTS = 16
+MAX_PART_BYTES = 65536
 LONGEST_LENGTH = 12
 
 
@@ -15,13 +15,13 @@
     """Takes arrays off a connection's bytes; their parts are slices of what was read."""
 
     def take(self) -> list[memoryview] | None:
-        head = self.length(self.at, b"*", MOST_PARTS)
+        head = self.length(self.at, b"*", MAX_PARTS)
         if head is None:
             return None
         count, at = head
         whole, parts = memoryview(self.buffer), []
         for _ in range(count):
-            sized = self.length(at, b"$", LARGEST_PART)
+            sized = self.length(at, b"$", MAX_PART_BYTES)
             if sized is None:
                 return None
             size, at = sized
@@ -36,8 +36,8 @@
 
     def first_part(self) -> bytes | None:
         """The first part of an array that has begun, once that part is whole."""
-        head = self.length(self.at, b"*", MOST_PARTS)
-        sized = self.length(head[1], b"$", LARGEST_PART) if head is not None else None
+        head = self.length(self.at, b"*", MAX_PARTS)
+        sized = self.length(head[1], b"$", MAX_PART_BYTES) if head is not None else None
         if sized is None:
             return None
         size, at = sized
--- a/spurdeal/net/service.py
+++ b/spurdeal/net/service.py
@@ -76,7 +76,7 @@
             self.adapter, configuration.workloads, configuration.tenants, clock, self.counters, log
         )
         self.clients.held_elsewhere = self.held_elsewhere
-        self.bound(configuration)
+        self.set_limits(configuration)
         self.names = NameService(
             reactor,
             configuration.nameserver,
@@ -103,17 +103,17 @@
         """How many descriptors are held for other than clients."""
         return self.process.held + OPENED_AT_START + len(self.discovery.earlier) + self.engines.connections
 
-    def bound(self, configuration: Configuration) -> None:
+    def set_limits(self, configuration: Configuration) -> None:
         """All that follows from the limits of a configuration."""
         self.budget = DescriptorBudget.from_limit(configuration.sockets, self.process)
-        self.engines.bound(
+        self.engines.set_limits(
             configuration.connect_within,
             configuration.idle_after,
             configuration.attempts_per_connection,
             self.budget.engines,
             configuration.site.drain_grace,
         )
-        self.clients.bound(self.budget.clients, self.budget.accepts, configuration.memory_mb)
+        self.clients.set_limits(self.budget.clients, self.budget.accepts, configuration.memory_mb)
 
     def read_again(self, read: Callable[[], Configuration], tries: int = 0) -> None:
         """Reads the configuration again: name service, newer events and limits are in force at once.
@@ -149,12 +149,12 @@
         """Puts a configuration in force. Discovery first: it outlives a fault at the rest."""
         nameserver = configuration.nameserver
         if nameserver != self.names.address:
-            self.adapter.list_moved()
+            self.adapter.name_service_changed()
             self.names.move(nameserver)
         known = configuration.known
         if known.number > self.names.number:
             self.guarded("list", lambda: self.take_list(known))
-        self.bound(configuration)
+        self.set_limits(configuration)
         later = configuration.rest_differs(self.configuration)
         self.log.info(
             "configuration_read",
@@ -256,7 +256,7 @@
             return
         if self.retry is not None and self.retry.active():
             self.retry.cancel()
-        self.counters.must(not self.adapter.by_ident, "all_answered_at_exit")
+        self.counters.check_invariant(not self.adapter.by_ident, "all_answered_at_exit")
         self.sweeping.stop()
         self.discovery.close()
         self.guarded("close", self.engines.close)
--- a/spurdeal/net/wall_clock.py
+++ b/spurdeal/net/wall_clock.py
@@ -34,6 +34,6 @@
         if abs(step) < LEAST_STEP:
             return
         self.counters.add("wall_clock_steps")
-        self.counters.most("wall_clock_largest_step_ms", abs(step))
+        self.counters.record_max("wall_clock_largest_step_ms", abs(step))
         figures = {"ms": step, "since_start_ms": offset - self.offset_at_start}
         self.log.warning("wall_clock_stepped", extra={"figures": figures})
--- a/spurdeal/net/watch.py
+++ b/spurdeal/net/watch.py
@@ -101,7 +101,7 @@
 
     def report(self, now: float, gap: float) -> None:
         self.counters.add("poll_gaps")
-        self.counters.most("longest_poll_gap_ms", gap)
+        self.counters.record_max("longest_poll_gap_ms", gap)
         if gap > LOGGED_GAP and now >= self.next_log:
             self.next_log = now + LOG_INTERVAL
             figures = {"ms": gap, "turns_ms": self.batch_time, "events": self.batch_events}
--- a/spurdeal/store/guard.py
+++ b/spurdeal/store/guard.py
@@ -89,7 +89,7 @@
         if self.inner is not None:
             self.inner.batch_started(now)
 
-    def door(self, kind: int, ident: bytes) -> Answer | None:
+    def immediate_answer(self, kind: int, ident: bytes) -> Answer | None:
         """Refuse what may have run, and shed guarded requests while the ledger cannot be written."""
         if self.settings.guarded[kind]:
             if self.ledger.may_have_run(ident.lower()):
@@ -98,12 +98,12 @@
             if self.ledger.full and not self.ledger.try_again():
                 self.counters.add("ledger_full")
                 return Shed(self.settings.come_back)
-        return self.inner.door(kind, ident) if self.inner is not None else None
+        return self.inner.immediate_answer(kind, ident) if self.inner is not None else None
 
-    def before(self, request: OpenRequest, attempt: int, go: Go) -> bool:
+    def before_send(self, request: OpenRequest, attempt: int, go: Go) -> bool:
         """Hold a guarded attempt until its record is written; `go` is then called with the verdict."""
         if not self.settings.guarded[request.kind]:
-            return self.inner.before(request, attempt, go) if self.inner is not None else True
+            return self.inner.before_send(request, attempt, go) if self.inner is not None else True
         token = (request.number, attempt)
         self.waiting[token] = (request, go)
 
@@ -116,15 +116,15 @@
                 del self.waiting[token]
                 go(verdict)
 
-        if self.inner is None or self.inner.before(request, attempt, told):
+        if self.inner is None or self.inner.before_send(request, attempt, told):
             self.gather(token)
         return False
 
-    def given_up(self, number: int, attempt: int) -> None:
+    def attempt_abandoned(self, number: int, attempt: int) -> None:
         """Forget an attempt that waits for its record."""
         self.waiting.pop((number, attempt), None)
         if self.inner is not None:
-            self.inner.given_up(number, attempt)
+            self.inner.attempt_abandoned(number, attempt)
 
     def answered(self, request: OpenRequest, answer: Answer | None) -> None:
         """A shed request has not run: its record is cancelled."""
@@ -142,19 +142,19 @@
             except LedgerFullError:
                 self.counters.add("ledger_not_written")
 
-    def departs(self, request: OpenRequest, attempt: int, engine: int) -> bool:
+    def allow_send(self, request: OpenRequest, attempt: int, engine: int) -> bool:
         """See Guard."""
-        return self.inner.departs(request, attempt, engine) if self.inner is not None else True
+        return self.inner.allow_send(request, attempt, engine) if self.inner is not None else True
 
     def attempt_cancelled(self, request: OpenRequest, attempt: int) -> None:
         """See Guard."""
         if self.inner is not None:
             self.inner.attempt_cancelled(request, attempt)
 
-    def said(self, line: str) -> None:
+    def mode_changed(self, line: str) -> None:
         """See Guard."""
         if self.inner is not None:
-            self.inner.said(line)
+            self.inner.mode_changed(line)
 
     def batch_ended(self) -> None:
         """See Guard."""
--- a/spurdeal/vrrp/guard.py
+++ b/spurdeal/vrrp/guard.py
@@ -62,7 +62,7 @@
             self.adapter.rules.capacity_shares_changed(now, *parts)
             self.counters.add("tenure_changes")
 
-    def door(self, kind: int, ident: bytes) -> Answer | None:
+    def immediate_answer(self, kind: int, ident: bytes) -> Answer | None:
         """An answer at once, where the request may have run at a peer or cannot be guarded."""
         if self.handover is None or not self.guarded[kind]:
             return None
@@ -72,7 +72,7 @@
         self.counters.add("door_" + found.value)
         return Failed() if found is Door.RAN else Shed(self.come_back)
 
-    def before(self, request: OpenRequest, attempt: int, go: Callable[[bool | None], None]) -> bool:
+    def before_send(self, request: OpenRequest, attempt: int, go: Callable[[bool | None], None]) -> bool:
         """Whether an attempt may leave now; False where `go` is called with the peers' verdict, later."""
         if self.handover is None or not self.guarded[request.kind]:
             return True
@@ -88,7 +88,7 @@
             self.exchange.reactor.callLater(0, self.exchange.conclude, [verdict])
         return False
 
-    def given_up(self, number: int, attempt: int) -> None:
+    def attempt_abandoned(self, number: int, attempt: int) -> None:
         """An attempt that waits for its verdict is not to be sent any more."""
         self.exchange.going.pop((number, attempt), None)
         if self.handover is not None:
@@ -107,13 +107,13 @@
     def attempt_cancelled(self, request: OpenRequest, attempt: int) -> None:
         """Nothing follows of it here."""
 
-    def said(self, line: str) -> None:
+    def mode_changed(self, line: str) -> None:
         """Nothing follows of it here."""
 
     def batch_ended(self) -> None:
         """Nothing follows of it here."""
 
-    def departs(self, request: OpenRequest, attempt: int, engine: int) -> bool:
+    def allow_send(self, request: OpenRequest, attempt: int, engine: int) -> bool:
         """Whether something may go there now.
 
         A cold engine's budget may have been lent since the rules chose.
--- a/spurdeal/vrrp/station.py
+++ b/spurdeal/vrrp/station.py
@@ -209,7 +209,7 @@
         for known in self.handover.known.values():
             for ident, left in known.aside:
                 if ident in self.adapter.index.places:
-                    self.adapter.gather(
+                    self.adapter.enqueue(
                         self.adapter.rules.engine_suspected, self.adapter.index.place_of(ident), left
                     )
 
--- a/tests/stations.py
+++ b/tests/stations.py
@@ -116,7 +116,7 @@
 
     def submit(self, ident: bytes, kind: int = 1) -> list[Answer]:
         answers: list[Answer] = []
-        call = self.service.adapter.take(
+        call = self.service.adapter.accept_request(
             ident, b"load" if kind else b"lookup", kind, 5000, 20.0, 0.0, -1, b"x"
         )
         assert call is not None
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -381,7 +381,7 @@
         for stays in ("s-0", "s-1"):  # one of them is what the rules choose
             world = self.world()
             adapter = world.service.adapter
-            call = adapter.take(b"a" * 16, b"lookup", 0, 5000, 20.0, 0.0, -1, b"x")
+            call = adapter.accept_request(b"a" * 16, b"lookup", 0, 5000, 20.0, 0.0, -1, b"x")
             assert call is not None
             call.addErrback(lambda _: None)
             # Gathered behind the request, and so in force before its turn has carried anything out.
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -255,7 +255,7 @@
             missed.extend([] if holds else [what])
             return bool(holds)
 
-        adapter.counters.must = must  # type: ignore[method-assign]
+        adapter.counters.check_invariant = must  # type: ignore[method-assign]
         rules.choose = lambda *_, **__: None  # all wait in the queue
         rules.watch_held = lambda: None  # the decisions miss a deadline, and the link answers for them
         callers = [Caller(world) for _ in range(3)]
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -54,7 +54,7 @@
         steps.served(1)
         client = steps.client()
         client.post(2)
-        steps.until(lambda: steps.service.adapter.inbox)
+        steps.until(lambda: steps.service.adapter.pending_events)
         client.socket.close()
         self.assertEqual(self.sent(steps, steps.engines[0].talks[0]), [])
         self.assertEqual(steps.service.counters.sums["trips_whose_client_left"], 1)
@@ -228,7 +228,7 @@
             limits={"sockets": 6},
             settings=settings(limits={"streams_per_conn": 8}, zones=["east"]),
         )
-        steps.service.engines.most_connections = 2  # one an engine
+        steps.service.engines.max_connections = 2  # one an engine
         clients = [steps.client() for _ in range(4)]
         for number, client in enumerate(clients[:2]):
             client.post(number)
@@ -312,7 +312,7 @@
         steps = Steps(self)
         client = steps.served(1)
         client.post(2, "load")
-        steps.until(lambda: steps.service.adapter.inbox)
+        steps.until(lambda: steps.service.adapter.pending_events)
         steps.engines[0].talks[0].socket.close()
         talk = steps.until(steps.engines[0].accept)
         steps.until(talk.heard)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -84,7 +84,7 @@
 
     def setUp(self) -> None:
         self.world = World(self)
-        self.world.service.clients.bound(most=7, accepts=2, memory_mb=64.0)
+        self.world.service.clients.set_limits(most=7, accepts=2, memory_mb=64.0)
         self.calls = 0
 
     def served(self, ident: int) -> Caller:
@@ -196,7 +196,7 @@
     def test_the_round_that_takes_it_in_accepts_no_more_than_there_is_room_for(self) -> None:
         steps = Steps(self)
         clients = steps.service.clients
-        clients.bound(most=self.MOST, accepts=2, memory_mb=64.0)
+        clients.set_limits(most=self.MOST, accepts=2, memory_mb=64.0)
         steps.go()
         waiting = [steps.client() for _ in range(self.WAITING)]
         steps.reactor.callLater(0, clients.drain_backlog)
--- a/tests/test_gone_clients.py
+++ b/tests/test_gone_clients.py
@@ -12,8 +12,8 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-from spurdeal.net.connection import ABANDONED_WITHIN
-from spurdeal.net.link import LEFT_LATE
+from spurdeal.net.connection import MAX_ABANDONED_WRITE
+from spurdeal.net.link import LATE_AFTER_LEAVING
 from tests.helpers import Caller, Peer, World
 from tests.steps import HOST, ROW, Steps, Talk
 
@@ -188,7 +188,7 @@
         def bring(steps: Steps) -> Waiting:
             client = after_another(steps)
             client.post(LOOKUP)
-            steps.until(lambda: steps.service.adapter.inbox)
+            steps.until(lambda: steps.service.adapter.pending_events)
             return Waiting(client, lambda: only_timers(steps))
 
         self.check_each_way(bring)
@@ -264,7 +264,7 @@
             client.post(LOOKUP)
             talk = steps.until(lambda: next((talk for talk in talks if talk.heard()), None))
             talk.say(LOOKUP, "503", "-", b"")
-            steps.until(lambda: steps.service.adapter.inbox)
+            steps.until(lambda: steps.service.adapter.pending_events)
             return Waiting(client, lambda: only_timers(steps))
 
         self.check_each_way(bring, engines=2)
@@ -287,7 +287,7 @@
 
     def test_behind_another_message_on_a_shared_connection(self) -> None:
         def bring(steps: Steps) -> Waiting:
-            steps.service.engines.most_connections = 1
+            steps.service.engines.max_connections = 1
             first = steps.client()
             first.post(1)
             steps.until(steps.engines[0].accept)
@@ -336,7 +336,7 @@
         steps.served(1)
         client = steps.client()
         client.post(LOOKUP)
-        steps.until(lambda: steps.service.adapter.inbox)
+        steps.until(lambda: steps.service.adapter.pending_events)
         only_timers(steps)
         self.assertEqual(attempts(steps), 1)
         client.socket.close()
@@ -349,25 +349,25 @@
         steps = Steps(self)
         client = after_another(steps)
         guard = SlowGuard()
-        guard.before = lambda *_: True  # type: ignore[method-assign]
+        guard.before_send = lambda *_: True  # type: ignore[method-assign]
         guard.batch_ended = lambda: self.assertEqual(attempts(steps), 0)  # type: ignore[method-assign]
         steps.service.adapter.guard = guard
         client.post(LOOKUP)
-        steps.until(lambda: steps.service.adapter.inbox)
+        steps.until(lambda: steps.service.adapter.pending_events)
         only_timers(steps)
         self.assertEqual(attempts(steps), 1)
 
     def test_two_in_one_turn_on_a_connection_with_a_journal(self) -> None:
         """The second leaves as the system has taken the first, with a look and a record of its own."""
         steps = Steps(self)
-        steps.service.engines.most_connections = 1
+        steps.service.engines.max_connections = 1
         after_another(steps)
         guard = SlowGuard()
-        guard.before = lambda *_: True  # type: ignore[method-assign]
+        guard.before_send = lambda *_: True  # type: ignore[method-assign]
         steps.service.adapter.guard = guard
         for ident, client in ((LOOKUP, steps.client()), (OTHER, steps.client())):
             client.post(ident)
-        steps.until(lambda: len(steps.service.adapter.inbox) == 2)
+        steps.until(lambda: len(steps.service.adapter.pending_events) == 2)
         only_timers(steps)
         said = [words[1] for words in steps.engines[0].talks[0].heard()]
         self.assertEqual(said, [f"{LOOKUP:016x}", f"{OTHER:016x}"])
@@ -375,7 +375,7 @@
     def test_a_connection_lost_before_the_journal_is_written(self) -> None:
         world = World(self, engines=2)
         guard = SlowGuard()
-        guard.before = lambda *_: True  # type: ignore[method-assign]
+        guard.before_send = lambda *_: True  # type: ignore[method-assign]
         caller = Caller(world)
         caller.post(1)
         peer = world.peer().up()
@@ -393,7 +393,7 @@
         canceller, client = steps.client(), steps.client()
         steps.go()
         client.post(LOOKUP)
-        steps.until(lambda: steps.service.adapter.inbox)
+        steps.until(lambda: steps.service.adapter.pending_events)
         canceller.socket.sendall(b"DELETE /ops/lookup/%016x HTTP/1.1\r\n\r\n" % LOOKUP)
         steps.round()
         self.assertNotIn(b"%016x" % LOOKUP, steps.service.adapter.by_ident)
@@ -417,7 +417,7 @@
         self.assertFalse(peer.pipe.aborted)
         world.go(20)
         self.assertTrue(peer.pipe.aborted)
-        self.assertLess(ABANDONED_WITHIN, LEFT_LATE)
+        self.assertLess(MAX_ABANDONED_WRITE, LATE_AFTER_LEAVING)
         self.assertEqual(world.count("attempts_after_client_left"), 0)
 
     def test_what_the_system_takes_in_time_is_left_to_run(self) -> None:
@@ -452,7 +452,7 @@
     def test_others_that_run_on_its_connection_are_not_cut(self) -> None:
         """So it may come late there, and is counted as that."""
         world = World(self)
-        world.service.engines.most_connections = 1
+        world.service.engines.max_connections = 1
         kept, caller = Caller(world), Caller(world)
         kept.post(OTHER)
         peer = world.peer().up()
@@ -546,7 +546,7 @@
             process.stdin.write(sent + HALF_A_CALL)
             process.stdin.close()
             self.assertEqual(process.stdout.readline(), b"sent\n")
-            steps.until(lambda: steps.service.adapter.inbox)
+            steps.until(lambda: steps.service.adapter.pending_events)
             process.kill()
             process.wait()
         only_timers(steps)
@@ -588,11 +588,11 @@
     def __init__(self) -> None:
         self.verdicts: list[Callable[[bool | None], None]] = []
 
-    def before(self, taken: Any, attempt: int, go: Callable[[bool | None], None]) -> bool:
+    def before_send(self, taken: Any, attempt: int, go: Callable[[bool | None], None]) -> bool:
         self.verdicts.append(go)
         return False
 
-    def departs(self, taken: Any, attempt: int, engine: int) -> bool:
+    def allow_send(self, taken: Any, attempt: int, engine: int) -> bool:
         return True
 
     def batch_ended(self) -> None:
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -233,7 +233,7 @@
 
     def test_a_full_door_closes_and_opens(self) -> None:
         world = World(self)
-        world.service.clients.bound(most=33, accepts=2, memory_mb=64.0)  # eviction begins at 32
+        world.service.clients.set_limits(most=33, accepts=2, memory_mb=64.0)  # eviction begins at 32
         served = Caller(world)
         served.post(98)
         world.peer().up().say(98, "200", "parts=1", ROW)
@@ -360,7 +360,7 @@
             faults.extend([] if holds else [what])
             return bool(holds)
 
-        adapter.counters.must = must  # type: ignore[method-assign]
+        adapter.counters.check_invariant = must  # type: ignore[method-assign]
         adapter.rules.request_received = lambda *_: None  # type: ignore[method-assign]
         caller = Caller(world)
         caller.post(1, wait=1000)
@@ -521,7 +521,10 @@
         )
 
     def test_what_must_hold_is_asserted_or_counted(self) -> None:
-        text = "from spurdeal.net.counters import Counters as C; c = C(); print(c.must(0, 'it'), c.figures())"
+        text = (
+            "from spurdeal.net.counters import Counters as C; c = C(); "
+            "print(c.check_invariant(0, 'it'), c.figures())"
+        )
         said = [
             subprocess.run([sys.executable, *flags, "-c", text], capture_output=True, text=True, check=False)
             for flags in ([], ["-O"])
--- a/tests/test_new_days.py
+++ b/tests/test_new_days.py
@@ -247,7 +247,7 @@
         steps = Steps(self)
         client = steps.client()
         client.post(1)
-        steps.until(lambda: steps.service.adapter.inbox)
+        steps.until(lambda: steps.service.adapter.pending_events)
         steps.service.stop()
         self.check(steps, client)
 
@@ -488,7 +488,7 @@
         for read in (True, False):
             with self.subTest(read=read):
                 world = World(self)
-                world.service.engines.most_connections = 1
+                world.service.engines.max_connections = 1
                 caller = Caller(world)
                 caller.post(1)
                 peer = world.peer().up()
@@ -575,7 +575,7 @@
         """As those are that a guard knows: one does not stand on the other's stack."""
         world = World(self)
         guard = Mock()
-        guard.door.return_value = Failed()
+        guard.immediate_answer.return_value = Failed()
         world.service.adapter.guard = guard
         caller = Caller(world)
         caller.say(b"".join(call(ident) for ident in range(1, 1001)))
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -6,7 +6,7 @@
 from spurdeal.lab.names import answer as name_answer
 from spurdeal.net import dns
 from spurdeal.net.http import LARGEST_BODY, LARGEST_HEAD, BadMessage, RequestParser
-from spurdeal.net.resp import LARGEST_PART, MOST_PARTS, ArrayParser, BadAnswer, command
+from spurdeal.net.resp import MAX_PART_BYTES, MAX_PARTS, ArrayParser, BadAnswer, command
 from spurdeal.net.statement import NO_GROUP, group_of
 
 POST = b"POST /ops/report HTTP/1.1\r\nHost: o\r\nReq-Id:  9b1f \t\r\nContent-Length: 5\r\n\r\nab\r\nc"
@@ -95,10 +95,10 @@
             b"+OK\r\n",
             b"*x\r\n",
             b"*-1\r\n",
-            b"*%d\r\n" % (MOST_PARTS + 1),
+            b"*%d\r\n" % (MAX_PARTS + 1),
             b"*1\r\n:5\r\n",
             b"*1\r\n$-1\r\n",
-            b"*1\r\n$%d\r\n" % (LARGEST_PART + 1),
+            b"*1\r\n$%d\r\n" % (MAX_PART_BYTES + 1),
             b"*1\r\n$2\r\nabc\r\n",
             b"*" + b"1" * 20,
             b"*1\r\n$" + b"0" * 20,
--- a/tests/test_system_faults.py
+++ b/tests/test_system_faults.py
@@ -745,7 +745,7 @@
             released.extend([] if holds else [what])
             return bool(holds)
 
-        world.service.counters.must = must  # type: ignore[method-assign]
+        world.service.counters.check_invariant = must  # type: ignore[method-assign]
         world.go(2000)
         self.assertEqual(
             ([status for status, _, _ in caller.answers()], released), ([500], ["answer_in_time"])
@@ -764,13 +764,13 @@
                     missed.extend([] if holds else [what])
                     return bool(holds)
 
-                adapter.counters.must = must  # type: ignore[method-assign]
+                adapter.counters.check_invariant = must  # type: ignore[method-assign]
                 caller = Caller(world)
                 caller.post(7, workload)
                 peer = world.peer().up()
                 (request,) = rules.open.values()
                 request.engine = rules.engines[1]
-                adapter.gather(lambda now, rules=rules, request=request: rules.attempt_stage(request))
+                adapter.enqueue(lambda now, rules=rules, request=request: rules.attempt_stage(request))
                 world.go(50)
                 peers = [peer, *(world.peer(place).up() for place in range(1, len(world.reactor.tcpClients)))]
                 served = [said for each in peers for said in each.heard() if said[0] == "serve"]
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -97,7 +97,7 @@
         """Accepting was paused; the one that waited there was first read after that."""
         steps = Steps(self)
         clients = steps.service.clients
-        clients.bound(most=4, accepts=1, memory_mb=64.0)  # so few that none is shed for being too many
+        clients.set_limits(most=4, accepts=1, memory_mb=64.0)  # so few that none is shed for being too many
         steps.go()
         open_ones = [steps.client() for _ in range(clients.most)]
         for ident, client in enumerate(open_ones, 1):
@@ -168,7 +168,7 @@
     def __init__(self, case: unittest.TestCase) -> None:
         self.steps = Steps(case)
         clients = self.steps.service.clients
-        clients.bound(most=40, accepts=ACCEPTS_A_ROUND, memory_mb=64.0)
+        clients.set_limits(most=40, accepts=ACCEPTS_A_ROUND, memory_mb=64.0)
         self.steps.go()
         self.silent = deque[Talk]()
         self.come(WAITING_CLIENTS)
@@ -413,7 +413,7 @@
             handed.append(place)
 
         for place in range(300):
-            adapter.gather(event, place)
+            adapter.enqueue(event, place)
         adapter.run_batch()
         self.assertEqual(handed, list(range(128)))
         world.go()
@@ -444,7 +444,7 @@
     def two_attempts(self) -> tuple[World, Caller, Caller]:
         """Two attempts on one connection; the second has 640 ms left."""
         world = World(self)
-        world.service.engines.most_connections = 1
+        world.service.engines.max_connections = 1
         patient, pressed = Caller(world), Caller(world)
         patient.post(1)
         pressed.post(2, wait=640)
