--- a/spurdeal/cli/running.py
+++ b/spurdeal/cli/running.py
@@ -272,7 +272,7 @@
     installed = Installed(service, plan, loop, Files(path, configuration), unix)
 
     def again() -> None:
-        service.read_again(lambda: start.load_configuration(configuration))
+        service.reload_configuration(lambda: start.load_configuration(configuration))
         installed.read_again()
 
     start.on_signals(loop, again, installed.stop)
--- a/spurdeal/net/service.py
+++ b/spurdeal/net/service.py
@@ -115,7 +115,7 @@
         )
         self.clients.set_limits(self.budget.clients, self.budget.accepts, configuration.memory_mb)
 
-    def read_again(self, read: Callable[[], Configuration], tries: int = 0) -> None:
+    def reload_configuration(self, read: Callable[[], Configuration], tries: int = 0) -> None:
         """Reads the configuration again: name service, newer events and limits are in force at once.
 
         The rest is in force at a start. A configuration that cannot be used may be half written: it is read
@@ -139,7 +139,7 @@
             return
         if tries < RETRIES or isinstance(fault, Unreadable):
             delay = min(RETRY_MOST, RETRY_FIRST * 2 ** min(tries, RETRIES))
-            self.retry = self.reactor.callLater(delay, self.read_again, read, tries + 1)
+            self.retry = self.reactor.callLater(delay, self.reload_configuration, read, tries + 1)
             return
         self.counters.add("configurations_given_up")
         figures = {"why": str(fault), "tries": tries + 1}
--- a/spurdeal/net/start.py
+++ b/spurdeal/net/start.py
@@ -86,7 +86,7 @@
     except CannotListenError as fault:
         where = f"{configuration.host}:{configuration.port}"
         raise Unusable(f"configuration: cannot listen on {where}: {fault.socketError}") from None
-    on_signals(loop, lambda: service.read_again(lambda: load_configuration(path)), service.stop)
+    on_signals(loop, lambda: service.reload_configuration(lambda: load_configuration(path)), service.stop)
     gc.collect()
     gc.freeze()
     loop.run(installSignalHandlers=False)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -594,7 +594,7 @@
                 raise Unusable("configuration: half of it")
             return told
 
-        world.service.read_again(read)
+        world.service.reload_configuration(read)
         self.assertIn("event=configuration_kept", world.log.getvalue())
         world.go(400)
         self.assertEqual((len(reads), world.service.names.address), (3, ("127.0.8.10", 5301)))
@@ -608,7 +608,7 @@
             reads.append(world.now())
             raise Unusable("configuration: nothing")
 
-        world.service.read_again(read)
+        world.service.reload_configuration(read)
         world.go(20_000)
         self.assertEqual((len(reads), world.count("configurations_unusable")), (7, 1))
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -479,7 +479,7 @@
         caller = Caller(world)
         caller.post(1)
         told = read_configuration(json.dumps(configuration(1, nameserver="127.0.8.10:5301")))
-        world.service.read_again(lambda: told)
+        world.service.reload_configuration(lambda: told)
         self.assertEqual(world.asked[-1], ("127.0.8.10", 5301))
         endpoint = ("s-1.east.hosts", "127.0.9.1:7001", 0, "kind=std cell=0 started=0")
         world.list(2, endpoint)  # the old one answers no more
@@ -492,7 +492,7 @@
         def unusable() -> Configuration:
             return load_configuration("/nowhere/config.json")
 
-        world.service.read_again(unusable)
+        world.service.reload_configuration(unusable)
         self.assertIn("event=configuration_kept", world.log.getvalue())
         self.assertEqual(world.service.names.address, ("127.0.8.10", 5301))
         world.peer(1).up().say(1, "200", "parts=1", ROW)
@@ -502,7 +502,7 @@
         world = World(self)
         more = configuration(2, limits={"sockets": 8})
         more["known"]["no"] = more["known"]["items"][0]["no"] = 9
-        world.service.read_again(lambda: read_configuration(json.dumps(more)))
+        world.service.reload_configuration(lambda: read_configuration(json.dumps(more)))
         self.assertEqual(
             (set(world.service.adapter.endpoints), world.service.names.number), ({"s-0", "s-1"}, 9)
         )
--- a/tests/test_new_days.py
+++ b/tests/test_new_days.py
@@ -144,7 +144,7 @@
         return read_configuration(json.dumps(given))
 
     def reload(self, world: World, told: Any) -> None:
-        world.service.read_again(lambda: told)
+        world.service.reload_configuration(lambda: told)
 
     def check(self, world: World, draining: bool = True) -> None:
         """Whether engine 0 drains, and so gets nothing."""
--- a/tests/test_system_faults.py
+++ b/tests/test_system_faults.py
@@ -246,7 +246,7 @@
             {"no": 2, "roster": {"generation": 1, "reset": False, "instances": [instance(0) | DRAINED]}}
         )
         told["known"]["no"] = 2
-        world.service.read_again(lambda: read_configuration(json.dumps(told)))
+        world.service.reload_configuration(lambda: read_configuration(json.dumps(told)))
         self.assertEqual(world.service.counters.sums.pop("faults"), 1)
         self.assertEqual(world.service.names.address, ("127.0.8.10", 5301))
         self.assertEqual(world.service.names.number, 1)
@@ -260,7 +260,7 @@
             reads.append(world.now())
             raise Unreadable("config.json", OSError(errno.EMFILE, "no descriptor"))
 
-        world.service.read_again(read)
+        world.service.reload_configuration(read)
         world.go(60_000)
         self.assertGreater(len(reads), 20)
         self.assertLess(len(reads), 30)
