--- a/spurdeal/net/__init__.py
+++ b/spurdeal/net/__init__.py
@@ -1,1 +1,1 @@
-"""The dispatcher on sockets, as a library: the reactor and the clock are passed in, and nothing is global."""
+"""The dispatcher's network side, as a library: reactor and clock are passed in, without global state."""
--- a/spurdeal/net/attempts.py
+++ b/spurdeal/net/attempts.py
@@ -1,4 +1,4 @@
-"""What is sent to an engine for a request, and how that ended."""
+"""Attempts: a request as sent to one engine, the terms of sending, and the outcome."""
 
 from __future__ import annotations
 
@@ -14,20 +14,22 @@
 
 
 class Outcome(NamedTuple):
+    """How an attempt ended, with the result's pages and the engine's load report, if any."""
+
     ending: Ending
     pages: tuple[bytes, ...] = ()
     report: tuple[float, ...] = ()
 
 
 class SendTerms(NamedTuple):
-    """On which an attempt leaves.
+    """The terms on which an attempt is sent, fixed when its first byte is about to be written.
 
     Attributes:
-        wait: for how many ms the engine may work on it.
-        rank: its priority.
-        mark: by which engines know a repeat, where its client gave one.
-        at_once: whether it is handed to the system at once; else with `Engines.write_held`.
-        taken: called once the system has taken its last byte.
+        wait: For how many ms the engine may work on it.
+        rank: Its priority; None if the deployment has no priorities.
+        idempotency_key: Lets engines recognize a repeat; empty if the client gave none.
+        at_once: Whether it is written to the socket at once, or by `Engines.write_deferred`.
+        taken: Called once the system has accepted its last byte.
     """
 
     wait: float
@@ -38,7 +40,7 @@
 
 
 class Attempt:
-    """One attempt from its sending to its outcome, which its Deferred brings exactly once."""
+    """An attempt from its sending to its outcome, with which its Deferred fires exactly once."""
 
     __slots__ = (
         "at_send",
@@ -46,11 +48,11 @@
         "deadline",
         "done",
         "ident",
+        "page_count",
         "pages",
-        "parts",
         "report",
+        "result_bytes",
         "sent",
-        "size",
         "statement",
         "workload",
         "written",
@@ -68,5 +70,5 @@
         self.deadline, self.at_send, self.written = deadline, at_send, False
         self.done: Deferred[Outcome] = Deferred()
         self.connection: Connection | None = None
-        self.parts, self.size, self.sent, self.pages = 0, 0, 0.0, dict[int, bytes]()
+        self.page_count, self.result_bytes, self.sent, self.pages = 0, 0, 0.0, dict[int, bytes]()
         self.report: tuple[float, ...] = ()
--- a/spurdeal/net/batches.py
+++ b/spurdeal/net/batches.py
@@ -1,4 +1,4 @@
-"""Turns: what comes between two of them is gathered, handed over as one batch, decided on and carried out."""
+"""Event batches: events are queued, delivered together, decided on, and the decisions executed."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from .counters import Counters
 from .watch import LoopWatch
 
-LATE = 50.0  # ms; a turn later than that is counted
-MOST_EVENTS = 128  # in one turn; the rest waits for the next, and sockets are polled between them
+LATE_TIMER = 50.0  # ms; a timer that fires later than this is counted
+MAX_EVENTS = 128  # per batch; the rest waits for the next, and sockets are polled in between
 
 
 class EventBatches:
-    """Events, alarms and the turns that take them up; who derives from it says what a turn decides."""
+    """Queues of events and timers, processed in batches; subclasses define what a batch decides."""
 
     def __init__(
         self, reactor: Any, clock: Callable[[], float], counters: Counters, log: logging.Logger
@@ -24,85 +24,88 @@
         self.reactor, self.clock, self.counters, self.logger = reactor, clock, counters, log
         self.loop = LoopWatch(clock, counters, log)
         self.loop.install(reactor)
-        self.order = count()
+        self.timer_numbers = count()
         self.pending_events: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
-        self.asked: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
-        self.alarms: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
+        self.actions: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
+        self.timers: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.in_batch = False
         self.scheduled: Any = None
-        self.alarm: Any = None
+        self.timer_call: Any = None
 
     def batch_begins(self, now: float) -> None:
-        """Before anything of a turn is handed over."""
+        """Called before the first event of a batch is delivered."""
 
     def decide(self, now: float) -> None:
-        """All of a turn has been handed over; what is asked for goes to `asked`."""
+        """Called after all events of a batch; appends the resulting actions to `actions`."""
 
     def batch_ends(self) -> None:
-        """What was asked for is carried out."""
+        """Called after the actions of a batch have been executed."""
 
     def write_out(self) -> None:
-        """The turn is over: what it held back leaves. What that brings waits for the next turn."""
+        """Called after the batch to write deferred output; events that this causes go to the next batch."""
 
-    def enqueue(self, call: Callable[..., None], *words: Any) -> None:
-        """An event waits for the next turn."""
-        self.pending_events.append((call, words))
+    def enqueue(self, call: Callable[..., None], *args: Any) -> None:
+        """Queue an event for the next batch."""
+        self.pending_events.append((call, args))
         if self.scheduled is None and not self.in_batch:
             self.scheduled = self.reactor.callLater(0, self.run_batch)
 
-    def at(self, when: float, call: Callable[..., None], *words: Any) -> None:
-        heapq.heappush(self.alarms, (when, next(self.order), call, words))
+    def call_at(self, when: float, call: Callable[..., None], *args: Any) -> None:
+        """Set a timer; it fires in the first batch at or after `when`."""
+        heapq.heappush(self.timers, (when, next(self.timer_numbers), call, args))
 
     def run_batch(self) -> None:
+        """Process due timers and queued events as one batch, and schedule the next one."""
         began = self.clock()
-        for delayed in (self.scheduled, self.alarm):
+        for delayed in (self.scheduled, self.timer_call):
             if delayed is not None and delayed.active():
                 delayed.cancel()
-        self.scheduled = self.alarm = None
+        self.scheduled = self.timer_call = None
         self.in_batch = True
         self.batch_begins(began)
-        self.call_alarms(began)
-        handed = self.hand_over(began)
-        self.guarded(self.decide, began)
-        asked, self.asked = self.asked, []
-        for act, words in asked:
-            self.guarded(act, *words)
+        self.fire_timers(began)
+        delivered = self.deliver_events(began)
+        self.call_safely(self.decide, began)
+        actions, self.actions = self.actions, []
+        for action, args in actions:
+            self.call_safely(action, *args)
         self.batch_ends()
         self.in_batch = False
-        self.guarded(self.write_out)
+        self.call_safely(self.write_out)
         took = self.clock() - began
         self.counters.record_max("longest_turn_ms", took)
-        self.loop.batch_ended(took, handed)
+        self.loop.batch_ended(took, delivered)
         if self.scheduled is not None:
-            return  # what was written has brought the next one on
+            return  # writing has already scheduled the next batch
         if self.pending_events:
             self.scheduled = self.reactor.callLater(0, self.run_batch)
-        elif self.alarms:
-            self.alarm = self.reactor.callLater(
-                max(0.0, self.alarms[0][0] - self.clock()) / 1000, self.run_batch
+        elif self.timers:
+            self.timer_call = self.reactor.callLater(
+                max(0.0, self.timers[0][0] - self.clock()) / 1000, self.run_batch
             )
 
-    def call_alarms(self, now: float) -> None:
-        while self.alarms and self.alarms[0][0] <= now:
-            due, _, call, words = heapq.heappop(self.alarms)
+    def fire_timers(self, now: float) -> None:
+        """Call all timers that are due."""
+        while self.timers and self.timers[0][0] <= now:
+            due, _, call, args = heapq.heappop(self.timers)
             self.counters.record_max("latest_turn_ms", now - due)
-            self.counters.add("turns_late", now - due > LATE)
-            self.guarded(call, *words)
+            self.counters.add("turns_late", now - due > LATE_TIMER)
+            self.call_safely(call, *args)
 
-    def hand_over(self, now: float) -> int:
-        """The events that have waited longest; how many."""
-        events = self.pending_events[:MOST_EVENTS]
-        del self.pending_events[:MOST_EVENTS]
+    def deliver_events(self, now: float) -> int:
+        """Deliver the oldest events, at most MAX_EVENTS; returns how many."""
+        events = self.pending_events[:MAX_EVENTS]
+        del self.pending_events[:MAX_EVENTS]
         self.counters.add("turns")
         self.counters.add("events", len(events))
-        for event, words in events:
-            self.guarded(event, now, *words)
+        for event, args in events:
+            self.call_safely(event, now, *args)
         return len(events)
 
-    def guarded(self, call: Callable[..., None], *words: Any) -> None:
-        """A fault in one call must not take the others' answers with it; it is logged whole and counted."""
+    def call_safely(self, call: Callable[..., None], *args: Any) -> None:
+        """Call, log and count an exception, so that one fault does not cost other requests their answers."""
         try:
-            call(*words)
+            call(*args)
         except Exception:
             self.counters.add("faults")
             self.logger.exception("fault", extra={"figures": {"call": getattr(call, "__name__", "?")}})
--- a/spurdeal/net/configuration.py
+++ b/spurdeal/net/configuration.py
@@ -1,4 +1,4 @@
-"""A dispatcher's configuration: read from JSON, checked, and typed."""
+"""A dispatcher's configuration: parsed from JSON, validated, and typed."""
 
 from __future__ import annotations
 
@@ -16,18 +16,18 @@
 DEFAULT_MEMORY_MB = 192.0
 DEFAULT_CONNECT_TIMEOUT = 250.0  # ms
 DEFAULT_ENGINE_IDLE = 30_000.0  # ms
-OPEN_CALLS_PART = 1 / 3  # of the descriptors, by the protocol; one call at a time on each connection
+OPEN_CALLS_PART = 1 / 3  # of the descriptors, as the protocol demands; a connection has one request at a time
 
 
 class Unusable(Exception):
-    """A configuration that cannot be used; the text says why in one line."""
+    """A configuration that cannot be used; the message gives the reason in one line."""
 
 
 class Unreadable(Unusable):
-    """A configuration that the system does not let us read.
+    """A configuration file that the system cannot read.
 
     Attributes:
-        may_pass: Whether the error may be over within a moment.
+        may_pass: Whether the error may be transient.
     """
 
     def __init__(self, path: str, fault: OSError) -> None:
@@ -37,23 +37,23 @@
 
 @dataclass(frozen=True, slots=True, kw_only=True)
 class Configuration:
-    """What a dispatcher is configured with.
+    """The settings of a dispatcher.
 
     Attributes:
         name: The dispatcher's name, for its log.
         host, port: The address that it listens on.
         seed: The source of its random choices.
-        sockets: How many descriptors its process may hold.
-        memory_mb: How much memory its process may hold.
+        sockets: How many descriptors its process may have open.
+        memory_mb: How much memory its process may use.
         nameserver: The address of the name service.
-        known: The list of engines at the start.
-        site: The settings, as the rules take them.
+        known: The initial list of engines.
+        site: The deployment, as the rules take it.
         workloads, tenants: Their indices by name.
-        locations, kinds: The names of locations and kinds of machine, by index.
+        zones, kinds: The names of zones and of kinds of machine, by index.
         report_fields: The fields of an engine's load report.
-        connect_within: How long a connection to an engine may take to come up, in ms.
-        idle_after: When an engine closes a connection without requests, in ms.
-        trips_a_connection: How many requests may be out on one connection to an engine.
+        connect_timeout: The connect timeout of engines, in ms.
+        idle_timeout: After how many ms engines close idle connections.
+        attempts_per_connection: How many attempts may be out on one connection to an engine.
     """
 
     name: str
@@ -70,20 +70,20 @@
     zones: list[str]
     kinds: list[str]
     report_fields: list[str]
-    connect_within: float
-    idle_after: float
+    connect_timeout: float
+    idle_timeout: float
     attempts_per_connection: int
 
     def rest_differs(self, other: Configuration) -> bool:
-        """Whether they differ in what is only read at a start."""
+        """Whether settings that only take effect at a start differ."""
         return (self.site, self.host, self.port) != (other.site, other.host, other.port)
 
 
 def read_configuration(text: str | bytes) -> Configuration:
-    """Reads a configuration from its JSON text.
+    """Parse a configuration from its JSON text.
 
     Raises:
-        Unusable: It is no JSON object, or something in it is missing or cannot be used.
+        Unusable: It is not a JSON object, or a setting is missing or invalid.
     """
     try:
         given = json.loads(text)
@@ -97,7 +97,7 @@
 
 
 def configuration_from(given: Mapping[str, Any]) -> Configuration:
-    """The configuration that a JSON object holds; whatever is wrong with it is raised as it comes."""
+    """Build a configuration from a JSON object; errors are raised as they occur."""
     settings = given["settings"]
     process_limits, limits = given.get("limits", {}), settings.get("limits", {})
     sockets = int(process_limits.get("sockets", DEFAULT_DESCRIPTORS))
@@ -117,22 +117,23 @@
         zones=[str(name) for name in settings.get("zones", [])],
         kinds=[str(name) for name in settings.get("models", [])],
         report_fields=reported(settings),
-        connect_within=float(limits.get("dial_timeout", DEFAULT_CONNECT_TIMEOUT)),
-        idle_after=float(limits.get("conn_idle", DEFAULT_ENGINE_IDLE)),
+        connect_timeout=float(limits.get("dial_timeout", DEFAULT_CONNECT_TIMEOUT)),
+        idle_timeout=float(limits.get("conn_idle", DEFAULT_ENGINE_IDLE)),
         attempts_per_connection=int(limits.get("streams_per_conn", 1)),
     )
 
 
 def indices_of(names: Iterable[str]) -> dict[bytes, int]:
+    """Map names to their indices."""
     return {name.encode(): index for index, name in enumerate(names)}
 
 
 def load_configuration(path: str) -> Configuration:
-    """Reads a configuration from a file.
+    """Load a configuration from a file.
 
     Raises:
         Unreadable: The file cannot be read.
-        Unusable: It holds no configuration that can be used.
+        Unusable: Its content cannot be used.
     """
     try:
         with open(path, "rb") as source:
--- a/spurdeal/net/connection.py
+++ b/spurdeal/net/connection.py
@@ -1,8 +1,9 @@
-"""One connection to an engine: attempts go out on it, answers and pages of their results come back.
+"""One connection to an engine: sends attempts, receives answers and the pages of results.
 
-What is to be written waits in a connection's own line and goes to its transport a message at a time, as the
-engine reads: what still waits there has not begun to leave, which a hang with its window full, a drain or a
-client's leaving may still stop."""
+Messages wait in the connection's own write queue and go to the transport one attempt at a time, as the engine
+reads. A message in the queue has not begun to leave, so it can still be withdrawn when the engine hangs with
+its receive window full, drains, or the client leaves.
+"""
 
 from __future__ import annotations
 
@@ -25,40 +26,42 @@
 if TYPE_CHECKING:
     from .engines import Engine
 
-LARGEST_RESULT = 96_000  # bytes
-MOST_PAST = 16  # attempts remembered on a connection: more than can cross
-STALL, STALL_LEAST, STALL_PART = 2.0, 200.0, 0.5  # for one answer: times the time to connect, ms, and of what
-# its attempt still has
-SEND_AGAIN = 0.005  # seconds until a message of which the system took nothing is offered again
-MAX_ABANDONED_WRITE = 50.0  # ms in which the system must take the rest of an attempt that nobody waits for
-DRAIN_PART = 0.5  # of the drain's grace: bytes that the system has not taken by then are cut off
+MAX_RESULT_BYTES = 96_000
+MAX_FINISHED_IDS = 16  # finished attempts remembered per connection: more than answers can cross
+# Limits on the time between an answer's first and last byte: a multiple of the connect timeout, at least so
+# many ms, and at most this part of the time that its attempt still has.
+ANSWER_TIME_CONNECTS, MIN_ANSWER_TIME, ANSWER_TIME_PART = 2.0, 200.0, 0.5
+RESEND_DELAY = 0.005  # seconds after which a message of which the system accepted no byte is written again
+MAX_ABANDONED_WRITE = 50.0  # ms in which the system must accept the rest of an abandoned attempt
+DRAIN_WRITE_PART = 0.5  # part of the drain grace after which bytes not accepted by the system are cut off
 
 
 @implementer(IPullProducer)
 class Connection(Protocol):
-    """One connection to an engine: attempts go out on it, answers come back in any order."""
+    """One connection to an engine; answers arrive in any order."""
 
     transport: Any
 
     def __init__(self, engine: Engine) -> None:
         self.engine, self.engines, self.parser = engine, engine.engines, ArrayParser()
         self.attempts: dict[bytes | memoryview, Attempt] = {}
-        self.past: dict[bytes, bool] = {}  # ids that were out here, and whether they were given up
+        self.finished_ids: dict[bytes, bool] = {}  # ids sent here before, and whether they were given up
         self.write_queue = deque[bytes | Attempt]()
-        self.bounding: Any = None
-        self.leaving: Attempt | None = None  # whose bytes the transport may still hold
-        self.ahead_of_leaving = b""  # messages that go before it in the same write
-        self.leaving_terms: SendTerms | None = None
-        self.held = b""  # messages that leave with `Engines.write_held`
-        self.up = self.closing = self.silent = self.sending = self.ended = False
-        self.unread = False  # part of an answer has come, or bytes that were not read
-        self.opened = self.used = self.heard = self.begun = self.engines.clock()
+        self.answer_timer: Any = None
+        self.being_written: Attempt | None = None  # its bytes may still be in the transport
+        self.bytes_ahead = b""  # messages before it in the same write
+        self.write_terms: SendTerms | None = None
+        self.deferred = b""  # messages to be written by `Engines.write_deferred`
+        self.up = self.closing = self.silent = self.sending = self.peer_closed = False
+        self.unread = False  # part of an answer was received, or there are unread bytes
+        self.opened = self.last_used = self.last_received = self.answer_began = self.engines.clock()
 
-    # Twisted's calls.
+    # Callbacks of Twisted.
 
     def connectionMade(self) -> None:
+        """Send what has been queued during the dial."""
         self.up, self.opened = True, self.engines.clock()
-        self.used = self.opened
+        self.last_used = self.opened
         make_patient(self.transport, self.engines.watch)
         self.transport.setTcpNoDelay(True)
         self.engines.counters.add("engine_connections")
@@ -66,158 +69,176 @@
         self.close_if_done()
 
     def dataReceived(self, data: bytes) -> None:
-        self.heard = self.engine.heard = self.engines.clock()
+        """Parse and handle answers; a malformed one fails the connection."""
+        self.last_received = self.engine.last_received = self.engines.clock()
         if not self.parser.left():
-            self.begun = self.heard
+            self.answer_began = self.last_received
         self.parser.feed(data)
         try:
             while (parts := self.parser.take()) is not None:
-                self.begun = self.heard
-                self.answered(parts)
+                self.answer_began = self.last_received
+                self.handle_answer(parts)
         except (BadAnswer, ValueError) as fault:
             self.cut(str(fault))
         self.unread = bool(self.parser.left())
         if self.up and self.parser.left():
-            self.bound_answer()
+            self.start_answer_timer()
 
     def cut(self, why: str) -> None:
-        """Spoilt: what is out here has run or runs, and nothing more can be read of it."""
+        """Fail the connection after a bad answer: attempts may have run, but no answer can be read."""
         self.engines.counters.add("engine_bad_answers")
         self.engine.say("bad_answer", why=why, trips=len(self.attempts))
         self.transport.abortConnection()
         self.lost()
 
-    def patience(self) -> float:
-        """ms that the answer which has begun may still take, counted from its first byte.
+    def answer_time_left(self) -> float:
+        """How many ms the answer that is being received may still take.
 
-        Half of what its own attempt still had bounds it too, or that could not be retried elsewhere. Others'
-        time does not: a cut ends them all. Until its id has come it may be the one with most time."""
-        begun = self.parser.first_part()
-        own = self.attempts.get(begun) if begun is not None else None
+        The limit counts from the answer's first byte. It is also bounded by half of the time that its own
+        attempt had left, as otherwise there would be no time for a retry elsewhere. Other attempts' time
+        doesn't count, since closing the connection ends all of them. Until the answer's id has been received,
+        the attempt with the most time left is assumed.
+        """
+        answer_began = self.parser.first_part()
+        own = self.attempts.get(answer_began) if answer_began is not None else None
         attempts = (own,) if own is not None else self.attempts.values()
         deadline = max((attempt.deadline for attempt in attempts), default=float("inf"))
-        longest = max(STALL_LEAST, STALL * self.engines.connect_within)
-        longest = min(longest, STALL_PART * (deadline - self.begun))
-        return max(0.0, self.begun + longest - self.engines.clock())
-
-    def bound_answer(self) -> None:
-        """An answer has begun; the timer that ends it follows when its id comes."""
-        patience = self.patience() / 1000
-        if self.bounding is None:
-            self.bounding = self.engines.reactor.callLater(patience, self.stall)
-        elif self.bounding.getTime() > self.engines.reactor.seconds() + patience:
-            self.bounding.reset(patience)
-
-    def stall(self) -> None:
-        """An answer has begun and does not end: the rest is lost or trickles, or its length was wrong."""
-        self.bounding = None
-        if self.up and self.parser.left() and self.patience() > 0.0:  # another one by now
-            self.bounding = self.engines.reactor.callLater(self.patience() / 1000, self.stall)
+        longest = max(MIN_ANSWER_TIME, ANSWER_TIME_CONNECTS * self.engines.connect_timeout)
+        longest = min(longest, ANSWER_TIME_PART * (deadline - self.answer_began))
+        return max(0.0, self.answer_began + longest - self.engines.clock())
+
+    def start_answer_timer(self) -> None:
+        """Start the timer of an answer that has begun, or shorten it once the answer's id is known."""
+        answer_time_left = self.answer_time_left() / 1000
+        if self.answer_timer is None:
+            self.answer_timer = self.engines.reactor.callLater(answer_time_left, self.answer_timed_out)
+        elif self.answer_timer.getTime() > self.engines.reactor.seconds() + answer_time_left:
+            self.answer_timer.reset(answer_time_left)
+
+    def answer_timed_out(self) -> None:
+        """Fail the connection if an answer is incomplete: lost, trickling in, or sent with a wrong length."""
+        self.answer_timer = None
+        if self.up and self.parser.left() and self.answer_time_left() > 0.0:  # a later answer has begun since
+            self.answer_timer = self.engines.reactor.callLater(
+                self.answer_time_left() / 1000, self.answer_timed_out
+            )
         elif self.up and self.parser.left():
-            self.cut("an answer stopped short")
+            self.cut("an answer was not completed in time")
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
+        """Note whether the engine closed it while idle, and end its attempts."""
         if self.up and not self.closing and not self.attempts and isinstance(reason.value, ConnectionDone):
-            self.engines.closed_idle(self.engines.clock() - max(self.used, self.heard))
+            self.engines.closed_while_idle(self.engines.clock() - max(self.last_used, self.last_received))
         self.lost()
         self.transport = None
 
-    # What is written.
+    # Writing.
 
     def write(self, *parts: bytes | memoryview) -> None:
+        """Queue a command, if the connection is up."""
         if self.up:
             self.write_queue.append(command(*parts))
             self.flush()
 
     def carry(self, attempt: Attempt) -> None:
+        """Queue an attempt."""
         self.attempts[attempt.ident], attempt.connection = attempt, self
         self.write_queue.append(attempt)
         self.flush()
 
     def flush(self) -> None:
+        """Start writing the queue, if it isn't being written."""
         if self.up and self.write_queue and not self.sending:
             self.sending = True
-            self.transport.registerProducer(self, False)  # which asks at once
+            self.transport.registerProducer(self, False)  # calls resumeProducing at once
 
     def resumeProducing(self) -> None:
-        """Nothing of ours is left in the transport: the next messages leave, up to and with one attempt."""
-        self.message_taken()
+        """The transport's buffer is empty: write the next messages, up to and including one attempt."""
+        self.write_finished()
         while self.write_queue:
             ready = self.next_messages()
-            if self.leaving_terms is not None and not self.leaving_terms.at_once:
-                self.held = ready
-                self.engines.held.append(self)
+            if self.write_terms is not None and not self.write_terms.at_once:
+                self.deferred = ready
+                self.engines.deferred.append(self)
                 return
-            if not self.handed_over(ready):
+            if not self.fully_written(ready):
                 return
-            self.leaving = self.leaving_terms = None  # within one step: nothing came between
+            self.being_written = self.write_terms = None  # in one step: nothing could happen in between
         self.sending = False
         self.transport.unregisterProducer()
         self.close_if_done()
 
-    def handed_over(self, ready: bytes) -> bool:
-        """Whether the system has taken all of it; the transport writes the rest, then asks for more.
+    def fully_written(self, ready: bytes) -> bool:
+        """Write to the socket; the transport writes the rest later, then asks for more.
+
+        An attempt is written immediately: if the transport wrote it in its own iteration of the event loop,
+        its client might have left since the check at send time.
 
-        An attempt goes at once: by the transport's own turn in the loop its client might have left unseen."""
-        if self.leaving is not None:
+        Returns:
+            Whether the system has accepted all of it.
+        """
+        if self.being_written is not None:
             sent = immediate.send(self.transport, ready)
-            if sent <= len(self.ahead_of_leaving):
-                self.put_back(self.leaving, self.ahead_of_leaving[sent:])
+            if sent <= len(self.bytes_ahead):
+                self.requeue(self.being_written, self.bytes_ahead[sent:])
                 return False
             ready = ready[sent:]
         if ready:
             self.transport.write(ready)
         return not ready
 
-    def put_back(self, attempt: Attempt, ahead: bytes) -> None:
-        """No byte of an attempt has left: its message is rebuilt by what holds once the system takes some."""
+    def requeue(self, attempt: Attempt, ahead: bytes) -> None:
+        """Put back an attempt of which no byte was accepted; its message is rebuilt when it is sent."""
         self.engines.counters.add("trips_put_back")
         self.engines.counters.add("trips_written", -1)
         attempt.written = False
         self.write_queue.appendleft(attempt)
-        self.leaving = self.leaving_terms = None
+        self.being_written = self.write_terms = None
         if ahead:
             self.transport.write(ahead)
         else:
-            self.engines.reactor.callLater(SEND_AGAIN, self.await_room)
+            self.engines.reactor.callLater(RESEND_DELAY, self.wait_until_writable)
 
-    def await_room(self) -> None:
-        """Let the transport ask for more as soon as the system tells of room."""
+    def wait_until_writable(self) -> None:
+        """Let the transport ask for more as soon as the socket is writable."""
         if self.up and self.sending:
             self.transport.startWriting()
 
-    def write_held(self) -> None:
-        ready, self.held = self.held, b""
-        if self.up and ready and self.handed_over(ready):
+    def write_deferred(self) -> None:
+        """Write the messages that were deferred to the end of the batch."""
+        ready, self.deferred = self.deferred, b""
+        if self.up and ready and self.fully_written(ready):
             self.resumeProducing()
 
-    def message_taken(self) -> None:
-        """The system has taken all that was written."""
-        terms, self.leaving, self.leaving_terms = self.leaving_terms, None, None
+    def write_finished(self) -> None:
+        """Handle that the system has accepted everything written so far."""
+        terms, self.being_written, self.write_terms = self.write_terms, None, None
         if terms is not None:
             terms.taken()
 
     def next_messages(self) -> bytes:
-        """What is next in the queue, up to and with one attempt; those that are not to leave end as MOOT."""
+        """Take messages off the queue, up to and including one attempt; invalid attempts end as MOOT."""
         ready = list[bytes]()
-        while self.write_queue and self.leaving is None:
+        while self.write_queue and self.being_written is None:
             message = self.write_queue.popleft()
             if not isinstance(message, Attempt):
                 ready.append(message)
             elif (terms := message.at_send()) is None:
                 self.finish(message, Outcome(Ending.MOOT))
             else:
-                self.ahead_of_leaving = b"".join(ready)
-                ready.append(self.serve(message, terms))
-                self.leaving, self.leaving_terms = message, terms
+                self.bytes_ahead = b"".join(ready)
+                ready.append(self.serve_command(message, terms))
+                self.being_written, self.write_terms = message, terms
         if ready:
-            self.used = self.engines.clock()
+            self.last_used = self.engines.clock()
         return b"".join(ready)
 
     def stopProducing(self) -> None:
+        """Stop writing: the transport is closing."""
         self.sending = False
 
-    def serve(self, attempt: Attempt, terms: SendTerms) -> bytes:
+    def serve_command(self, attempt: Attempt, terms: SendTerms) -> bytes:
+        """Build the command that sends an attempt, and mark the attempt as written."""
         self.engines.counters.add("trips_written")
         attempt.sent, attempt.written = self.engines.clock(), True
         fields = b"class=%b,wait=%d" % (attempt.workload, max(1, int(terms.wait)))
@@ -228,155 +249,170 @@
         return command(b"serve", attempt.ident, fields, attempt.statement)
 
     def give_up(self, attempt: Attempt, ending: Ending) -> None:
-        """Nothing more is wanted of it: it is cancelled while it may run, and its pages let go after that."""
+        """Give up an attempt: cancel it while it may run, or release its pages once it has run."""
         if not attempt.written:
             self.withdraw(attempt)
             return
-        self.write(b"release" if attempt.parts else b"cancel", attempt.ident)
-        quiet = self.engines.clock() - attempt.sent > self.engines.connect_within
-        if self.up and quiet and self.heard <= attempt.sent and not self.silent:
-            # A machine cut off leaves its connections open, and nobody knows if what goes out on one runs. A
-            # new connection that never comes up proves that nothing ran. Also: a hang, packets lost for long.
+        self.write(b"release" if attempt.page_count else b"cancel", attempt.ident)
+        quiet = self.engines.clock() - attempt.sent > self.engines.connect_timeout
+        if self.up and quiet and self.last_received <= attempt.sent and not self.silent:
+            # An unreachable machine leaves its connections open, and whether an attempt sent on one runs is
+            # unknown, while a new connection that never comes up proves that nothing ran. So this connection
+            # gets no further attempts. Hangs and long packet loss look the same.
             self.engines.counters.add("silent_connections")
-            if self.engine.heard <= attempt.sent:
+            if self.engine.last_received <= attempt.sent:
                 self.engine.say("silent_engine", trips=len(self.attempts))
             self.closing = self.silent = True
-        if attempt is self.leaving:
-            self.engines.reactor.callLater(MAX_ABANDONED_WRITE / 1000, self.cut_abandoned, attempt)
+        if attempt is self.being_written:
+            self.engines.reactor.callLater(MAX_ABANDONED_WRITE / 1000, self.abort_abandoned_write, attempt)
         self.finish(attempt, Outcome(ending), given_up=True)
 
     def withdraw(self, attempt: Attempt) -> None:
-        """It has not begun to leave: nothing of it has run, nor will."""
+        """Remove an attempt that has not been written: nothing of it has run or will run."""
         if attempt in self.write_queue:
             self.write_queue.remove(attempt)
         self.finish(attempt, Outcome(Ending.MOOT))
 
-    def withhold(self) -> None:
-        """Its engine drains or is gone, is elsewhere or was started anew: what has not left stays here. What
-        the system has not taken by the time of DRAIN_PART would come too late, and is cut off."""
+    def withdraw_unsent(self) -> None:
+        """Withdraw what is not written, when the engine drains, is gone, has moved or was restarted.
+
+        Bytes that the system has not accepted by the time set by DRAIN_WRITE_PART would arrive too late and
+        are cut off.
+        """
         for attempt in [attempt for attempt in self.attempts.values() if not attempt.written]:
             self.withdraw(attempt)
-        if self.leaving is not None and self.up:
+        if self.being_written is not None and self.up:
             self.engines.reactor.callLater(
-                DRAIN_PART * self.engines.drain_grace / 1000, self.cut_off, self.leaving
+                DRAIN_WRITE_PART * self.engines.drain_grace / 1000, self.abort_write, self.being_written
             )
 
-    def cut_off(self, attempt: Attempt) -> None:
-        """Covers a hang with its window full. A cut link whose bytes the system holds is not seen here."""
-        if self.up and self.leaving is attempt:
+    def abort_write(self, attempt: Attempt) -> None:
+        """Close the connection if an attempt is still being written.
+
+        This covers an engine that hangs with its receive window full. Bytes that the system holds for a
+        broken network link are not seen here.
+        """
+        if self.up and self.being_written is attempt:
             self.engines.counters.add("unsent_cut_off")
             self.transport.abortConnection()
             self.lost()
 
-    def cut_abandoned(self, attempt: Attempt) -> None:
-        """The rest of an abandoned attempt would come late. What else runs here is not cut for that."""
+    def abort_abandoned_write(self, attempt: Attempt) -> None:
+        """Cut off an abandoned attempt, whose rest would arrive late, unless other attempts run here."""
         if not any(other.written for other in self.attempts.values()):
-            self.cut_off(attempt)
+            self.abort_write(attempt)
 
-    def takes(self, attempt: Attempt) -> bool:
-        """Whether this one may carry it, as far as is known."""
+    def accepts(self, attempt: Attempt) -> bool:
+        """Whether this connection can take an attempt, as far as is known."""
         return (
             not self.closing
-            and not self.ended
+            and not self.peer_closed
             and attempt.ident not in self.attempts
-            and attempt.ident not in self.past
+            and attempt.ident not in self.finished_ids
         )
 
-    def look(self) -> bool:
-        """At the socket of one that rests; True where that shows it as no good choice.
+    def check_socket(self) -> bool:
+        """Peek at the socket of an idle connection.
 
-        Its far side's end has come, or bytes that no attempt waits for: these may never become an answer, and
-        spoil what follows."""
+        Returns:
+            Whether the engine has closed it, or has sent bytes for which no attempt waits. Such bytes may
+            never become an answer, and would corrupt what follows.
+        """
         waiting = pending(self.transport) if self.up and not self.attempts else None
-        ended, unread = waiting == b"", bool(waiting)
-        news = (ended and not self.ended) or (unread and not self.unread)
-        self.ended |= ended  # that is to be read next
+        peer_closed, unread = waiting == b"", bool(waiting)
+        newly_unfit = (peer_closed and not self.peer_closed) or (unread and not self.unread)
+        self.peer_closed |= peer_closed  # the next read will return the end of the stream
         self.unread |= unread
-        return news
+        return newly_unfit
 
     def finish(self, attempt: Attempt, outcome: Outcome, given_up: bool = False) -> None:
+        """End an attempt with an outcome."""
         if not self.engines.counters.check_invariant(
             self.attempts.pop(attempt.ident, None) is attempt, "trip_ends_once"
         ):
             return
         if attempt.written:
-            self.past[attempt.ident] = (
-                given_up  # an answer may cross or come twice: the id comes here no more
-            )
-        if len(self.past) > MOST_PAST:
-            del self.past[next(iter(self.past))]
+            self.finished_ids[attempt.ident] = given_up  # a late answer may come: the id isn't reused here
+        if len(self.finished_ids) > MAX_FINISHED_IDS:
+            del self.finished_ids[next(iter(self.finished_ids))]
         attempt.connection = None
         self.close_if_done()
         attempt.done.callback(outcome)
 
     def retire(self) -> None:
-        """No further attempts: it ends with those that are out."""
+        """Accept no further attempts; close after those that are out."""
         self.closing = True
         self.close_if_done()
 
     def close_if_done(self) -> None:
-        """A silent one is cut: the system would go on sending what it holds once a cut link heals."""
+        """Close a connection that is retired and has no attempts.
+
+        A silent one is aborted, otherwise the system would send its buffered bytes when the network recovers.
+        """
         if self.closing and not self.attempts and self.up and self.silent:
             self.transport.abortConnection()
         elif self.closing and not self.attempts and self.up and not self.sending:
             self.transport.loseConnection()
 
     def lost(self, ending: Ending = Ending.RESET) -> None:
+        """Remove the connection and end its attempts; after a reset, unwritten ones as MOOT."""
         self.up, self.closing = False, True
         self.write_queue.clear()
-        if self.bounding is not None:
-            self.bounding.cancel()
-            self.bounding = None
+        if self.answer_timer is not None:
+            self.answer_timer.cancel()
+            self.answer_timer = None
         if self in self.engine.connections:
             self.engine.connections.remove(self)
             self.engines.connections -= 1
-            self.engines.forget(self.engine)
+            self.engines.drop_if_gone(self.engine)
         for attempt in list(self.attempts.values()):
             self.finish(
                 attempt, Outcome(Ending.MOOT if ending == Ending.RESET and not attempt.written else ending)
             )
 
-    # What is read.
+    # Reading.
 
-    def answered(self, parts: list[memoryview]) -> None:
-        ident, word, fields, body = engine_answers.read(parts)
-        pages = engine_answers.number_of_pages(fields) if word == b"200" else 1
+    def handle_answer(self, parts: list[memoryview]) -> None:
+        """Handle one answer of the engine."""
+        ident, status, fields, body = engine_answers.read(parts)
+        pages = engine_answers.number_of_pages(fields) if status == b"200" else 1
         attempt = self.attempts.get(ident)
-        if attempt is None or (word == b"200" and attempt.parts):
-            # It answers what was given up meanwhile, whose further pages are let go; or says 200 twice, or
-            # more than was asked: good but too much.
+        if attempt is None or (status == b"200" and attempt.page_count):
+            # The attempt was given up in the meantime, and its further pages are released; or the engine has
+            # sent 200 twice, or an answer that nobody asked for. Valid, but superfluous.
             self.engines.counters.add("answers_crossed")
-            if attempt is None and pages > 1 and self.past.get(bytes(ident)):
+            if attempt is None and pages > 1 and self.finished_ids.get(bytes(ident)):
                 self.write(b"release", ident)
-        elif word == b"200":
-            attempt.parts, attempt.report = pages, self.engines.report(fields.get("stats", ""))
+        elif status == b"200":
+            attempt.page_count, attempt.report = pages, self.engines.report(fields.get("stats", ""))
             for page in range(1, pages):
                 self.write(b"read", ident, b"%d" % page)
             self.page(attempt, 0, body)
-        elif word == b"chunk":
+        elif status == b"chunk":
             number = int(fields.get("part_no", "-1"))
-            if not 0 < number < attempt.parts:
-                raise BadAnswer("a page that was not asked for")
-            if number in attempt.pages:  # a second copy: good but too much
+            if not 0 < number < attempt.page_count:
+                raise BadAnswer("a page that was not requested")
+            if number in attempt.pages:  # a second copy: valid, but superfluous
                 self.engines.counters.add("answers_crossed")
             else:
                 self.page(attempt, number, body)
         else:
-            # Once it was delivered, whatever else is said of it only tells that its pages are lost.
-            ending = Ending.ERROR if attempt.parts else engine_answers.ENDINGS[word]
-            if attempt.parts:
+            # After a 200, any other status means that the remaining pages are lost.
+            ending = Ending.ERROR if attempt.page_count else engine_answers.ENDINGS[status]
+            if attempt.page_count:
                 self.engines.counters.add("pages_lost")
                 self.write(b"release", ident)
             self.finish(attempt, Outcome(ending, (), self.engines.report(fields.get("stats", ""))))
 
     def page(self, attempt: Attempt, number: int, text: memoryview) -> None:
-        attempt.size += len(text)
-        if attempt.size > LARGEST_RESULT:
+        """Store a page of a result, and deliver the result if it is complete."""
+        attempt.result_bytes += len(text)
+        if attempt.result_bytes > MAX_RESULT_BYTES:
             raise BadAnswer("a result is too large")
         page = engine_answers.page_of(text)
         attempt.pages[number] = page
-        if len(attempt.pages) == attempt.parts:
-            if attempt.parts > 1:
+        if len(attempt.pages) == attempt.page_count:
+            if attempt.page_count > 1:
                 self.write(b"release", attempt.ident)
-            pages = tuple(attempt.pages[place] for place in range(attempt.parts))
+            pages = tuple(attempt.pages[place] for place in range(attempt.page_count))
             self.finish(attempt, Outcome(Ending.DELIVERED, pages, attempt.report))
--- a/spurdeal/net/counters.py
+++ b/spurdeal/net/counters.py
@@ -1,22 +1,28 @@
-"""What a dispatcher counts, and the one helper for what must hold."""
+"""The counters of a dispatcher, and the check of invariants."""
 
 from collections import Counter
 
 
 class Counters:
-    """Sums and greatest values by name."""
+    """Sums and maxima by name."""
 
     def __init__(self) -> None:
         self.sums: Counter[str] = Counter()
 
     def add(self, name: str, count: int = 1) -> None:
+        """Add to a sum."""
         self.sums[name] += count
 
     def record_max(self, name: str, value: float) -> None:
+        """Raise a maximum to this value, rounded, if it is greater."""
         self.sums[name] = max(self.sums[name], round(value))
 
     def check_invariant(self, holds: object, what: str) -> bool:
-        """What must hold is asserted in debug builds and counted in release builds."""
+        """Check an invariant: a violation raises in debug mode, and is counted when run with -O.
+
+        Returns:
+            Whether it holds.
+        """
         if not holds:
             if __debug__:
                 raise AssertionError(what)
@@ -24,4 +30,5 @@
         return bool(holds)
 
     def figures(self) -> dict[str, int]:
+        """All counters, sorted by name."""
         return dict(sorted(self.sums.items()))
--- a/spurdeal/net/dial.py
+++ b/spurdeal/net/dial.py
@@ -1,4 +1,4 @@
-"""Dials an engine for one connection, and tells how a dial that failed counts for its attempts."""
+"""Dials an engine for one connection, and maps a failed dial to the outcome of its attempts."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Dial(ClientFactory):
-    """Makes a connection once its engine has accepted it."""
+    """Client factory of one connection."""
 
     noisy = False
 
@@ -22,14 +22,15 @@
         self.connection = connection
 
     def buildProtocol(self, addr: Any) -> Connection:
+        """Return the connection that was dialled for."""
         return self.connection
 
     def clientConnectionLost(self, connector: Any, reason: Failure) -> None:
-        """Twisted's connector and transport hold each other; parted, they need no collector."""
+        """Break the reference cycle of connector and transport, so that no garbage collection is needed."""
         connector.transport = None
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        """Refused or never up: either way not a byte of an attempt has left."""
+        """Handle a refused or timed-out dial: no byte of an attempt has been sent."""
         if isinstance(reason.value, ConnectionRefusedError):
             counter, ending = "dials_refused", Ending.UNREACHED
         elif getattr(reason.value, "osError", None) in OWN_SHORTAGE:
--- a/spurdeal/net/engine_answers.py
+++ b/spurdeal/net/engine_answers.py
@@ -1,4 +1,4 @@
-"""Answers of engines, as arrays of bulk strings: read and checked. Free of I/O."""
+"""Parses and validates the answers of engines, which are RESP arrays of bulk strings. Does no I/O."""
 
 from __future__ import annotations
 
@@ -8,72 +8,72 @@
 from .resp import BadAnswer
 
 ENDINGS = {b"503": Ending.FULL, b"500": Ending.ERROR, b"504": Ending.MOOT}
-WORDS = (b"200", b"chunk", *ENDINGS)
-PARTS, MOST_PAGES, COLUMNS = 4, 256, 3
+STATUSES = (b"200", b"chunk", *ENDINGS)
+PARTS, MAX_PAGES, COLUMNS = 4, 256, 3
 
 
 class EngineAnswer(NamedTuple):
-    """One answer; its id and body last only as long as the buffer that it was read from."""
+    """One answer; its id and body are valid only as long as the buffer that they were read from."""
 
     ident: memoryview
-    word: bytes
+    status: bytes
     fields: dict[str, str]
     body: memoryview
 
 
 def read_fields(text: memoryview) -> dict[str, str]:
-    """A list `name=value,name=value`, or `-` for none.
+    """Parse a list `name=value,name=value`, or `-` for an empty one.
 
     Raises:
-        BadAnswer: It has another form.
+        BadAnswer: The text has another form.
     """
-    words = bytes(text).decode("utf-8")
-    if words == "-":
+    text_fields = bytes(text).decode("utf-8")
+    if text_fields == "-":
         return {}
-    pairs = [pair.partition("=") for pair in words.split(",")]
-    if not all(mark for _, mark, _ in pairs):
-        raise BadAnswer("fields cannot be read")
+    pairs = [pair.partition("=") for pair in text_fields.split(",")]
+    if not all(separator for _, separator, _ in pairs):
+        raise BadAnswer("fields cannot be parsed")
     return {name: value for name, _, value in pairs}
 
 
 def read(parts: list[memoryview]) -> EngineAnswer:
-    """The parts of one answer.
+    """Parse the parts of one answer.
 
     Raises:
-        BadAnswer: It has another number of parts, an unknown word, or fields that cannot be read.
+        BadAnswer: It has a wrong number of parts, an unknown status, or fields that cannot be parsed.
     """
     if len(parts) != PARTS:
         raise BadAnswer(f"{len(parts)} parts where {PARTS} were expected")
     answer = EngineAnswer(parts[0], bytes(parts[1]), read_fields(parts[2]), parts[3])
-    if answer.word not in WORDS:
-        raise BadAnswer("an answer with an unknown word")
+    if answer.status not in STATUSES:
+        raise BadAnswer("an answer has an unknown status")
     return answer
 
 
 def number_of_pages(fields: dict[str, str]) -> int:
-    """How many pages a result has.
+    """The number of pages of a result.
 
     Raises:
-        BadAnswer: It has none, or too many.
-        ValueError: It tells no number.
+        BadAnswer: The number is out of range.
+        ValueError: It is not a number.
     """
     pages = int(fields.get("parts", "1"))
-    if not 1 <= pages <= MOST_PAGES:
-        raise BadAnswer("a result has no usable number of pages")
+    if not 1 <= pages <= MAX_PAGES:
+        raise BadAnswer("the number of pages of a result is out of range")
     return pages
 
 
 def page_of(text: memoryview) -> bytes:
-    """A copy of a page, which outlives the buffer.
+    """Copy a page out of the buffer, and validate it.
 
     Raises:
-        BadAnswer: It does not hold whole rows.
-        UnicodeDecodeError: It is no text.
+        BadAnswer: It does not consist of whole rows.
+        UnicodeDecodeError: It is not UTF-8.
     """
     page = bytes(text)
     if page and not page.endswith(b"\n"):
-        raise BadAnswer("a page does not hold whole rows")
+        raise BadAnswer("a page does not consist of whole rows")
     if any(row.count(b"\t") != COLUMNS - 1 for row in page.split(b"\n")[:-1]):
-        raise BadAnswer("a page does not hold whole rows")
+        raise BadAnswer("a page does not consist of whole rows")
     page.decode("utf-8")
     return page
--- a/spurdeal/net/engines.py
+++ b/spurdeal/net/engines.py
@@ -1,4 +1,4 @@
-"""The way to the engines: their endpoints, the connections to each, and which one carries an attempt."""
+"""The connection pools of the engines: endpoints, connections, and the choice of one for each attempt."""
 
 from __future__ import annotations
 
@@ -19,8 +19,10 @@
 
 __all__ = ["Attempt", "Connection", "Engine", "Engines", "Outcome", "SendTerms"]
 
-IDLE_PART = 0.5  # of the time after which engines close: ours closes first, or an attempt would cross it
-RELAX = 1.001  # a sweep: an early close of idle connections that was seen once is forgotten within minutes
+# Part of the engines' idle timeout after which we close idle connections. If the engine closed first, an
+# attempt could be on its way to it at that moment.
+IDLE_CLOSE_PART = 0.5
+IDLE_TIMEOUT_GROWTH = 1.001  # per sweep: a shorter idle timeout observed once is forgotten within minutes
 
 
 class Engine:
@@ -29,37 +31,42 @@
     def __init__(self, engines: Engines, number: int, endpoint: Endpoint) -> None:
         self.engines, self.number, self.endpoint = engines, number, endpoint
         self.connections: list[Connection] = []
-        self.heard = 0.0
+        self.last_received = 0.0
 
     def say(self, event: str, **figures: object) -> None:
+        """Log a warning about this engine."""
         self.engines.log.warning(event, extra={"figures": {"engine": self.endpoint.ident} | figures})
 
     def update_endpoint(self, endpoint: Endpoint) -> None:
-        before, self.endpoint = self.endpoint, endpoint
+        """Apply a new state of the endpoint to its connections."""
+        previous, self.endpoint = self.endpoint, endpoint
         for connection in list(self.connections):
             if (
-                endpoint.started != before.started
+                endpoint.started != previous.started
                 and connection.up
                 and leads_to_predecessor(connection.opened, endpoint.started, self.engines.clock())
             ):
-                connection.transport.abortConnection()  # the process that it led to is no more
+                connection.transport.abortConnection()  # it leads to a process that has ended
                 connection.lost()
-            elif endpoint.life == Life.GONE or endpoint[1:3] != before[1:3]:
+            elif endpoint.life == Life.GONE or endpoint[1:3] != previous[1:3]:
                 connection.retire()
             if (
                 endpoint.life != Life.READY
-                or endpoint[1:3] != before[1:3]
-                or endpoint.started != before.started
+                or endpoint[1:3] != previous[1:3]
+                or endpoint.started != previous.started
             ):
-                connection.withhold()
+                connection.withdraw_unsent()
                 if not connection.up:
-                    connection.lost(Ending.MOOT)  # dialled for, at what it no longer is
+                    connection.lost(Ending.MOOT)  # still dialling a state of the endpoint that is outdated
 
     def connection_for(self, attempt: Attempt, at_most_once: bool) -> Connection | None:
-        """An open one, or a new one. What came on the chosen one and was not read is seen on its socket."""
-        while (found := self.emptiest(attempt, at_most_once)) is not None and found.look():
+        """Return a connection for an attempt, new or open; None if neither is possible.
+
+        The socket of an open one is checked first: it may have been closed, or hold unread bytes.
+        """
+        while (found := self.least_loaded(attempt, at_most_once)) is not None and found.check_socket():
             pass  # the next best
-        if found is not None or self.engines.full():
+        if found is not None or self.engines.at_connection_limit():
             return found
         connection = Connection(self)
         self.connections.append(connection)
@@ -67,44 +74,52 @@
         self.engines.dial(self.endpoint.host, self.endpoint.port, Dial(connection))
         return connection
 
-    def emptiest(self, attempt: Attempt, at_most_once: bool) -> Connection | None:
-        """The open one with fewest attempts; None where a new one is better: a failing one takes its attempts
-        along.
+    def least_loaded(self, attempt: Attempt, at_most_once: bool) -> Connection | None:
+        """The open connection with the fewest attempts; None if a new connection is better.
 
-        While another can be had, one that rests with half an answer is not taken, nor, at_most_once, one long
-        unused: where engines were seen to close idle ones early, an attempt that crosses that is in doubt."""
+        A new one is better than a shared one because a failing connection fails all its attempts. While a new
+        one can be opened, an idle connection with half an answer is not used, nor, for an at-most-once
+        attempt, one that has been idle for long: an engine may close idle connections early, and an attempt
+        sent at that moment has an unknown outcome.
+        """
         engines = self.engines
-        usable = [connection for connection in self.connections if connection.takes(attempt)]
-        since = engines.clock() - IDLE_PART * engines.closes_after
+        usable = [connection for connection in self.connections if connection.accepts(attempt)]
+        since = engines.clock() - IDLE_CLOSE_PART * engines.observed_idle_timeout
         fresh = [
             connection
             for connection in usable
             if connection.attempts
             or (
-                not connection.unread and (not at_most_once or max(connection.used, connection.heard) > since)
+                not connection.unread
+                and (not at_most_once or max(connection.last_used, connection.last_received) > since)
             )
         ]
-        full = engines.full()
-        if fresh or not full:
+        at_connection_limit = engines.at_connection_limit()
+        if fresh or not at_connection_limit:
             usable = fresh
         found = min(usable, key=lambda connection: len(connection.attempts), default=None)
         if (
             found is not None
             and len(found.attempts) < engines.attempts_per_connection
-            and (not found.attempts or full or len(self.connections) >= engines.share())
+            and (
+                not found.attempts
+                or at_connection_limit
+                or len(self.connections) >= engines.connections_per_engine()
+            )
         ):
             return found
         return None
 
     def sweep(self, idle_since: float) -> None:
+        """Close connections that have been idle since then."""
         for connection in list(self.connections):
-            if connection.up and not connection.attempts and connection.used < idle_since:
-                connection.silent |= connection.sending  # it has not read for so long what it was sent last
+            if connection.up and not connection.attempts and connection.last_used < idle_since:
+                connection.silent |= connection.sending  # it hasn't read for so long what was last written
                 connection.retire()
 
 
 class Engines:
-    """All engines by index. An attempt is sent, and its Deferred tells how it ended."""
+    """All engines by index; the sender of attempts over our own connections."""
 
     def __init__(
         self,
@@ -117,67 +132,71 @@
         self.reactor, self.clock, self.counters, self.log = reactor, clock, counters, log
         self.report_fields, self.connections = tuple(report_fields), 0
         self.engines: dict[int, Engine] = {}
-        self.watch = LoopWatch(clock, counters, log)  # the link's, once there is one
-        self.held: list[Connection] = []
+        self.watch = LoopWatch(clock, counters, log)  # replaced by the adapter's
+        self.deferred: list[Connection] = []
 
     def set_limits(
         self,
-        connect_within: float,
-        idle_after: float,
+        connect_timeout: float,
+        idle_timeout: float,
         attempts_per_connection: int,
         max_connections: int,
         drain_grace: float,
     ) -> None:
-        self.connect_within, self.idle_after, self.drain_grace = connect_within, idle_after, drain_grace
+        """Set the timeouts (ms) and connection limits."""
+        self.connect_timeout, self.idle_timeout, self.drain_grace = connect_timeout, idle_timeout, drain_grace
         self.attempts_per_connection, self.max_connections = (
             max(1, attempts_per_connection),
             max_connections,
         )
-        self.closes_after = idle_after  # as seen, where engines close idle ones earlier
+        self.observed_idle_timeout = idle_timeout  # shorter if engines were seen to close earlier
 
-    def closed_idle(self, idle: float) -> None:
-        """An engine has closed one of ours that rested for so long."""
+    def closed_while_idle(self, idle: float) -> None:
+        """An engine has closed a connection that had been idle for `idle` ms."""
         self.counters.add("closed_while_idle")
-        self.closes_after = min(self.closes_after, idle)
+        self.observed_idle_timeout = min(self.observed_idle_timeout, idle)
 
     def dial(self, host: str, port: int, factory: Dial) -> None:
-        self.reactor.connectTCP(host, port, factory, timeout=self.connect_within / 1000)
+        """Start connecting, with the connect timeout."""
+        self.reactor.connectTCP(host, port, factory, timeout=self.connect_timeout / 1000)
 
     def report(self, text: str) -> tuple[float, ...]:
-        """The figures that the settings name, in their order; none if one is missing."""
-        told = dict(pair.partition(":")[::2] for pair in text.split(";"))
-        if not all(name in told for name in self.report_fields):
+        """Parse a load report: the fields that the settings name, in that order; empty if one is missing."""
+        fields = dict(pair.partition(":")[::2] for pair in text.split(";"))
+        if not all(name in fields for name in self.report_fields):
             return ()
-        figures = tuple(float(told[name]) for name in self.report_fields)
+        figures = tuple(float(fields[name]) for name in self.report_fields)
         if not all(isfinite(figure) for figure in figures):
-            raise BadAnswer("a report holds no number")
+            raise BadAnswer("a load report has a value that is not a finite number")
         return figures
 
     def update_engine(self, engine: int, endpoint: Endpoint) -> None:
+        """Add or update an engine from a list."""
         if (known := self.engines.get(engine)) is not None:
             known.update_endpoint(endpoint)
-            self.forget(known)
+            self.drop_if_gone(known)
         elif endpoint.life != Life.GONE:
             self.engines[engine] = Engine(self, engine, endpoint)
 
-    def forget(self, engine: Engine) -> None:
-        """Nothing is kept of an engine that is gone once its last connection has ended."""
+    def drop_if_gone(self, engine: Engine) -> None:
+        """Remove an engine that is gone, once its last connection has ended."""
         if engine.endpoint.life == Life.GONE and not engine.connections:
             self.engines.pop(engine.number, None)
 
-    def full(self) -> bool:
-        """No further connection may be opened."""
+    def at_connection_limit(self) -> bool:
+        """Whether no further connection may be opened."""
         return self.connections >= self.max_connections
 
-    def share(self) -> int:
-        """How many connections one engine may have, so that there are some for each."""
+    def connections_per_engine(self) -> int:
+        """How many connections one engine may have, so that each gets a share of the limit."""
         return max(1, self.max_connections // max(1, len(self.engines)))
 
     def name_of(self, engine: int) -> str:
-        """The engine's id, for the log; that of one which is gone may not be known any more."""
+        """The engine's id for the log, or a substitute if the engine is gone."""
         return self.engines[engine].endpoint.ident if engine in self.engines else f"engine-{engine}"
 
     def ready(self, engine: int) -> bool:
+        """Whether the engine may get attempts."""
         return engine in self.engines and self.engines[engine].endpoint.life == Life.READY
 
     def send(
@@ -190,40 +209,45 @@
         at_most_once: bool,
         at_send: Callable[[], SendTerms | None],
     ) -> Attempt:
+        """Queue an attempt on a connection; it ends as MOOT if there is none."""
         attempt = Attempt(ident, workload, statement, deadline, at_send)
         found = self.engines.get(engine)
         connection = found.connection_for(attempt, at_most_once) if found is not None else None
         if connection is None:
-            self.counters.add("trips_not_sent")  # gone, or no descriptor left: no fault of the engine's
+            self.counters.add("trips_not_sent")  # gone, or at the connection limit: not the engine's fault
             attempt.done.callback(Outcome(Ending.MOOT))
         else:
             connection.carry(attempt)
         return attempt
 
-    def write_held(self) -> None:
-        """Hands over the attempts whose terms did not let them leave at once."""
-        held, self.held = self.held, []
-        waiting = iter(held)
+    def write_deferred(self) -> None:
+        """Write the attempts whose terms deferred them to the end of the batch."""
+        deferred, self.deferred = self.deferred, []
+        waiting = iter(deferred)
         try:
             for connection in waiting:
-                connection.write_held()
-        finally:  # also after a fault at one of them
-            self.held += waiting
+                connection.write_deferred()
+        finally:  # also after an exception at one of them
+            self.deferred += waiting
 
     def weigh(self, attempt: Attempt, rank: int) -> None:
-        if attempt.connection is not None and attempt.written and not attempt.parts:
+        """Tell the engine the new priority of an attempt that it has not answered."""
+        if attempt.connection is not None and attempt.written and not attempt.page_count:
             attempt.connection.write(b"weigh", attempt.ident, b"%d" % rank)
 
     def give_up(self, attempt: Attempt, ending: Ending) -> None:
+        """Cancel an attempt if it is still out."""
         if attempt.connection is not None:
             attempt.connection.give_up(attempt, ending)
 
     def sweep(self) -> None:
-        self.closes_after = min(self.idle_after, self.closes_after * RELAX)
+        """Close idle connections, and let the observed idle timeout recover."""
+        self.observed_idle_timeout = min(self.idle_timeout, self.observed_idle_timeout * IDLE_TIMEOUT_GROWTH)
         for engine in list(self.engines.values()):
-            engine.sweep(self.clock() - IDLE_PART * self.idle_after)
+            engine.sweep(self.clock() - IDLE_CLOSE_PART * self.idle_timeout)
 
     def close(self) -> None:
+        """Close all connections."""
         for engine in list(self.engines.values()):
             for connection in list(engine.connections):
                 if connection.up:
--- a/spurdeal/net/limited_log.py
+++ b/spurdeal/net/limited_log.py
@@ -1,4 +1,4 @@
-"""Log lines of which there may be very many: a bound on each event's lines in a second."""
+"""Rate limit for log lines: a maximum per event and second."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 from dataclasses import dataclass
 
 WINDOW = 1000.0  # ms
-MOST_LINES = 20  # of one event in a window
+MAX_LINES = 20  # per event and window
 
 
 @dataclass(slots=True)
 class Window:
-    """The lines of one event since `began`: written, and left out."""
+    """Lines of one event since `began`: written, and dropped."""
 
     began: float
     written: int = 0
@@ -20,21 +20,21 @@
 
 
 class LimitedLog:
-    """Writes the first lines of each event in a second, and with the next how many were left out since."""
+    """Writes the first lines of each event per second, and counts the dropped ones in the next line."""
 
     def __init__(self, log: logging.Logger, clock: Callable[[], float]) -> None:
         self.log, self.clock = log, clock
         self.windows: dict[str, Window] = {}
 
     def write(self, event: str, **figures: object) -> None:
-        """Write a line at level info. The names of events are a fixed set, as a window is kept for each."""
+        """Write a line at level info. Event names must be a fixed set, since a window is kept for each."""
         now = self.clock()
         window = self.windows.get(event)
         if window is None or not 0.0 <= now - window.began < WINDOW:
             if window is not None and window.left_out:
                 figures |= {"lines_left_out": window.left_out}
             window = self.windows[event] = Window(now)
-        if window.written >= MOST_LINES:
+        if window.written >= MAX_LINES:
             window.left_out += 1
             return
         window.written += 1
--- a/spurdeal/net/link.py
+++ b/spurdeal/net/link.py
@@ -1,4 +1,4 @@
-"""The rules on sockets: gathers what is ready, hands it over in one turn, carries out what came back."""
+"""The adapter between sockets and rules: delivers events in batches and executes the rules' decisions."""
 
 from __future__ import annotations
 
@@ -26,14 +26,17 @@
 
 __all__ = ["Answer", "Delivered", "Failed", "Granted", "Guard", "OpenRequest", "Shed", "at_most_once"]
 
-ANSWER_WAY = 40.0  # ms kept of a client's time for the answer's way back
-LATE_AFTER_LEAVING = 100.0  # ms after a client's leaving from which on an attempt of its counts as late
-UNCONFIRMED = 1000.0  # ms without an answer of the name service after which attempts by its list are told
-OVERDUE = 20.0  # ms after a request's time at which the rules must have answered
+ANSWER_RETURN_TIME = 40.0  # ms of a client's time limit reserved for sending the answer back
+LATE_AFTER_LEAVING = 100.0  # ms; an attempt sent later than this after its client left is counted as late
+UNCONFIRMED_LIST_AGE = 1000.0  # ms without a confirmation of the list after which attempts are logged
+ANSWER_OVERDUE = 20.0  # ms after a request's deadline by which the rules must have answered it
 
 
 class SocketAdapter(EventBatches):
-    """Carries events to the rules and what they ask to the sockets. Knows nothing of either's bytes."""
+    """Passes events to the rules and their decisions to the senders of attempts.
+
+    It parses and formats no bytes of either protocol.
+    """
 
     def __init__(
         self,
@@ -50,27 +53,30 @@
         super().__init__(reactor, clock, counters, log)
         self.engines, engines.watch = engines, self.loop
         self.request_log = RequestLog(log, clock, counters)
-        self.priorities, self.nobody = site.priorities, len(site.quotas)  # nobody: a tenant without a share
+        self.priorities, self.no_tenant = (
+            site.priorities,
+            len(site.quotas),
+        )  # index of tenants without a quota
         self.open_requests: dict[int, OpenRequest] = {}
         self.by_ident: dict[bytes, OpenRequest] = {}
-        self.still_out: dict[bytes, OpenRequest] = {}  # answered, with an attempt out: their ids are in use
-        self.withdrawn_early = EarlyWithdrawals()
+        self.answered_pending: dict[bytes, OpenRequest] = {}  # answered, attempts still out: ids in use
+        self.early_withdrawals = EarlyWithdrawals()
         self.at_most_once = at_most_once(site)
         self.in_order = [workload.in_order for workload in site.workloads]
         self.ordered = OrderedArrivals(site.order_rest or 0.0)
         self.index = EngineIndex(zones, kinds)
         self.endpoints: dict[str, Endpoint] = {}
         self.starts = StartTimes()
-        self.numbers = count()
-        self.until = float("inf")
+        self.request_numbers = count()
+        self.shutdown_deadline = float("inf")
         self.guard: Guard | None = None
         for name in ("attempts_after_client_left", "attempts_late_after_client_left"):
-            counters.add(name, 0)  # shown also where there is none
+            counters.add(name, 0)  # reported even while they are 0
         self.rules = Dispatcher(site, seed, self, clock())
         if self.loop.installed:
             self.rules.freshness.polled_at = lambda: self.loop.polled_at
 
-    # What comes from clients and from the list.
+    # Events from clients and from service discovery.
 
     def accept_request(
         self,
@@ -88,12 +94,14 @@
         key: int = 0,
         idempotency_key: bytes = b"",
     ) -> Deferred[Answer] | None:
-        """A request is taken; its Deferred brings the answer, and cancelling that withdraws it.
+        """Accept a request; its Deferred fires with the answer, and cancelling it withdraws the request.
 
-        None: one with this id is open, or was answered while an attempt of it is still out."""
-        if ident.lower() in self.by_ident or ident.lower() in self.still_out:
+        Returns:
+            None if a request with this id is open, or was answered while an attempt of it is still out.
+        """
+        if ident.lower() in self.by_ident or ident.lower() in self.answered_pending:
             return None
-        if sender is None and self.withdrawn_early.forget(ident.lower(), self.clock()):
+        if sender is None and self.early_withdrawals.forget(ident.lower(), self.clock()):
             self.counters.add("taken")
             self.counters.add("withdrawn")
             return fail(CancelledError())
@@ -101,11 +109,11 @@
             self.counters.add("taken")
             self.counters.add(COUNTED[type(known)])
             return succeed(known)
-        now, number = self.clock(), next(self.numbers)
+        now, number = self.clock(), next(self.request_numbers)
         if key and self.in_order[kind]:
             wait -= self.ordered.held_back(key, now, wait)
-        deadline = min(now + wait - ANSWER_WAY, self.until)
-        answer: Deferred[Answer] = Deferred(lambda _: self.left(number))
+        deadline = min(now + wait - ANSWER_RETURN_TIME, self.shutdown_deadline)
+        answer: Deferred[Answer] = Deferred(lambda _: self.withdrawal_requested(number))
         request = OpenRequest(
             number,
             kind,
@@ -121,64 +129,73 @@
         self.open_requests[number] = self.by_ident[ident.lower()] = request
         self.counters.add("taken")
         self.counters.record_max("most_open", len(self.by_ident))
-        owner = self.nobody if tenant is None else tenant
-        self.enqueue(self.submit, number, kind, owner, key, now, deadline, cost, memory, group)
+        owner = self.no_tenant if tenant is None else tenant
+        self.enqueue(self.report_request, number, kind, owner, key, now, deadline, cost, memory, group)
         return answer
 
-    def submit(
+    def report_request(
         self,
         now: float,
         number: int,
         kind: int,
         tenant: int,
         key: int,
-        came: float,
+        received_at: float,
         deadline: float,
         cost: float,
         memory: float,
         group: int,
     ) -> None:
-        self.counters.record_max("longest_wait_for_a_turn_ms", now - came)
-        self.at(deadline, self.expire, number)
+        """Pass a new request to the rules and set the timer of its deadline."""
+        self.counters.record_max("longest_wait_for_a_turn_ms", now - received_at)
+        self.call_at(deadline, self.expire, number)
         self.rules.request_received(now, number, kind, tenant, key, deadline, cost, memory, group)
 
-    def left(self, number: int) -> None:
-        """The client has gone, or has said that it waits no longer: no answer is owed."""
+    def withdrawal_requested(self, number: int) -> None:
+        """Handle a client that has disconnected or withdrawn its request: it gets no answer."""
         self.counters.add("withdrawn")
         request = self.open_requests[number]
         request.client_left = True
-        self.concluded(request)
+        self.mark_answered(request)
         if self.guard is not None:
             self.guard.answered(request, None)
-        self.enqueue(self.withdrawn, request)
+        self.enqueue(self.report_withdrawal, request)
 
-    def withdrawn(self, now: float, request: OpenRequest) -> None:
+    def report_withdrawal(self, now: float, request: OpenRequest) -> None:
+        """Tell the rules that a request was withdrawn."""
         self.rules.request_withdrawn(now, request.number)
         self.drop(request)
 
     def withdraw(self, ident: bytes) -> bool:
-        """By id. One that has not come yet (unread, or behind others) is remembered: it may still come."""
+        """Withdraw a request by id.
+
+        The id of a request that has not arrived yet (unread, or queued behind others) is remembered, because
+        the request may still arrive.
+
+        Returns:
+            Whether a request with this id was open.
+        """
         request = self.by_ident.get(ident.lower())
         if request is not None:
             request.answer.cancel()
-        elif ident.lower() not in self.still_out:
-            self.withdrawn_early.remember(ident.lower(), self.clock())
+        elif ident.lower() not in self.answered_pending:
+            self.early_withdrawals.remember(ident.lower(), self.clock())
         return request is not None
 
     def apply_list(self, endpoints: Mapping[str, Endpoint]) -> None:
-        """The whole list. An engine's place goes with it: nothing outlives what is gone."""
+        """Apply a complete list of engines; the index of an engine that is gone is released."""
         began = self.starts.listed(
             self.clock(), {ident: endpoint.started for ident, endpoint in endpoints.items()}
         )
-        told = {ident: endpoint._replace(started=began[ident]) for ident, endpoint in endpoints.items()}
+        reported = {ident: endpoint._replace(started=began[ident]) for ident, endpoint in endpoints.items()}
         if self.guard is not None:
-            told = {ident: self.guard.endpoint(endpoint) for ident, endpoint in told.items()}
-        lines = [self.index.line(ident, endpoint) for ident, endpoint in told.items()]
-        # Told first: what the engines' connections then give back must not be sent there again.
+            reported = {ident: self.guard.endpoint(endpoint) for ident, endpoint in reported.items()}
+        lines = [self.index.line(ident, endpoint) for ident, endpoint in reported.items()]
+        # The rules go first: attempts that the connections return must not be sent to the same engine again.
         self.enqueue(self.rules.list_changed, lines, True)
         gone = {ident: endpoint._replace(life=Life.GONE) for ident, endpoint in self.endpoints.items()}
         for ident, endpoint in (gone | dict(endpoints)).items():
-            self.guarded(self.engines.update_engine, self.index.place_of(ident), endpoint)
+            self.call_safely(self.engines.update_engine, self.index.place_of(ident), endpoint)
             if endpoint.life == Life.GONE:
                 self.index.forget(ident)
         self.request_log.states(self.endpoints, endpoints)
@@ -187,160 +204,177 @@
         self.logger.info("listed", extra={"figures": {"engines": len(endpoints), "ready": ready}})
 
     def list_confirmed(self) -> None:
-        """The name service knows no newer list than the one in force."""
+        """Record that the name service has no newer list than the current one."""
         self.starts.confirm(self.clock())
 
     def list_known(self, at: float) -> None:
-        """The list of the start was read at that time, and tells all until then."""
+        """Record when the initial list was read; it is complete up to that time."""
         self.rules.list_known(at)
 
     def list_asked(self, seconds_ago: float) -> Asked:
-        """A question for the list has left."""
+        """Record that a query for the list was sent."""
         left_at = self.clock() - seconds_ago * 1000
         return Asked(left_at, self.rules.list_asked(left_at))
 
     def name_service_changed(self) -> None:
-        """Another name service is asked from now on."""
+        """Record that another name service is queried from now on."""
         self.rules.name_service_changed()
 
     def list_answered(self, asked_at: float, verdict: Verdict) -> bool:
-        """The answer to the question which left at that time told each engine that gets requests.
+        """Record an answer to the query sent at `asked_at`, which lists every engine that gets requests.
 
         Returns:
-            Whether another question is to leave soon.
+            Whether another query should be sent soon.
         """
         return self.rules.list_answered(self.clock(), asked_at, verdict)
 
     def stop(self, until: float) -> None:
-        """All that is taken, and what still comes, is answered by then."""
-        self.until = until
+        """Start a graceful shutdown: open and new requests are answered by `until`."""
+        self.shutdown_deadline = until
         for request in self.open_requests.values():
             if request.deadline > until:
                 request.deadline = until
-                self.at(until, self.expire, request.number)
+                self.call_at(until, self.expire, request.number)
         self.enqueue(self.rules.shutdown_started, until)
 
-    # The turn.
+    # Batch processing.
 
     def batch_begins(self, now: float) -> None:
+        """Let the guard report what has lapsed since the last batch."""
         if self.guard is not None:
-            self.guarded(self.guard.batch_started, now)
+            self.call_safely(self.guard.batch_started, now)
 
     def decide(self, now: float) -> None:
+        """Let the rules decide on the events of this batch."""
         self.rules.end_batch(now)
 
     def batch_ends(self) -> None:
+        """Tell the guard that the batch has ended."""
         if self.guard is not None:
-            self.guarded(self.guard.batch_ended)
+            self.call_safely(self.guard.batch_ended)
 
     def write_out(self) -> None:
-        self.engines.write_held()
+        """Write the attempts whose sending was deferred to the end of the batch."""
+        self.engines.write_deferred()
 
     def expire(self, number: int) -> None:
+        """Give up the attempts of a request whose deadline has passed."""
         request = self.open_requests.get(number)
         if request is not None and request.deadline <= self.clock():
             for attempt in list(request.attempts.values()):
                 request.sender.give_up(attempt, Ending.TIME_OUT)
-            for waiting in list(request.waiting):
-                self.never_sent(request, waiting)
+            for unsent in list(request.awaiting_guard):
+                self.never_sent(request, unsent)
             if not request.answered:
-                self.at(self.clock() + OVERDUE, self.overdue, number)
+                self.call_at(self.clock() + ANSWER_OVERDUE, self.overdue, number)
 
     def overdue(self, number: int) -> None:
+        """Fail a request that the rules have not answered in time."""
         request = self.open_requests.get(number)
         if request is not None and not self.counters.check_invariant(request.answered, "answer_in_time"):
-            self.asked.append((self.conclude, (request, Failed())))
-            self.enqueue(self.rules.request_withdrawn, number)  # or they would go on with it
+            self.actions.append((self.conclude, (request, Failed())))
+            self.enqueue(self.rules.request_withdrawn, number)  # otherwise they would continue with it
 
-    # What the rules ask for: kept until their turn is over.
+    # Decisions of the rules, queued until the batch has been decided.
 
     def send(self, number: int, engine: int, time_limit: float) -> None:
+        """Queue a new attempt on an engine."""
         request = self.open_requests[number]
-        if request.made:
-            self.request_log.retried(request, request.made, self.engines.name_of(engine))
-        self.asked.append((self.carry, (request, request.made, engine, time_limit)))
-        request.made += 1
+        if request.attempts_made:
+            self.request_log.retried(request, request.attempts_made, self.engines.name_of(engine))
+        self.actions.append((self.start_attempt, (request, request.attempts_made, engine, time_limit)))
+        request.attempts_made += 1
 
     def terms(self, number: int, memory: float, priority: int) -> None:
-        self.asked.append((self.weigh, (self.open_requests[number], priority)))
+        """Queue a change of a request's priority."""
+        self.actions.append((self.weigh, (self.open_requests[number], priority)))
 
     def shed(self, number: int, come_back: float, reason: EndReason) -> None:
+        """Queue the rejection of a request."""
         self.request_log.refused(self.open_requests[number], reason)
-        self.asked.append((self.conclude, (self.open_requests[number], Shed(come_back))))
+        self.actions.append((self.conclude, (self.open_requests[number], Shed(come_back))))
 
     def fail_request(self, number: int, reason: EndReason) -> None:
+        """Queue the failure of a request."""
         self.request_log.aborted(self.open_requests[number], reason)
-        self.asked.append((self.conclude, (self.open_requests[number], Failed())))
+        self.actions.append((self.conclude, (self.open_requests[number], Failed())))
 
     def cancel_attempt(self, number: int, attempt: int) -> None:
-        self.asked.append((self.cancel, (number, attempt)))
+        """Queue the cancellation of an attempt."""
+        self.actions.append((self.cancel, (number, attempt)))
 
     def set_timer(self, delay: float, token: int) -> None:
-        self.at(self.clock() + delay, self.enqueue, self.rules_woken, token)
+        """Call the rules back with `token` after `delay` ms."""
+        self.call_at(self.clock() + delay, self.enqueue, self.fire_rules_timer, token)
 
-    def rules_woken(self, now: float, token: int) -> None:
-        """By name, as the rules ask to be woken while they are still being made."""
+    def fire_rules_timer(self, now: float, token: int) -> None:
+        """Look up `self.rules` when called: the rules set timers before their constructor returns."""
         self.rules.timer_fired(now, token)
 
     def watch(self) -> None:
-        """The list comes unasked here: the name service is polled."""
+        """Do nothing: the name service is polled, so the list arrives without a request from the rules."""
 
     def log(self, line: str) -> None:
+        """Log a change of mode and pass it to the guard."""
         self.logger.info("rules", extra={"figures": {"says": line}})
         if self.guard is not None:
             self.guard.mode_changed(line)
 
-    # Carrying out.
+    # Execution of decisions.
 
-    def carry(self, request: OpenRequest, attempt: int, engine: int, time_limit: float) -> None:
+    def start_attempt(self, request: OpenRequest, attempt: int, engine: int, time_limit: float) -> None:
+        """Send an attempt, after the guard's verdict if the guard needs time for one."""
         now = self.clock()
         if request.answered or not self.may_run_again(request):
-            # Its client left before this turn, or it was answered for want of time: it is not sent at all.
-            self.enqueue(self.ended, request, attempt, engine, now, Outcome(Ending.MOOT))
+            # The client left before this batch, or the request was answered because its time ran out.
+            self.enqueue(self.report_attempt_end, request, attempt, engine, now, Outcome(Ending.MOOT))
             return
         if self.guard is not None:
 
             def go(verdict: bool | None) -> None:
-                self.told(request, attempt, engine, time_limit, verdict)
+                self.verdict_received(request, attempt, engine, time_limit, verdict)
 
-            request.waiting[attempt] = engine
+            request.awaiting_guard[attempt] = engine
             if not self.guard.before_send(request, attempt, go):
                 return
-            del request.waiting[attempt]
-        self.depart(request, attempt, engine, time_limit, now)
+            del request.awaiting_guard[attempt]
+        self.send_attempt(request, attempt, engine, time_limit, now)
 
     def may_run_again(self, request: OpenRequest) -> bool:
-        """Whether another attempt can do no harm: what must not run twice has one out at most."""
-        alone = not self.at_most_once[request.kind] or not (request.attempts or request.waiting)
+        """Whether another attempt is safe: a request that must not run twice has at most one attempt out."""
+        alone = not self.at_most_once[request.kind] or not (request.attempts or request.awaiting_guard)
         return self.counters.check_invariant(alone, "one_attempt_at_a_time")
 
-    def told(
+    def verdict_received(
         self, request: OpenRequest, attempt: int, engine: int, time_limit: float, verdict: bool | None
     ) -> None:
-        """The verdict that an attempt waited for: sent, not sent, or (None) it may have run elsewhere."""
+        """Handle the guard's verdict on an attempt: send it, don't, or (None) it may have run elsewhere."""
         now = self.clock()
-        if request.waiting.pop(attempt, None) is None:
+        if request.awaiting_guard.pop(attempt, None) is None:
             return
         if verdict is None:
             self.conclude(request, Failed())
         if verdict:
-            self.depart(request, attempt, engine, time_limit, now)
+            self.send_attempt(request, attempt, engine, time_limit, now)
         else:
-            self.enqueue(self.ended, request, attempt, engine, now, Outcome(Ending.MOOT))
+            self.enqueue(self.report_attempt_end, request, attempt, engine, now, Outcome(Ending.MOOT))
 
-    def depart(self, request: OpenRequest, attempt: int, engine: int, time_limit: float, now: float) -> None:
+    def send_attempt(
+        self, request: OpenRequest, attempt: int, engine: int, time_limit: float, now: float
+    ) -> None:
+        """Pass an attempt to its sender."""
         if request.sender is self.engines and not self.engines.ready(engine):
-            # A list came since the choice, maybe in this turn: there is no need to dial.
+            # A newer list was applied after the rules' choice, maybe in this batch: don't dial.
             self.counters.add("trips_overtaken")
-            self.enqueue(self.ended, request, attempt, engine, now, Outcome(Ending.MOOT))
+            self.enqueue(self.report_attempt_end, request, attempt, engine, now, Outcome(Ending.MOOT))
             return
 
-        agreed = False
+        guard_allowed = False
 
         def at_send() -> SendTerms | None:
-            nonlocal agreed
-            terms = self.send_terms(request, attempt, engine, time_limit, agreed)
-            agreed |= terms is not None
+            nonlocal guard_allowed
+            terms = self.send_terms(request, attempt, engine, time_limit, guard_allowed)
+            guard_allowed |= terms is not None
             return terms
 
         out = request.sender.send(
@@ -355,15 +389,20 @@
         request.attempts[attempt] = out
         if request.sender is not self.engines and not out.done.called:
             self.conclude(request, Granted())
-        out.done.addCallback(self.came_back, request, attempt, engine, now)
+        out.done.addCallback(self.attempt_finished, request, attempt, engine, now)
 
     def send_terms(
-        self, request: OpenRequest, attempt: int, engine: int, time_limit: float, agreed: bool
+        self, request: OpenRequest, attempt: int, engine: int, time_limit: float, guard_allowed: bool
     ) -> SendTerms | None:
-        """The last look, as the first byte is about to leave: whatever came since the choice counts here.
+        """Check at send time, just before the first byte is written, whether the attempt is still valid.
 
-        Its client may have left unread. What the guard says counts as used, so it is asked last, and not
-        again (agreed) where the system took nothing of the attempt at first."""
+        This covers everything that has changed since the rules' choice; the client may also have disconnected
+        without this having been read yet. The guard's permission counts as used once given, so the guard is
+        asked last, and not again (`guard_allowed`) if the system accepted no byte of the attempt at first.
+
+        Returns:
+            None if the attempt must not be sent.
+        """
         now = self.clock()
         if (
             request.answered
@@ -375,80 +414,97 @@
         if not request.client_connected():
             self.counters.add("trips_whose_client_left")
             return None
-        if self.guard is not None and not agreed and not self.guard.allow_send(request, attempt, engine):
+        if (
+            self.guard is not None
+            and not guard_allowed
+            and not self.guard.allow_send(request, attempt, engine)
+        ):
             return None
-        if (age := now - (self.starts.current_at or now)) > UNCONFIRMED:
+        if (age := now - (self.starts.current_at or now)) > UNCONFIRMED_LIST_AGE:
             self.request_log.left_unconfirmed(request, self.engines.name_of(engine), age)
         wait = min(time_limit, request.deadline - now) if time_limit else request.deadline - now
         return SendTerms(
             wait,
             request.rank if self.priorities else None,
             request.idempotency_key,
-            at_once=self.guard is None or not self.in_batch,  # a guard's records come first, see Guard.turned
+            at_once=self.guard is None
+            or not self.in_batch,  # a guard's records go first, see Guard.batch_ended
             taken=lambda: self.attempt_sent(request, now),
         )
 
-    def attempt_sent(self, request: OpenRequest, looked: float) -> None:
-        """The system has taken an attempt's last byte; the last look, at `looked`, still found its client.
+    def attempt_sent(self, request: OpenRequest, checked_at: float) -> None:
+        """Handle that the system has accepted an attempt's last byte.
 
-        One whose client has left by now is counted, and as late where more than LEFT_LATE lies between: both
-        are upper bounds, as it left at some time between. What has not arrived here by now is not seen."""
+        The check at send time, at `checked_at`, found the client connected. If it has left by now, the
+        attempt is counted, and counted as late if more than LATE_AFTER_LEAVING has passed since the check.
+        Both counts are upper bounds, because the client left at some time in between. A disconnection that
+        has not reached this host yet is not seen.
+        """
         if request.client_left or not (request.answered or request.client_connected()):
             self.counters.add("attempts_after_client_left")
-            self.counters.add("attempts_late_after_client_left", self.clock() - looked > LATE_AFTER_LEAVING)
+            self.counters.add(
+                "attempts_late_after_client_left", self.clock() - checked_at > LATE_AFTER_LEAVING
+            )
 
     def weigh(self, request: OpenRequest, priority: int) -> None:
+        """Set a request's priority, also on its running attempts."""
         request.rank = priority
         for attempt in request.attempts.values():
             request.sender.weigh(attempt, priority)
 
     def cancel(self, number: int, attempt: int) -> None:
+        """Cancel an attempt that is out or waits for the guard's verdict."""
         if number in self.open_requests and attempt in self.open_requests[number].attempts:
             if self.guard is not None:
                 self.guard.attempt_cancelled(self.open_requests[number], attempt)
             self.open_requests[number].sender.give_up(
                 self.open_requests[number].attempts[attempt], Ending.CALLED_OFF
             )
-        elif number in self.open_requests and attempt in self.open_requests[number].waiting:
+        elif number in self.open_requests and attempt in self.open_requests[number].awaiting_guard:
             self.never_sent(self.open_requests[number], attempt)
 
     def never_sent(self, request: OpenRequest, attempt: int) -> None:
-        """An attempt that waited for its verdict is given up: nothing ran."""
+        """Abandon an attempt that waits for the guard's verdict: nothing of it ran."""
         assert self.guard is not None
         self.guard.attempt_abandoned(request.number, attempt)
-        engine = request.waiting.pop(attempt)
-        self.enqueue(self.ended, request, attempt, engine, self.clock(), Outcome(Ending.MOOT))
+        engine = request.awaiting_guard.pop(attempt)
+        self.enqueue(self.report_attempt_end, request, attempt, engine, self.clock(), Outcome(Ending.MOOT))
 
     def conclude(self, request: OpenRequest, answer: Answer) -> None:
+        """Answer a request unless it has been answered."""
         if not request.answered:
             self.counters.add(COUNTED[type(answer)])
-            self.concluded(request)
+            self.mark_answered(request)
             if self.guard is not None:
                 self.guard.answered(request, answer)
             self.drop(request)
             request.answer.callback(answer)
 
-    def concluded(self, request: OpenRequest) -> None:
+    def mark_answered(self, request: OpenRequest) -> None:
+        """Mark a request as answered; its id stays in use while an attempt is out."""
         request.answered = True
         del self.by_ident[request.ident.lower()]
-        if request.sender is self.engines:  # what a caller carries is the door's to judge
-            self.still_out[request.ident.lower()] = request
+        if request.sender is self.engines:  # extproc checks the ids of requests that callers send
+            self.answered_pending[request.ident.lower()] = request
 
     def drop(self, request: OpenRequest) -> None:
-        if request.answered and not request.attempts and not request.waiting:
+        """Forget a request that is answered and has no attempt left."""
+        if request.answered and not request.attempts and not request.awaiting_guard:
             self.open_requests.pop(request.number, None)
-            if self.still_out.get(request.ident.lower()) is request:
-                del self.still_out[request.ident.lower()]
+            if self.answered_pending.get(request.ident.lower()) is request:
+                del self.answered_pending[request.ident.lower()]
 
-    def came_back(
+    def attempt_finished(
         self, outcome: Outcome, request: OpenRequest, attempt: int, engine: int, sent: float
     ) -> None:
+        """Count an attempt's outcome and queue it as an event."""
         self.counters.add("trips_" + outcome.ending.name.lower())
-        self.enqueue(self.ended, request, attempt, engine, sent, outcome)
+        self.enqueue(self.report_attempt_end, request, attempt, engine, sent, outcome)
 
-    def ended(
+    def report_attempt_end(
         self, now: float, request: OpenRequest, attempt: int, engine: int, sent: float, outcome: Outcome
     ) -> None:
+        """Tell the rules how an attempt ended, and answer the request if it was delivered."""
         request.attempts.pop(attempt, None)
         request.last_ending = outcome.ending
         delivered = outcome.ending == Ending.DELIVERED
@@ -464,7 +520,7 @@
         ):
             self.guard.never_ran(request)
         if delivered and not request.answered:
-            self.asked.append((self.conclude, (request, Delivered(outcome.pages))))
+            self.actions.append((self.conclude, (request, Delivered(outcome.pages))))
         self.rules.attempt_ended(
             now,
             request.number,
--- a/spurdeal/net/request_log.py
+++ b/spurdeal/net/request_log.py
@@ -1,4 +1,4 @@
-"""Log lines and counters of single requests: why one was refused, aborted or tried again; engines' states."""
+"""Log lines and counters of single requests (refused, aborted, retried) and of engine state changes."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class RequestLog:
-    """Lines of requests that did not simply run once, and of engines that changed state.
+    """Logs requests that did not run exactly once without trouble, and engines that changed state.
 
-    A request that is sent once and delivered has no line. Each line has the request's id, so that it can be
-    found in the records of clients and engines.
+    A request that is sent once and delivered is not logged. Each line has the request's id, so that it can be
+    found in the logs of clients and engines.
     """
 
     def __init__(self, log: logging.Logger, clock: Callable[[], float], counters: Counters) -> None:
@@ -24,15 +24,15 @@
         self.counters = counters
 
     def refused(self, request: OpenRequest, reason: EndReason) -> None:
-        """A request is answered with a promise that a repeat is harmless."""
+        """Log a request that is rejected; repeating it is safe."""
         self.ended("request_refused", request, reason)
 
     def aborted(self, request: OpenRequest, reason: EndReason) -> None:
-        """A request is answered as failed: it may have run."""
+        """Log a request that fails; it may have run."""
         self.ended("request_aborted", request, reason)
 
     def ended(self, event: str, request: OpenRequest, reason: EndReason) -> None:
-        """A request that is still open ends without a result."""
+        """Log and count the end of an open request without a result."""
         if request.answered:
             return
         self.counters.add(f"{event}_{reason}")
@@ -43,7 +43,7 @@
     def attempt_failed(
         self, request: OpenRequest, attempt: int, server: str, ending: Ending, took: float
     ) -> None:
-        """An attempt of a request that must not run twice ended without a result."""
+        """Log an attempt without a result, of a request that must not run twice."""
         self.lines.write(
             "attempt_failed",
             **self.figures(request),
@@ -54,7 +54,7 @@
         )
 
     def retried(self, request: OpenRequest, attempt: int, server: str) -> None:
-        """A further attempt of a request is about to be sent."""
+        """Log and count a retry."""
         self.counters.add("attempts_further")
         before = "none" if request.last_ending is None else request.last_ending.name.lower()
         self.lines.write(
@@ -67,14 +67,14 @@
         )
 
     def left_unconfirmed(self, request: OpenRequest, server: str, age: float) -> None:
-        """An attempt leaves by a list that was not confirmed for long."""
+        """Log and count an attempt sent while the list of engines has not been confirmed for long."""
         self.counters.add("attempts_on_unconfirmed_list")
         self.lines.write(
             "attempt_on_unconfirmed_list", **self.figures(request), server=server, list_age_ms=age
         )
 
     def states(self, before: Mapping[str, Endpoint], after: Mapping[str, Endpoint]) -> None:
-        """A new list of engines is in force."""
+        """Log the engines whose state or start time differs between two lists."""
         for ident in before.keys() | after.keys():
             old, new = state_of(before.get(ident)), state_of(after.get(ident))
             if old != new or started_of(before.get(ident)) != started_of(after.get(ident)):
@@ -83,7 +83,7 @@
                 self.lines.write("server_state", server=ident, before=old, after=new, started_unix_ms=started)
 
     def figures(self, request: OpenRequest) -> dict[str, object]:
-        """What each line of a request tells."""
+        """The fields of every line about a request."""
         return {
             "id": request.ident.decode("ascii", "replace"),
             "workload": request.workload.decode("utf-8", "replace"),
@@ -91,10 +91,10 @@
 
 
 def state_of(endpoint: Endpoint | None) -> str:
-    """The state's name; an engine that is not in the list is gone."""
+    """The name of an endpoint's state; `gone` if it is not in the list."""
     return (Life.GONE if endpoint is None else endpoint.life).name.lower()
 
 
 def started_of(endpoint: Endpoint | None) -> float:
-    """The engine's start as the list tells it; 0 for long ago, or for none."""
+    """An engine's start time as listed; 0 if it was long ago or the engine is not listed."""
     return 0.0 if endpoint is None else endpoint.started
--- a/spurdeal/net/requests.py
+++ b/spurdeal/net/requests.py
@@ -1,4 +1,4 @@
-"""A request as the link carries it, and those who carry its attempts or stand guard over them."""
+"""An open request as the adapter tracks it, and the interfaces of senders and guards."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from .attempts import Outcome, SendTerms
 from .engine_list import Endpoint
 
-MOST_EARLY, EARLY_KEPT = 256, 5000.0  # ids withdrawn before their call came, and ms for which it may come
+MAX_EARLY, EARLY_RETENTION = 256, 5000.0  # early withdrawals remembered, and for how many ms
 
 
 def at_most_once(site: Deployment) -> tuple[bool, ...]:
-    """By workload: whether it must not run twice, also where it comes again by another way."""
+    """Per workload: whether it must not run twice, even if the client repeats it by another path."""
     return tuple(
         w.effect == Effect.NON_IDEMPOTENT or (w.effect == Effect.IDEMPOTENT_BY_KEY and w.reach != Reach.ALL)
         for w in site.workloads
@@ -25,15 +25,16 @@
 
 
 class PendingAttempt(Protocol):
-    """One attempt in a sender's hands; its Deferred brings the outcome exactly once."""
+    """An attempt that a sender works on; its Deferred fires with the outcome exactly once."""
 
     done: Deferred[Outcome]
 
 
 class Sender(Protocol):
-    """Who carries attempts: our own connections to the engines, or callers that are told where to send."""
+    """Sends attempts: over our own connections to engines, or by telling callers where to send."""
 
-    def ready(self, engine: int) -> bool: ...
+    def ready(self, engine: int) -> bool:
+        """Whether attempts may be sent to this engine."""
 
     def send(
         self,
@@ -45,54 +46,69 @@
         at_most_once: bool,
         at_send: Callable[[], SendTerms | None],
     ) -> PendingAttempt:
-        """at_most_once: a doubtful end would be final. at_send is asked as the first byte is about to leave,
-        again where the system took none; with None nothing leaves, and the attempt ends as MOOT."""
+        """Send an attempt.
 
-    def weigh(self, attempt: Any, rank: int) -> None: ...
-    def give_up(self, attempt: Any, ending: Ending) -> None: ...
+        Args:
+            engine: The index of the engine.
+            ident: The request's id.
+            workload: The name of its workload.
+            statement: The statement to run.
+            deadline: When the request's time is over.
+            at_most_once: Whether an attempt with an unknown outcome must not be retried.
+            at_send: Called just before the first byte is written, and again if the system accepted none.
+                If it returns None, nothing is sent and the attempt ends as MOOT.
+        """
+
+    def weigh(self, attempt: Any, rank: int) -> None:
+        """Change the priority of an attempt that is out."""
+
+    def give_up(self, attempt: Any, ending: Ending) -> None:
+        """Cancel an attempt; it ends with `ending` if anything of it was sent."""
 
 
 class Guard(Protocol):
-    """What stands beside the link where dispatchers stand in for one another; without one nothing is
-    asked."""
+    """An interceptor beside the adapter, used where dispatchers take over from one another.
+
+    It can refuse requests and attempts that may have run by way of another dispatcher.
+    """
 
     def batch_started(self, now: float) -> None:
-        """A turn begins: what has lapsed since the last, also in a pause, is said to the rules first."""
+        """A batch begins; tell the rules first what has lapsed since the last one, also during a pause."""
 
     def immediate_answer(self, kind: int, ident: bytes) -> Answer | None:
-        """An answer at once, where the request may have run elsewhere or cannot be guarded."""
+        """The answer to a request that may have run elsewhere or cannot be guarded; None for all others."""
 
     def before_send(self, request: OpenRequest, attempt: int, go: Callable[[bool | None], None]) -> bool:
-        """An attempt is about to be sent. False: go() is called with the verdict, later."""
+        """Whether an attempt may be sent now; if False, go() is called with the verdict later."""
 
     def never_ran(self, request: OpenRequest) -> None:
-        """It was granted, and the caller has shown that nothing ran."""
+        """A granted request ended, and the caller has proved that nothing ran."""
 
     def attempt_abandoned(self, number: int, attempt: int) -> None:
-        """An attempt that waits for its verdict is not to be sent any more."""
+        """An attempt that waits for its verdict will not be sent."""
 
     def answered(self, request: OpenRequest, answer: Answer | None) -> None:
-        """The answer has left, or the client (None)."""
+        """The request was answered, or its client has left (None)."""
 
     def allow_send(self, request: OpenRequest, attempt: int, engine: int) -> bool:
-        """An attempt is about to be sent to an engine; False: not now, and nothing of it has run."""
+        """Whether an attempt may be written to an engine now; if False, nothing of it has run."""
 
     def attempt_cancelled(self, request: OpenRequest, attempt: int) -> None:
-        """An attempt that is out is being called off."""
+        """An attempt that is out is being cancelled."""
 
     def mode_changed(self, line: str) -> None:
         """The rules have changed a mode."""
 
     def batch_ended(self) -> None:
-        """A turn is over; what it has sent leaves after this."""
+        """A batch is over; the attempts that it sends are written after this call."""
 
     def endpoint(self, endpoint: Endpoint) -> Endpoint:
-        """The endpoint as the rules are to see it."""
+        """Return the endpoint as the rules should see it."""
 
 
 @dataclass(slots=True, eq=False)
 class OpenRequest:
-    """A request as the link carries it, until it is answered and none of its attempts is out."""
+    """A request that is not answered yet or still has an attempt out."""
 
     number: int
     kind: int
@@ -102,28 +118,29 @@
     deadline: float
     answer: Deferred[Answer]
     sender: Sender
-    client_connected: Callable[[], bool]  # True where that cannot be seen
-    idempotency_key: bytes  # by which engines know a repeat
+    client_connected: Callable[[], bool]  # True where this is unknown
+    idempotency_key: bytes  # lets engines recognize a repeat; empty if there is none
     answered: bool = False
-    client_left: bool = False  # it ended its connection, or withdrew the request
+    client_left: bool = False  # disconnected, or withdrew the request
     rank: int | None = None
-    made: int = 0
+    attempts_made: int = 0
     attempts: dict[int, PendingAttempt] = field(default_factory=dict)
-    waiting: dict[int, int] = field(default_factory=dict)  # attempts with no verdict yet, and engines
-    last_ending: Ending | None = None  # of the attempt that ended last
+    awaiting_guard: dict[int, int] = field(default_factory=dict)  # engine of each attempt without a verdict
+    last_ending: Ending | None = None  # how the most recent attempt ended
 
 
 class EarlyWithdrawals(dict[bytes, float]):
-    """Ids that a DELETE named before their call came, and when: a call may still come for a while."""
+    """Ids whose DELETE arrived before the request itself, and when: the request may still arrive."""
 
     def remember(self, ident: bytes, now: float) -> None:
+        """Add an id, dropping the oldest if there are too many."""
         self.pop(ident, None)
         self[ident] = now
-        if len(self) > MOST_EARLY:
+        if len(self) > MAX_EARLY:
             del self[next(iter(self))]
 
     def forget(self, ident: bytes, now: float) -> bool:
-        """Its call has come; whether it was withdrawn."""
-        while self and next(iter(self.values())) <= now - EARLY_KEPT:
+        """Remove the id of a request that has arrived; returns whether it had been withdrawn."""
+        while self and next(iter(self.values())) <= now - EARLY_RETENTION:
             del self[next(iter(self))]
         return self.pop(ident, None) is not None
--- a/spurdeal/net/resp.py
+++ b/spurdeal/net/resp.py
@@ -1,20 +1,25 @@
-"""RESP as engines speak it: arrays of bulk strings, read and written."""
+"""Parser and encoder for the subset of RESP that engines use: arrays of bulk strings."""
 
 from .unread import Unread
 
 MAX_PARTS = 16
 MAX_PART_BYTES = 65536
-LONGEST_LENGTH = 12
+MAX_LENGTH_LINE = 12
 
 
 class BadAnswer(Exception):
-    """Bytes from an engine that are no array of bulk strings."""
+    """Bytes from an engine that are not a valid answer."""
 
 
 class ArrayParser(Unread):
-    """Takes arrays off a connection's bytes; their parts are slices of what was read."""
+    """Parses arrays incrementally; their parts are views of the receive buffer."""
 
     def take(self) -> list[memoryview] | None:
+        """Return the next complete array, or None if more bytes are needed.
+
+        Raises:
+            BadAnswer: The bytes are not an array of bulk strings, or a size is over its limit.
+        """
         head = self.length(self.at, b"*", MAX_PARTS)
         if head is None:
             return None
@@ -28,14 +33,14 @@
             if len(self.buffer) < at + size + 2:
                 return None
             if self.buffer[at + size : at + size + 2] != b"\r\n":
-                raise BadAnswer("a string does not end where it said")
+                raise BadAnswer("a bulk string does not end where its length says")
             parts.append(whole[at : at + size])
             at += size + 2
         self.took(at)
         return parts
 
     def first_part(self) -> bytes | None:
-        """The first part of an array that has begun, once that part is whole."""
+        """The first part of an incomplete array, if that part is complete."""
         head = self.length(self.at, b"*", MAX_PARTS)
         sized = self.length(head[1], b"$", MAX_PART_BYTES) if head is not None else None
         if sized is None:
@@ -44,22 +49,23 @@
         part = self.buffer[at : at + size]
         return part if len(part) == size else None
 
-    def length(self, at: int, mark: bytes, most: int) -> tuple[int, int] | None:
-        """The number of a line that starts with this mark, and where the next begins."""
+    def length(self, at: int, prefix: bytes, maximum: int) -> tuple[int, int] | None:
+        """Parse a line of a prefix and a number; returns the number and where the next line begins."""
         if at >= len(self.buffer):
             return None
-        if self.buffer[at : at + 1] != mark:
-            raise BadAnswer(f"{mark.decode()} was expected")
-        end = self.buffer.find(b"\r\n", at, at + LONGEST_LENGTH)
+        if self.buffer[at : at + 1] != prefix:
+            raise BadAnswer(f"expected {prefix.decode()}")
+        end = self.buffer.find(b"\r\n", at, at + MAX_LENGTH_LINE)
         if end < 0:
-            if len(self.buffer) - at >= LONGEST_LENGTH:
-                raise BadAnswer("a length does not end")
+            if len(self.buffer) - at >= MAX_LENGTH_LINE:
+                raise BadAnswer("a length has too many digits or no line end")
             return None
         digits = self.buffer[at + 1 : end]
-        if not digits.isdigit() or int(digits) > most:
-            raise BadAnswer("a length is no number or too large")
+        if not digits.isdigit() or int(digits) > maximum:
+            raise BadAnswer("a length is not a number or is too large")
         return int(digits), end + 2
 
 
 def command(*parts: bytes | memoryview) -> bytes:
+    """Encode a command as an array of bulk strings."""
     return b"*%d\r\n" % len(parts) + b"".join(b"$%d\r\n%b\r\n" % (len(part), bytes(part)) for part in parts)
--- a/spurdeal/net/service.py
+++ b/spurdeal/net/service.py
@@ -1,4 +1,4 @@
-"""One dispatcher: its parts put together, started, configured again, and stopped."""
+"""One dispatcher: assembles its parts, starts and stops them, and reloads the configuration."""
 
 from __future__ import annotations
 
@@ -21,28 +21,32 @@
 from .wall_clock import WallClockWatch
 
 SWEEP_EVERY = 0.25  # seconds
-KILL_AFTER, KILL_MOST, KILL_MARGIN = 700.0, 3000.0, 400.0  # ms: after SIGTERM and the longest deadline, up to
-STOP_NOT_BEFORE = 900.0  # ms after SIGTERM; new connections and calls on open ones come until 600
-OVERTIME = 200.0  # ms in which the last answers may still be written
-LOOK_EVERY = 0.05  # s
-RETRY_FIRST, RETRIES = 0.1, 6  # s until an unusable configuration is read again, then twice that, and so on
-RETRY_MOST = 3.2  # s; a file that the system cannot read is tried again for as long as that lasts
+# ms. The supervisor kills the process KILL_AFTER after SIGTERM plus the longest deadline, of which it allows
+# at most KILL_MOST; shutdown ends KILL_MARGIN before that.
+KILL_AFTER, KILL_MOST, KILL_MARGIN = 700.0, 3000.0, 400.0
+STOP_NOT_BEFORE = 900.0  # ms after SIGTERM; clients send new connections and requests for up to 600 ms
+LAST_WRITES = 200.0  # ms allowed for writing the last answers
+EXIT_CHECK_EVERY = 0.05  # seconds
+# An unusable configuration is read again after so many seconds, then after twice that, and so on, so many
+# times.
+RETRY_MIN_DELAY, RETRIES = 0.1, 6
+RETRY_MAX_DELAY = 3.2  # seconds; a file that the system cannot read is retried until it can
 UNKNOWN_PROCESS = ProcessDescriptors()
 
 
 class Service:
-    """One dispatcher: its parts, started and stopped together.
+    """A dispatcher with all its parts, which start and stop together.
 
     Attributes:
-        configuration: What it was started with.
-        configured_at: When that had just been read.
-        process: What its process has to do with descriptors.
-        budget: How its descriptors are shared out, by the limits now in force.
+        configuration: The configuration at the start.
+        configured_at: When that was read.
+        process: The descriptors that the process holds and may hold.
+        budget: How descriptors are divided, by the current limits.
         endpoints: The engines known at the start.
         retry: The delayed call that reads an unusable configuration again.
-        stopped_at: When it was told to end, by its clock; 0 before.
-        wall_clock: Tells of steps of the system's wall clock, by which nothing goes.
-        stop_within: How many milliseconds after that the last call is answered.
+        stopped_at: When its shutdown started, by its clock; 0 before.
+        wall_clock: Reports steps of the system's wall clock, which no decision uses.
+        stop_within: How many ms after the start of a shutdown the last request is answered.
     """
 
     def __init__(
@@ -95,20 +99,20 @@
         self.sweeping = LoopingCall(self.sweep)
         self.sweeping.clock = reactor
         self.stopped_at = 0.0
-        self.may_leave = False
+        self.may_exit = False
         longest = min(KILL_MOST, max(workload.deadline for workload in configuration.site.workloads))
         self.stop_within = longest + KILL_AFTER - KILL_MARGIN
 
     def held_elsewhere(self) -> int:
-        """How many descriptors are held for other than clients."""
+        """How many descriptors are held for other purposes than clients."""
         return self.process.held + OPENED_AT_START + len(self.discovery.earlier) + self.engines.connections
 
     def set_limits(self, configuration: Configuration) -> None:
-        """All that follows from the limits of a configuration."""
+        """Apply the limits of a configuration."""
         self.budget = DescriptorBudget.from_limit(configuration.sockets, self.process)
         self.engines.set_limits(
-            configuration.connect_within,
-            configuration.idle_after,
+            configuration.connect_timeout,
+            configuration.idle_timeout,
             configuration.attempts_per_connection,
             self.budget.engines,
             configuration.site.drain_grace,
@@ -116,44 +120,46 @@
         self.clients.set_limits(self.budget.clients, self.budget.accepts, configuration.memory_mb)
 
     def reload_configuration(self, read: Callable[[], Configuration], tries: int = 0) -> None:
-        """Reads the configuration again: name service, newer events and limits are in force at once.
+        """Reload the configuration: name service, newer list of engines and limits take effect at once.
 
-        The rest is in force at a start. A configuration that cannot be used may be half written: it is read
-        again some times, at growing distances; one that the system cannot read, until it can."""
+        Everything else takes effect at the next start. An unusable configuration may be half written, so it
+        is read again several times with exponential backoff; a file that the system cannot read, until it
+        can.
+        """
         if self.retry is not None and self.retry.active():
             self.retry.cancel()
         try:
             configuration = read()
         except Unusable as fault:
-            self.read_later(read, tries, fault)
+            self.retry_reading(read, tries, fault)
             return
         self.counters.add("configurations_read")
-        self.take_again(configuration)
+        self.apply_configuration(configuration)
 
-    def read_later(self, read: Callable[[], Configuration], tries: int, fault: Unusable) -> None:
-        """A configuration could not be used: the old one stays, and it may be read once more."""
+    def retry_reading(self, read: Callable[[], Configuration], tries: int, fault: Unusable) -> None:
+        """Keep the current configuration after an unusable one, and schedule another try if any is left."""
         if not tries:
             self.counters.add("configurations_unusable")
             self.log.error("configuration_kept", extra={"figures": {"why": str(fault)}})
         if self.stopped_at:
             return
         if tries < RETRIES or isinstance(fault, Unreadable):
-            delay = min(RETRY_MOST, RETRY_FIRST * 2 ** min(tries, RETRIES))
+            delay = min(RETRY_MAX_DELAY, RETRY_MIN_DELAY * 2 ** min(tries, RETRIES))
             self.retry = self.reactor.callLater(delay, self.reload_configuration, read, tries + 1)
             return
         self.counters.add("configurations_given_up")
         figures = {"why": str(fault), "tries": tries + 1}
         self.log.error("configuration_given_up", extra={"figures": figures})
 
-    def take_again(self, configuration: Configuration) -> None:
-        """Puts a configuration in force. Discovery first: it outlives a fault at the rest."""
+    def apply_configuration(self, configuration: Configuration) -> None:
+        """Apply a configuration; discovery goes first, so that a fault in the rest doesn't prevent it."""
         nameserver = configuration.nameserver
         if nameserver != self.names.address:
             self.adapter.name_service_changed()
             self.names.move(nameserver)
         known = configuration.known
         if known.number > self.names.number:
-            self.guarded("list", lambda: self.take_list(known))
+            self.call_safely("list", lambda: self.apply_list(known))
         self.set_limits(configuration)
         later = configuration.rest_differs(self.configuration)
         self.log.info(
@@ -167,16 +173,16 @@
             },
         )
 
-    def take_list(self, known: KnownList) -> None:
-        """Noted as in force once it is: else the name service's next answer tells it again."""
+    def apply_list(self, known: KnownList) -> None:
+        """Apply a list, then record it as current; after a fault, the name service sends it again."""
         self.adapter.apply_list(known.endpoints)
         self.names.take_known(known)
 
     def start(self) -> None:
-        """Listens, and puts the list of the start in force.
+        """Listen, and apply the initial list.
 
         Raises:
-            CannotListenError: Its address cannot be listened on. It can be started again then.
+            CannotListenError: Its address cannot be listened on; start can be called again.
         """
         self.clients.take_port(
             self.reactor.listenTCP(
@@ -205,22 +211,23 @@
         )
 
     def unhandled(self, event: Mapping[str, Any]) -> None:
-        """A fault that a protocol let through: Twisted ends its connection, and the log tells why."""
+        """Log an exception that a protocol did not handle; Twisted closes its connection."""
         if "log_failure" in event:
             self.counters.add("unhandled")
             self.log.error("unhandled", extra={"figures": {"trace": event["log_failure"].getTraceback()}})
 
     def sweep(self) -> None:
-        """Closes connections that have rested for too long, and looks at the wall clock and at discovery.
+        """Close idle connections, and check the wall clock and discovery.
 
-        Each by itself: a fault in one would end all sweeps to come."""
-        self.guarded("wall_clock", self.wall_clock.look)
-        self.guarded("discovery", self.discovery.look)
-        self.guarded("clients", self.clients.sweep)
-        self.guarded("engines", self.engines.sweep)
+        Each step is guarded, because an exception would end the periodic call.
+        """
+        self.call_safely("wall_clock", self.wall_clock.look)
+        self.call_safely("discovery", self.discovery.look)
+        self.call_safely("clients", self.clients.sweep)
+        self.call_safely("engines", self.engines.sweep)
 
-    def guarded(self, step: str, call: Callable[[], object]) -> None:
-        """A fault in one step must not take the next ones with it; it is logged whole and counted."""
+    def call_safely(self, step: str, call: Callable[[], object]) -> None:
+        """Call a step, log and count an exception, so that the following steps still run."""
         try:
             call()
         except Exception:
@@ -228,38 +235,38 @@
             self.log.exception("fault", extra={"figures": {"call": f"service_{step}"}})
 
     def stop(self) -> None:
-        """Told to end: goes on accepting, answers all that it has taken, then ends."""
+        """Start a graceful shutdown: keep accepting for a while, answer all requests, then exit."""
         if not self.stopped_at:
             self.stopped_at = self.clock()
             self.log.info("stopping", extra={"figures": {"open": len(self.adapter.by_ident)}})
             self.adapter.stop(self.stopped_at + self.stop_within)
             self.clients.ending = True
-            self.leave()
+            self.exit_when_done()
 
-    def look_to_leave(self, passed: float) -> None:
-        """So many ms after it was told to end: whether all is answered and no more can come."""
-        self.may_leave = not (
+    def check_exit(self, passed: float) -> None:
+        """Set `may_exit` if, `passed` ms into the shutdown, all is answered and no request can come."""
+        self.may_exit = not (
             passed < STOP_NOT_BEFORE
             or self.adapter.by_ident
             or self.clients.close_idle()
             or self.clients.stop_accepting()
         )
 
-    def leave(self) -> None:
-        """Ends once all is answered and no more can come; answers on their way out are written first."""
+    def exit_when_done(self) -> None:
+        """Exit once all requests are answered and written, and no more can come; else check again later."""
         passed = self.clock() - self.stopped_at
-        self.may_leave = passed >= self.stop_within + OVERTIME
-        if not self.may_leave:
-            self.guarded("leave", lambda: self.look_to_leave(passed))
-        if not self.may_leave:
-            self.reactor.callLater(LOOK_EVERY, self.leave)
+        self.may_exit = passed >= self.stop_within + LAST_WRITES
+        if not self.may_exit:
+            self.call_safely("leave", lambda: self.check_exit(passed))
+        if not self.may_exit:
+            self.reactor.callLater(EXIT_CHECK_EVERY, self.exit_when_done)
             return
         if self.retry is not None and self.retry.active():
             self.retry.cancel()
         self.counters.check_invariant(not self.adapter.by_ident, "all_answered_at_exit")
         self.sweeping.stop()
         self.discovery.close()
-        self.guarded("close", self.engines.close)
+        self.call_safely("close", self.engines.close)
         self.log.info("counters", extra={"figures": self.counters.figures()})
         self.log.info("stopped", extra={"figures": {"after_ms": passed}})
         self.done()
--- a/spurdeal/net/start.py
+++ b/spurdeal/net/start.py
@@ -1,4 +1,4 @@
-"""Starts a dispatcher from the configuration that its environment names."""
+"""Starts a dispatcher with the configuration file named in the environment."""
 
 from __future__ import annotations
 
@@ -34,17 +34,18 @@
     "serve",
 ]
 
-START_WITHIN = 5.0  # seconds; a predecessor told to end is gone, or killed, 3.7 s later at the latest
-START_EVERY = 0.05  # seconds
+START_WITHIN = 5.0  # seconds; a predecessor that shuts down has exited or was killed after at most 3.7 s
+START_RETRY_DELAY = 0.05  # seconds
 START_DELAYED = {errno.EADDRINUSE: "address_in_use"}
-MAY_PASS = (TRANSIENT - {errno.EADDRNOTAVAIL}) | {errno.EADDRINUSE}  # an address that is not ours stays so
+# EADDRNOTAVAIL is not transient here: an address that this host does not have.
+TRANSIENT_LISTEN_ERRORS = (TRANSIENT - {errno.EADDRNOTAVAIL}) | {errno.EADDRINUSE}
 
 
 def load_within(seconds: float, path: str, end_asked: Callable[[], bool]) -> Configuration:
-    """Reads the configuration of a start, again while the system is short of what that takes.
+    """Load the initial configuration, retrying while the system lacks resources to read it.
 
     Raises:
-        Unusable: It cannot be used, or could not be read when the time was over or the process asked to end.
+        Unusable: It is invalid, or could not be read before the time was over or shutdown was requested.
     """
     until = time.monotonic() + seconds
     while True:
@@ -53,15 +54,16 @@
         except Unreadable as fault:
             if not fault.may_pass or time.monotonic() >= until or end_asked():
                 raise
-        time.sleep(START_EVERY)
+        time.sleep(START_RETRY_DELAY)
 
 
-def on_signals(loop: Any, again: Callable[[], None], stop: Callable[[], None]) -> None:
-    """SIGHUP, and SIGTERM or SIGINT, in the loop's own time; what came before this, first."""
-    SIGNALS.hand_over(lambda number: loop.callFromThread(again if number == signal.SIGHUP else stop))
+def on_signals(loop: Any, reload: Callable[[], None], stop: Callable[[], None]) -> None:
+    """Handle SIGHUP, SIGTERM and SIGINT in the event loop, starting with signals that arrived earlier."""
+    SIGNALS.hand_over(lambda number: loop.callFromThread(reload if number == signal.SIGHUP else stop))
 
 
 def main(environment: Mapping[str, str]) -> int:
+    """Run a dispatcher until it stops; returns the process's exit code."""
     try:
         serve(environment.get("ROUTER_CONFIG", ""))
     except Unusable as fault:
@@ -71,6 +73,11 @@
 
 
 def serve(path: str) -> None:
+    """Run a dispatcher with this configuration file until it stops.
+
+    Raises:
+        Unusable: The configuration cannot be used, or its address cannot be listened on.
+    """
     if not path:
         raise Unusable("ROUTER_CONFIG is not set")
     configuration = load_within(START_WITHIN, path, SIGNALS.end_asked)
@@ -93,13 +100,13 @@
 
 
 def start_within(seconds: float, service: Service, end_asked: Callable[[], bool]) -> bool:
-    """Starts the service, trying again while its address is in use.
+    """Start the service, retrying while its address is in use.
 
-    A predecessor that was killed holds the address until the system has closed its sockets, one that was told
-    to end until it has answered its last call.
+    A killed predecessor holds the address until the system has closed its sockets, one that shuts down until
+    it has answered its last request.
 
     Returns:
-        False where the process was asked to end before the address was free.
+        False if shutdown was requested before the address was free.
 
     Raises:
         CannotListenError: The address cannot be listened on, or was still in use when the time was over.
@@ -111,7 +118,7 @@
             service.start()
             return True
         except CannotListenError as fault:
-            if fault.socketError.errno not in MAY_PASS or time.monotonic() >= until:
+            if fault.socketError.errno not in TRANSIENT_LISTEN_ERRORS or time.monotonic() >= until:
                 raise
             why = fault.socketError
         if end_asked():
@@ -120,4 +127,4 @@
             logged = True
             figures = {"retried_for_s": seconds, "why": str(why)}
             service.log.warning(START_DELAYED.get(why.errno, "start_delayed"), extra={"figures": figures})
-        time.sleep(START_EVERY)
+        time.sleep(START_RETRY_DELAY)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -79,10 +79,10 @@
         adapter = world.service.adapter
         for number in range(400):
             adapter.withdraw(b"%016x" % number)
-        self.assertEqual(len(adapter.withdrawn_early), 256)
+        self.assertEqual(len(adapter.early_withdrawals), 256)
         world.go(5100)
         Caller(world).post(399)
-        self.assertEqual((len(world.peer().up().heard()), adapter.withdrawn_early), (1, {}))
+        self.assertEqual((len(world.peer().up().heard()), adapter.early_withdrawals), (1, {}))
 
     def test_while_its_trip_is_dialled_for_where_nothing_may_be_called_off(self) -> None:
         world = World(self, settings=settings(limits={"cancelling": False}))
@@ -330,7 +330,7 @@
             peer.say(ident, "200", "parts=1")
         world.go(1000)
         peers[0].lose()
-        self.assertAlmostEqual(world.service.engines.closes_after, 1000.0, delta=60)
+        self.assertAlmostEqual(world.service.engines.observed_idle_timeout, 1000.0, delta=60)
         Caller(world).post(3)  # idempotent ones go on as they did
         self.assertEqual(peers[1].heard()[1][1], f"{3:016x}")
         peers[1].say(3, "200", "parts=1")
@@ -338,7 +338,7 @@
         Caller(world).post(4, "load")
         self.assertEqual((len(world.reactor.tcpClients), peers[1].heard()), (3, []))
         world.go(240_000)
-        self.assertGreater(world.service.engines.closes_after, 2000.0)  # and forgotten
+        self.assertGreater(world.service.engines.observed_idle_timeout, 2000.0)  # and forgotten
 
 
 class Answers(unittest.TestCase):
--- a/tests/test_request_log.py
+++ b/tests/test_request_log.py
@@ -5,7 +5,7 @@
 
 from spurdeal.interface import EndReason
 from spurdeal.net.counters import Counters
-from spurdeal.net.limited_log import MOST_LINES, WINDOW, LimitedLog
+from spurdeal.net.limited_log import MAX_LINES, WINDOW, LimitedLog
 from spurdeal.net.logs import logger
 from spurdeal.net.wall_clock import WallClockWatch
 from tests.helpers import Caller, World
@@ -81,10 +81,10 @@
     def test_lines_over_the_bound_are_counted(self) -> None:
         stream, now = io.StringIO(), [0.0]
         log = LimitedLog(logger("n1", stream), lambda: now[0])
-        for _ in range(MOST_LINES + 5):
+        for _ in range(MAX_LINES + 5):
             log.write("one")
         log.write("other")
-        self.assertEqual(stream.getvalue().count("event=one"), MOST_LINES)
+        self.assertEqual(stream.getvalue().count("event=one"), MAX_LINES)
         self.assertEqual(stream.getvalue().count("event=other"), 1)
         now[0] = WINDOW
         log.write("one")
--- a/tests/test_system_faults.py
+++ b/tests/test_system_faults.py
@@ -25,7 +25,7 @@
 from tests.stations import Pair
 from tests.steps import Steps
 from tests.test_new_days import served
-from tests.test_turns import ANSWER_WAY, ROUND, CrowdedQueue
+from tests.test_turns import ANSWER_RETURN_TIME, ROUND, CrowdedQueue
 
 DRAINED = {"lifecycle": "DRAINING"}
 FLEET_PLAN = b"""
@@ -382,12 +382,12 @@
         sent_at = crowd.post(1, wait=2000)
         crowd.go(800)
         self.assertEqual(listener.real.times, 0)
-        self.assertLessEqual(crowd.deadline(1) + ANSWER_WAY - sent_at, 2000)
-        self.assertGreaterEqual(crowd.deadline(1) + ANSWER_WAY - sent_at, 2000 - 2 * ROUND)
+        self.assertLessEqual(crowd.deadline(1) + ANSWER_RETURN_TIME - sent_at, 2000)
+        self.assertGreaterEqual(crowd.deadline(1) + ANSWER_RETURN_TIME - sent_at, 2000 - 2 * ROUND)
         sent_at = crowd.post(2, wait=2000)
         crowd.go(600)
-        self.assertLessEqual(crowd.deadline(2) + ANSWER_WAY - sent_at, 2000)
-        self.assertGreaterEqual(crowd.deadline(2) + ANSWER_WAY - sent_at, 2000 - 2 * ROUND)
+        self.assertLessEqual(crowd.deadline(2) + ANSWER_RETURN_TIME - sent_at, 2000)
+        self.assertGreaterEqual(crowd.deadline(2) + ANSWER_RETURN_TIME - sent_at, 2000 - 2 * ROUND)
 
     def test_unread_while_recv_fails(self) -> None:
         steps = Steps(self)
@@ -786,18 +786,18 @@
             def __init__(self, name: str) -> None:
                 self.name = name
 
-            def write_held(self) -> None:
+            def write_deferred(self) -> None:
                 if self.name == "b":
                     raise OSError(errno.EIO, "by the test")
                 written.append(self.name)
 
         world = World(self)
         engines: Engines = world.service.engines
-        engines.held = [Held(name) for name in "abc"]  # type: ignore[misc]
+        engines.deferred = [Held(name) for name in "abc"]  # type: ignore[misc]
         with self.assertRaises(OSError):
-            engines.write_held()
-        engines.write_held()
-        self.assertEqual((written, engines.held), (["a", "c"], []))
+            engines.write_deferred()
+        engines.write_deferred()
+        self.assertEqual((written, engines.deferred), (["a", "c"], []))
 
 
 if __name__ == "__main__":
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -16,7 +16,7 @@
 from tests.steps import Steps, Talk, settings
 
 STALL = 800.0  # ms
-ANSWER_WAY = 40  # ms that the dispatcher keeps for the way back
+ANSWER_RETURN_TIME = 40  # ms that the dispatcher keeps for the way back
 ACCEPTS_A_ROUND, ROUND = 2, 10.0  # ms
 WAITING_CLIENTS = 8  # in the accept queue, at all times
 LONG_CROWD = 1000.0  # ms
@@ -50,14 +50,14 @@
         client.post(2, wait=2000)
         stall(steps)
         steps.go()
-        self.assertEqual(wait_told(engine), [2000 - int(STALL) - ANSWER_WAY])
+        self.assertEqual(wait_told(engine), [2000 - int(STALL) - ANSWER_RETURN_TIME])
 
     def test_on_a_connection_in_the_backlog(self) -> None:
         steps, _, engine = self.resting()
         steps.client().post(2, wait=2000)
         stall(steps)
         steps.go()
-        self.assertEqual(wait_told(engine), [2000 - int(STALL) - ANSWER_WAY])
+        self.assertEqual(wait_told(engine), [2000 - int(STALL) - ANSWER_RETURN_TIME])
 
     def test_behind_another_in_the_backlog(self) -> None:
         """Where one round accepts so many and no more, the next ones were there before it too."""
@@ -69,7 +69,7 @@
         steps.go()
         deadlines = {taken.deadline for taken in steps.service.adapter.open_requests.values()}
         self.assertEqual((len(steps.service.adapter.open_requests), len(deadlines)), (3, 1))
-        self.assertAlmostEqual(deadlines.pop() - steps.clock(), 2000 - STALL - ANSWER_WAY, places=3)
+        self.assertAlmostEqual(deadlines.pop() - steps.clock(), 2000 - STALL - ANSWER_RETURN_TIME, places=3)
 
     def test_in_a_turn(self) -> None:
         steps, client, engine = self.resting()
@@ -84,7 +84,9 @@
 
         rules.end_batch = slow_batch  # type: ignore[method-assign]
         steps.go(50)
-        self.assertEqual(wait_told(engine), [2000 - 10 - int(STALL) - ANSWER_WAY])  # polled 10 ms before it
+        self.assertEqual(
+            wait_told(engine), [2000 - 10 - int(STALL) - ANSWER_RETURN_TIME]
+        )  # polled 10 ms before it
 
     def test_what_has_no_time_left_is_shed_at_once(self) -> None:
         steps, client, engine = self.resting()
@@ -110,7 +112,7 @@
         steps.go()
         steps.go()  # the room that it left is seen in one round, and used in the next
         deadline = steps.service.adapter.by_ident[b"%016x" % 99].deadline  # so accepting went on
-        self.assertAlmostEqual(deadline - steps.clock(), 2000 - 500 - ANSWER_WAY, places=3)
+        self.assertAlmostEqual(deadline - steps.clock(), 2000 - 500 - ANSWER_RETURN_TIME, places=3)
 
     def test_in_a_flood_nobody_has_waited_longer_than_the_queue_is_long(self) -> None:
         """Each round accepts as many as it may, so the queue is never seen empty."""
@@ -134,7 +136,7 @@
             steps.go(pause)
             client.post(ident, wait=2000)
             steps.go()
-            self.assertEqual(wait_told(engine), [2000 - ANSWER_WAY])
+            self.assertEqual(wait_told(engine), [2000 - ANSWER_RETURN_TIME])
             engine.say(ident)
             self.assertEqual(steps.until(client.status), 200)
 
@@ -146,7 +148,7 @@
         for ident, talk in ((2, client), (3, newcomer)):
             talk.post(ident, wait=2000)
             steps.go()
-            self.assertEqual(wait_told(engine), [2000 - ANSWER_WAY])
+            self.assertEqual(wait_told(engine), [2000 - ANSWER_RETURN_TIME])
             engine.say(ident)
             self.assertEqual(steps.until(talk.status), 200)
 
@@ -202,7 +204,7 @@
         crowd.go(LONG_CROWD)
         sent_at = crowd.post(1, wait=2000)
         crowd.go(100)
-        left_when_sent = crowd.deadline(1) + ANSWER_WAY - sent_at
+        left_when_sent = crowd.deadline(1) + ANSWER_RETURN_TIME - sent_at
         self.assertLessEqual(left_when_sent, 2000)
         self.assertGreaterEqual(left_when_sent, 2000 - 2 * ROUND)
 
@@ -213,7 +215,7 @@
         crowd.come(100)
         crowd.steps.reactor.now += 0.09  # under the gap from which on all that is read is dated back
         crowd.go(200)
-        left_when_sent = crowd.deadline(1) + ANSWER_WAY - sent_at
+        left_when_sent = crowd.deadline(1) + ANSWER_RETURN_TIME - sent_at
         self.assertLessEqual(left_when_sent, 2000)
         self.assertGreaterEqual(left_when_sent, 2000 - 2 * ROUND)
 
@@ -224,7 +226,7 @@
         crowd.go(LONG_CROWD)
         crowd.post(1, wait=3000)
         crowd.go(100)
-        self.assertAlmostEqual(crowd.deadline(1), began + ROUND + 3000 - ANSWER_WAY, places=3)
+        self.assertAlmostEqual(crowd.deadline(1), began + ROUND + 3000 - ANSWER_RETURN_TIME, places=3)
 
     def test_the_first_count_above_0_ends_what_was_assumed_before(self) -> None:
         steps = Steps(self)
@@ -362,7 +364,7 @@
         self.count += 1
         Caller(self.world).post(self.count, workload, wait=wait, Req_Key=key)
         deadline = self.world.service.adapter.by_ident[b"%016x" % self.count].deadline
-        return round(deadline - self.world.now() + ANSWER_WAY)
+        return round(deadline - self.world.now() + ANSWER_RETURN_TIME)
 
     def test_a_run_counts_from_its_first(self) -> None:
         left = list[float]()
