--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""A dispatcher on in-memory transports and a clock that the test moves, and the sides it talks to."""
+"""A dispatcher on in-memory transports and a clock that the test moves, with its clients and engines."""
 
 import io
 import json
@@ -22,10 +22,10 @@
 from spurdeal.net.start import Service, read_configuration
 
 BASE = 1_790_000_000_000.0
-AGREED = 60.0  # ms until the name service has told a list a second time
+AGREED = 60.0  # ms until the name service has sent a list a second time
 RETURNED = 1700.0  # ms until an engine that had drained gets requests again
-SETTLED = 600.0  # ms until it has told a list so often that questions without an answer no longer matter
-QUIET = socket.socket(type=socket.SOCK_DGRAM)  # nothing ever comes on it
+SETTLED = 600.0  # ms until a list was sent so often that unanswered queries no longer matter
+QUIET = socket.socket(type=socket.SOCK_DGRAM)  # never has anything to read
 SETTINGS: dict[str, Any] = {
     "grades": [
         {"name": "lookup", "aim": 1000, "aim_stretch": 2, "deadline": 5000, "late_worth": 0.5},
@@ -48,7 +48,7 @@
 
 
 def started_process(path: Path) -> subprocess.Popen[str]:
-    """A dispatcher with the configuration at this path; its log is on `stderr`."""
+    """Start a dispatcher with the configuration at this path; its log is on `stderr`."""
     return subprocess.Popen(
         [sys.executable, "-m", "spurdeal"],
         stderr=subprocess.PIPE,
@@ -84,11 +84,11 @@
 
 
 class Pipe(StringTransport):
-    """A transport in memory: what was written, and whether it was ended or cut."""
+    """An in-memory transport: what was written, and whether it was closed or aborted."""
 
-    aborted = full = ended = no_delay = False  # full: its far side does not read
-    room = 0  # bytes that the system still takes of a write while its far side does not read
-    unread = b""  # what has come and was not read
+    aborted = full = ended = no_delay = False  # full: the peer does not read
+    room = 0  # bytes that the system still accepts while the peer does not read
+    unread = b""  # bytes that have arrived and were not read
     owner: Any = None
 
     def loseWriteConnection(self) -> None:
@@ -102,7 +102,7 @@
             self.drained(first=True)
 
     def drained(self, first: bool = False) -> None:
-        """What was written has left: whoever pulls is asked for more, until it has none."""
+        """All written bytes were sent: ask a pull producer for more, until it has none."""
         while self.producer is not None and not self.streaming and (first or not self.full):
             first = False
             self.producer.resumeProducing()
@@ -111,7 +111,7 @@
         return self
 
     def recv(self, size: int, flags: int = 0) -> bytes:
-        """What has come, left there with MSG_PEEK: nothing yet, bytes, or the far side's end."""
+        """Read what has arrived, or peek with MSG_PEEK: nothing yet, bytes, or the end of the stream."""
         if not self.ended and not self.unread:
             raise BlockingIOError
         data = self.unread[:size]
@@ -128,7 +128,7 @@
         return len(data)
 
     def startWriting(self) -> None:
-        """See FileDescriptor: whoever pulls is asked once the system takes bytes."""
+        """See FileDescriptor: a pull producer is asked for more once the system accepts bytes."""
         self.drained()
 
     def setTcpNoDelay(self, on: bool) -> None:
@@ -144,7 +144,7 @@
 
 
 class Reactor(MemoryReactorClock):
-    """With datagrams, which Twisted's own lacks: they go to whoever made it."""
+    """Adds datagrams, which Twisted's reactor for tests lacks; they go to `sink`."""
 
     def __init__(self, sink: object) -> None:
         super().__init__()
@@ -168,7 +168,7 @@
 
 
 class Port:
-    """The door: `waiting` makes those who wait there come in."""
+    """A listening port; each call in `waiting` makes one connection that waits in its backlog."""
 
     def __init__(self) -> None:
         self.open = self.connected = True
@@ -179,7 +179,7 @@
             self.waiting.pop(0)()
 
     def fileno(self) -> int:
-        """Of a socket that has nothing to read."""
+        """The descriptor of a socket that has nothing to read."""
         return QUIET.fileno()
 
     def stopListening(self) -> None:
@@ -193,7 +193,7 @@
 
 
 class Side:
-    """Whoever sits at the far end of one connection."""
+    """The peer of the dispatcher on one connection."""
 
     world: "World"
     protocol: Any
@@ -230,7 +230,7 @@
         self.say(f"POST /ops/{workload} HTTP/1.1\r\nHost: origin.svc\r\n{head}\r\n".encode() + body)
 
     def answers(self) -> list[tuple[int, dict[str, str], Any]]:
-        """Status, fields and value of each answer, read by their lengths."""
+        """Status, header fields and value of each answer so far."""
         text, found = self.pipe.taken(), []
         while text:
             head, _, rest = text.partition(b"\r\n\r\n")
@@ -273,7 +273,7 @@
 
 
 def told_records(service: NameService) -> list[tuple[str, str, int, str]]:
-    """The records of the list that was told last."""
+    """The records of the list that the name service sent last."""
     return [
         (
             ".".join(label.replace(".", "\\.") for label in (endpoint.ident, endpoint.zone, "hosts")),
@@ -321,7 +321,7 @@
         self.case.assertEqual(faults, {}, self.log.getvalue())
 
     def go(self, ms: float = 0.0) -> None:
-        """Moves the clock in steps, so that whatever is due on the way comes when it is due."""
+        """Move the clock in small steps, so that timers fire when they are due."""
         self.reactor.pump([0.0, 0.0] + [0.005] * round(ms / 5) + [0.0, 0.0])
 
     def peer(self, place: int = 0) -> Peer:
@@ -333,7 +333,7 @@
     # The name service's side.
 
     def getHandle(self) -> "World":
-        """Of the transport that the name service is asked on: its socket."""
+        """The socket of the transport to the name service."""
         return self
 
     def write(self, datagram: bytes, address: object) -> None:
@@ -343,11 +343,11 @@
             self.reactor.callLater(0, self.confirm, datagram, address)
 
     def confirm(self, question: bytes, source: Any) -> None:
-        """The name service knows of no change."""
+        """Answer that the list is unchanged."""
         service = self.service.names
         service.datagramReceived(names.answer(question, service.number, *told_records(service)), source)
 
-    sendto = write  # of the socket, which is its own handle
+    sendto = write  # the method of the socket, which is its own handle
 
     def list(
         self,
@@ -356,7 +356,7 @@
         source: tuple[str, int] = ("127.0.8.9", 5300),
         **more: Any,
     ) -> None:
-        """The name service's answer to the next question."""
+        """Answer the next query as the name service."""
         self.names_silent, silent = True, self.names_silent
         asked = len(self.names)
         while len(self.names) == asked:
@@ -371,7 +371,7 @@
         source: tuple[str, int] = ("127.0.8.9", 5300),
         **more: Any,
     ) -> None:
-        """The name service's answer to the last question."""
+        """Answer the last query as the name service."""
         answer = names.answer(self.names[-1], serial, *endpoints, **more)
         self.service.names.datagramReceived(answer, source)
         self.go()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,4 @@
-"""What comes between two steps of the dispatcher: each crossing of docs/crossings.md, forced."""
+"""Races between events and the dispatcher's steps: each one of docs/crossings.md, forced."""
 
 import json
 import os
@@ -27,11 +27,11 @@
 
 
 class LeavingClients(unittest.TestCase):
-    """A request whose client has left is not sent on, wherever it waits."""
+    """A request whose client has left is not sent, wherever it waits."""
 
     def sent(self, steps: Steps, talk: Talk) -> list[str]:
         steps.go()
-        return [said[1] for said in talk.heard() if said[0] == "serve"]
+        return [message[1] for message in talk.heard() if message[0] == "serve"]
 
     def test_whole_in_the_backlog(self) -> None:
         for way in ("close", "half-close", "reset"):
@@ -49,7 +49,7 @@
                 self.assertEqual(self.sent(steps, steps.engines[0].talks[0]), [])
                 self.assertEqual(steps.service.adapter.open_requests, {})
 
-    def test_between_the_reading_and_the_turn(self) -> None:
+    def test_between_the_reading_and_the_batch(self) -> None:
         steps = Steps(self)
         steps.served(1)
         client = steps.client()
@@ -60,7 +60,7 @@
         self.assertEqual(steps.service.counters.sums["trips_whose_client_left"], 1)
 
     def test_withdrawn_before_its_call_has_come(self) -> None:
-        """DELETE on another connection, read before the call that it is for."""
+        """A DELETE on another connection is read before the request that it withdraws."""
         steps = Steps(self)
         steps.served(1)
         first = steps.client()
@@ -99,10 +99,10 @@
         peer = world.peer().up()
         caller.leave()
         self.assertEqual(
-            [said[:2] for said in peer.heard()], [["serve", f"{1:016x}"], ["cancel", f"{1:016x}"]]
+            [message[:2] for message in peer.heard()], [["serve", f"{1:016x}"], ["cancel", f"{1:016x}"]]
         )
 
-    def test_held_and_then_let_go(self) -> None:
+    def test_queued_and_then_sent(self) -> None:
         world = World(self)
         adapter = world.service.adapter
         adapter.rules.choose = lambda *_, **__: None  # type: ignore[method-assign]
@@ -110,13 +110,13 @@
         caller.post(1)
         world.go(100)
         del adapter.rules.choose
-        caller.pipe.ended = True  # its end has arrived and was not read
+        caller.pipe.ended = True  # the end of the stream has arrived but was not read
         world.go(100)
         self.assertEqual(world.peer().up().heard(), [])
 
 
 class LateConnections(unittest.TestCase):
-    """What was so at the choice may not be so when the first byte leaves."""
+    """Conditions may change between the choice of an engine and the first byte sent."""
 
     def test_the_time_and_the_priority_are_those_of_the_leaving(self) -> None:
         world = World(self)
@@ -124,8 +124,8 @@
         world.go(200)
         world.service.adapter.terms(0, 0.0, 1)
         world.go(50)
-        (said,) = world.peer().up().heard()
-        self.assertRegex(said[2], r"^class=lookup,wait=1[12]\d\d,rank=1$")
+        (message,) = world.peer().up().heard()
+        self.assertRegex(message[2], r"^class=lookup,wait=1[12]\d\d,rank=1$")
 
     def test_a_repeat_whose_window_ended_while_it_was_dialled_for(self) -> None:
         for ms, sent in ((100, 1), (300, 0)):
@@ -152,8 +152,8 @@
                     self.assertEqual(f"{peer.host}:{peer.port}", address)
                     self.assertEqual(peer.up().heard()[0][1], f"{1:016x}")
 
-    def test_what_never_left_counts_for_no_trip(self) -> None:
-        """One attempt is allowed, no further ones: a drain while it is dialled for leaves it to another."""
+    def test_what_was_never_sent_counts_as_no_attempt(self) -> None:
+        """With a limit of one attempt, a drain during the dial still leaves an attempt for another engine."""
         ration = SETTINGS["rules"] | {"extra_floor": 0, "repeat_ratio": 0, "counted_over": 5000}
         world = World(self, engines=2, settings=settings(limits={"send_cap": 1}, rules=ration))
         Caller(world).post(1, "load")
@@ -173,7 +173,7 @@
         self.assertEqual(len(world.peer(1).up().heard()), 1)
 
     def test_a_connection_that_does_not_come_up_in_time_counts_for_no_trip(self) -> None:
-        """It proves that nothing ran: the other engine takes it, though only one attempt is allowed."""
+        """A connect timeout proves that nothing ran: even with one attempt, another engine gets it."""
         ration = SETTINGS["rules"] | {"extra_floor": 0, "repeat_ratio": 0, "counted_over": 5000}
         world = World(self, engines=2, settings=settings(limits={"send_cap": 1}, rules=ration))
         Caller(world).post(1, "load")
@@ -182,7 +182,7 @@
         self.assertEqual(len(world.peer(1).up().heard()), 1)
         self.assertEqual(world.count("trips_connect_timeout"), 1)
 
-    def test_a_way_that_stays_shut_is_not_tried_for_ever(self) -> None:
+    def test_an_attempt_that_is_never_allowed_is_not_repeated_forever(self) -> None:
         world = World(self, settings=settings(limits={"send_cap": 2}))
         world.service.adapter.rules.may_send = lambda *_: False  # type: ignore[method-assign]
         caller = Caller(world)
@@ -217,10 +217,10 @@
 
 
 class Drains(unittest.TestCase):
-    """What has not left by the drain's grace does not leave."""
+    """What has not been sent by the end of the drain grace period is not sent."""
 
     def full(self) -> Steps:
-        """One connection whose far side does not read: a request stuck in it, another behind that."""
+        """A connection whose engine does not read: one request partly written, another queued."""
         steps = Steps(
             self,
             engines=2,
@@ -263,7 +263,7 @@
         steps.list(2, number)
         self.assertEqual([attempt for attempt in connection.attempts.values() if not attempt.written], [])
         self.assertTrue(connection.up)
-        steps.go(130)  # over half of the grace: what the system has not taken is cut off
+        steps.go(130)  # over half of the grace period: unaccepted bytes are cut off
         self.assertFalse(connection.up)
         self.assertEqual(steps.service.counters.sums["unsent_cut_off"], 1)
 
@@ -282,7 +282,7 @@
         self.assertNotIn(b"cancel", b"".join(m for m in connection.write_queue if isinstance(m, bytes)))
 
     def test_a_connection_whose_far_side_reads_no_more_is_not_kept(self) -> None:
-        """What is left to write on it waits for nothing: neither an attempt nor a drain would end it."""
+        """Bytes left to write keep it open for nothing: neither an attempt nor a drain would end it."""
         world = World(self)
         caller = Caller(world)
         caller.post(1)
@@ -295,7 +295,7 @@
         self.assertTrue(peer.pipe.aborted)
 
     def test_a_silent_connection_is_cut_and_not_closed(self) -> None:
-        """Closed, the system would go on sending its bytes once a cut link heals."""
+        """If it were closed normally, the system would send its bytes when the network link recovers."""
         steps = Steps(self)
         client = steps.client()
         client.post(1, wait=500)
@@ -308,7 +308,7 @@
 
 class IdleConnections(unittest.TestCase):
     def test_an_end_that_was_not_read_yet(self) -> None:
-        """Between the reading of a call and its turn, the engine closes the connection that rests."""
+        """The engine closes an idle connection between the reading of a request and its batch."""
         steps = Steps(self)
         client = steps.served(1)
         client.post(2, "load")
@@ -320,7 +320,7 @@
         self.assertEqual(steps.until(client.status), 200)
 
     def test_how_early_engines_close_is_learnt(self) -> None:
-        """A clean end of a resting connection; non-idempotent ones then go on one that was used lately."""
+        """After a clean close of an idle connection, non-idempotent requests avoid long idle ones."""
         world = World(self)
         caller, early = Caller(world), Caller(world)
         for ident, each in ((1, caller), (2, early)):
@@ -331,7 +331,7 @@
         world.go(1000)
         peers[0].lose()
         self.assertAlmostEqual(world.service.engines.observed_idle_timeout, 1000.0, delta=60)
-        Caller(world).post(3)  # idempotent ones go on as they did
+        Caller(world).post(3)  # idempotent requests use any idle connection
         self.assertEqual(peers[1].heard()[1][1], f"{3:016x}")
         peers[1].say(3, "200", "parts=1")
         world.go(700)
@@ -344,7 +344,7 @@
 class Answers(unittest.TestCase):
     BEGUN = b"*4\r\n$16\r\n%016x\r\n$3\r\n200\r\n$7\r\nparts=1\r\n$400\r\n" % 1
 
-    def test_one_that_trickles_is_bounded_from_its_first_byte(self) -> None:
+    def test_an_answer_that_trickles_is_bounded_from_its_first_byte(self) -> None:
         world = World(self, engines=2)
         caller = Caller(world)
         caller.post(1)
@@ -358,7 +358,7 @@
         world.peer(1).up().say(1, "200", "parts=1")
         self.assertEqual(caller.answers()[0][0], 200)
 
-    def test_one_that_trickles_leaves_its_trips_time_to_go_again(self) -> None:
+    def test_an_answer_that_trickles_leaves_time_for_a_retry(self) -> None:
         world = World(self, engines=2)
         caller = Caller(world)
         caller.post(1, wait=640)
@@ -372,7 +372,7 @@
         self.assertEqual(caller.answers()[0][0], 200)
 
     def test_an_id_whose_trip_is_still_out_is_not_taken_again(self) -> None:
-        """Where nothing may be called off: two attempts under one id would be out at once."""
+        """Without cancellation, two attempts with one id would be out at once."""
         world = World(self, settings=settings(limits={"cancelling": False}))
         caller = Caller(world)
         caller.post(1, wait=4000)
@@ -389,7 +389,7 @@
 
 
 class Closing(unittest.TestCase):
-    """A close over unread bytes resets the connection, and what was written last goes with it."""
+    """Closing a socket with unread bytes resets the connection, which loses what was written last."""
 
     def test_an_answer_before_all_was_read_is_followed_by_a_clean_end(self) -> None:
         steps = Steps(self)
@@ -453,7 +453,7 @@
         steps.go(890)
         client = steps.client()
         client.post(1)
-        steps.reactor.now += 0.06  # the end's look comes before the door is read
+        steps.reactor.now += 0.06  # the exit check runs before the listener is read
         talk = steps.until(steps.engines[0].accept)
         self.assertEqual(steps.done, [])
         steps.until(talk.heard)
@@ -540,7 +540,7 @@
 
 
 class Signals(unittest.TestCase):
-    """Before the loop is there to take them: sent from within the import that takes longest."""
+    """Signals before the event loop exists: sent during the slowest import."""
 
     def run_with(self, sent: str, path: Path) -> subprocess.CompletedProcess[str]:
         text = (
@@ -576,7 +576,7 @@
                 self.assertIn(f"event={event}", done.stderr)
 
     def test_a_hangup_before_the_first_line_is_ignored(self) -> None:
-        """The shell of `run` says so, and its program inherits that until it catches signals itself."""
+        """The shell of `run` ignores SIGHUP; the program inherits that until it installs its handlers."""
         run = next(
             line
             for line in (ROOT / "deploy" / "balancer.toml").read_text().splitlines()
@@ -613,8 +613,8 @@
         self.assertEqual((len(reads), world.count("configurations_unusable")), (7, 1))
 
 
-class OtherCustomers(unittest.TestCase):
-    """What another tenant's settings can hold: each starts, and serves."""
+class OtherTenants(unittest.TestCase):
+    """Unusual but valid settings of other deployments: the dispatcher starts, and serves."""
 
     def serves(self, workload: str, **more: Any) -> World:
         world = World(self, **more)
@@ -639,7 +639,7 @@
             with self.subTest(name):
                 self.serves(path, settings=SETTINGS | {"grades": [grade | {"name": name}]})
 
-    def test_a_location_whose_name_holds_a_dot_or_other_letters(self) -> None:
+    def test_a_zone_whose_name_holds_a_dot_or_other_letters(self) -> None:
         placed = [SETTINGS["grades"][0] | {"zones_open": ["2.korrus"]}]
         world = World(self, settings=SETTINGS | {"zones": ["õu", "2.korrus"], "grades": placed})
         world.list(
@@ -709,7 +709,7 @@
                 self.assertEqual(len(world.peer().up().heard()), 1)
 
     def test_names_as_clients_write_them(self) -> None:
-        """Unescaped: spaces, other letters and slashes stand in the target as they are."""
+        """Unescaped: spaces, non-ASCII letters and slashes appear in the target as they are."""
         grades = [
             SETTINGS["grades"][0] | {"name": name}
             for name in ("otsing õ", "aruanne (kuu)", "sisse/kanne", "kanne")
@@ -720,7 +720,7 @@
                 Caller(world).post(1, name)
                 self.assertIn(f"class={name},", world.peer().up().heard()[0][2])
 
-    def test_the_mark_against_repeats_goes_on(self) -> None:
+    def test_the_idempotency_key_is_forwarded(self) -> None:
         world = World(self, engines=2, settings=SETTINGS | {"grades": IDEMPOTENT_BY_KEY})
         caller, bad = Caller(world), Caller(world)
         caller.post(1, "load", Req_Token="8d80-9f")
@@ -731,7 +731,7 @@
         bad.post(2, "load", Req_Token="x,rank=3")
         self.assertEqual(bad.answers()[0][0], 400)
 
-    def test_customers_have_their_shares(self) -> None:
+    def test_tenants_have_their_shares(self) -> None:
         tenants = [{"name": "A & B", "quota_per_s": 1}, {"name": "õ", "quota_per_s": 1}]
         world = World(self, settings=SETTINGS | {"tenants": tenants, "balancers": 1, "over_share_worth": 0.5})
         kept = [0.5, 1.0, 1.0, 1.0]
@@ -741,7 +741,7 @@
             request = list(world.service.adapter.rules.open.values())[-1]
             self.assertEqual(request.value, value, owner)
 
-    def test_those_of_one_key_run_in_turn(self) -> None:
+    def test_requests_of_one_key_run_one_after_another(self) -> None:
         ordered = [SETTINGS["grades"][0], SETTINGS["grades"][1] | {"serial_by_key": True}]
         world = World(self, settings=SETTINGS | {"grades": ordered})
         for ident, key in ((1, "00ab"), (2, "00ab"), (3, "00cd"), (4, "")):
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,4 +1,4 @@
-"""The dispatcher on sockets, from a client's bytes to an engine's and back, on in-memory transports."""
+"""End-to-end tests of the network side on in-memory transports: from clients to engines and back."""
 
 import gc
 import io
@@ -53,16 +53,16 @@
         caller.post(1)
         caller.post(2)
         peer = world.peer().up()
-        self.assertEqual([said[1] for said in peer.heard()], [f"{1:016x}"])
+        self.assertEqual([message[1] for message in peer.heard()], [f"{1:016x}"])
         peer.say(1, "200", "parts=1", ROW)
-        self.assertEqual([said[1] for said in peer.heard()], [f"{2:016x}"])
+        self.assertEqual([message[1] for message in peer.heard()], [f"{2:016x}"])
         peer.say(2, "200")
         self.assertEqual(
             [value for _, _, value in caller.answers()], [{"result": [["a", "1", "x"]]}, {"result": []}]
         )
 
     def test_what_proves_that_nothing_ran(self) -> None:
-        """Refused, never up, full and over let a non-idempotent one go again; all else breaks it off."""
+        """A non-idempotent request is retried after a failed dial, 503 or 504; anything else fails it."""
         for proof in ("refused", "not up", "503", "504"):
             with self.subTest(proof):
                 world = World(self, engines=2)
@@ -111,7 +111,7 @@
                 self.assertEqual(self.outcome(caller), BROKEN)
                 self.assertEqual(len(world.reactor.tcpClients), 1)
 
-    def test_a_lost_page_of_a_redoable_one_goes_again_elsewhere(self) -> None:
+    def test_a_lost_page_of_an_idempotent_request_is_retried_elsewhere(self) -> None:
         world = World(self, engines=2)
         caller = Caller(world)
         caller.post(1)
@@ -133,7 +133,9 @@
                 world.go(30)
                 self.assertEqual(self.outcome(caller), wanted)
                 self.assertEqual(peer.heard()[1:], [["cancel", f"{1:016x}"]])
-                peer.say(1, "200", "parts=2", ROW)  # it crossed: its pages are let go, and no answer follows
+                peer.say(
+                    1, "200", "parts=2", ROW
+                )  # crossed the cancel: its pages are released, and no answer follows
                 self.assertEqual((peer.heard(), caller.answers()), ([["release", f"{1:016x}"]], []))
 
     def test_a_client_that_leaves_is_withdrawn(self) -> None:
@@ -142,17 +144,17 @@
         caller.post(1)
         peer = world.peer().up()
         caller.leave()
-        self.assertEqual([said[0] for said in peer.heard()], ["serve", "cancel"])
+        self.assertEqual([message[0] for message in peer.heard()], ["serve", "cancel"])
         caller = Caller(world)
         caller.post(2)
         other.say(b"DELETE /ops/lookup/%016x HTTP/1.1\r\n\r\n" % 2)
-        self.assertEqual([said[0] for said in peer.heard()], ["serve", "cancel"])
+        self.assertEqual([message[0] for message in peer.heard()], ["serve", "cancel"])
         self.assertEqual((other.answers()[0][0], caller.answers()), (200, []))
         self.assertTrue(caller.pipe.disconnecting)
         other.say(b"DELETE /ops/lookup/%016x HTTP/1.1\r\n\r\n" % 2)
         self.assertEqual((other.answers()[0][0], world.count("withdrawn")), (404, 2))
 
-    def test_a_client_that_leaves_before_its_turn_costs_nothing(self) -> None:
+    def test_a_client_that_leaves_before_its_batch_costs_nothing(self) -> None:
         world = World(self)
         kept, caller = Caller(world), Caller(world)
         kept.post(1)
@@ -201,9 +203,8 @@
             self.assertEqual(caller.answers()[0][0], status)
         self.assertFalse(caller.pipe.disconnecting)
 
-    def test_slow_endless_and_silent_clients_are_let_go(self) -> None:
-        """Each is owed an error or an end within three seconds of its last word; one that brought something
-        may stay."""
+    def test_slow_endless_and_silent_clients_are_disconnected(self) -> None:
+        """Each gets an error or is closed within three seconds of its last byte, unless it sent a request."""
         world = World(self)
         half, slow, silent, asked, served, unread, ahead = (Caller(world) for _ in range(7))
         half.say(b"POST /ops/lookup HTT")
@@ -231,7 +232,7 @@
         world.go(5000)
         self.assertTrue(unread.pipe.aborted)
 
-    def test_a_full_door_closes_and_opens(self) -> None:
+    def test_accepting_pauses_at_the_connection_limit_and_resumes(self) -> None:
         world = World(self)
         world.service.clients.set_limits(most=33, accepts=2, memory_mb=64.0)  # eviction begins at 32
         served = Caller(world)
@@ -242,7 +243,7 @@
         for ident, caller in enumerate(callers[1:]):
             caller.post(ident)
         world.go(30)
-        Caller(world).post(99)  # one that has brought nothing makes room
+        Caller(world).post(99)  # a connection without a request is evicted
         self.assertTrue(callers[0].pipe.disconnecting and world.door.open)
         self.assertFalse(served.pipe.disconnecting)
         callers[0].leave()
@@ -256,8 +257,8 @@
         callers[1].leave()
         self.assertTrue(world.door.open)
 
-    def test_each_trip_on_a_connection_of_its_own_while_descriptors_last(self) -> None:
-        """One that is spoilt takes down what is out on it, and costs its engine one strike."""
+    def test_each_attempt_gets_its_own_connection_while_descriptors_last(self) -> None:
+        """A failed connection fails its attempts, but raises the failure score of its engine only once."""
         world = World(self, engines=2, limits={"sockets": 10})  # four connections, two an engine
         callers = [Caller(world) for _ in range(6)]
         for ident, caller in enumerate(callers):
@@ -288,7 +289,7 @@
         self.assertEqual(self.outcome(caller), (200, [["a", "1", "x"], ["b", "1", "x"], ["c", "1", "x"]]))
         self.assertEqual((peer.heard(), peer.pipe.aborted), ([["release", f"{1:016x}"]], False))
 
-    def test_an_answer_that_stops_short_is_not_waited_for(self) -> None:
+    def test_an_incomplete_answer_times_out(self) -> None:
         world = World(self, engines=2)
         caller = Caller(world)
         caller.post(1)
@@ -314,8 +315,8 @@
         kept = (adapter.index.places, adapter.rules.engines, adapter.engines.engines)
         self.assertEqual([len(engines) for engines in kept], [1, 1, 1])
 
-    def test_what_has_ended_needs_no_collector(self) -> None:
-        """Rings of objects outlive their use until a collection, and look like memory that leaks."""
+    def test_finished_objects_form_no_reference_cycles(self) -> None:
+        """Reference cycles keep objects until a garbage collection, which looks like a memory leak."""
         world = World(self)
         gc.collect()
         gc.disable()
@@ -337,13 +338,13 @@
         left = [thing for thing in gc.get_objects() if isinstance(thing, (Request, Connection))]
         self.assertEqual(left, [])
 
-    def test_a_connection_gone_silent_gets_nothing_more(self) -> None:
-        """A machine cut off: the next attempt dials anew; that it never comes up proves that nothing ran."""
+    def test_a_silent_connection_gets_no_further_attempts(self) -> None:
+        """The machine is unreachable: the next attempt dials; its connect timeout proves that nothing ran."""
         world = World(self)
         Caller(world).post(1, wait=1000)
         peer = world.peer().up()
         world.go(1000)
-        self.assertEqual([said[0] for said in peer.heard()], ["serve", "cancel"])
+        self.assertEqual([message[0] for message in peer.heard()], ["serve", "cancel"])
         load = Caller(world)
         load.post(2, "load", wait=1000)
         self.assertEqual((len(world.reactor.tcpClients), peer.heard()), (2, []))
@@ -352,7 +353,7 @@
         world.go(1000)
         self.assertEqual(self.outcome(load), SHED)
 
-    def test_an_answer_that_the_rules_owe_is_given_for_them(self) -> None:
+    def test_an_overdue_answer_is_given_without_the_rules(self) -> None:
         world = World(self)
         adapter, faults = world.service.adapter, list[str]()
 
@@ -381,7 +382,7 @@
         peer.say(1, "200", "parts=1,stats=rif:9;q:0")
         self.assertEqual(adapter.rules.all, 10.0)
         Caller(world).post(2)
-        peer.say(2, "200", "parts=1,stats=q:0")  # one is missing: no report
+        peer.say(2, "200", "parts=1,stats=q:0")  # a field is missing: no report
         Caller(world).post(3)
         peer.say(3, "200", "parts=1,stats=rif:nan;q:0")
         self.assertEqual((adapter.rules.all, peer.pipe.aborted), (10.0, True))
@@ -406,7 +407,7 @@
                 endpoint[3].format(started),
             )
 
-        world.list(0, at(0))  # overtaken by what is known
+        world.list(0, at(0))  # older than the current list
         self.assertEqual(set(world.service.adapter.endpoints), {"s-0", "s-1"})
         world.go(SETTLED)
         world.list(3, at(0, priority=1), at(1))
@@ -415,7 +416,7 @@
         peers = [world.peer(place).up() for place in range(3)]
         self.assertEqual({peer.host for peer in peers}, {"127.0.9.1"})
         world.list(4, ("s-5.east.hosts", "127.0.9.1:7001", 0, "kind=std cell=0 started=0"))
-        self.assertFalse(peers[0].pipe.disconnecting)  # gone, yet its attempts may still end
+        self.assertFalse(peers[0].pipe.disconnecting)  # gone, but its attempts may still finish
         for ident, peer in enumerate(peers):
             peer.say(ident, "200")
             self.assertTrue(peer.pipe.disconnecting)
@@ -426,7 +427,7 @@
         world.go(300)
         started = int(BASE + world.reactor.seconds() * 1000)
         world.list(5, ("s-5.east.hosts", "127.0.9.1:7001", 0, f"kind=std cell=0 started={started}"))
-        self.assertTrue(again.pipe.aborted)  # the process that it led to is no more
+        self.assertTrue(again.pipe.aborted)  # it led to a process that has ended
         foreign = world.count("names_foreign")
         world.service.names.datagramReceived(b"\0\0nonsense", ("127.0.8.9", 5300))
         world.service.names.datagramReceived(world.names[-1], ("127.0.8.7", 5300))
@@ -442,7 +443,7 @@
         world.list(2, ("s-0.east.hosts", "127.0.9.0:7001", 1, "kind=std cell=0 started=0"))
         self.assertEqual(world.peer().up().heard(), [])
 
-    def test_a_planned_stop_answers_all_first(self) -> None:
+    def test_a_graceful_shutdown_answers_all_requests_first(self) -> None:
         world = World(self)
         lookup, load, late = (Caller(world) for _ in range(3))
         lookup.post(1)
@@ -482,7 +483,7 @@
         world.service.reload_configuration(lambda: told)
         self.assertEqual(world.asked[-1], ("127.0.8.10", 5301))
         endpoint = ("s-1.east.hosts", "127.0.9.1:7001", 0, "kind=std cell=0 started=0")
-        world.list(2, endpoint)  # the old one answers no more
+        world.list(2, endpoint)  # from the old name service: ignored
         self.assertEqual(set(world.service.adapter.endpoints), {"s-0"})
         world.list(2, endpoint, source=("127.0.8.10", 5301))
         self.assertEqual(set(world.service.adapter.endpoints), set())
@@ -498,7 +499,7 @@
         world.peer(1).up().say(1, "200", "parts=1", ROW)
         self.assertEqual(self.outcome(caller), (200, [["a", "1", "x"]]))
 
-    def test_newer_events_and_limits_of_a_new_configuration(self) -> None:
+    def test_a_new_configuration_applies_its_list_and_limits(self) -> None:
         world = World(self)
         more = configuration(2, limits={"sockets": 8})
         more["known"]["no"] = more["known"]["items"][0]["no"] = 9
@@ -520,17 +521,17 @@
             out.getvalue().split(" ", 1)[1], 'level=info event=ready a=1.2 b="x \\"y\\"\\n" c=""\n'
         )
 
-    def test_what_must_hold_is_asserted_or_counted(self) -> None:
+    def test_a_violated_invariant_is_asserted_or_counted(self) -> None:
         text = (
             "from spurdeal.net.counters import Counters as C; c = C(); "
             "print(c.check_invariant(0, 'it'), c.figures())"
         )
-        said = [
+        runs = [
             subprocess.run([sys.executable, *flags, "-c", text], capture_output=True, text=True, check=False)
             for flags in ([], ["-O"])
         ]
-        self.assertIn("AssertionError: it", said[0].stderr)
-        self.assertEqual(said[1].stdout, "False {'must_it': 1}\n")
+        self.assertIn("AssertionError: it", runs[0].stderr)
+        self.assertEqual(runs[1].stdout, "False {'must_it': 1}\n")
 
 
 class Start(unittest.TestCase):
--- a/tests/test_request_log.py
+++ b/tests/test_request_log.py
@@ -1,4 +1,4 @@
-"""What the log and the counters tell of requests, of engines' states, of discovery and the wall clock."""
+"""Log lines and counters of requests, engine states, discovery and the wall clock."""
 
 import io
 import unittest
@@ -14,7 +14,7 @@
 
 
 class Lines(unittest.TestCase):
-    """Lines of a dispatcher on transports in memory."""
+    """Log lines of a dispatcher on in-memory transports."""
 
     def lines(self, world: World, event: str) -> list[str]:
         return [line for line in world.log.getvalue().splitlines() if f"event={event} " in line]
@@ -76,7 +76,7 @@
 
 
 class Bounds(unittest.TestCase):
-    """Very many lines of one event cost few."""
+    """The rate limit of log lines."""
 
     def test_lines_over_the_bound_are_counted(self) -> None:
         stream, now = io.StringIO(), [0.0]
@@ -92,7 +92,7 @@
 
 
 class WallClock(unittest.TestCase):
-    """Steps of the wall clock are told and counted; its slow drift is not."""
+    """Steps of the wall clock are logged and counted; slow drift is not."""
 
     def test_steps_either_way(self) -> None:
         wall, steady, counters, stream = [1e12], [5.0], Counters(), io.StringIO()
--- a/tests/test_system_faults.py
+++ b/tests/test_system_faults.py
@@ -1,4 +1,4 @@
-"""System calls that fail for a moment, and faults in one step: discovery goes on, nothing is half done."""
+"""Transient failures of system calls and faults in one step: discovery continues, nothing is half done."""
 
 import errno
 import json
@@ -43,7 +43,7 @@
 
 
 class FailingSocket:
-    """A socket of which one call fails with an error, as often as is wanted."""
+    """A socket of which one call fails with an error a given number of times."""
 
     def __init__(self, real: Any, call: str, error: int, times: int = 1) -> None:
         self.real, self.call, self.error, self.times = real, call, error, times
@@ -59,7 +59,7 @@
 
 
 def heard_question(steps: Steps) -> bool:
-    """Whether a question of the dispatcher's has come to the name service, which is taken off its socket."""
+    """Read a query of the dispatcher at the name service; returns whether there was one."""
     try:
         return bool(steps.names.recv(512))
     except BlockingIOError:
@@ -67,7 +67,7 @@
 
 
 class Discovery(unittest.TestCase):
-    """The name service goes on being asked, whatever happens to its socket."""
+    """The name service is queried on, whatever happens to the socket."""
 
     def test_an_error_on_reading_loses_no_answer(self) -> None:
         for error in (errno.ENOMEM, errno.ENOBUFS, errno.EHOSTUNREACH, errno.ETIMEDOUT, errno.EINTR):
@@ -75,7 +75,7 @@
                 steps = Steps(self)
                 port = steps.service.names.transport
                 port.socket = FailingSocket(port.socket, "recvfrom", error)
-                steps.list(2, 0)  # a drain, in an answer of which the first read fails
+                steps.list(2, 0)  # a drain, in an answer whose first read fails
                 steps.go(30)
                 self.assertEqual(steps.service.adapter.endpoints["s-0"].life, Life.DRAINING)
                 self.assertIs(steps.service.names.transport, port)
@@ -98,7 +98,7 @@
         question, asker = steps.names.recvfrom(512)
         steps.names.sendto(question[:2], asker)  # something to read
         steps.go(700)
-        steps.service.counters.sums.pop("unhandled", None)  # Twisted's own line of the error
+        steps.service.counters.sums.pop("unhandled", None)  # Twisted's own report of the error
         self.assertIsNot(steps.service.names.transport, port)
         self.assertEqual(steps.service.counters.sums["names_socket_ended"], 1)
         steps.list(2, 0)
@@ -165,7 +165,7 @@
                 self.assertEqual(steps.service.counters.sums[f"names_not_sent_errno_{error}"], 1)
 
     def test_a_port_that_fails_in_an_unexpected_way_is_opened_again(self) -> None:
-        """Before it is the protocol's, and behind that: no half of it stays."""
+        """Before and after the port is assigned to the protocol: no half-opened port remains."""
         for behind in (False, True):
             with self.subTest(behind=behind):
                 failures = [errno.ENOBUFS, errno.ENOMEM]
@@ -190,7 +190,7 @@
                 self.assertEqual(world.service.names.numPorts, 1)
                 asked = world.count("names_asked")
                 world.go(1000)
-                self.assertEqual(world.count("names_asked"), asked + 5)  # one chain of questions, not three
+                self.assertEqual(world.count("names_asked"), asked + 5)  # one chain of queries, not three
 
     def test_questions_that_stopped_are_brought_on_again(self) -> None:
         world = World(self)
@@ -215,7 +215,7 @@
         steps.go(800)
         self.assertEqual(steps.service.adapter.endpoints["s-0"].life, Life.DRAINING)
         self.assertEqual(steps.service.counters.sums["discovery_read_by_look"], 1)
-        steps.list(3)  # it is told of again
+        steps.list(3)  # it is reported again
         self.assertEqual(steps.service.adapter.endpoints["s-0"].life, Life.DRAINING)
         steps.go(RETURNED)
         self.assertEqual(steps.service.adapter.endpoints["s-0"].life, Life.READY)
@@ -267,8 +267,8 @@
         self.assertEqual(world.count("configurations_given_up"), 0)
 
 
-class StandingStill(unittest.TestCase):
-    """The process does not run for seconds: what it has to send waits for the list."""
+class ProcessPauses(unittest.TestCase):
+    """The process doesn't run for seconds: attempts wait until the list is confirmed."""
 
     def sent(self, world: World) -> int:
         return world.count("trips_written")
@@ -281,7 +281,7 @@
         world.peer().up().say(1, "200", "parts=1", b"a\t1\tx\n")
         self.assertEqual(self.sent(world), 1)
         world.names_silent = True
-        world.reactor.rightNow += 2.5  # no timer ran, no question left
+        world.reactor.rightNow += 2.5  # no timer ran, no query was sent
         caller.post(2)
         caller.post(3, "load")
         self.assertEqual(self.sent(world), 1)
@@ -320,7 +320,7 @@
         )
         world.list(2, *endpoints)
         world.go(60)
-        if len(world.reactor.tcpClients) > 1:  # it is dialled for at the other engine now
+        if len(world.reactor.tcpClients) > 1:  # the other engine is dialled now
             world.peer(1).up()
         self.assertEqual(self.sent(world), 1)
 
@@ -328,7 +328,7 @@
         world = World(self)
         world.names_silent = True
         world.service.names.doStop()
-        world.go(170)  # another socket is open, its question is not answered yet
+        world.go(170)  # another socket is open, its query not yet answered
         Caller(world).post(1)
         self.assertEqual(world.count("names_sockets_opened"), 2)
         self.assertEqual(world.reactor.tcpClients, [])
@@ -341,14 +341,14 @@
 
 
 class Delayed(unittest.TestCase):
-    """What waited while calls of ours failed counts from then: engines are told what its client has left."""
+    """The time during which our system calls failed counts: engines get the time that the client has left."""
 
     def wait_told(self, steps: Steps, ident: int) -> int:
-        """What the engine is told for a request; it is answered."""
+        """Answer a request; returns the time limit that the engine got with it."""
         talk = steps.engines[0].talks[0] if steps.engines[0].talks else steps.until(steps.engines[0].accept)
-        (said,) = steps.until(talk.heard)
+        (message,) = steps.until(talk.heard)
         talk.say(ident)
-        return int(said[2].split("wait=")[1].split(",")[0])
+        return int(message[2].split("wait=")[1].split(",")[0])
 
     def told_after(self, steps: Steps, heal: Any) -> None:
         """The first request waited for 300 ms, the second for nothing."""
@@ -374,7 +374,7 @@
                 self.assertLess(steps.service.counters.sums[f"accept_failed_errno_{error}"], 40)  # no spin
 
     def test_behind_a_crowd_while_accept_fails(self) -> None:
-        """It counts from when it came; the crowd's next ones, after the accepts that failed, from then on."""
+        """Its time counts from its arrival, that of later ones from the accepts that failed."""
         crowd = CrowdedQueue(self)
         crowd.go(200)
         listener = crowd.steps.service.clients.port.socket
@@ -435,8 +435,8 @@
         failing.times = 0
         immediate.send = sending
         steps.go(20)
-        (said,) = steps.until(talk.heard)
-        self.assertLessEqual(int(said[2].split("wait=")[1].split(",")[0]), 5000 - 300 + 150)
+        (message,) = steps.until(talk.heard)
+        self.assertLessEqual(int(message[2].split("wait=")[1].split(",")[0]), 5000 - 300 + 150)
 
     def test_the_rest_of_a_request_that_came_in_a_pause_is_read(self) -> None:
         steps = Steps(self)
@@ -451,7 +451,7 @@
         self.assertEqual(steps.until(client.status), 200)
 
     def test_what_came_in_a_gap_may_be_found_by_the_next_poll_only(self) -> None:
-        """The process may have lost its core behind the system's look."""
+        """The process may have lost its core after the system polled the sockets."""
         now = [0.0]
         watch = LoopWatch(lambda: now[0], Counters(), logging.Logger("n1"))
         watch.polled()
@@ -501,10 +501,10 @@
         self.assertFalse(adapter.rules.freshness.followed(steps.clock()))
 
 
-class PlannedEnd(unittest.TestCase):
-    """A fault on the way does not keep the process from its end."""
+class GracefulShutdown(unittest.TestCase):
+    """A fault during shutdown does not keep the process from exiting."""
 
-    def test_faults_while_it_leaves_and_closes(self) -> None:
+    def test_faults_while_it_shuts_down(self) -> None:
         world = World(self)
         failures = [OSError(errno.ENOMEM, "by the test")]
         close_idle = world.service.clients.close_idle
@@ -523,7 +523,7 @@
 
 
 class OtherDatagramPorts(unittest.TestCase):
-    """Fleet and VRRP: a read that fails does not end their ports, and there is no other to be opened."""
+    """Fleet and VRRP: a failed read must not close their ports, as no replacement is opened."""
 
     def test_no_number_of_errors_ends_one(self) -> None:
         class FailingPort(DatagramPort):
@@ -585,7 +585,7 @@
 
 
 class Patience(unittest.TestCase):
-    """A connection outlives calls that fail for want of our own."""
+    """A connection survives system calls that fail because this machine lacks resources."""
 
     def test_a_client_whose_reads_and_writes_fail_for_a_moment_is_answered(self) -> None:
         for call in ("recv", "send"):
@@ -630,10 +630,10 @@
 
 
 class Connecting(unittest.TestCase):
-    """A connection that our own machine cannot make tells nothing of the engine."""
+    """A connection that fails because of this machine says nothing about the engine."""
 
     def refused_by(self, error: int) -> tuple[World, Any]:
-        """One request whose first dial fails so: the world, and the engine as the decisions see it."""
+        """Fail a request's first dial with this error; returns the world and the rules' engine."""
         world = World(self, engines=2)
         Caller(world).post(1, "load")
         peer = world.peer()
@@ -659,7 +659,7 @@
 
 
 class Accepting(unittest.TestCase):
-    """Connections that the system does not hand over for a moment are not lost."""
+    """Connections that the system cannot hand over for a moment are not lost."""
 
     def test_accept_fails_as_the_dispatcher_is_about_to_end(self) -> None:
         for error in (errno.ENFILE, errno.ECONNABORTED, errno.ENOBUFS, errno.EPROTO):
@@ -671,8 +671,8 @@
                 port.socket = FailingSocket(port.socket, "accept", error, times=30)
                 client = steps.client()
                 client.post(1)
-                steps.go(60)  # the end would have come by now
-                steps.service.counters.sums.pop("unhandled", None)  # Twisted's own line of the error
+                steps.go(60)  # it would have exited by now
+                steps.service.counters.sums.pop("unhandled", None)  # Twisted's own report of the error
                 self.assertEqual(steps.done, [])
                 port.socket.times = 0
                 talk = steps.until(steps.engines[0].accept)
@@ -686,7 +686,7 @@
 
 
 class OneStepFails(unittest.TestCase):
-    """A fault at one engine, request or connection costs the others nothing."""
+    """A fault at one engine, request or connection does not affect the others."""
 
     def test_a_fault_at_one_engine_leaves_no_list_half_applied(self) -> None:
         world = World(self, engines=2)
@@ -702,11 +702,11 @@
         Caller(world).post(1)
         self.assertEqual(world.reactor.tcpClients, [])
 
-    def test_a_fault_in_a_turn_keeps_the_rest_of_the_queue(self) -> None:
+    def test_a_fault_in_a_batch_keeps_the_rest_of_the_queue(self) -> None:
         world = World(self, engines=4)
         rules: Any = world.service.adapter.rules
         choose = rules.choose
-        rules.choose = lambda *_, **__: None  # all wait
+        rules.choose = lambda *_, **__: None  # all are queued
         for number in range(4):
             Caller(world).post(number, "load", wait=15000)
         failures = [ZeroDivisionError("by the test")]
@@ -720,7 +720,7 @@
         world.go(300)
         self.assertEqual(world.service.counters.sums.pop("faults"), 1)
         peers = [world.peer(place).up() for place in range(len(world.reactor.tcpClients))]
-        served = [said[1] for peer in peers for said in peer.heard() if said[0] == "serve"]
+        served = [message[1] for peer in peers for message in peer.heard() if message[0] == "serve"]
         self.assertEqual(sorted(served), [f"{number:016x}" for number in (0, 2, 3)])
         self.assertEqual([request.number for request in rules.held], [])
 
@@ -753,7 +753,7 @@
         self.assertEqual((rules.open, world.service.adapter.open_requests), ({}, {}))
 
     def test_decisions_that_send_twice_are_not_followed(self) -> None:
-        """Whatever the decisions' fault: what must not run twice has one attempt out at most."""
+        """Even if the rules are wrong, a request that must not run twice has at most one attempt out."""
         for workload, sent in (("load", 1), ("lookup", 2)):
             with self.subTest(workload):
                 world = World(self, engines=2)
@@ -773,16 +773,16 @@
                 adapter.enqueue(lambda now, rules=rules, request=request: rules.attempt_stage(request))
                 world.go(50)
                 peers = [peer, *(world.peer(place).up() for place in range(1, len(world.reactor.tcpClients)))]
-                served = [said for each in peers for said in each.heard() if said[0] == "serve"]
+                served = [message for each in peers for message in each.heard() if message[0] == "serve"]
                 self.assertEqual(len(served), sent)
                 self.assertEqual(missed, ["one_attempt_at_a_time"] if sent == 1 else [])
                 peer.say(7, "200", "parts=1", b"a\t1\tx\n")
                 self.assertEqual([status for status, _, _ in caller.answers()], [200])
 
-    def test_a_fault_at_one_held_connection_keeps_the_others(self) -> None:
+    def test_a_fault_at_one_deferred_connection_keeps_the_others(self) -> None:
         written: list[str] = []
 
-        class Held:
+        class DeferredConnection:
             def __init__(self, name: str) -> None:
                 self.name = name
 
@@ -793,7 +793,7 @@
 
         world = World(self)
         engines: Engines = world.service.engines
-        engines.deferred = [Held(name) for name in "abc"]  # type: ignore[misc]
+        engines.deferred = [DeferredConnection(name) for name in "abc"]  # type: ignore[misc]
         with self.assertRaises(OSError):
             engines.write_deferred()
         engines.write_deferred()
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -1,4 +1,4 @@
-"""Stalls, shared connections, and what one turn may cost: each forced, on a clock moved by hand."""
+"""Stalls of the process, shared connections and the bound on a batch, on a clock that the test moves."""
 
 import io
 import random
@@ -16,19 +16,19 @@
 from tests.steps import Steps, Talk, settings
 
 STALL = 800.0  # ms
-ANSWER_RETURN_TIME = 40  # ms that the dispatcher keeps for the way back
+ANSWER_RETURN_TIME = 40  # ms that the dispatcher reserves for sending the answer back
 ACCEPTS_A_ROUND, ROUND = 2, 10.0  # ms
 WAITING_CLIENTS = 8  # in the accept queue, at all times
 LONG_CROWD = 1000.0  # ms
 
 
 def stall(steps: Steps, ms: float = STALL) -> None:
-    """The whole process stands still, as on a machine that is out of processor time."""
+    """Stall the whole process, as on a machine that is out of processor time."""
     steps.reactor.now += ms / 1000
 
 
 def wait_told(talk: Talk) -> list[int]:
-    """The time that engines were told, of each attempt that has come on this connection."""
+    """The time limit sent with each attempt on this connection."""
     return [
         int(dict(pair.split("=") for pair in said[2].split(","))["wait"])
         for said in talk.heard()
@@ -37,10 +37,10 @@
 
 
 class Stalls(unittest.TestCase):
-    """What is read after a stall may have come at its beginning: its time counts from there."""
+    """What is read after a stall may have arrived at its beginning, so its time counts from there."""
 
     def resting(self, **more: Any) -> tuple[Steps, Talk, Talk]:
-        """A dispatcher, a client's connection and an engine's, both in use before."""
+        """A dispatcher, and idle connections of a client and an engine that were used before."""
         steps = Steps(self, **more)
         client = steps.served(1)
         return steps, client, steps.engines[0].talks[0]
@@ -60,7 +60,7 @@
         self.assertEqual(wait_told(engine), [2000 - int(STALL) - ANSWER_RETURN_TIME])
 
     def test_behind_another_in_the_backlog(self) -> None:
-        """Where one round accepts so many and no more, the next ones were there before it too."""
+        """A round accepts a limited number; connections accepted in the next had also arrived before it."""
         steps, _, _ = self.resting()
         for ident in (2, 3, 4):
             steps.client().post(ident, wait=2000)
@@ -71,7 +71,7 @@
         self.assertEqual((len(steps.service.adapter.open_requests), len(deadlines)), (3, 1))
         self.assertAlmostEqual(deadlines.pop() - steps.clock(), 2000 - STALL - ANSWER_RETURN_TIME, places=3)
 
-    def test_in_a_turn(self) -> None:
+    def test_in_a_batch(self) -> None:
         steps, client, engine = self.resting()
         rules = steps.service.adapter.rules
         usual = rules.end_batch
@@ -96,10 +96,12 @@
         self.assertEqual((client.status(), wait_told(engine)), (503, []))
 
     def test_at_a_closed_door(self) -> None:
-        """Accepting was paused; the one that waited there was first read after that."""
+        """Accepting was paused; a connection that waited in the backlog was read only after that."""
         steps = Steps(self)
         clients = steps.service.clients
-        clients.set_limits(most=4, accepts=1, memory_mb=64.0)  # so few that none is shed for being too many
+        clients.set_limits(
+            most=4, accepts=1, memory_mb=64.0
+        )  # so few that no request is shed because of their number
         steps.go()
         open_ones = [steps.client() for _ in range(clients.most)]
         for ident, client in enumerate(open_ones, 1):
@@ -110,7 +112,7 @@
         steps.go(500)
         open_ones[0].socket.close()
         steps.go()
-        steps.go()  # the room that it left is seen in one round, and used in the next
+        steps.go()  # the free slot is noticed in one round, and used in the next
         deadline = steps.service.adapter.by_ident[b"%016x" % 99].deadline  # so accepting went on
         self.assertAlmostEqual(deadline - steps.clock(), 2000 - 500 - ANSWER_RETURN_TIME, places=3)
 
@@ -165,7 +167,7 @@
 
 
 class CrowdedQueue:
-    """A dispatcher whose accept queue is never empty: in each round as many come as it accepts."""
+    """A dispatcher whose accept queue is never empty: each round, as many arrive as are accepted."""
 
     def __init__(self, case: unittest.TestCase) -> None:
         self.steps = Steps(case)
@@ -179,7 +181,7 @@
         self.silent.extend(self.steps.client() for _ in range(count))
 
     def go(self, ms: float) -> None:
-        """Rounds of 10 ms; who was accepted is closed by its own side, the oldest first."""
+        """Run rounds of 10 ms; accepted clients disconnect, the oldest first."""
         for _ in range(round(ms / ROUND)):
             self.come(ACCEPTS_A_ROUND)
             self.steps.reactor.now += ROUND / 1000
@@ -188,7 +190,7 @@
                 self.silent.popleft().socket.close()
 
     def post(self, ident: int, wait: int) -> float:
-        """A call on a new connection, behind all that wait; the time at which it was sent."""
+        """Send a request on a new connection at the end of the queue; returns when it was sent."""
         self.steps.client().post(ident, wait=wait)
         return self.steps.clock()
 
@@ -197,7 +199,7 @@
 
 
 class Backlog(unittest.TestCase):
-    """Connections wait in the accept queue behind others, which is first in, first out."""
+    """Connections wait in the accept queue, which is first in, first out."""
 
     def test_in_a_crowd_a_call_counts_from_no_earlier_than_the_queue_before_it(self) -> None:
         crowd = CrowdedQueue(self)
@@ -213,7 +215,7 @@
         crowd.go(LONG_CROWD)
         sent_at = crowd.post(1, wait=2000)
         crowd.come(100)
-        crowd.steps.reactor.now += 0.09  # under the gap from which on all that is read is dated back
+        crowd.steps.reactor.now += 0.09  # below the gap from which arrival times are dated back
         crowd.go(200)
         left_when_sent = crowd.deadline(1) + ANSWER_RETURN_TIME - sent_at
         self.assertLessEqual(left_when_sent, 2000)
@@ -246,7 +248,7 @@
             counts = [count_waiting_connections(listener)]
             callers = [socket.create_connection(listener.getsockname()) for _ in range(3)]
             counts.append(count_waiting_connections(listener))
-            callers[0].close()  # it waits on, as an ended one
+            callers[0].close()  # it stays in the queue, closed
             counts.append(count_waiting_connections(listener))
             listener.accept()[0].close()
             counts.append(count_waiting_connections(listener))
@@ -259,9 +261,10 @@
         self.assertIsNone(count_waiting_connections(None))
 
     def test_no_connection_is_dated_later_than_the_poll_behind_its_coming(self) -> None:
-        """Random arrivals, accepts that fail and pauses, and systems that count, do not, or tell 0.
+        """Random arrivals, failing accepts and pauses, with the queue length known, unknown or reported as 0.
 
-        Between two polls of under 100 ms, what comes counts from the second, as bytes do."""
+        Connections that arrive between two polls less than 100 ms apart count from the second, as bytes do.
+        """
         for seed in range(60):
             for counts in ("true", "none", "zero"):
                 with self.subTest(seed=seed, counts=counts):
@@ -345,8 +348,8 @@
         self.accepted.append((came, self.watch.accepted(most).since, looked))
 
 
-class HeldBack(unittest.TestCase):
-    """Requests of one key that must keep an order may have waited at their client for those before them."""
+class OrderedArrivalTimes(unittest.TestCase):
+    """Ordered requests of one key may have waited at their client for earlier ones."""
 
     GRADES: ClassVar = [
         {"name": "entry", "aim": 3000, "deadline": 20000, "effect": "once", "serial_by_key": True},
@@ -360,7 +363,7 @@
         self.count = 0
 
     def time_left(self, workload: str, key: str, wait: int = 5000) -> float:
-        """What one more that comes now still has, as the dispatcher counts."""
+        """The time left of another request that arrives now, as the dispatcher counts it."""
         self.count += 1
         Caller(self.world).post(self.count, workload, wait=wait, Req_Key=key)
         deadline = self.world.service.adapter.by_ident[b"%016x" % self.count].deadline
@@ -387,7 +390,7 @@
         left.append(self.time_left("entry", "k1"))
         self.assertEqual(left, [5000] * 5)
 
-    def test_without_a_rest_in_the_settings_nothing_is_taken_off(self) -> None:
+    def test_without_an_order_pause_nothing_is_deducted(self) -> None:
         self.world = World(self, settings=settings() | {"grades": self.GRADES})
         left = list[float]()
         for pause in (0, 60):
@@ -405,25 +408,24 @@
 
 
 class EventBatches(unittest.TestCase):
-    """The work of one turn is bounded."""
+    """The work of one batch is bounded."""
 
-    def test_many_events_are_handed_over_in_several_turns_in_their_order(self) -> None:
+    def test_many_events_are_delivered_in_several_batches_in_order(self) -> None:
         world = World(self)
-        adapter, handed, turns = world.service.adapter, list[int](), world.count("turns")
+        adapter, delivered, batches = world.service.adapter, list[int](), world.count("turns")
 
         def event(_: float, place: int) -> None:
-            handed.append(place)
+            delivered.append(place)
 
         for place in range(300):
             adapter.enqueue(event, place)
         adapter.run_batch()
-        self.assertEqual(handed, list(range(128)))
+        self.assertEqual(delivered, list(range(128)))
         world.go()
-        self.assertEqual((handed, world.count("turns") - turns), (list(range(300)), 3))
+        self.assertEqual((delivered, world.count("turns") - batches), (list(range(300)), 3))
 
-    def test_held_ones_with_keys_are_not_weighed_one_by_one(self) -> None:
-        """One that could go and finds no engine speaks for its kind; one behind another of its key is not
-        weighed at all."""
+    def test_queued_requests_with_keys_are_not_checked_one_by_one(self) -> None:
+        """One without an engine represents its workload; one behind another of its key is not checked."""
         grades = [{"name": "load", "aim": 3000, "deadline": 20000, "effect": "once", "serial_by_key": True}]
         world = World(self, limits={"sockets": 1024}, settings=settings() | {"grades": grades})
         rules, weighed = world.service.adapter.rules, list[int]()
@@ -452,7 +454,7 @@
         pressed.post(2, wait=640)
         return world, patient, pressed
 
-    def test_an_answer_is_not_cut_for_the_sake_of_another_trip(self) -> None:
+    def test_an_answer_is_not_cut_short_for_another_attempt(self) -> None:
         world, patient, pressed = self.two_attempts()
         peer = world.peer().up()
         self.assertEqual(len(peer.heard()), 2)
@@ -463,7 +465,7 @@
         peer.say(2, "200", "parts=1", b"a\t1\tx\n")
         self.assertEqual([caller.answers()[0][0] for caller in (patient, pressed)], [200, 200])
 
-    def test_one_whose_id_has_not_come_is_bounded_by_no_single_trip(self) -> None:
+    def test_an_answer_without_its_id_yet_is_bounded_by_the_longest_attempt(self) -> None:
         world, _, _ = self.two_attempts()
         peer = world.peer().up()
         peer.raw(self.BEGUN[:10])
@@ -472,7 +474,7 @@
         world.go(150)
         self.assertTrue(peer.pipe.aborted)
 
-    def test_its_own_trips_time_bounds_it(self) -> None:
+    def test_an_answer_is_bounded_by_the_time_of_its_own_attempt(self) -> None:
         world, _, _ = self.two_attempts()
         peer = world.peer().up()
         peer.raw(self.BEGUN.replace(b"%016x" % 1, b"%016x" % 2))
