--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -22,9 +22,9 @@
 from spurdeal.net.start import Service, read_configuration
 
 BASE = 1_790_000_000_000.0
-AGREED = 60.0  # ms until the name service has sent a list a second time
-RETURNED = 1700.0  # ms until an engine that had drained gets requests again
-SETTLED = 600.0  # ms until a list was sent so often that unanswered queries no longer matter
+LIST_CONFIRMED_MS = 60.0  # ms until the name service has sent a list a second time
+REINSTATED_MS = 1700.0  # ms until an engine that had drained gets requests again
+LIST_SETTLED_MS = 600.0  # ms until a list was sent so often that unanswered queries no longer matter
 QUIET = socket.socket(type=socket.SOCK_DGRAM)  # never has anything to read
 SETTINGS: dict[str, Any] = {
     "grades": [
@@ -272,7 +272,7 @@
         self.raw(command(f"{ident:016x}".encode(), word.encode(), fields.encode(), body))
 
 
-def told_records(service: NameService) -> list[tuple[str, str, int, str]]:
+def listed_records(service: NameService) -> list[tuple[str, str, int, str]]:
     """The records of the list that the name service sent last."""
     return [
         (
@@ -305,7 +305,7 @@
         if before is not None:
             before(self.service, self)
         self.service.start()
-        self.service.clients.port = self.door = Port()
+        self.service.clients.port = self.listener = Port()
         case.addCleanup(self.check)
         self.go()
 
@@ -345,7 +345,7 @@
     def confirm(self, question: bytes, source: Any) -> None:
         """Answer that the list is unchanged."""
         service = self.service.names
-        service.datagramReceived(names.answer(question, service.number, *told_records(service)), source)
+        service.datagramReceived(names.answer(question, service.number, *listed_records(service)), source)
 
     sendto = write  # the method of the socket, which is its own handle
 
--- a/tests/steps.py
+++ b/tests/steps.py
@@ -17,7 +17,7 @@
 from spurdeal.net.logs import logger
 from spurdeal.net.resp import ArrayParser, command
 from spurdeal.net.start import Service, read_configuration
-from tests.helpers import BASE, SETTINGS, configuration, told_records
+from tests.helpers import BASE, SETTINGS, configuration, listed_records
 
 HOST, LEAST_BUFFER = Network.of_this_process().host(63, 1), 4096
 ROW = b"a\t1\tx\n"
@@ -165,7 +165,7 @@
             while True:
                 question, asker = self.names.recvfrom(9000)
                 service = self.service.names
-                answer = names.answer(question, service.number, *told_records(service))
+                answer = names.answer(question, service.number, *listed_records(service))
                 self.names.sendto(answer, asker)
 
     def go(self, ms: float = 0.0, rounds: int = 12) -> None:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -14,7 +14,7 @@
 from spurdeal.lab import names
 from spurdeal.lab.loopback import Network
 from spurdeal.net.start import Configuration, Unusable, read_configuration
-from tests.helpers import AGREED, SETTINGS, Caller, World, configuration
+from tests.helpers import LIST_CONFIRMED_MS, SETTINGS, Caller, World, configuration
 from tests.steps import Steps, Talk, settings
 
 ROOT = Path(__file__).parent.parent
@@ -647,7 +647,7 @@
             ("s-1.õu.hosts", "127.0.9.1:7001", 0, "kind=std cell=0 started=0"),
             ("s-2.2\\.korrus.hosts", "127.0.9.2:7001", 0, "kind=std cell=0 started=0"),
         )
-        world.go(AGREED)
+        world.go(LIST_CONFIRMED_MS)
         self.assertEqual(
             [endpoint.zone for endpoint in world.service.adapter.endpoints.values()], ["õu", "2.korrus"]
         )
@@ -772,7 +772,7 @@
         endpoint = ("s-7.east.hosts", "127.0.9.7:7001", 0, "kind=std cell=0 started=0")
         world.list(2, endpoint)
         self.assertEqual((world.names[-1][:2], world.service.names.number), (b"\0\0", 2))
-        world.go(AGREED)
+        world.go(LIST_CONFIRMED_MS)
         self.assertEqual(set(world.service.adapter.endpoints), {"s-7"})
         world.go(7000)
         foreign = world.count("names_foreign")
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -117,7 +117,7 @@
         silent = self.crowd(5)
         self.assertEqual([caller.pipe.disconnecting for caller in silent], [True] + [False] * 4)
         self.assertFalse(served.pipe.disconnecting)
-        self.assertTrue(self.world.door.open)
+        self.assertTrue(self.world.listener.open)
 
     def test_half_a_call_is_refused_before_a_client_that_worked_is_closed(self) -> None:
         served = self.served(1)
@@ -133,7 +133,7 @@
 
     def test_open_calls_stay_and_later_connections_wait(self) -> None:
         busy = self.busy(7)
-        self.assertFalse(self.world.door.open)
+        self.assertFalse(self.world.listener.open)
         self.assertFalse(any(caller.pipe.disconnecting for caller in busy))
 
     def test_an_answered_call_makes_room_at_once_where_others_wait(self) -> None:
@@ -142,7 +142,7 @@
         self.assertEqual([status for status, _, _ in busy[0].answers()], [200])
         self.assertTrue(busy[0].pipe.disconnecting)
         busy[0].leave()
-        self.assertTrue(self.world.door.open)
+        self.assertTrue(self.world.listener.open)
 
     def test_a_call_that_has_come_and_was_not_read_yet_is_not_closed_over(self) -> None:
         first, *_ = callers = self.crowd(5)
@@ -158,12 +158,12 @@
         callers = [Caller(self.world) for _ in range(7)]
         self.world.go(LEAST_AGE - 5.0)
         self.assertFalse(any(caller.pipe.disconnecting for caller in callers))
-        self.assertFalse(self.world.door.open)
+        self.assertFalse(self.world.listener.open)
         self.world.go(10.0)
         self.assertEqual([caller.pipe.disconnecting for caller in callers], [True, True] + [False] * 5)
         for caller in callers[:2]:
             caller.leave()
-        self.assertTrue(self.world.door.open)
+        self.assertTrue(self.world.listener.open)
 
     def test_while_others_are_ending_none_that_worked_is_closed(self) -> None:
         served = self.served(1)
@@ -181,9 +181,9 @@
         busy = self.busy(7)
         for _ in range(3):
             busy.pop().leave()
-            self.assertTrue(self.world.door.open)
+            self.assertTrue(self.world.listener.open)
             busy += self.busy(1)
-            self.assertFalse(self.world.door.open)
+            self.assertFalse(self.world.listener.open)
         self.assertEqual(self.world.log.getvalue().count("event=accept_paused"), 1)
         self.assertEqual(self.world.count("accept_paused"), 4)
 
--- a/tests/test_list_freshness.py
+++ b/tests/test_list_freshness.py
@@ -17,7 +17,7 @@
 )
 from spurdeal.net.service import Service
 from spurdeal.slow_start import NEWS_DELAY
-from tests.helpers import AGREED, SETTLED, Caller, World
+from tests.helpers import LIST_CONFIRMED_MS, LIST_SETTLED_MS, Caller, World
 
 GRACE = 250.0
 MEAN = 0.5  # of chance: neither shorter nor longer
@@ -272,13 +272,13 @@
         self.assertEqual(world.reactor.tcpClients, [])
         joined = ("s-1.east.hosts", "127.0.9.1:7001", 0, "kind=std cell=0 started=0")
         world.answer(2, joined)
-        world.go(AGREED)
+        world.go(LIST_CONFIRMED_MS)
         self.assertEqual(world.reactor.tcpClients, [])
         world.answer(2, joined)
-        world.go(AGREED)
+        world.go(LIST_CONFIRMED_MS)
         self.assertEqual(world.reactor.tcpClients, [])
         world.names_silent = False
-        world.go(SETTLED)
+        world.go(LIST_SETTLED_MS)
         self.assertEqual([client[0] for client in world.reactor.tcpClients], ["127.0.9.1"])
 
     def test_an_answer_to_a_question_of_a_predecessor_is_foreign(self) -> None:
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -18,7 +18,16 @@
 from spurdeal.net.logs import logger
 from spurdeal.net.start import Configuration, load_configuration, read_configuration
 from spurdeal.state import Request
-from tests.helpers import AGREED, BASE, SETTINGS, SETTLED, Caller, World, configuration, started_process
+from tests.helpers import (
+    BASE,
+    LIST_CONFIRMED_MS,
+    LIST_SETTLED_MS,
+    SETTINGS,
+    Caller,
+    World,
+    configuration,
+    started_process,
+)
 
 NETWORK = Network.of_this_process()
 ROW = b"a\t1\tx\n"
@@ -244,18 +253,18 @@
             caller.post(ident)
         world.go(30)
         Caller(world).post(99)  # a connection without a request is evicted
-        self.assertTrue(callers[0].pipe.disconnecting and world.door.open)
+        self.assertTrue(callers[0].pipe.disconnecting and world.listener.open)
         self.assertFalse(served.pipe.disconnecting)
         callers[0].leave()
         Caller(world).post(100)
-        self.assertTrue(served.pipe.disconnecting and world.door.open)
+        self.assertTrue(served.pipe.disconnecting and world.listener.open)
         served.leave()
         Caller(world).post(101)
-        self.assertTrue(world.door.open)
+        self.assertTrue(world.listener.open)
         Caller(world).post(102)  # all are busy
-        self.assertFalse(world.door.open)
+        self.assertFalse(world.listener.open)
         callers[1].leave()
-        self.assertTrue(world.door.open)
+        self.assertTrue(world.listener.open)
 
     def test_each_attempt_gets_its_own_connection_while_descriptors_last(self) -> None:
         """A failed connection fails its attempts, but raises the failure score of its engine only once."""
@@ -409,7 +418,7 @@
 
         world.list(0, at(0))  # older than the current list
         self.assertEqual(set(world.service.adapter.endpoints), {"s-0", "s-1"})
-        world.go(SETTLED)
+        world.go(LIST_SETTLED_MS)
         world.list(3, at(0, priority=1), at(1))
         for ident in range(3):
             Caller(world).post(ident)
@@ -420,7 +429,7 @@
         for ident, peer in enumerate(peers):
             peer.say(ident, "200")
             self.assertTrue(peer.pipe.disconnecting)
-        world.go(AGREED)
+        world.go(LIST_CONFIRMED_MS)
         Caller(world).post(7)
         self.assertEqual(world.peer(3).host, "127.0.9.1")  # another engine there: a new connection
         again = world.peer(3).up()
@@ -487,7 +496,7 @@
         self.assertEqual(set(world.service.adapter.endpoints), {"s-0"})
         world.list(2, endpoint, source=("127.0.8.10", 5301))
         self.assertEqual(set(world.service.adapter.endpoints), set())
-        world.go(AGREED)
+        world.go(LIST_CONFIRMED_MS)
         self.assertEqual(set(world.service.adapter.endpoints), {"s-1"})
 
         def unusable() -> Configuration:
--- a/tests/test_new_days.py
+++ b/tests/test_new_days.py
@@ -15,7 +15,7 @@
 from spurdeal.lab import names
 from spurdeal.net.link import Failed
 from spurdeal.net.start import read_configuration
-from tests.helpers import RETURNED, SETTLED, Caller, Peer, World, configuration, started_process
+from tests.helpers import LIST_SETTLED_MS, REINSTATED_MS, Caller, Peer, World, configuration, started_process
 from tests.steps import HOST, ROW, Steps, Talk, free_port
 
 ROOT = Path(__file__).parent.parent
@@ -79,7 +79,7 @@
                 self.assertEqual(lives(world)["s-0"], "DRAINING")
                 self.assertEqual(world.service.names.number, 4)
                 world.names_silent = False
-                world.go(RETURNED)
+                world.go(REINSTATED_MS)
                 self.assertEqual(lives(world), {"s-0": "DRAINING", "s-1": "READY"})
                 self.assertEqual(world.service.names.number, 4)
 
@@ -97,7 +97,7 @@
         world.go(60)
         self.assertEqual(world.reactor.tcpClients, [])
         world.names_silent = False
-        world.go(SETTLED)
+        world.go(LIST_SETTLED_MS)
         self.assertEqual([client[0] for client in world.reactor.tcpClients], ["127.0.9.1"])
 
     def test_a_drain_in_the_first_answer_takes_back_what_is_dialled_for(self) -> None:
@@ -480,7 +480,7 @@
                 other = world.peer(1).up()
                 other.say(2, "200", "parts=1", ROW)
                 self.assertEqual([status for status, _, _ in caller.answers()], [200, 200])
-                world.go(SETTLED)
+                world.go(LIST_SETTLED_MS)
                 self.assertEqual(peer.pipe.aborted, read)  # half an answer is bounded in time
 
     def test_half_of_it_where_no_other_connection_may_be_had(self) -> None:
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from spurdeal.slow_start import NEWS_DELAY, StartTimes, leads_to_predecessor
-from tests.helpers import AGREED, BASE, SETTINGS, Caller, World, instance
+from tests.helpers import BASE, LIST_CONFIRMED_MS, SETTINGS, Caller, World, instance
 
 HOUR = 3_600_000.0
 COLD = SETTINGS["rules"]["cold"]
@@ -90,7 +90,7 @@
                 told = f"kind=std cell=0 started={joined - off:.0f}"
                 rows = [("s-0.east.hosts", "127.0.9.0:7001", 0, "kind=std cell=0 started=0")]
                 world.list(2, *rows, ("s-9.east.hosts", "127.0.9.9:7001", 0, told))
-                world.go(AGREED)
+                world.go(LIST_CONFIRMED_MS)
                 self.assertTrue(
                     COLD - 250 <= self.cold_for(world, "s-9") <= COLD, self.cold_for(world, "s-9")
                 )
--- a/tests/test_system_faults.py
+++ b/tests/test_system_faults.py
@@ -21,7 +21,7 @@
 from spurdeal.net.watch import LoopWatch
 from spurdeal.settings.reading import read_text
 from spurdeal.vrrp.sealed import Keys
-from tests.helpers import RETURNED, SETTLED, Caller, DatagramPort, World, configuration, instance
+from tests.helpers import LIST_SETTLED_MS, REINSTATED_MS, Caller, DatagramPort, World, configuration, instance
 from tests.stations import Pair
 from tests.steps import Steps
 from tests.test_new_days import served
@@ -217,7 +217,7 @@
         self.assertEqual(steps.service.counters.sums["discovery_read_by_look"], 1)
         steps.list(3)  # it is reported again
         self.assertEqual(steps.service.adapter.endpoints["s-0"].life, Life.DRAINING)
-        steps.go(RETURNED)
+        steps.go(REINSTATED_MS)
         self.assertEqual(steps.service.adapter.endpoints["s-0"].life, Life.READY)
 
     def test_a_fault_in_one_sweep_ends_no_other(self) -> None:
@@ -287,7 +287,7 @@
         self.assertEqual(self.sent(world), 1)
         world.list(3, DRAINING, SERVING)
         world.names_silent = False
-        world.go(SETTLED)
+        world.go(LIST_SETTLED_MS)
         for place in range(len(world.reactor.tcpClients)):
             world.peer(place).up()
         world.go(60)
@@ -305,7 +305,7 @@
         world.go(300)
         self.assertEqual(world.reactor.tcpClients, [])
         world.names_silent = False
-        world.go(SETTLED)
+        world.go(LIST_SETTLED_MS)
         world.peer().up()
         self.assertEqual(self.sent(world), 1)
 
@@ -335,7 +335,7 @@
         world.go(3000)
         self.assertEqual(world.reactor.tcpClients, [])
         world.names_silent = False
-        world.go(SETTLED)
+        world.go(LIST_SETTLED_MS)
         world.peer().up()
         self.assertEqual(self.sent(world), 1)
 
