--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -348,7 +348,7 @@
         self.accepted.append((came, self.watch.accepted(most).since, looked))
 
 
-class OrderedArrivalTimes(unittest.TestCase):
+class HeldBack(unittest.TestCase):
     """Ordered requests of one key may have waited at their client for earlier ones."""
 
     GRADES: ClassVar = [
