--- a/spurdeal/net/batches.py
+++ b/spurdeal/net/batches.py
@@ -103,7 +103,7 @@
         return len(events)
 
     def call_safely(self, call: Callable[..., None], *args: Any) -> None:
-        """Call, log and count an exception, so that one fault does not cost other requests their answers."""
+        """Make a call; an exception is logged and counted, and does not affect other requests."""
         try:
             call(*args)
         except Exception:
--- a/spurdeal/net/connection.py
+++ b/spurdeal/net/connection.py
@@ -79,12 +79,12 @@
                 self.answer_began = self.last_received
                 self.handle_answer(parts)
         except (BadAnswer, ValueError) as fault:
-            self.cut(str(fault))
+            self.fail_connection(str(fault))
         self.unread = bool(self.parser.left())
         if self.up and self.parser.left():
             self.start_answer_timer()
 
-    def cut(self, why: str) -> None:
+    def fail_connection(self, why: str) -> None:
         """Fail the connection after a bad answer: attempts may have run, but no answer can be read."""
         self.engines.counters.add("engine_bad_answers")
         self.engine.say("bad_answer", why=why, trips=len(self.attempts))
@@ -99,8 +99,8 @@
         doesn't count, since closing the connection ends all of them. Until the answer's id has been received,
         the attempt with the most time left is assumed.
         """
-        answer_began = self.parser.first_part()
-        own = self.attempts.get(answer_began) if answer_began is not None else None
+        ident = self.parser.first_part()
+        own = self.attempts.get(ident) if ident is not None else None
         attempts = (own,) if own is not None else self.attempts.values()
         deadline = max((attempt.deadline for attempt in attempts), default=float("inf"))
         longest = max(MIN_ANSWER_TIME, ANSWER_TIME_CONNECTS * self.engines.connect_timeout)
@@ -109,11 +109,11 @@
 
     def start_answer_timer(self) -> None:
         """Start the timer of an answer that has begun, or shorten it once the answer's id is known."""
-        answer_time_left = self.answer_time_left() / 1000
+        seconds = self.answer_time_left() / 1000
         if self.answer_timer is None:
-            self.answer_timer = self.engines.reactor.callLater(answer_time_left, self.answer_timed_out)
-        elif self.answer_timer.getTime() > self.engines.reactor.seconds() + answer_time_left:
-            self.answer_timer.reset(answer_time_left)
+            self.answer_timer = self.engines.reactor.callLater(seconds, self.answer_timed_out)
+        elif self.answer_timer.getTime() > self.engines.reactor.seconds() + seconds:
+            self.answer_timer.reset(seconds)
 
     def answer_timed_out(self) -> None:
         """Fail the connection if an answer is incomplete: lost, trickling in, or sent with a wrong length."""
@@ -123,7 +123,7 @@
                 self.answer_time_left() / 1000, self.answer_timed_out
             )
         elif self.up and self.parser.left():
-            self.cut("an answer was not completed in time")
+            self.fail_connection("an answer was not completed in time")
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         """Note whether the engine closed it while idle, and end its attempts."""
--- a/spurdeal/net/link.py
+++ b/spurdeal/net/link.py
@@ -28,7 +28,7 @@
 
 ANSWER_RETURN_TIME = 40.0  # ms of a client's time limit reserved for sending the answer back
 LATE_AFTER_LEAVING = 100.0  # ms; an attempt sent later than this after its client left is counted as late
-UNCONFIRMED_LIST_AGE = 1000.0  # ms without a confirmation of the list after which attempts are logged
+UNCONFIRMED_LIST_AGE = 1000.0  # ms since the list was confirmed; attempts sent later than this are logged
 ANSWER_OVERDUE = 20.0  # ms after a request's deadline by which the rules must have answered it
 
 
@@ -53,10 +53,8 @@
         super().__init__(reactor, clock, counters, log)
         self.engines, engines.watch = engines, self.loop
         self.request_log = RequestLog(log, clock, counters)
-        self.priorities, self.no_tenant = (
-            site.priorities,
-            len(site.quotas),
-        )  # index of tenants without a quota
+        # no_tenant: the index that stands for all tenants without a quota.
+        self.priorities, self.no_tenant = site.priorities, len(site.quotas)
         self.open_requests: dict[int, OpenRequest] = {}
         self.by_ident: dict[bytes, OpenRequest] = {}
         self.answered_pending: dict[bytes, OpenRequest] = {}  # answered, attempts still out: ids in use
--- a/spurdeal/net/service.py
+++ b/spurdeal/net/service.py
@@ -227,7 +227,7 @@
         self.call_safely("engines", self.engines.sweep)
 
     def call_safely(self, step: str, call: Callable[[], object]) -> None:
-        """Call a step, log and count an exception, so that the following steps still run."""
+        """Run a step; an exception is logged and counted, and the following steps still run."""
         try:
             call()
         except Exception:
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -279,14 +279,14 @@
 
 
 class QueueModel:
-    """An accept queue in memory, the loop that accepts from it, and when each connection came.
+    """An in-memory accept queue, the loop that accepts from it, and when each connection arrived.
 
     Attributes:
-        accepted: Of each connection, when it came, since when it may have waited as it was told, and the last
-            look at the queue before it came.
+        accepted: For each connection, when it arrived, since when it may have waited according to the watch,
+            and when the queue was last checked before it arrived.
     """
 
-    MOST = 12  # that the queue holds
+    MOST = 12  # capacity of the queue
 
     def __init__(self, choice: random.Random, counts: str) -> None:
         self.choice, self.counts, self.now = choice, counts, 0.0
@@ -297,7 +297,7 @@
         self.accepted = list[tuple[float, float, float]]()
         self.polls = list[float]()
         self.paused = 0  # rounds
-        self.busy = False  # more come than are accepted
+        self.busy = False  # more arrive than are accepted
 
     def count_waiting(self) -> int | None:
         if self.queue and self.counts == "true":
@@ -305,7 +305,7 @@
         return {"true": len(self.queue), "none": None, "zero": 0}[self.counts]
 
     def next_poll(self, came: float) -> float:
-        """The first poll after a connection came, whether or not the listener was watched then."""
+        """The first poll after a connection arrived, whether or not the listener was watched then."""
         found = bisect_left(self.polls, came)
         return self.polls[found] if found < len(self.polls) else self.now
 
