--- a/spurdeal/lab/address_model.py
+++ b/spurdeal/lab/address_model.py
@@ -7,7 +7,7 @@
 from itertools import product
 from typing import Any, NamedTuple
 
-from ..vrrp.machine import NEVER, Act, Machine, State, Terms, active_down_interval
+from ..vrrp.machine import NEVER, Action, GroupSettings, State, StateMachine, active_down_interval
 from .model_check import Found, Invariant, check, replaced
 
 STEP, INTERVAL = 25.0, 100.0  # ms; ranks are such that each Skew_Time is a whole number of steps
@@ -74,7 +74,7 @@
     seen: str
 
 
-def frozen(machine: Machine, now: float) -> MachineState:
+def frozen(machine: StateMachine, now: float) -> MachineState:
     """A machine's state, relative to now."""
 
     def ago(moment: float) -> float:
@@ -86,30 +86,30 @@
         machine.sender_interval,
         ago(machine.due),
         ago(machine.seen),
-        machine.barred,
+        machine.awaiting_sync,
         ago(machine.preempt_at),
     )
 
 
-def fresh(kind: type[Machine], place: int) -> Machine:
+def fresh(kind: type[StateMachine], place: int) -> StateMachine:
     """A machine that has not started yet."""
-    return kind(Terms(1, RANKS[place], INTERVAL, ip_address(f"127.0.0.{place + 1}")))
+    return kind(GroupSettings(1, RANKS[place], INTERVAL, ip_address(f"127.0.0.{place + 1}")))
 
 
-def thawed(kind: type[Machine], place: int, snapshot: MachineState) -> Machine:
+def thawed(kind: type[StateMachine], place: int, snapshot: MachineState) -> StateMachine:
     """The machine of that state, at time 0."""
     machine = fresh(kind, place)
     machine.state = State(snapshot.state)
     machine.priority, machine.sender_interval = snapshot.priority, snapshot.sender_interval
     machine.due, machine.seen = snapshot.due, snapshot.seen
-    machine.barred, machine.preempt_at = snapshot.barred, snapshot.preempt_at
+    machine.awaiting_sync, machine.preempt_at = snapshot.barred, snapshot.preempt_at
     return machine
 
 
 class TimeStep:
     """One step of time: what arrives is heard first, then timers. What they send arrives a step later."""
 
-    def __init__(self, kind: type[Machine], state: AddressState) -> None:
+    def __init__(self, kind: type[StateMachine], state: AddressState) -> None:
         self.fares = state.fares
         self.machines = [thawed(kind, place, machine) for place, machine in enumerate(state.machines)]
         both = zip(state.fares, self.machines, strict=True)
@@ -138,16 +138,16 @@
             self.flight.append(Advertisement(sender, target, priority, True))
         if fate in ("taken", "twice") and self.fares[target] == LIVE:
             address = ip_address(f"127.0.0.{sender + 1}")
-            self.carry_out(target, self.machines[target].heard(STEP, priority, INTERVAL, address))
+            self.carry_out(target, self.machines[target].advert_received(STEP, priority, INTERVAL, address))
 
-    def carry_out(self, place: int, acts: list[Act]) -> None:
+    def carry_out(self, place: int, acts: list[Action]) -> None:
         """What a machine has decided."""
         for act in acts:
-            if act is Act.ADVERTISE:
+            if act is Action.ADVERTISE:
                 self.advertise(place, self.machines[place].priority)
-            elif act is Act.RESIGN:
+            elif act is Action.RESIGN:
                 self.advertise(place, 0)
-            elif act is Act.HOLD and not self.active[place]:
+            elif act is Action.TAKE and not self.active[place]:
                 self.take(place)
 
     def advertise(self, place: int, priority: int) -> None:
@@ -160,7 +160,7 @@
         preemption."""
         self.takers.append(place)
         heard = self.silence[place] < 2 * INTERVAL and any(replaced(tuple(self.active), place, False))
-        if self.machines[place].barred and heard:
+        if self.machines[place].awaiting_sync and heard:
             self.seen = "barred"
 
 
@@ -178,7 +178,7 @@
     def __init__(
         self,
         count: int,
-        kind: type[Machine] = Machine,
+        kind: type[StateMachine] = StateMachine,
         faults: int = 1,
         loss: bool = True,
         pause: bool = True,
@@ -198,7 +198,7 @@
             if place == 0:
                 machine.become_active(0.0, "settled")
             else:
-                machine.heard(0.0, RANKS[0], INTERVAL, ip_address("127.0.0.1"))
+                machine.advert_received(0.0, RANKS[0], INTERVAL, ip_address("127.0.0.1"))
             machines.append(frozen(machine, 0.0))
         unheld = (0,) * self.count
         return AddressState(tuple(machines), (LIVE,) * self.count, (), self.faults, 0, unheld, "")
@@ -254,13 +254,13 @@
                 yield Turn(f"pause {place}", STILL, snapshot, spent=True)
             if snapshot.barred:
                 machine = thawed(self.kind, place, snapshot)
-                machine.lift()
+                machine.end_sync_wait()
                 yield Turn(f"list {place}", LIVE, frozen(machine, 0.0))
         elif fare == STILL:
             yield Turn(f"resume {place}", LIVE, snapshot)
         else:
             machine = fresh(self.kind, place)
-            machine.start(0.0, barred=True)
+            machine.start(0.0, awaiting_sync=True)
             yield Turn(f"return {place}", LIVE, frozen(machine, 0.0))
 
     @staticmethod
@@ -284,7 +284,7 @@
 
 
 def check_address(
-    name: str, count: int, kind: type[Machine], faults: int, loss: bool, pause: bool, most: int
+    name: str, count: int, kind: type[StateMachine], faults: int, loss: bool, pause: bool, most: int
 ) -> Found:
     """One check of the address, as AddressModel describes it."""
     return AddressModel(count, kind, faults, loss, pause).check(name, most)
@@ -293,7 +293,7 @@
 # Faults planted in the machine: each must be found.
 
 
-class NoSkew(Machine):
+class NoSkew(StateMachine):
     """All Backups wait alike."""
 
     def heard_in_backup(self, now: float, priority: int, interval: float) -> None:
@@ -302,27 +302,27 @@
             self.due = now + 3 * interval
 
 
-class NoBar(Machine):
+class NoBar(StateMachine):
     """Takes its address back without a list."""
 
     def may_preempt(self, now: float) -> bool:
-        self.barred = False
+        self.awaiting_sync = False
         try:
             return super().may_preempt(now)
         finally:
-            self.barred = True
+            self.awaiting_sync = True
 
 
-class NeverGivesWay(Machine):
+class NeverGivesWay(StateMachine):
     """An Active one that hears a higher priority goes on."""
 
-    def heard(self, now: float, priority: int, interval: float, sender: Any) -> list[Act]:
+    def advert_received(self, now: float, priority: int, interval: float, sender: Any) -> list[Action]:
         if self.state is State.ACTIVE:
             return []
-        return super().heard(now, priority, interval, sender)
+        return super().advert_received(now, priority, interval, sender)
 
 
-class DeafTimer(Machine):
+class DeafTimer(StateMachine):
     """Any datagram, also of priority 0 or lower, puts its timer off for long."""
 
     def heard_in_backup(self, now: float, priority: int, interval: float) -> None:
--- a/spurdeal/lab/budget_model.py
+++ b/spurdeal/lab/budget_model.py
@@ -6,7 +6,7 @@
 from itertools import product
 from typing import Any, NamedTuple
 
-from ..vrrp.tenure import Loan, Tenure
+from ..vrrp.tenure import BudgetShares, Loan
 from .model_check import Found, check, replaced
 
 STEP, WINDOW, LEASE = 100.0, 300.0, 200.0  # ms
@@ -25,9 +25,9 @@
 class TenureState(NamedTuple):
     """A tenure, with moments relative to now. lent: to whom, and until when."""
 
-    own_from: float
-    rests_until: float
-    used_at: float
+    own_usable_from: float
+    borrowing_from: float
+    last_use: float
     lent: tuple[tuple[str, float], ...]
     loans: tuple[LoanState, ...]
 
@@ -82,7 +82,7 @@
     return state._replace(history=tuple(sorted(row for row in state.history if row.age < WINDOW)))
 
 
-def frozen(tenure: Tenure, now: float) -> TenureState:
+def frozen(tenure: BudgetShares, now: float) -> TenureState:
     """A tenure's state, relative to now."""
     lent = sorted((to, until - now) for to, until in tenure.lent_until.items() if until + WINDOW > now)
     loans = sorted(
@@ -91,9 +91,9 @@
         if loan.until > now
     )
     return TenureState(
-        max(0.0, tenure.own_from - now),
-        max(0.0, tenure.rests_until - now),
-        max(-WINDOW, tenure.used_at - now),
+        max(0.0, tenure.own_usable_from - now),
+        max(0.0, tenure.borrowing_from - now),
+        max(-WINDOW, tenure.last_use - now),
         tuple(lent),
         tuple(loans),
     )
@@ -112,21 +112,21 @@
     def __init__(
         self,
         count: int,
-        kind: type[Tenure] = Tenure,
+        kind: type[BudgetShares] = BudgetShares,
         faults: int = 1,
         lenders: tuple[int, ...] = (1,),
         flying: int = 2,
     ) -> None:
         self.count, self.kind, self.faults, self.lenders, self.flying = count, kind, faults, lenders, flying
 
-    def fresh(self) -> Tenure:
+    def fresh(self) -> BudgetShares:
         """A new start's tenure, at time 0."""
         return self.kind(self.count, WINDOW, LEASE, 0.0)
 
-    def thawed(self, snapshot: TenureState) -> Tenure:
+    def thawed(self, snapshot: TenureState) -> BudgetShares:
         """The tenure of that state, at time 0."""
         tenure = self.fresh()
-        tenure.own_from, tenure.rests_until, tenure.used_at = snapshot[:3]
+        tenure.own_usable_from, tenure.borrowing_from, tenure.last_use = snapshot[:3]
         tenure.lent_until = dict(snapshot.lent)
         tenure.loans = {loan.peer: Loan(loan.part, loan.since, loan.until) for loan in snapshot.loans}
         return tenure
@@ -134,8 +134,8 @@
     def initial(self) -> BudgetState:
         """All have run for long."""
         tenure = self.fresh()
-        tenure.own_from = tenure.rests_until = 0.0
-        tenure.used_at = -WINDOW
+        tenure.own_usable_from = tenure.borrowing_from = 0.0
+        tenure.last_use = -WINDOW
         heard = tuple((None,) * self.count for _ in range(self.count))
         tenures = (frozen(tenure, 0.0),) * self.count
         return BudgetState(tenures, (0,) * self.count, heard, (), self.faults, ())
@@ -146,9 +146,9 @@
         yield from self.datagrams(state)
         for place in range(self.count):
             tenure = self.thawed(state.tenures[place])
-            part = tenure.part(0.0)
+            part = tenure.share(0.0)
             if part > 0:
-                tenure.used(0.0)
+                tenure.record_use(0.0)
                 yield f"{place} sends", self.used(self.with_tenure(state, place, tenure), place, part)
             if state.faults:
                 yield f"{place} starts anew", self.started_anew(state, place)
@@ -195,7 +195,7 @@
             )
         )
 
-    def with_tenure(self, state: BudgetState, place: int, tenure: Tenure) -> BudgetState:
+    def with_tenure(self, state: BudgetState, place: int, tenure: BudgetShares) -> BudgetState:
         """The state with another tenure of one dispatcher."""
         return without_old(state._replace(tenures=replaced(state.tenures, place, frozen(tenure, 0.0))))
 
@@ -203,7 +203,7 @@
         """One tells another; idle: it has no use for its share."""
         tenure = self.thawed(state.tenures[one])
         part, wait = tenure.lend(0.0, str(two), idle)
-        echo, left = state.heard[one][two], tenure.left_of(0.0, str(two))
+        echo, left = state.heard[one][two], tenure.remaining_loan(0.0, str(two))
         message = Message(one, two, state.boots[one], echo, part, wait, left, 0.0)
         after = self.with_tenure(state, one, tenure)
         return after._replace(flight=tuple(sorted((*state.flight, message), key=repr)))
@@ -222,7 +222,7 @@
         tenure = self.thawed(state.tenures[two])
         tenure.borrow(0.0, str(one), part, wait, echo.sent + sent)
         if self.count == 2:
-            tenure.told_left(0.0, {str(one): left}, 1)
+            tenure.remaining_reported(0.0, {str(one): left}, 1)
         return self.with_tenure(after, two, tenure)
 
     @staticmethod
@@ -241,7 +241,13 @@
 
 
 def check_budget(
-    name: str, count: int, kind: type[Tenure], faults: int, lenders: tuple[int, ...], flying: int, most: int
+    name: str,
+    count: int,
+    kind: type[BudgetShares],
+    faults: int,
+    lenders: tuple[int, ...],
+    flying: int,
+    most: int,
 ) -> Found:
     """One check of the budget's shares, as BudgetModel describes it."""
     return BudgetModel(count, kind, faults, lenders, flying).check(name, most)
@@ -250,38 +256,38 @@
 # Faults planted in the tenure: each must be found.
 
 
-class LendsAndUses(Tenure):
+class LendsAndUses(BudgetShares):
     """What was lent is used on: the budget is doubled."""
 
-    def part(self, now: float) -> float:
+    def share(self, now: float) -> float:
         return self.own + sum(loan.part for loan in self.loans.values() if loan.since <= now < loan.until)
 
 
-class NoRest(Tenure):
+class NoRest(BudgetShares):
     """A part is used again as soon as the loan ends, within the borrower's window."""
 
-    def part(self, now: float) -> float:
-        own = 0.0 if self.lent(now) or now < self.own_from else self.own
+    def share(self, now: float) -> float:
+        own = 0.0 if self.is_lent(now) or now < self.own_usable_from else self.own
         return own + sum(loan.part for loan in self.loans.values() if loan.since <= now < loan.until)
 
 
-class ForgetsLoans(Tenure):
+class ForgetsLoans(BudgetShares):
     """A new start uses its part at once."""
 
     def __init__(self, dispatchers: int, window: float, lease: float, now: float) -> None:
         super().__init__(dispatchers, window, lease, now)
-        self.own_from = now
+        self.own_usable_from = now
 
 
-class BorrowsAtOnce(Tenure):
+class BorrowsAtOnce(BudgetShares):
     """A new start uses what it borrows while its earlier start's sends still count: as it was at first."""
 
     def __init__(self, dispatchers: int, window: float, lease: float, now: float) -> None:
         super().__init__(dispatchers, window, lease, now)
-        self.rests_until = now
+        self.borrowing_from = now
 
 
-class LongLoan(Tenure):
+class LongLoan(BudgetShares):
     """A borrower counts the lease from the datagram's arrival."""
 
     def borrow(self, now: float, peer: str, part: float, wait: float, asked: float) -> None:
--- a/spurdeal/lab/handover_walk.py
+++ b/spurdeal/lab/handover_walk.py
@@ -7,16 +7,16 @@
 import random
 from typing import Any, NamedTuple
 
-from ..vrrp.handover import Facts, Handover, HandoverSettings, Membership, Verdict
+from ..vrrp.handover import DispatcherState, Handover, HandoverSettings, Membership, Verdict
 from ..vrrp.machine import NEVER
-from ..vrrp.marks import Door, Marks
+from ..vrrp.marks import Admission, IdempotencyTable
 from ..vrrp.sealed import Keys, RefusedError
-from ..vrrp.tenure import Tenure
+from ..vrrp.tenure import BudgetShares
 from .model_check import Found
 
 KEYS = Keys({1: b"model model model"})
-SETTINGS = HandoverSettings(ahead=True, ahead_wait=40.0, alone_after=None, without=1e9)
-FACTS = Facts(1, (), (), ())
+SETTINGS = HandoverSettings(ahead=True, ahead_wait=40.0, alone_after=None, sync_timeout=1e9)
+FACTS = DispatcherState(1, (), (), ())
 IDENT = b"x"
 WAYS = 4  # how often the front sends the request
 DEADLINE = 2000.0  # ms
@@ -50,7 +50,7 @@
         """A new start of one side."""
         self.boots += 1
         peer = "b" if name == "a" else "a"
-        tenure, marks = Tenure(2, 1500, 1000, self.now), Marks(8, 60_000.0)
+        tenure, marks = BudgetShares(2, 1500, 1000, self.now), IdempotencyTable(8, 60_000.0)
         return self.kind(Membership(name, (peer,), self.boots, KEYS), SETTINGS, tenure, marks, self.now)
 
     def carry_out(self, name: str, verdicts: list[Verdict]) -> None:
@@ -59,7 +59,7 @@
             if verdict.go:
                 self.runs.append(name)
             elif verdict.go is False and not self.runs:
-                self.sides[name].over(IDENT, never_ran=True)
+                self.sides[name].finish(IDENT, never_ran=True)
 
     def step(self) -> None:
         """One thing happens, by chance."""
@@ -84,7 +84,7 @@
 
     def tell_ahead(self, name: str, peer: str) -> None:
         """What one is to tell before it sends, if anything."""
-        text = self.sides[name].compose_told(self.now, peer)
+        text = self.sides[name].compose_urgent(self.now, peer)
         if text is not None:
             self.flight.append(Datagram(name, peer, text))
 
@@ -102,7 +102,7 @@
         sender, target, text = datagram
         side = self.sides[target]
         try:
-            self.carry_out(target, side.take(self.now, sender, text))
+            self.carry_out(target, side.receive(self.now, sender, text))
         except RefusedError as fault:
             if fault.reason == "unproven":
                 greeting = side.sessions[sender].greet(self.now, text)
@@ -111,9 +111,9 @@
     def submit(self, name: str) -> None:
         """The front sends the request to that side."""
         side = self.sides[name]
-        if self.ways and side.door(self.now, IDENT) is Door.OPEN:
+        if self.ways and side.check_admission(self.now, IDENT) is Admission.ALLOWED:
             self.ways -= 1
-            verdict = side.before(self.now, IDENT, self.now + DEADLINE, object())
+            verdict = side.prepare_send(self.now, IDENT, self.now + DEADLINE, object())
             self.carry_out(name, [verdict] if verdict else [])
 
     def wait(self) -> None:
@@ -131,7 +131,7 @@
     def shape(self) -> int:
         """The state but for its numbers, to count different ones."""
         sides = tuple(
-            (tuple(side.marks.known.items()), len(side.waiting), len(side.synced))
+            (tuple(side.records.known.items()), len(side.waiting), len(side.synced))
             for side in self.sides.values()
         )
         return hash((*sides, len(self.runs), len(self.flight)))
@@ -160,8 +160,8 @@
 class SendsAtOnce(Handover):
     """Tells ahead, and does not wait for the answer."""
 
-    def before(self, now: float, ident: bytes, deadline: float, token: object) -> Any:
-        verdict = super().before(now, ident, deadline, token)
+    def prepare_send(self, now: float, ident: bytes, deadline: float, token: object) -> Any:
+        verdict = super().prepare_send(now, ident, deadline, token)
         if verdict is None:
             self.waiting.pop(token, None)
         return Verdict(token, True)
@@ -170,19 +170,19 @@
 class OldWord(Handover):
     """What is said of an earlier telling counts for a later one of the same id: as it was at first."""
 
-    def take(self, now: float, peer: str, datagram: bytes) -> Any:
-        clears = self.marks.peer_clears
-        self.marks.peer_clears = lambda peer, ident, turn: clears(peer, ident, NEVER)  # type: ignore[method-assign]
+    def receive(self, now: float, peer: str, datagram: bytes) -> Any:
+        clears = self.records.remove_from_peer
+        self.records.remove_from_peer = lambda peer, ident, announcement: clears(peer, ident, NEVER)  # type: ignore[method-assign]
         try:
-            return super().take(now, peer, datagram)
+            return super().receive(now, peer, datagram)
         finally:
-            del self.marks.peer_clears
+            del self.records.remove_from_peer
 
-    def answered(self, peer: str, replies: Any) -> list[Any]:
+    def replies_received(self, peer: str, replies: Any) -> list[Any]:
         verdicts = []
         for _, ok in replies:
             for waiting in list(self.waiting.values()):
-                verdicts += super().answered(peer, [(waiting.turn, ok)])
+                verdicts += super().replies_received(peer, [(waiting.announcement, ok)])
         return verdicts
 
 
@@ -192,5 +192,5 @@
     def complete(self, now: float) -> bool:
         return True
 
-    def needed(self, now: float) -> list[str]:
+    def required_peers(self, now: float) -> list[str]:
         return []
--- a/spurdeal/lab/model.py
+++ b/spurdeal/lab/model.py
@@ -12,8 +12,8 @@
 from typing import Any, NamedTuple
 
 from ..vrrp.handover import Handover
-from ..vrrp.machine import Machine
-from ..vrrp.tenure import Tenure
+from ..vrrp.machine import StateMachine
+from ..vrrp.tenure import BudgetShares
 from .address_model import DeafTimer, NeverGivesWay, NoBar, NoSkew, check_address
 from .budget_model import BorrowsAtOnce, ForgetsLoans, LendsAndUses, LongLoan, NoRest, check_budget
 from .handover_walk import OldWord, OpensUnread, SendsAtOnce, walk
@@ -36,14 +36,14 @@
     """What runs in service: nothing may be violated."""
     most, walks, faults = (QUICK_STATES, QUICK_WALKS, 2) if quick else (FULL_STATES, FULL_WALKS, 4)
     return [
-        Job("address: two, loss and faults", check_address, (2, Machine, faults, True, True, most)),
-        Job("address: three, a crash", check_address, (3, Machine, 1, False, False, most)),
-        Job("address: three, faults", check_address, (3, Machine, faults, False, True, most)),
-        Job("address: three, loss and a fault", check_address, (3, Machine, 1, True, True, most)),
-        Job("parts: two, one lends", check_budget, (2, Tenure, 0, (1,), 1, most)),
-        Job("parts: two, one lends, a new start", check_budget, (2, Tenure, 1, (1,), 1, most)),
-        Job("parts: two, both lend, a new start", check_budget, (2, Tenure, 1, (0, 1), 2, most)),
-        Job("parts: three, two lend, a new start", check_budget, (3, Tenure, 1, (1, 2), 1, most)),
+        Job("address: two, loss and faults", check_address, (2, StateMachine, faults, True, True, most)),
+        Job("address: three, a crash", check_address, (3, StateMachine, 1, False, False, most)),
+        Job("address: three, faults", check_address, (3, StateMachine, faults, False, True, most)),
+        Job("address: three, loss and a fault", check_address, (3, StateMachine, 1, True, True, most)),
+        Job("parts: two, one lends", check_budget, (2, BudgetShares, 0, (1,), 1, most)),
+        Job("parts: two, one lends, a new start", check_budget, (2, BudgetShares, 1, (1,), 1, most)),
+        Job("parts: two, both lend, a new start", check_budget, (2, BudgetShares, 1, (0, 1), 2, most)),
+        Job("parts: three, two lend, a new start", check_budget, (3, BudgetShares, 1, (1, 2), 1, most)),
         Job("ahead: two, a crash", walk, (Handover, walks, WALK_LENGTH, 1)),
     ]
 
--- a/spurdeal/vrrp/address.py
+++ b/spurdeal/vrrp/address.py
@@ -23,7 +23,7 @@
 ANNOUNCE_AT = (0.0, 0.02, 0.06, 0.2)  # seconds: a lost datagram must not cost the takeover
 ANNOUNCE_EVERY = 1.0
 LISTEN_AGAIN = 0.05  # seconds: the one that leaves may hold the port for a moment yet
-MOST_COMMANDS = 16
+MAX_QUEUED_COMMANDS = 16
 
 
 class Announcer(DatagramProtocol):
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True)
-class Served:
+class ServedPort:
     """What is served at the addresses.
 
     Attributes:
@@ -96,7 +96,7 @@
     def __init__(
         self,
         reactor: StreamLoop,
-        served: Served,
+        served: ServedPort,
         counters: Counters,
         log: logging.Logger,
     ) -> None:
@@ -173,7 +173,7 @@
         """Queue a command for each address."""
         for address in addresses:
             words = [word.replace("{address}", str(address)) for word in self.words[taken]]
-            if len(self.queue) >= MOST_COMMANDS:  # only the newest tell how things stand
+            if len(self.queue) >= MAX_QUEUED_COMMANDS:  # only the newest tell how things stand
                 self.queue.pop(0)
                 self.counters.add("commands_dropped")
             self.queue.append(words)
--- a/spurdeal/vrrp/advertising.py
+++ b/spurdeal/vrrp/advertising.py
@@ -16,7 +16,7 @@
 from . import advert
 from .advert import Address, Advert, DroppedError
 from .groups import Done, Groups
-from .machine import Act
+from .machine import Action
 from .setup import Holder, Runtime
 
 if TYPE_CHECKING:
@@ -46,7 +46,7 @@
     """
 
     taken: Callable[[int, str], None]
-    barred: Callable[[], bool]
+    awaiting_sync: Callable[[], bool]
 
 
 class Advertising:
@@ -65,7 +65,7 @@
         self.peers, self.groups, self.holder = plan.peers, groups, holder
         self.reactor, self.monotonic = runtime.reactor, runtime.monotonic
         self.counters, self.log = runtime.counters, runtime.log
-        self.taken, self.barred = callbacks.taken, callbacks.barred
+        self.taken, self.awaiting_sync = callbacks.taken, callbacks.awaiting_sync
         self.own: Address = vrrp.listen[0]
         self.by_sender = {peer.adverts[0]: peer.name for peer in plan.peers}
         self.addresses = {each.group: tuple(each.addresses) for each in vrrp.groups}
@@ -82,7 +82,7 @@
             group, priority, interval, addresses = advert.read(datagram, source, self.own)
             if group not in self.groups.machines:
                 raise DroppedError("group")
-            if self.groups.machines[group].terms.priority == advert.OWNER and not self.barred():
+            if self.groups.machines[group].terms.priority == advert.OWNER and not self.awaiting_sync():
                 raise DroppedError("owner")  # section 7.1: who owns the addresses listens to nobody
         except DroppedError as fault:
             self.counters.add("vrrp_drop_" + fault.reason)
@@ -90,7 +90,7 @@
         self.counters.add("vrrp_adverts")
         if set(addresses) != set(self.addresses[group]):
             self.counters.add("vrrp_addresses_differ")
-        self.do(self.groups.heard(self.monotonic(), group, priority, interval, source))
+        self.do(self.groups.advert_received(self.monotonic(), group, priority, interval, source))
         self.rearm()
 
     def rearm(self) -> None:
@@ -112,11 +112,11 @@
         """Carry out what the groups have decided."""
         for group, act in done:
             machine = self.groups.machines[group]
-            if act is Act.ADVERTISE:
+            if act is Action.ADVERTISE:
                 self.advertise(group, machine.priority)
-            elif act is Act.RESIGN:
+            elif act is Action.RESIGN:
                 self.advertise(group, advert.STOPPING)
-            elif act is Act.HOLD:
+            elif act is Action.TAKE:
                 self.take(group, machine.why)
             else:
                 self.leave(group, machine.why)
--- a/spurdeal/vrrp/exchange.py
+++ b/spurdeal/vrrp/exchange.py
@@ -10,7 +10,7 @@
 
 from twisted.internet.protocol import DatagramProtocol
 
-from .handover import Facts, Handover, Verdict
+from .handover import DispatcherState, Handover, Verdict
 from .sealed import RefusedError
 from .setup import Runtime
 
@@ -49,11 +49,11 @@
         self.places = {peer.name: (str(peer.handover[0]), peer.handover[1]) for peer in plan.peers}
         self.by_address = {place: name for name, place in self.places.items()}
         self.telling = Telling(self)
-        self.going: dict[object, Callable[[bool | None], None]] = {}  # what waits for its verdict
+        self.pending_callbacks: dict[object, Callable[[bool | None], None]] = {}  # what waits for its verdict
         self.flushing = False
         self.greeted, self.greeted_since = 0, self.monotonic()
 
-    def tell_all(self, facts: Facts, idle: bool) -> None:
+    def tell_all(self, facts: DispatcherState, idle: bool) -> None:
         """Tell each peer how we are. idle: our part of cold budgets may be lent."""
         if self.handover is None:
             return
@@ -69,7 +69,7 @@
             return
         now = self.monotonic()
         for peer in self.places:
-            datagram = self.handover.compose_told(now, peer)
+            datagram = self.handover.compose_urgent(now, peer)
             if datagram is not None:
                 self.send(peer, datagram)
         self.conclude(self.handover.tick(now))
@@ -98,7 +98,7 @@
             return
         now = self.monotonic()
         try:
-            verdicts = self.handover.take(now, peer, datagram)
+            verdicts = self.handover.receive(now, peer, datagram)
         except RefusedError as fault:
             self.counters.add("handover_drop_" + fault.reason)
             if fault.reason == "unproven":
@@ -120,7 +120,7 @@
     def conclude(self, verdicts: Sequence[Verdict]) -> None:
         """Tell what waits for these verdicts."""
         for token, go in verdicts:
-            call = self.going.pop(token, None)
+            call = self.pending_callbacks.pop(token, None)
             if call is not None:
                 ending = "sent" if go else "not_sent" if go is False else "ran_elsewhere"
                 self.counters.add("ahead_" + ending)
--- a/spurdeal/vrrp/groups.py
+++ b/spurdeal/vrrp/groups.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple
 
 from .advert import OWNER, Address
-from .machine import NEVER, Act, Machine, State, Terms
+from .machine import NEVER, Action, GroupSettings, State, StateMachine
 
 CONDITIONS = ("list_stale", "no_engine", "shut_out", "stopping")  # what can be tracked
 LEAST = 1  # a priority that is lowered stays a priority; 0 is said by stopping only
@@ -19,7 +19,7 @@
     lowers: int
 
 
-Done = list[tuple[int, Act]]
+Done = list[tuple[int, Action]]
 
 
 class Groups:
@@ -27,18 +27,18 @@
 
     def __init__(
         self,
-        terms: Sequence[Terms],
+        terms: Sequence[GroupSettings],
         tracked: Mapping[int, Sequence[Tracked]],
         bundles: Iterable[Sequence[int]] = (),
     ) -> None:
-        self.machines = {each.group: Machine(each) for each in terms}
+        self.machines = {each.group: StateMachine(each) for each in terms}
         self.tracked = {group: tuple(tracked.get(group, ())) for group in self.machines}
         self.bundles = {group: tuple(bundle) for bundle in bundles for group in bundle}
         self.holding = frozenset[str]()
 
-    def start(self, now: float, barred: bool) -> Done:
+    def start(self, now: float, awaiting_sync: bool) -> Done:
         """Startup of all groups; barred, none takes its addresses yet."""
-        return self.each(lambda machine: machine.start(now, barred))
+        return self.each(lambda machine: machine.start(now, awaiting_sync))
 
     def stop(self, now: float) -> Done:
         """Shutdown of all groups."""
@@ -51,10 +51,12 @@
             done += self.moved(now, group, machine.state, machine.tick(now))
         return done
 
-    def heard(self, now: float, group: int, priority: int, interval: float, sender: Address) -> Done:
+    def advert_received(
+        self, now: float, group: int, priority: int, interval: float, sender: Address
+    ) -> Done:
         """A checked advertisement of a group."""
         machine = self.machines[group]
-        return self.moved(now, group, machine.state, machine.heard(now, priority, interval, sender))
+        return self.moved(now, group, machine.state, machine.advert_received(now, priority, interval, sender))
 
     def conditions(self, now: float, holding: Iterable[str]) -> Done:
         """The tracked conditions that hold now; an owner's priority is never lowered (section 6.1)."""
@@ -64,13 +66,13 @@
             lowered = sum(each.lowers for each in self.tracked[group] if each.condition in self.holding)
             own = machine.terms.priority
             rank = own if own == OWNER else max(LEAST, own - lowered)
-            done += [(group, act) for act in machine.ranked(now, rank)]
+            done += [(group, act) for act in machine.set_priority(now, rank)]
         return done
 
-    def lift(self) -> None:
+    def end_sync_wait(self) -> None:
         """All groups may take addresses back from here on."""
         for machine in self.machines.values():
-            machine.lift()
+            machine.end_sync_wait()
 
     @property
     def due(self) -> float:
@@ -83,7 +85,7 @@
 
     # Bundles: one that takes its address takes the others' along, and so does one that leaves.
 
-    def moved(self, now: float, group: int, before: State, acts: list[Act]) -> Done:
+    def moved(self, now: float, group: int, before: State, acts: list[Action]) -> Done:
         """What is to be done for a group, and for its bundle where its state has changed."""
         done = [(group, act) for act in acts]
         after = self.machines[group].state
@@ -98,9 +100,9 @@
                 done += [(other, act) for act in machine.become_active(now, why)]
             else:
                 machine.become_backup(now, why)
-                done.append((other, Act.LEAVE))
+                done.append((other, Action.RELEASE))
         return done
 
-    def each(self, call: Callable[[Machine], list[Act]]) -> Done:
+    def each(self, call: Callable[[StateMachine], list[Action]]) -> Done:
         """The same call for each group."""
         return [(group, act) for group, machine in self.machines.items() for act in call(machine)]
--- a/spurdeal/vrrp/guard.py
+++ b/spurdeal/vrrp/guard.py
@@ -12,9 +12,9 @@
 from ..net.link import Answer, Failed, OpenRequest, Shed, SocketAdapter, at_most_once
 from ..net.start import Service
 from .exchange import Exchange
-from .handover import Facts
-from .marks import Door
-from .tenure import Tenure
+from .handover import DispatcherState
+from .marks import Admission
+from .tenure import BudgetShares
 
 
 class ColdSend(NamedTuple):
@@ -36,14 +36,14 @@
         self,
         service: Service,
         exchange: Exchange,
-        tenure: Tenure,
+        budget_shares: BudgetShares,
         share: bool,
         assumed_cold: Callable[[], bool],
     ) -> None:
         self.adapter: SocketAdapter = service.adapter
         self.counters, self.retry_after = service.counters, service.configuration.site.max_retry_after
         self.exchange, self.handover, self.monotonic = exchange, exchange.handover, exchange.monotonic
-        self.tenure, self.share = tenure, share
+        self.budget_shares, self.share = budget_shares, share
         self.guarded, self.assumed_cold = at_most_once(service.configuration.site), assumed_cold
         own = 1.0 / service.configuration.site.dispatchers
         self.parts = own, own
@@ -56,7 +56,7 @@
         if not self.share or self.handover is None:
             return
         mono = self.monotonic()
-        parts = self.tenure.part(mono), self.tenure.start(mono)
+        parts = self.budget_shares.share(mono), self.budget_shares.start_share(mono)
         if parts != self.parts:
             self.parts = parts
             self.adapter.rules.capacity_shares_changed(now, *parts)
@@ -66,11 +66,11 @@
         """An answer at once, where the request may have run at a peer or cannot be guarded."""
         if self.handover is None or not self.guarded[kind]:
             return None
-        found = self.handover.door(self.monotonic(), ident.lower())
-        if found is Door.OPEN:
+        found = self.handover.check_admission(self.monotonic(), ident.lower())
+        if found is Admission.ALLOWED:
             return None
         self.counters.add("door_" + found.value)
-        return Failed() if found is Door.RAN else Shed(self.retry_after)
+        return Failed() if found is Admission.MAY_HAVE_RUN else Shed(self.retry_after)
 
     def before(self, request: OpenRequest, attempt: int, go: Callable[[bool | None], None]) -> bool:
         """Whether an attempt may leave now; False where `go` is called with the peers' verdict, later."""
@@ -78,10 +78,10 @@
             return True
         now, token = self.monotonic(), (request.number, attempt)
         deadline = now + max(0.0, request.deadline - self.adapter.clock())
-        verdict = self.handover.before(now, request.ident.lower(), deadline, token)
+        verdict = self.handover.prepare_send(now, request.ident.lower(), deadline, token)
         if verdict is not None and verdict.go:
             return True
-        self.exchange.going[token] = go
+        self.exchange.pending_callbacks[token] = go
         if verdict is None:
             self.exchange.flush_soon()
         else:
@@ -90,19 +90,19 @@
 
     def given_up(self, number: int, attempt: int) -> None:
         """An attempt that waits for its verdict is not to be sent any more."""
-        self.exchange.going.pop((number, attempt), None)
+        self.exchange.pending_callbacks.pop((number, attempt), None)
         if self.handover is not None:
-            self.handover.give_up((number, attempt))
+            self.handover.abandon((number, attempt))
 
     def answered(self, request: OpenRequest, answer: Answer | None) -> None:
         """The answer has left, or the client (None)."""
         if self.handover is not None and self.guarded[request.kind]:
-            self.handover.over(request.ident.lower(), isinstance(answer, Shed))
+            self.handover.finish(request.ident.lower(), isinstance(answer, Shed))
 
     def never_ran(self, request: OpenRequest) -> None:
         """It was granted, and the caller has shown that nothing ran."""
         if self.handover is not None and self.guarded[request.kind]:
-            self.handover.over(request.ident.lower(), never_ran=True)
+            self.handover.finish(request.ident.lower(), never_ran=True)
 
     def attempt_cancelled(self, request: OpenRequest, attempt: int) -> None:
         """Nothing follows of it here."""
@@ -121,10 +121,10 @@
         if not self.share or self.handover is None or not self.is_cold(engine):
             return True
         now = self.monotonic()
-        if self.tenure.part(now) <= 0.0:
+        if self.budget_shares.share(now) <= 0.0:
             self.counters.add("cold_withheld")
             return False
-        self.tenure.used(now)
+        self.budget_shares.record_use(now)
         self.sent_cold[engine] = [*self.recent(engine, now), ColdSend(now, 1.0)]
         return True
 
@@ -152,9 +152,9 @@
 
     def recent(self, engine: int, now: float) -> list[ColdSend]:
         """What we have sent to a cold engine within a window."""
-        return [row for row in self.sent_cold.get(engine, ()) if row.at > now - self.tenure.window]
+        return [row for row in self.sent_cold.get(engine, ()) if row.at > now - self.budget_shares.window]
 
-    def facts(self, now: float, number: int, held: list[int]) -> Facts:
+    def facts(self, now: float, number: int, held: list[int]) -> DispatcherState:
         """What the peers are told of us.
 
         Args:
@@ -173,4 +173,4 @@
                 cold.append((ident, self.adapter.endpoints[ident].started, work))
             if engine.aside_until > unix:
                 aside.append((ident, engine.aside_until - unix))
-        return Facts(number, held, cold, aside)
+        return DispatcherState(number, held, cold, aside)
--- a/spurdeal/vrrp/machine.py
+++ b/spurdeal/vrrp/machine.py
@@ -24,16 +24,16 @@
     ACTIVE = "active"
 
 
-class Act(Enum):
+class Action(Enum):
     """What is to be done; see the module."""
 
     ADVERTISE = "advertise"
     RESIGN = "resign"
-    HOLD = "hold"
-    LEAVE = "leave"
+    TAKE = "hold"
+    RELEASE = "leave"
 
 
-class Terms(NamedTuple):
+class GroupSettings(NamedTuple):
     """What one group of one dispatcher is told: section 6.1. Times in ms."""
 
     group: int
@@ -54,53 +54,53 @@
     return 3 * interval + skew_time(priority, interval)
 
 
-class Machine:
+class StateMachine:
     """One group's state. `why` says what the last change came from."""
 
-    def __init__(self, terms: Terms) -> None:
+    def __init__(self, terms: GroupSettings) -> None:
         self.terms, self.state, self.why = terms, State.INITIALIZE, "made"
         self.priority = terms.priority  # in force: tracked conditions lower it
         self.sender_interval = terms.interval  # Active_Adver_Interval
         self.due, self.seen = NEVER, 0.0
-        self.barred = False  # a returning one: no list and no handover yet
+        self.awaiting_sync = False  # a returning one: no list and no handover yet
         self.preempt_at = NEVER  # since when one lower is heard, and the delay
 
     # Events.
 
-    def start(self, now: float, barred: bool = False) -> list[Act]:
+    def start(self, now: float, awaiting_sync: bool = False) -> list[Action]:
         """Startup, section 6.4.1. Barred, also an owner waits in Backup: it may know an old list only."""
         assert self.state is State.INITIALIZE
-        self.seen, self.barred = now, barred
+        self.seen, self.awaiting_sync = now, awaiting_sync
         self.sender_interval = self.terms.interval
-        if self.priority == OWNER and not barred:
+        if self.priority == OWNER and not awaiting_sync:
             return self.become_active(now, "owner")
         self.become_backup(now, "started")
         return []
 
-    def stop(self, now: float) -> list[Act]:
+    def stop(self, now: float) -> list[Action]:
         """Shutdown: an Active one resigns, so that others wait for Skew_Time only."""
         active = self.state is State.ACTIVE
         self.state, self.due, self.why, self.seen = State.INITIALIZE, NEVER, "stopped", now
-        return [Act.RESIGN, Act.LEAVE] if active else []
+        return [Action.RESIGN, Action.RELEASE] if active else []
 
-    def tick(self, now: float) -> list[Act]:
+    def tick(self, now: float) -> list[Action]:
         """A timer is due: Adver_Timer in Active, Active_Down_Timer in Backup. Early calls do nothing."""
         gap, self.seen = now - self.seen, now
         if self.state is State.ACTIVE and gap > self.own_down_interval():
             # Departure: a process that stood still for so long was taken over meanwhile. Advertising first
             # would draw the address back for a moment, with two holders; it listens for one interval instead.
             self.become_backup(now, f"stood still {gap:.0f} ms")
-            return [Act.LEAVE]
+            return [Action.RELEASE]
         if now < self.due:
             return []
         if self.state is State.ACTIVE:
             self.due = now + self.terms.interval
-            return [Act.ADVERTISE]
+            return [Action.ADVERTISE]
         if self.state is State.BACKUP:
             return self.become_active(now, "active down")
         return []
 
-    def heard(self, now: float, priority: int, interval: float, sender: Address) -> list[Act]:
+    def advert_received(self, now: float, priority: int, interval: float, sender: Address) -> list[Action]:
         """A checked advertisement of this group, section 6.4.2 and 6.4.3."""
         if self.state is State.BACKUP:
             self.seen = now
@@ -110,19 +110,19 @@
             return []
         acts = self.tick(now) if now - self.seen > self.own_down_interval() else []
         if acts:  # it stood still, and this tells who holds the address now
-            return acts + self.heard(now, priority, interval, sender)
+            return acts + self.advert_received(now, priority, interval, sender)
         self.seen = now
         if priority == STOPPING:
             self.due = now + self.terms.interval
-            return [Act.ADVERTISE]
+            return [Action.ADVERTISE]
         if priority > self.priority or (priority == self.priority and int(sender) > int(self.terms.primary)):
             self.sender_interval = interval
             self.become_backup(now, f"heard priority {priority}")
-            return [Act.LEAVE]
+            return [Action.RELEASE]
         # One lower believes that it holds the address: told at once, it gives way within a datagram's time.
         # The switch may lead to it by now, so that the address is announced again.
         self.due = now + self.terms.interval
-        return [Act.ADVERTISE, Act.HOLD]
+        return [Action.ADVERTISE, Action.TAKE]
 
     def heard_in_backup(self, now: float, priority: int, interval: float) -> None:
         """Section 6.4.2: an advertisement sets the timer anew, unless it is to be preempted."""
@@ -138,33 +138,33 @@
 
     def may_preempt(self, now: float) -> bool:
         """Preempt_Mode, with a delay (ours) from the first lower one that was heard."""
-        if not self.terms.preempt or self.barred:
+        if not self.terms.preempt or self.awaiting_sync:
             return False
         if self.preempt_at == NEVER:
             self.preempt_at = now + self.terms.preempt_delay
         return now >= self.preempt_at
 
-    def ranked(self, now: float, priority: int) -> list[Act]:
+    def set_priority(self, now: float, priority: int) -> list[Action]:
         """Tracked conditions have changed the priority in force. An Active one says so at once."""
         if priority == self.priority:
             return []
         self.priority = priority
         if self.state is State.ACTIVE:
             self.due = now + self.terms.interval
-            return [Act.ADVERTISE]
+            return [Action.ADVERTISE]
         return []
 
-    def lift(self) -> None:
+    def end_sync_wait(self) -> None:
         """A fresh list and a handover are here, or the stated time without is over."""
-        self.barred = False
+        self.awaiting_sync = False
 
     # Changes of state.
 
-    def become_active(self, now: float, why: str) -> list[Act]:
+    def become_active(self, now: float, why: str) -> list[Action]:
         """Section 6.4.1 and 6.4.2: take the addresses."""
         self.state, self.why, self.preempt_at, self.seen = State.ACTIVE, why, NEVER, now
         self.due = now + self.terms.interval
-        return [Act.ADVERTISE, Act.HOLD]
+        return [Action.ADVERTISE, Action.TAKE]
 
     def become_backup(self, now: float, why: str) -> None:
         """Section 6.4.1 and 6.4.3: wait for Active_Down_Timer."""
--- a/spurdeal/vrrp/message.py
+++ b/spurdeal/vrrp/message.py
@@ -17,7 +17,7 @@
 LARGEST_LIST = MOST_WORK = 1e12
 
 
-class Known(NamedTuple):
+class PeerState(NamedTuple):
     """What was last heard of a peer."""
 
     at: float
@@ -27,12 +27,12 @@
     aside: tuple[tuple[str, float], ...]
 
 
-class Told(NamedTuple):
+class AnnouncedRequest(NamedTuple):
     """A non-idempotent request that the peer is about to send. left: ms that its mark lasts."""
 
     ident: bytes
     left: float
-    turn: float
+    announcement: float
 
 
 class Loan(NamedTuple):
@@ -61,11 +61,11 @@
         need: The page of our marks that it needs next.
     """
 
-    told: list[Told]
+    told: list[AnnouncedRequest]
     replies: list[tuple[float, bool]]
     clears: list[tuple[bytes, float]]
-    marks: list[tuple[bytes, float]]
-    known: Known | None
+    records: list[tuple[bytes, float]]
+    known: PeerState | None
     lend: Loan | None
     left: float | None
     need: int | None
@@ -110,13 +110,19 @@
         RefusedError: Something in it has not its form.
     """
     told = [
-        Told(ident_of(ident), number(left), number(turn, LARGEST_TURN))
-        for ident, left, turn in rows(body, "tell", 3, MOST_TOLD)
+        AnnouncedRequest(ident_of(ident), number(left), number(announcement, LARGEST_TURN))
+        for ident, left, announcement in rows(body, "tell", 3, MOST_TOLD)
     ]
     return Message(
         told,
-        [(number(turn, LARGEST_TURN), ok is True) for turn, ok in rows(body, "reply", 2, MOST_TOLD)],
-        [(ident_of(ident), number(turn, LARGEST_TURN)) for ident, turn in rows(body, "clear", 2, MOST_TOLD)],
+        [
+            (number(announcement, LARGEST_TURN), ok is True)
+            for announcement, ok in rows(body, "reply", 2, MOST_TOLD)
+        ],
+        [
+            (ident_of(ident), number(announcement, LARGEST_TURN))
+            for ident, announcement in rows(body, "clear", 2, MOST_TOLD)
+        ],
         [(ident_of(ident), number(left)) for ident, left in rows(body, "marks", 2, PAGE)],
         read_known(now, body),
         read_loan(body),
@@ -126,7 +132,7 @@
     )
 
 
-def read_known(now: float, body: Mapping[str, Any]) -> Known | None:
+def read_known(now: float, body: Mapping[str, Any]) -> PeerState | None:
     """What the peer tells of itself, if it does."""
     if "list" not in body:
         return None
@@ -141,7 +147,7 @@
     if not isinstance(held, list) or len(held) > MOST_GROUPS:
         raise RefusedError("body")
     groups = tuple(int(number(group, MOST_GROUPS)) for group in held)
-    return Known(now, int(number(body["list"], LARGEST_LIST)), groups, cold, aside)
+    return PeerState(now, int(number(body["list"], LARGEST_LIST)), groups, cold, aside)
 
 
 def read_loan(body: Mapping[str, Any]) -> Loan | None:
--- a/spurdeal/vrrp/sealed.py
+++ b/spurdeal/vrrp/sealed.py
@@ -53,7 +53,7 @@
         self.own, self.peer, self.boot, self.keys = own.encode(), peer.encode(), boot, keys
         self.number = 0
         self.sent: OrderedDict[int, float] = OrderedDict()  # when our last ones left, to measure loans from
-        self.peer_boot, self.newest, self.behind = 0, 0, 0
+        self.peer_boot, self.newest, self.replay_window = 0, 0, 0
         self.proved = 0  # the number of ours by which the peer's start proved itself
         self.boots = 0  # how often the peer's start has changed
 
@@ -90,7 +90,7 @@
         fresh = asked is not None and now - asked <= ECHO_WITHIN
         if boot == self.peer_boot:
             age = self.newest - number
-            if age >= WINDOW or (age >= 0 and self.behind >> age & 1):
+            if age >= WINDOW or (age >= 0 and self.replay_window >> age & 1):
                 raise RefusedError("replayed")
         elif not fresh or echo_number <= self.proved:
             # An unknown start must show that it hears us now, and later than the known one did: else an
@@ -103,13 +103,15 @@
         if not isinstance(body, dict):
             raise RefusedError("body")
         if boot != self.peer_boot:
-            self.peer_boot, self.newest, self.behind, self.boots = boot, number, 1, self.boots + 1
+            self.peer_boot, self.newest, self.replay_window, self.boots = boot, number, 1, self.boots + 1
             self.proved = echo_number
         elif number > self.newest:
-            self.behind = (self.behind << min(WINDOW, number - self.newest) | 1) & (1 << WINDOW) - 1
+            self.replay_window = (self.replay_window << min(WINDOW, number - self.newest) | 1) & (
+                1 << WINDOW
+            ) - 1
             self.newest = number
         else:
-            self.behind |= 1 << (self.newest - number)
+            self.replay_window |= 1 << (self.newest - number)
         return body, asked
 
     def open(self, datagram: bytes) -> tuple[int, int, int, int, bytes]:
--- a/spurdeal/vrrp/setup.py
+++ b/spurdeal/vrrp/setup.py
@@ -11,13 +11,13 @@
 from ..eventloop import Reactor
 from ..net.counters import Counters
 from ..net.start import Service
-from .address import Announcer, Commands, CommandSettings, Listener, Served
+from .address import Announcer, Commands, CommandSettings, Listener, ServedPort
 from .groups import Groups, Tracked
 from .handover import Handover, HandoverSettings, Membership
-from .machine import Terms
-from .marks import Marks
+from .machine import GroupSettings
+from .marks import IdempotencyTable
 from .sealed import Keys
-from .tenure import Tenure
+from .tenure import BudgetShares
 
 if TYPE_CHECKING:
     from ..settings.installation import FleetPart, HandoverPart, Installation, Vrrp
@@ -63,7 +63,7 @@
     """The VRRP groups, none of them started."""
     own = vrrp.listen[0]
     terms = [
-        Terms(each.group, each.priority, each.interval, own, each.preempt, each.preempt_delay)
+        GroupSettings(each.group, each.priority, each.interval, own, each.preempt, each.preempt_delay)
         for each in vrrp.groups
     ]
     tracked = {
@@ -72,7 +72,7 @@
     return Groups(terms, tracked, vrrp.bundles)
 
 
-def make_handover(plan: Installation, boot: int, tenure: Tenure, now: float) -> Handover | None:
+def make_handover(plan: Installation, boot: int, budget_shares: BudgetShares, now: float) -> Handover | None:
     """The handover; None where the file has none.
 
     Raises:
@@ -86,8 +86,8 @@
         HandoverSettings(
             part.ahead, part.ahead_wait, part.alone_after if part.alone == "send" else None, vrrp.bar
         ),
-        tenure,
-        Marks(part.marks, part.keep),
+        budget_shares,
+        IdempotencyTable(part.marks, part.keep),
         now,
     )
 
@@ -101,5 +101,5 @@
         return Announcer(reactor, switch, place, counters)
     if told.kind == "listen":
         clients = service.clients
-        return Listener(reactor, Served(clients, told.port, clients.drain), counters, log)
+        return Listener(reactor, ServedPort(clients, told.port, clients.drain), counters, log)
     return Commands(reactor, CommandSettings(told.take, told.leave, told.within), counters, log)
--- a/spurdeal/vrrp/station.py
+++ b/spurdeal/vrrp/station.py
@@ -19,7 +19,7 @@
 from .guard import HandoverGuard
 from .handover import Handover
 from .setup import Runtime, keys_of, make_groups, make_handover, make_holder
-from .tenure import Tenure
+from .tenure import BudgetShares
 
 if TYPE_CHECKING:
     from ..settings.installation import Installation
@@ -53,29 +53,31 @@
         self.reactor, self.monotonic = runtime.reactor, runtime.monotonic
         self.counters, self.log = runtime.counters, runtime.log
         now, site = self.monotonic(), service.configuration.site
-        self.began, self.fresh, self.barred, self.stopping = now, False, True, False
+        self.began, self.fresh, self.awaiting_sync, self.stopping = now, False, True, False
         self.shut_out: Callable[[], bool] = lambda: False  # by the fleet, where there is one
         self.groups = make_groups(self.vrrp)
-        self.tenure = Tenure(site.dispatchers, site.cold_window, plan.tenure.lease, now)
-        self.handover: Handover | None = make_handover(plan, boot, self.tenure, now)
+        self.budget_shares = BudgetShares(site.dispatchers, site.cold_window, plan.tenure.lease, now)
+        self.handover: Handover | None = make_handover(plan, boot, self.budget_shares, now)
         self.holder = make_holder(self.vrrp, service, self.reactor, self.log)
         self.exchange = Exchange(plan, self.handover, runtime)
-        self.guard = HandoverGuard(service, self.exchange, self.tenure, plan.tenure.on, self.assumed_cold)
+        self.guard = HandoverGuard(
+            service, self.exchange, self.budget_shares, plan.tenure.on, self.assumed_cold
+        )
         self.advertising = Advertising(
-            plan, self.groups, self.holder, runtime, Callbacks(self.taken, lambda: self.barred)
+            plan, self.groups, self.holder, runtime, Callbacks(self.taken, lambda: self.awaiting_sync)
         )
         self.ports: list[object] = []
 
     @property
-    def going(self) -> dict[object, Callable[[bool | None], None]]:
+    def pending_callbacks(self) -> dict[object, Callable[[bool | None], None]]:
         """What waits for the peers' verdict."""
-        return self.exchange.going
+        return self.exchange.pending_callbacks
 
-    def advert_came(self, datagram: bytes, sender: str) -> None:
+    def on_advert(self, datagram: bytes, sender: str) -> None:
         """An advertisement of a peer."""
         self.advertising.came(datagram, sender)
 
-    def handover_came(self, datagram: bytes, address: tuple[str, int]) -> None:
+    def on_handover_datagram(self, datagram: bytes, address: tuple[str, int]) -> None:
         """A handover datagram of a peer."""
         self.exchange.came(datagram, address)
 
@@ -85,7 +87,7 @@
         """Before the service takes anything: its list is seen through this from the first."""
         self.adapter.guard = self.guard
         self.listen()
-        self.advertising.do(self.groups.start(self.monotonic(), barred=True))
+        self.advertising.do(self.groups.start(self.monotonic(), awaiting_sync=True))
         self.every()
         self.advertising.rearm()
 
@@ -145,7 +147,7 @@
         if self.handover is not None:
             apart = self.monotonic() - self.adapter.clock()
             for ident, until in ends.items():
-                self.handover.marks.recall(ident, until + apart)
+                self.handover.records.recall(ident, until + apart)
 
     # Time.
 
@@ -155,14 +157,14 @@
         interval = self.plan.handover.every if self.plan.handover else LOOK_EVERY
         self.reactor.callLater(interval / 1000, self.every)
         self.look_at_list()
-        if self.barred and self.may_lift(now):
-            self.lift(now)
+        if self.awaiting_sync and self.sync_wait_over(now):
+            self.end_sync_wait(now)
         if not self.stopping:
             self.advertising.do(self.groups.conditions(now, self.holding(now)))
         self.tell_all()
         self.advertising.rearm()
 
-    def may_lift(self, now: float) -> bool:
+    def sync_wait_over(self, now: float) -> bool:
         """Whether the addresses may be taken back.
 
         The list and the peers' marks are known by then, or waited for long enough.
@@ -170,10 +172,10 @@
         waited = now - self.began >= self.vrrp.bar
         return waited or (self.fresh and (self.handover is None or self.handover.complete(now)))
 
-    def lift(self, now: float) -> None:
+    def end_sync_wait(self, now: float) -> None:
         """The addresses may be taken back from here on."""
-        self.barred = False
-        self.groups.lift()
+        self.awaiting_sync = False
+        self.groups.end_sync_wait()
         self.log.info("bar_lifted", extra={"figures": {"after_ms": now - self.began, "fresh": self.fresh}})
 
     def look_at_list(self) -> None:
@@ -202,7 +204,7 @@
 
     def taken(self, group: int, why: str) -> None:
         """We hold a group's addresses: engines that its last holder had set aside are suspect here too."""
-        part = f"{self.tenure.part(self.monotonic()):.2f}"
+        part = f"{self.budget_shares.share(self.monotonic()):.2f}"
         self.log.info("address_taken", extra={"figures": {"group": group, "why": why, "part": part}})
         if self.handover is None:
             return
--- a/tests/test_holding.py
+++ b/tests/test_holding.py
@@ -23,7 +23,7 @@
 from spurdeal.lab.loopback import Network
 from spurdeal.net.counters import Counters
 from spurdeal.net.logs import logger
-from spurdeal.vrrp.address import MOST_COMMANDS, Commands, CommandSettings, Listener, Served
+from spurdeal.vrrp.address import MAX_QUEUED_COMMANDS, Commands, CommandSettings, Listener, ServedPort
 from tests.helpers import Caller, World, configuration
 
 ADDRESS = ip_address("127.0.7.1")
@@ -73,15 +73,16 @@
         self.assertEqual(reactor.ran[1][1], ["/bin/leave", "127.0.7.1"])
         reactor.advance(0.6)
         self.assertEqual((counters.sums["commands_run"], counters.sums["commands_failed"]), (1, 1))
-        for _ in range(3 * MOST_COMMANDS):
+        for _ in range(3 * MAX_QUEUED_COMMANDS):
             commands.take(1, [ADDRESS])
         self.assertEqual(
-            (len(commands.queue), counters.sums["commands_dropped"]), (MOST_COMMANDS, 2 * MOST_COMMANDS - 1)
+            (len(commands.queue), counters.sums["commands_dropped"]),
+            (MAX_QUEUED_COMMANDS, 2 * MAX_QUEUED_COMMANDS - 1),
         )
 
     def test_a_port_in_use_is_tried_again_while_the_address_is_held(self) -> None:
         reactor, counters, drained = Spawner(), Counters(), list[str]()
-        listener = Listener(reactor, Served(ServerFactory(), 7001, drained.append), counters, SILENT)
+        listener = Listener(reactor, ServedPort(ServerFactory(), 7001, drained.append), counters, SILENT)
         reactor.busy = 2
         listener.take(1, [ADDRESS])
         reactor.pump([0.05, 0.05])
--- a/tests/test_station.py
+++ b/tests/test_station.py
@@ -31,7 +31,9 @@
         pair.go(3500)
         held = [side.station.groups.held() for side in pair.sides.values()]
         self.assertEqual(held, [[1], [2]])
-        self.assertEqual([side.station.tenure.part(pair.mono()) for side in pair.sides.values()], [0.5, 0.5])
+        self.assertEqual(
+            [side.station.budget_shares.share(pair.mono()) for side in pair.sides.values()], [0.5, 0.5]
+        )
         pair.sides["n1"].kill()
         pair.go(500)
         self.assertEqual(sorted(pair.sides["n2"].station.groups.held()), [1, 2])
@@ -59,7 +61,7 @@
         pair.ether.drops = lambda source, target: source[0] == HOSTS["n1"]
         pair.go(600)
         self.assertEqual([side.holds() for side in pair.sides.values()], [True, True])
-        parts = [side.station.tenure.part(pair.mono()) for side in pair.sides.values()]
+        parts = [side.station.budget_shares.share(pair.mono()) for side in pair.sides.values()]
         self.assertLessEqual(sum(parts), 1.0)
         pair.ether.drops = lambda source, target: False
         pair.go(300)
@@ -139,7 +141,7 @@
         pair.go(2900)
         self.assertFalse(one.holds())
         pair.go(900)
-        self.assertFalse(one.station.barred)
+        self.assertFalse(one.station.awaiting_sync)
 
 
 class Tenures(unittest.TestCase):
@@ -154,11 +156,11 @@
             pair.go(5)
             parts = []
             for name, side in pair.sides.items():
-                tenure, now = side.station.tenure, pair.mono()
-                uses = chance.random() < 0.05 and HOSTS[name] not in pair.dead and tenure.part(now) > 0
-                parts.append(tenure.part(now) if uses else 0.0)
+                tenure, now = side.station.budget_shares, pair.mono()
+                uses = chance.random() < 0.05 and HOSTS[name] not in pair.dead and tenure.share(now) > 0
+                parts.append(tenure.share(now) if uses else 0.0)
                 if uses:
-                    tenure.used(now)
+                    tenure.record_use(now)
             seen.append(parts)
             seen = seen[-window // 5 :]
             together = sum(max(column) for column in zip(*seen, strict=True))
@@ -166,7 +168,7 @@
             pair.ether.drops = lambda source, target: source[0] in pair.dead or chance.random() < 0.2
         self.assertLessEqual(most, 1.0)
         self.assertGreater(most, 0.9)
-        self.assertEqual(pair.sides["n2"].station.tenure.part(pair.mono()), 0.5)
+        self.assertEqual(pair.sides["n2"].station.budget_shares.share(pair.mono()), 0.5)
         self.assertGreater(pair.sides["n1"].count("tenure_changes"), 1)
 
     def test_a_node_started_at_the_moment_of_takeover_gets_nothing_until_the_part_is_ours(self) -> None:
@@ -179,10 +181,10 @@
             pair.go(5)
         answers = pair.sides["n2"].submit(X, kind=0)
         pair.go(100)
-        self.assertEqual(pair.sides["n2"].station.tenure.part(pair.mono()), 0.0)
+        self.assertEqual(pair.sides["n2"].station.budget_shares.share(pair.mono()), 0.0)
         self.assertEqual(len(pair.ether.tcpClients), dialled)
         pair.go(2200)
-        self.assertEqual(pair.sides["n2"].station.tenure.part(pair.mono()), 0.5)
+        self.assertEqual(pair.sides["n2"].station.budget_shares.share(pair.mono()), 0.5)
         self.assertEqual((len(pair.ether.tcpClients), answers), (dialled + 1, []))
 
 
@@ -296,7 +298,7 @@
         pair.go(10)
         self.assertTrue(one.service.adapter.withdraw(X))
         pair.go(200)
-        self.assertEqual((one.service.adapter.open_requests, one.station.going), ({}, {}))
+        self.assertEqual((one.service.adapter.open_requests, one.station.pending_callbacks), ({}, {}))
 
 
 class BadInput(unittest.TestCase):
@@ -317,15 +319,15 @@
             dict(vars(machine)),
             session.peer_boot,
             session.newest,
-            dict(station.handover.marks.known),
-            dict(station.tenure.loans),
+            dict(station.handover.records.known),
+            dict(station.budget_shares.loans),
             two.holds(),
         )
         drops = self.dropped(two)
         for number in range(100_000):
             text = bytearray(good)
             text[chance.choice((0, 3, 6, 7))] ^= 1 << chance.randrange(8)
-            station.advert_came(bytes(text), HOSTS["n1"])
+            station.on_advert(bytes(text), HOSTS["n1"])
             sort = number % 4
             if sort == 0:
                 spoilt = bytearray(handover[-1 - number % 50])
@@ -337,13 +339,13 @@
                 text = bytearray(handover[-1 - number % 50])  # whole and replayed
             else:
                 text = bytearray(forged.write(0.0, {"list": 9}))
-            station.handover_came(bytes(text), (HOSTS["n1"], 7113))
+            station.on_handover_datagram(bytes(text), (HOSTS["n1"], 7113))
         after = (
             dict(vars(machine)),
             session.peer_boot,
             session.newest,
-            dict(station.handover.marks.known),
-            dict(station.tenure.loans),
+            dict(station.handover.records.known),
+            dict(station.budget_shares.loans),
             two.holds(),
         )
         self.assertEqual(before, after)
@@ -360,8 +362,8 @@
             advert.Advert(9, 200, 100, (ip_address("127.0.7.1"),)), *map(ip_address, HOSTS.values())
         )
         for sender in (HOSTS["n1"], "127.9.9.9"):
-            station.advert_came(good, sender)
-        station.handover_came(b"x", ("127.9.9.9", 7113))
+            station.on_advert(good, sender)
+        station.on_handover_datagram(b"x", ("127.9.9.9", 7113))
         self.assertEqual(
             [
                 pair.sides["n2"].count(name)
--- a/tests/test_vrrp.py
+++ b/tests/test_vrrp.py
@@ -9,19 +9,27 @@
 from spurdeal.vrrp import advert
 from spurdeal.vrrp.advert import Advert, DroppedError
 from spurdeal.vrrp.groups import Groups, Tracked
-from spurdeal.vrrp.handover import Facts, Handover, HandoverSettings, Membership
-from spurdeal.vrrp.machine import NEVER, Act, Machine, State, Terms, active_down_interval, skew_time
-from spurdeal.vrrp.marks import Door, Marks
+from spurdeal.vrrp.handover import DispatcherState, Handover, HandoverSettings, Membership
+from spurdeal.vrrp.machine import (
+    NEVER,
+    Action,
+    GroupSettings,
+    State,
+    StateMachine,
+    active_down_interval,
+    skew_time,
+)
+from spurdeal.vrrp.marks import Admission, IdempotencyTable
 from spurdeal.vrrp.sealed import Keys, RefusedError, Session
-from spurdeal.vrrp.tenure import Tenure
+from spurdeal.vrrp.tenure import BudgetShares
 
 ONE, TWO = ip_address("127.0.8.1"), ip_address("127.0.8.2")
 SIX, SEVEN = ip_address("::1"), ip_address("fe80::7")
 KEYS = Keys({1: b"k" * 16})
 
 
-def terms(priority: int, **more: Any) -> Terms:
-    return Terms(7, priority, 1000.0, ONE)._replace(**more)
+def terms(priority: int, **more: Any) -> GroupSettings:
+    return GroupSettings(7, priority, 1000.0, ONE)._replace(**more)
 
 
 class Datagrams(unittest.TestCase):
@@ -90,41 +98,41 @@
     def test_timers_are_those_of_section_6_1(self) -> None:
         self.assertEqual(skew_time(200, 1000), 218.75)
         self.assertEqual(active_down_interval(200, 1000), 3218.75)
-        machine = Machine(terms(200))
+        machine = StateMachine(terms(200))
         self.assertEqual(machine.start(0), [])
         self.assertEqual(machine.due, 3218.75)
         self.assertEqual(machine.tick(3218.7), [])
-        self.assertEqual(machine.tick(3218.75), [Act.ADVERTISE, Act.HOLD])
+        self.assertEqual(machine.tick(3218.75), [Action.ADVERTISE, Action.TAKE])
         self.assertEqual((machine.state, machine.due), (State.ACTIVE, 4218.75))
-        self.assertEqual(machine.tick(4218.75), [Act.ADVERTISE])
+        self.assertEqual(machine.tick(4218.75), [Action.ADVERTISE])
 
     def test_an_owner_is_active_at_once_unless_it_is_barred(self) -> None:
-        self.assertEqual(Machine(terms(255)).start(0), [Act.ADVERTISE, Act.HOLD])
-        barred = Machine(terms(255))
-        self.assertEqual((barred.start(0, barred=True), barred.state), ([], State.BACKUP))
+        self.assertEqual(StateMachine(terms(255)).start(0), [Action.ADVERTISE, Action.TAKE])
+        waiting = StateMachine(terms(255))
+        self.assertEqual((waiting.start(0, awaiting_sync=True), waiting.state), ([], State.BACKUP))
 
     def test_backup_takes_the_senders_interval_and_priority_0_leaves_skew_time_only(self) -> None:
-        machine = Machine(terms(100))
+        machine = StateMachine(terms(100))
         machine.start(0)
-        machine.heard(10, 200, 2000.0, TWO)
+        machine.advert_received(10, 200, 2000.0, TWO)
         self.assertEqual(machine.due, 10 + active_down_interval(100, 2000.0))
-        machine.heard(20, advert.STOPPING, 2000.0, TWO)
+        machine.advert_received(20, advert.STOPPING, 2000.0, TWO)
         self.assertEqual(machine.due, 20 + skew_time(100, 2000.0))
 
     def test_preemption_waits_for_its_delay_and_for_the_bar(self) -> None:
-        for preempt, delay, barred, taken_at in (
+        for preempt, delay, awaiting_sync, taken_at in (
             (True, 0, False, 3218.75),
             (True, 5000, False, 8418.75),
             (False, 0, False, None),
             (True, 0, True, None),
         ):
-            with self.subTest(preempt=preempt, delay=delay, barred=barred):
-                machine = Machine(terms(200, preempt=preempt, preempt_delay=float(delay)))
-                machine.start(0, barred)
+            with self.subTest(preempt=preempt, delay=delay, awaiting_sync=awaiting_sync):
+                machine = StateMachine(terms(200, preempt=preempt, preempt_delay=float(delay)))
+                machine.start(0, awaiting_sync)
                 taken, now = None, 0.0
                 while now < 30_000 and taken is None:
                     now += 100
-                    machine.heard(now, 100, 1000.0, TWO)
+                    machine.advert_received(now, 100, 1000.0, TWO)
                     if machine.due <= now + 100 and machine.tick(machine.due):
                         taken = machine.due - 1000
                 self.assertEqual(taken is None, taken_at is None)
@@ -133,88 +141,92 @@
 
     def test_equal_priorities_go_by_address_and_a_lower_one_is_told_at_once(self) -> None:
         for sender, priority, acts, state in (
-            (TWO, 200, [Act.LEAVE], State.BACKUP),
-            (ip_address("127.0.0.9"), 200, [Act.ADVERTISE, Act.HOLD], State.ACTIVE),
-            (TWO, 199, [Act.ADVERTISE, Act.HOLD], State.ACTIVE),
-            (TWO, 0, [Act.ADVERTISE], State.ACTIVE),
+            (TWO, 200, [Action.RELEASE], State.BACKUP),
+            (ip_address("127.0.0.9"), 200, [Action.ADVERTISE, Action.TAKE], State.ACTIVE),
+            (TWO, 199, [Action.ADVERTISE, Action.TAKE], State.ACTIVE),
+            (TWO, 0, [Action.ADVERTISE], State.ACTIVE),
         ):
-            machine = Machine(terms(200))
+            machine = StateMachine(terms(200))
             machine.start(0)
             machine.tick(4000)
-            self.assertEqual(machine.heard(4010, priority, 1000.0, sender), acts)
+            self.assertEqual(machine.advert_received(4010, priority, 1000.0, sender), acts)
             self.assertIs(machine.state, state)
 
     def test_one_that_stood_still_does_not_draw_the_address_back(self) -> None:
-        machine = Machine(terms(200))
+        machine = StateMachine(terms(200))
         machine.start(0)
         machine.tick(4000)
-        self.assertEqual(machine.tick(8000), [Act.LEAVE])
+        self.assertEqual(machine.tick(8000), [Action.RELEASE])
         self.assertIs(machine.state, State.BACKUP)
-        heard = Machine(terms(200))
+        heard = StateMachine(terms(200))
         heard.start(0)
         heard.tick(4000)
-        self.assertEqual(heard.heard(8000, 100, 1000.0, TWO), [Act.LEAVE])
+        self.assertEqual(heard.advert_received(8000, 100, 1000.0, TWO), [Action.RELEASE])
 
     def test_stop_resigns_and_a_stopped_one_hears_nothing(self) -> None:
-        machine = Machine(terms(200))
+        machine = StateMachine(terms(200))
         machine.start(0)
         machine.tick(4000)
-        self.assertEqual(machine.stop(4100), [Act.RESIGN, Act.LEAVE])
-        self.assertEqual((machine.due, machine.heard(4200, 0, 10.0, TWO)), (NEVER, []))
+        self.assertEqual(machine.stop(4100), [Action.RESIGN, Action.RELEASE])
+        self.assertEqual((machine.due, machine.advert_received(4200, 0, 10.0, TWO)), (NEVER, []))
 
     def test_tracked_conditions_lower_and_bundles_move_together(self) -> None:
-        both = [terms(200), Terms(8, 90, 1000.0, ONE)]
+        both = [terms(200), GroupSettings(8, 90, 1000.0, ONE)]
         groups = Groups(both, {7: [Tracked("list_stale", 150), Tracked("no_engine", 150)]}, [(7, 8)])
-        groups.start(0, barred=False)
+        groups.start(0, awaiting_sync=False)
         done = groups.tick(3500)
-        self.assertEqual([pair for pair in done if pair[1] is Act.HOLD], [(7, Act.HOLD), (8, Act.HOLD)])
+        self.assertEqual(
+            [pair for pair in done if pair[1] is Action.TAKE], [(7, Action.TAKE), (8, Action.TAKE)]
+        )
         self.assertEqual(groups.held(), [7, 8])
-        self.assertEqual(groups.conditions(3600, ["list_stale"]), [(7, Act.ADVERTISE)])
+        self.assertEqual(groups.conditions(3600, ["list_stale"]), [(7, Action.ADVERTISE)])
         self.assertEqual(groups.machines[7].priority, 50)
         groups.conditions(3700, ["list_stale", "no_engine"])
         self.assertEqual(groups.machines[7].priority, 1)
-        self.assertEqual(groups.heard(3800, 7, 60, 1000.0, TWO), [(7, Act.LEAVE), (8, Act.LEAVE)])
+        self.assertEqual(
+            groups.advert_received(3800, 7, 60, 1000.0, TWO), [(7, Action.RELEASE), (8, Action.RELEASE)]
+        )
 
 
 class Tenures(unittest.TestCase):
     def test_a_part_rests_for_a_window_between_its_users(self) -> None:
-        one, two = (Tenure(2, 1500, 1000, 0.0) for _ in range(2))
-        self.assertEqual(one.part(0), 0.0)  # an earlier start may have lent it
-        self.assertEqual(one.part(2600), 0.5)
+        one, two = (BudgetShares(2, 1500, 1000, 0.0) for _ in range(2))
+        self.assertEqual(one.share(0), 0.0)  # an earlier start may have lent it
+        self.assertEqual(one.share(2600), 0.5)
         self.assertEqual(two.lend(3000, "one", idle=True), (0.5, 0.0))
         one.borrow(3010, "two", 0.5, 0.0, asked=2990)
-        self.assertEqual((one.part(3010), two.part(3010)), (1.0, 0.0))
-        self.assertEqual((one.part(3989), one.part(3990)), (1.0, 0.5))  # counted from when it had asked
-        self.assertEqual((two.part(5509), two.part(5510)), (0.0, 0.5))  # longer, and a window
+        self.assertEqual((one.share(3010), two.share(3010)), (1.0, 0.0))
+        self.assertEqual((one.share(3989), one.share(3990)), (1.0, 0.5))  # counted from when it had asked
+        self.assertEqual((two.share(5509), two.share(5510)), (0.0, 0.5))  # longer, and a window
 
     def test_what_was_just_used_is_lent_for_later_only(self) -> None:
-        one = Tenure(2, 1500, 1000, 0.0)
-        one.used(4000)
+        one = BudgetShares(2, 1500, 1000, 0.0)
+        one.record_use(4000)
         self.assertEqual(one.lend(4100, "two", idle=True), (0.5, 1400.0))
-        two = Tenure(2, 1500, 1000, 0.0)
+        two = BudgetShares(2, 1500, 1000, 0.0)
         two.borrow(4100, "one", 0.5, 1400.0, asked=4099)
-        self.assertEqual((two.part(5000), two.part(5600)), (0.5, 0.5))  # the loan ends before it begins
+        self.assertEqual((two.share(5000), two.share(5600)), (0.5, 0.5))  # the loan ends before it begins
 
     def test_nobody_lends_twice_or_while_it_holds_or_what_an_earlier_start_lent(self) -> None:
-        one = Tenure(3, 1500, 1000, 0.0)
+        one = BudgetShares(3, 1500, 1000, 0.0)
         self.assertEqual(one.lend(100, "two", idle=True), (0.0, 0.0))
         self.assertEqual(one.lend(3000, "two", idle=False), (0.0, 0.0))
         self.assertGreater(one.lend(3000, "two", idle=True)[0], 0)
         self.assertEqual(one.lend(3100, "three", idle=True), (0.0, 0.0))
 
     def test_a_new_start_uses_its_part_sooner_once_all_have_said_what_they_hold(self) -> None:
-        one = Tenure(3, 1500, 1000, 10_000.0)
-        one.told_left(10_050, {"two": 0.0}, 2)
-        self.assertEqual(one.part(11_600), 0.0)
-        one.told_left(10_100, {"two": 0.0, "three": 200.0}, 2)
-        self.assertEqual((one.part(11_799), one.part(11_801)), (0.0, 1 / 3))
+        one = BudgetShares(3, 1500, 1000, 10_000.0)
+        one.remaining_reported(10_050, {"two": 0.0}, 2)
+        self.assertEqual(one.share(11_600), 0.0)
+        one.remaining_reported(10_100, {"two": 0.0, "three": 200.0}, 2)
+        self.assertEqual((one.share(11_799), one.share(11_801)), (0.0, 1 / 3))
 
     def test_the_start_of_n_sums_to_one_and_is_never_zero(self) -> None:
-        one, two = (Tenure(2, 1500, 1000, -9999.0) for _ in range(2))
+        one, two = (BudgetShares(2, 1500, 1000, -9999.0) for _ in range(2))
         two.lend(0, "one", idle=True)
         one.borrow(1, "two", 0.5, 0.0, asked=0)
-        self.assertLessEqual(one.start(1) + two.start(1), 1.0)
-        self.assertGreater(two.start(1), 0.0)
+        self.assertLessEqual(one.start_share(1) + two.start_share(1), 1.0)
+        self.assertGreater(two.start_share(1), 0.0)
 
 
 class Seals(unittest.TestCase):
@@ -259,7 +271,7 @@
     def test_spoilt_forged_and_cut_ones_change_nothing(self) -> None:
         one, two = self.pair()
         good, chance = one.write(60, {"n": 1}), random.Random(6)
-        before = (two.peer_boot, two.newest, two.behind, two.number)
+        before = (two.peer_boot, two.newest, two.replay_window, two.number)
         for _ in range(5000):
             text = bytearray(good)
             text[chance.randrange(len(text))] ^= 1 << chance.randrange(8)
@@ -269,19 +281,24 @@
         forged = Session("one", "two", 11, Keys({1: b"x" * 16}))
         with self.assertRaisesRegex(RefusedError, "seal"):
             two.read(62, forged.write(62, {}))
-        self.assertEqual(before, (two.peer_boot, two.newest, two.behind, two.number))
+        self.assertEqual(before, (two.peer_boot, two.newest, two.replay_window, two.number))
         self.assertEqual(two.read(63, good)[0], {"n": 1})
 
 
 class Handovers(unittest.TestCase):
-    FACTS = Facts(3, (7,), (("s-1", 1000.0, 5.0),), (("s-2", 400.0),))
+    FACTS = DispatcherState(3, (7,), (("s-1", 1000.0, 5.0),), (("s-2", 400.0),))
 
     def make(self, name: str, peer: str, boot: int, now: float = 0.0, **more: object) -> Handover:
-        told: dict[str, Any] = {"ahead": True, "ahead_wait": 50.0, "alone_after": None, "without": 10_000.0}
-        marks = Marks(int(str(more.pop("most", 1000))), 60_000)
+        told: dict[str, Any] = {
+            "ahead": True,
+            "ahead_wait": 50.0,
+            "alone_after": None,
+            "sync_timeout": 10_000.0,
+        }
+        marks = IdempotencyTable(int(str(more.pop("most", 1000))), 60_000)
         settings = HandoverSettings(**(told | more))
         return Handover(
-            Membership(name, (peer,), boot, KEYS), settings, Tenure(2, 1500, 1000, now), marks, now
+            Membership(name, (peer,), boot, KEYS), settings, BudgetShares(2, 1500, 1000, now), marks, now
         )
 
     def talk(self, one: Handover, two: Handover, now: float, times: int = 4) -> list[object]:
@@ -291,30 +308,33 @@
             for here, there, name, other in ((one, two, "one", "two"), (two, one, "two", "one")):
                 text = here.compose(now, other, self.FACTS, idle=False)
                 try:
-                    verdicts += there.take(now, name, text)
+                    verdicts += there.receive(now, name, text)
                 except RefusedError as fault:
                     self.assertEqual(fault.reason, "unproven")
-                    here.take(now, other, there.sessions[name].greet(now, text))
+                    here.receive(now, other, there.sessions[name].greet(now, text))
         return verdicts
 
     def test_what_was_told_ahead_runs_nowhere_else(self) -> None:
         one, two = self.make("one", "two", 1), self.make("two", "one", 2)
         self.talk(one, two, 10)
-        self.assertEqual(one.door(20, b"x"), Door.OPEN)
-        self.assertIsNone(one.before(20, b"x", 5000, "token"))
+        self.assertEqual(one.check_admission(20, b"x"), Admission.ALLOWED)
+        self.assertIsNone(one.prepare_send(20, b"x", 5000, "token"))
         (verdict,) = self.talk(one, two, 25)
         self.assertEqual(verdict, ("token", True))
-        self.assertEqual(two.door(30, b"x"), Door.RAN)
-        self.assertEqual(one.door(30, b"x"), Door.RAN)
-        one.over(b"x", never_ran=True)
+        self.assertEqual(two.check_admission(30, b"x"), Admission.MAY_HAVE_RUN)
+        self.assertEqual(one.check_admission(30, b"x"), Admission.MAY_HAVE_RUN)
+        one.finish(b"x", never_ran=True)
         self.talk(one, two, 40)
-        self.assertEqual((one.door(50, b"x"), two.door(50, b"x")), (Door.OPEN, Door.OPEN))
+        self.assertEqual(
+            (one.check_admission(50, b"x"), two.check_admission(50, b"x")),
+            (Admission.ALLOWED, Admission.ALLOWED),
+        )
 
     def test_both_at_once_run_it_at_most_once(self) -> None:
         one, two = self.make("one", "two", 1), self.make("two", "one", 2)
         self.talk(one, two, 10)
-        one.before(20, b"x", 5000, "a")
-        two.before(20, b"x", 5000, "b")
+        one.prepare_send(20, b"x", 5000, "a")
+        two.prepare_send(20, b"x", 5000, "b")
         verdicts = self.talk(one, two, 25)
         self.assertEqual(
             sorted(str(each) for each in verdicts),
@@ -324,35 +344,39 @@
     def test_without_the_peers_word_it_is_not_sent(self) -> None:
         one, two = self.make("one", "two", 1), self.make("two", "one", 2)
         self.talk(one, two, 10)
-        one.before(20, b"x", 5000, "a")
+        one.prepare_send(20, b"x", 5000, "a")
         self.assertEqual(one.tick(69), [])
         self.assertEqual(one.tick(70), [("a", False)])
-        self.assertEqual(one.door(500, b"y"), Door.AWAY)
+        self.assertEqual(one.check_admission(500, b"y"), Admission.PEER_UNREACHABLE)
         lone = self.make("one", "two", 1, alone_after=300.0)
-        self.assertEqual(lone.door(20_000, b"y"), Door.OPEN)
-        self.assertEqual(lone.before(20_000, b"y", 25_000, "c"), ("c", True))
+        self.assertEqual(lone.check_admission(20_000, b"y"), Admission.ALLOWED)
+        self.assertEqual(lone.prepare_send(20_000, b"y", 25_000, "c"), ("c", True))
 
     def test_a_new_start_learns_all_marks_before_it_lets_any_in(self) -> None:
         one, two = self.make("one", "two", 1), self.make("two", "one", 2)
         self.talk(one, two, 10)
         for number in range(200):
-            one.before(20, b"%d" % number, 5000, number)
-            one.marks.sent(b"%d" % number)
+            one.prepare_send(20, b"%d" % number, 5000, number)
+            one.records.mark_sent(b"%d" % number)
         again = self.make("two", "one", 3, now=30.0)
-        self.assertEqual(again.door(31, b"fresh"), Door.AWAY)
+        self.assertEqual(again.check_admission(31, b"fresh"), Admission.PEER_UNREACHABLE)
         self.talk(one, again, 40, times=12)
         self.assertTrue(again.complete(41))
-        self.assertEqual({again.door(42, b"%d" % number) for number in range(200)}, {Door.RAN})
-        self.assertEqual(one.door(43, b"5"), Door.RAN)
+        self.assertEqual(
+            {again.check_admission(42, b"%d" % number) for number in range(200)}, {Admission.MAY_HAVE_RUN}
+        )
+        self.assertEqual(one.check_admission(43, b"5"), Admission.MAY_HAVE_RUN)
 
     def test_a_full_table_sheds_and_forgets_nothing(self) -> None:
         one, two = self.make("one", "two", 1, most=3), self.make("two", "one", 2)
         self.talk(one, two, 10)
         for number in range(3):
-            one.before(20, b"%d" % number, 5000, number)
-        self.assertEqual(one.door(21, b"9"), Door.FULL)
-        self.assertEqual(one.door(21, b"1"), Door.RAN)
-        self.assertEqual(one.door(5000 + 60_001 + 21, b"1"), Door.AWAY)  # over, the peer is silent
+            one.prepare_send(20, b"%d" % number, 5000, number)
+        self.assertEqual(one.check_admission(21, b"9"), Admission.TABLE_FULL)
+        self.assertEqual(one.check_admission(21, b"1"), Admission.MAY_HAVE_RUN)
+        self.assertEqual(
+            one.check_admission(5000 + 60_001 + 21, b"1"), Admission.PEER_UNREACHABLE
+        )  # over, the peer is silent
 
     def test_bodies_that_cannot_be_used_change_nothing(self) -> None:
         one, two = self.make("one", "two", 1), self.make("two", "one", 2)
@@ -377,8 +401,8 @@
             {"marks": [["x", 1]] * 65},
         ):
             with self.subTest(body), self.assertRaisesRegex(RefusedError, "body"):
-                two.take(20, "one", one.sessions["two"].write(20, body))
-        self.assertEqual((two.known["one"], two.marks.known), (known, {}))
+                two.receive(20, "one", one.sessions["two"].write(20, body))
+        self.assertEqual((two.known["one"], two.records.known), (known, {}))
         raw = struct.pack("!I", 7)
         with self.assertRaises(RefusedError):
-            two.take(21, "one", raw)
+            two.receive(21, "one", raw)
