--- a/spurdeal/vrrp/address.py
+++ b/spurdeal/vrrp/address.py
@@ -20,9 +20,9 @@
 from ..net.counters import Counters
 from .advert import Address
 
-ANNOUNCE_AT = (0.0, 0.02, 0.06, 0.2)  # seconds: a lost datagram must not cost the takeover
-ANNOUNCE_EVERY = 1.0
-LISTEN_AGAIN = 0.05  # seconds: the one that leaves may hold the port for a moment yet
+ANNOUNCE_DELAYS = (0.0, 0.02, 0.06, 0.2)  # seconds: a lost datagram must not cost the takeover
+ANNOUNCE_INTERVAL = 1.0
+LISTEN_RETRY_DELAY = 0.05  # seconds: the one that leaves may hold the port for a moment yet
 MAX_QUEUED_COMMANDS = 16
 
 
@@ -32,28 +32,32 @@
     transport: Any
 
     def __init__(
-        self, reactor: Scheduler, switch: tuple[str, int], here: tuple[str, int], counters: Counters
+        self, reactor: Scheduler, switch: tuple[str, int], own_endpoint: tuple[str, int], counters: Counters
     ) -> None:
-        self.reactor, self.switch, self.here, self.counters = reactor, switch, here, counters
+        self.reactor, self.switch, self.own_endpoint, self.counters = reactor, switch, own_endpoint, counters
         self.held: dict[int, Sequence[Address]] = {}
-        self.later: dict[int, list[Timer]] = {}
+        self.timers: dict[int, list[Timer]] = {}
 
     def take(self, group: int, addresses: Sequence[Address]) -> None:
         """Announce the addresses of a group from now on."""
         self.cancel(group)
         self.held[group] = addresses
-        self.later[group] = [self.reactor.callLater(at, self.announce, group) for at in ANNOUNCE_AT]
-        self.later[group].append(self.reactor.callLater(ANNOUNCE_EVERY, self.again, group))
+        self.timers[group] = [self.reactor.callLater(at, self.announce, group) for at in ANNOUNCE_DELAYS]
+        self.timers[group].append(
+            self.reactor.callLater(ANNOUNCE_INTERVAL, self.announce_periodically, group)
+        )
 
-    def again(self, group: int) -> None:
+    def announce_periodically(self, group: int) -> None:
         """Announce once more, each ANNOUNCE_EVERY."""
         self.announce(group)
-        self.later[group] = [self.reactor.callLater(ANNOUNCE_EVERY, self.again, group)]
+        self.timers[group] = [self.reactor.callLater(ANNOUNCE_INTERVAL, self.announce_periodically, group)]
 
     def announce(self, group: int) -> None:
         """Send one announcement for each address of a group."""
         for address in self.held[group]:
-            text = json.dumps({"address": str(address), "group": group, "at": list(self.here)}).encode()
+            text = json.dumps(
+                {"address": str(address), "group": group, "at": list(self.own_endpoint)}
+            ).encode()
             try:
                 self.transport.write(text, self.switch)
                 self.counters.add("announced")
@@ -67,7 +71,7 @@
 
     def cancel(self, group: int) -> None:
         """Drop the announcements of a group that are scheduled."""
-        for call in self.later.pop(group, ()):
+        for call in self.timers.pop(group, ()):
             if call.active():
                 call.cancel()
 
@@ -125,7 +129,7 @@
                 "address_not_listened",
                 extra={"figures": {"address": str(address), "why": str(fault.socketError)}},
             )
-            self.reactor.callLater(LISTEN_AGAIN, self.listen, address)
+            self.reactor.callLater(LISTEN_RETRY_DELAY, self.listen, address)
 
     def leave(self, group: int, addresses: Sequence[Address]) -> None:
         """Accept no more on these addresses, and drain their connections."""
@@ -156,75 +160,75 @@
         counters: Counters,
         log: logging.Logger,
     ) -> None:
-        self.reactor, self.words = reactor, {True: settings.take, False: settings.leave}
+        self.reactor, self.arguments = reactor, {True: settings.take, False: settings.leave}
         self.within, self.counters, self.log = settings.within, counters, log
         self.queue: list[list[str]] = []
         self.running = False
 
     def take(self, group: int, addresses: Sequence[Address]) -> None:
         """Run the command that takes an address, for each."""
-        self.ask(True, addresses)
+        self.enqueue(True, addresses)
 
     def leave(self, group: int, addresses: Sequence[Address]) -> None:
         """Run the command that leaves an address, for each."""
-        self.ask(False, addresses)
+        self.enqueue(False, addresses)
 
-    def ask(self, taken: bool, addresses: Sequence[Address]) -> None:
+    def enqueue(self, taken: bool, addresses: Sequence[Address]) -> None:
         """Queue a command for each address."""
         for address in addresses:
-            words = [word.replace("{address}", str(address)) for word in self.words[taken]]
+            arguments = [word.replace("{address}", str(address)) for word in self.arguments[taken]]
             if len(self.queue) >= MAX_QUEUED_COMMANDS:  # only the newest tell how things stand
                 self.queue.pop(0)
                 self.counters.add("commands_dropped")
-            self.queue.append(words)
-        self.next()
+            self.queue.append(arguments)
+        self.run_next()
 
-    def next(self) -> None:
+    def run_next(self) -> None:
         """Run the next command, unless one is running."""
         if self.running or not self.queue:
             return
         self.running = True
-        words = self.queue.pop(0)
-        run = Run(self, words)
+        arguments = self.queue.pop(0)
+        run = CommandProcess(self, arguments)
         try:
-            self.reactor.spawnProcess(run, words[0], words, env=None)
+            self.reactor.spawnProcess(run, arguments[0], arguments, env=None)
         except OSError as fault:
-            self.ended(words, str(fault))
+            self.command_ended(arguments, str(fault))
             return
-        run.limit = self.reactor.callLater(self.within / 1000, run.overdue)
+        run.timer = self.reactor.callLater(self.within / 1000, run.kill_overdue)
 
-    def ended(self, words: Sequence[str], fault: str) -> None:
+    def command_ended(self, arguments: Sequence[str], fault: str) -> None:
         """A command has ended; `fault` is empty where it went well."""
         self.counters.add("commands_failed" if fault else "commands_run")
         if fault:
-            self.log.error("command_failed", extra={"figures": {"command": words[0], "why": fault}})
+            self.log.error("command_failed", extra={"figures": {"command": arguments[0], "why": fault}})
         self.running = False
-        self.next()
+        self.run_next()
 
 
-class Run(ProcessProtocol):
+class CommandProcess(ProcessProtocol):
     """One command, from its start to its end."""
 
     transport: Any
 
-    def __init__(self, commands: Commands, words: Sequence[str]) -> None:
-        self.commands, self.words, self.late = commands, words, False
-        self.limit: Timer | None = None
+    def __init__(self, commands: Commands, arguments: Sequence[str]) -> None:
+        self.commands, self.arguments, self.timed_out = commands, arguments, False
+        self.timer: Timer | None = None
 
-    def overdue(self) -> None:
+    def kill_overdue(self) -> None:
         """Its time is over: end it."""
-        self.late = True
+        self.timed_out = True
         self.transport.signalProcess("KILL")
 
     def processEnded(self, reason: Failure) -> None:
         """See ProcessProtocol."""
-        if self.limit is not None and self.limit.active():
-            self.limit.cancel()
+        if self.timer is not None and self.timer.active():
+            self.timer.cancel()
         fault = (
             "ended after its time"
-            if self.late
+            if self.timed_out
             else ""
             if isinstance(reason.value, ProcessDone)
             else str(reason.value)
         )
-        self.commands.ended(self.words, fault)
+        self.commands.command_ended(self.arguments, fault)
--- a/spurdeal/vrrp/advert.py
+++ b/spurdeal/vrrp/advert.py
@@ -9,11 +9,11 @@
 Address = IPv4Address | IPv6Address
 
 VERSION, ADVERTISEMENT, PROTOCOL, TTL = 3, 1, 112, 255
-HEAD = struct.Struct("!BBBBHH")
+HEADER = struct.Struct("!BBBBHH")
 CENTISECOND = 10.0  # ms
-MAX_BYTE, MAX_TICKS, ALL_ONES = 0xFF, 0x0FFF, 0xFFFF
-LONGEST_INTERVAL = MAX_TICKS * CENTISECOND  # ms
-MOST_ADDRESSES = 255
+MAX_BYTE, MAX_CENTISECONDS, ALL_ONES = 0xFF, 0x0FFF, 0xFFFF
+MAX_INTERVAL = MAX_CENTISECONDS * CENTISECOND  # ms
+MAX_ADDRESSES = 255
 STOPPING, OWNER = 0, 255  # priorities of section 5.2.4 that mean more than a rank
 
 
@@ -25,7 +25,7 @@
         self.reason = reason
 
 
-def ones_sum(data: bytes | memoryview) -> int:
+def ones_complement_sum(data: bytes | memoryview) -> int:
     """The one's complement sum of 16-bit words (RFC 1071), an odd byte padded with zero."""
     padded = bytes(data) + b"\0" * (len(data) % 2)
     total: int = sum(word for (word,) in struct.iter_unpack("!H", padded))
@@ -44,7 +44,7 @@
 def checksum(message: bytes, source: Address, target: Address) -> int:
     """Section 5.2.8: for IPv6 with a pseudo-header, for IPv4 over the message alone."""
     before = b"" if isinstance(source, IPv4Address) else pseudo_header(source, target, len(message))
-    return ~ones_sum(before + message) & 0xFFFF
+    return ~ones_complement_sum(before + message) & 0xFFFF
 
 
 class Advert(NamedTuple):
@@ -76,15 +76,15 @@
     """
     group, priority, interval, addresses = advert
     ticks = round(interval / CENTISECOND)
-    in_fields = 1 <= group <= MAX_BYTE and 0 <= priority <= MAX_BYTE and 1 <= ticks <= MAX_TICKS
+    in_fields = 1 <= group <= MAX_BYTE and 0 <= priority <= MAX_BYTE and 1 <= ticks <= MAX_CENTISECONDS
     if not in_fields:
         raise ValueError(f"no field holds group {group}, priority {priority} or interval {interval} ms")
-    if not 1 <= len(addresses) <= MOST_ADDRESSES or len({address.version for address in addresses}) != 1:
+    if not 1 <= len(addresses) <= MAX_ADDRESSES or len({address.version for address in addresses}) != 1:
         raise ValueError("1 to 255 addresses of one kind are advertised")
     body = b"".join(address.packed for address in addresses)
     first = VERSION << 4 | ADVERTISEMENT
-    blank = HEAD.pack(first, group, priority, len(addresses), ticks, 0) + body
-    return HEAD.pack(first, group, priority, len(addresses), ticks, checksum(blank, source, target)) + body
+    blank = HEADER.pack(first, group, priority, len(addresses), ticks, 0) + body
+    return HEADER.pack(first, group, priority, len(addresses), ticks, checksum(blank, source, target)) + body
 
 
 def read(datagram: bytes, source: Address, target: Address, ttl: int | None = None) -> Advert:
@@ -104,46 +104,46 @@
     """
     if ttl is not None and ttl != TTL:
         raise DroppedError("ttl", str(ttl))
-    if len(datagram) < HEAD.size:
+    if len(datagram) < HEADER.size:
         raise DroppedError("short", f"{len(datagram)} bytes")
-    first, group, priority, count, ticks, told = HEAD.unpack_from(datagram)
+    first, group, priority, count, ticks, received = HEADER.unpack_from(datagram)
     if first >> 4 != VERSION:
         raise DroppedError("version", str(first >> 4))
     if first & 0x0F != ADVERTISEMENT:
         raise DroppedError("type", str(first & 0x0F))
-    size = len(datagram) - HEAD.size
+    size = len(datagram) - HEADER.size
     if not count or size not in (4 * count, 16 * count):
         raise DroppedError("length", f"{size} bytes for {count} addresses")
-    ticks &= MAX_TICKS  # section 5.2.6: the reserved bits are ignored on receipt
+    ticks &= MAX_CENTISECONDS  # section 5.2.6: the reserved bits are ignored on receipt
     if not ticks:
         raise DroppedError("interval", "0")
-    if not checks(datagram, source, target):
-        raise DroppedError("checksum", f"{told:#06x}")
+    if not checksum_valid(datagram, source, target):
+        raise DroppedError("checksum", f"{received:#06x}")
     width = size // count
-    starts = range(HEAD.size, len(datagram), width)
+    starts = range(HEADER.size, len(datagram), width)
     addresses = tuple(ip_address(datagram[at : at + width]) for at in starts)
     return Advert(group, priority, ticks * CENTISECOND, addresses)
 
 
-def checks(datagram: bytes, source: Address, target: Address) -> bool:
+def checksum_valid(datagram: bytes, source: Address, target: Address) -> bool:
     """Both readings of the IPv4 checksum are taken: RFC 5798 was read with a pseudo-header by some."""
-    if ones_sum(datagram) == ALL_ONES and isinstance(source, IPv4Address):
+    if ones_complement_sum(datagram) == ALL_ONES and isinstance(source, IPv4Address):
         return True
-    return ones_sum(pseudo_header(source, target, len(datagram)) + datagram) == ALL_ONES
+    return ones_complement_sum(pseudo_header(source, target, len(datagram)) + datagram) == ALL_ONES
 
 
 def fields(datagram: bytes, source: Address, target: Address) -> dict[str, object]:
     """Field by field, also where a check fails, for people; `dropped` then names the reason."""
-    padded = datagram[: HEAD.size].ljust(HEAD.size, b"\0")
-    first, group, priority, count, ticks, told = HEAD.unpack(padded)
+    padded = datagram[: HEADER.size].ljust(HEADER.size, b"\0")
+    first, group, priority, count, ticks, received = HEADER.unpack(padded)
     found: dict[str, object] = {
         "version": first >> 4,
         "type": first & 0x0F,
         "group": group,
         "priority": priority,
         "count": count,
-        "interval_ms": (ticks & MAX_TICKS) * CENTISECOND,
-        "checksum": f"{told:#06x}",
+        "interval_ms": (ticks & MAX_CENTISECONDS) * CENTISECOND,
+        "checksum": f"{received:#06x}",
         "bytes": len(datagram),
     }
     try:
--- a/spurdeal/vrrp/advertising.py
+++ b/spurdeal/vrrp/advertising.py
@@ -15,7 +15,7 @@
 from ..eventloop import Timer
 from . import advert
 from .advert import Address, Advert, DroppedError
-from .groups import Done, Groups
+from .groups import Actions, Groups
 from .machine import Action
 from .setup import Holder, Runtime
 
@@ -23,7 +23,7 @@
     from ..settings.installation import Installation
 
 
-class Adverts(DatagramProtocol):
+class AdvertProtocol(DatagramProtocol):
     """Datagrams of the peers' advertisements."""
 
     transport: Any
@@ -33,7 +33,7 @@
 
     def datagramReceived(self, datagram: bytes, address: tuple[Any, ...]) -> None:
         """See DatagramProtocol."""
-        self.advertising.came(datagram, str(address[0]))
+        self.advertising.on_datagram(datagram, str(address[0]))
 
 
 @dataclass(frozen=True)
@@ -66,20 +66,20 @@
         self.reactor, self.monotonic = runtime.reactor, runtime.monotonic
         self.counters, self.log = runtime.counters, runtime.log
         self.taken, self.awaiting_sync = callbacks.taken, callbacks.awaiting_sync
-        self.own: Address = vrrp.listen[0]
+        self.own_address: Address = vrrp.listen[0]
         self.by_sender = {peer.adverts[0]: peer.name for peer in plan.peers}
         self.addresses = {each.group: tuple(each.addresses) for each in vrrp.groups}
         self.accepting = {each.group: each.accept for each in vrrp.groups}
-        self.adverts = Adverts(self)
-        self.ticking: Timer | None = None
+        self.protocol = AdvertProtocol(self)
+        self.timer: Timer | None = None
 
-    def came(self, datagram: bytes, sender: str) -> None:
+    def on_datagram(self, datagram: bytes, sender: str) -> None:
         """An advertisement, checked (RFC 9568, section 7.1) and counted by what it fails."""
         try:
             source = ip_address(sender)
             if source not in self.by_sender:
                 raise DroppedError("sender")
-            group, priority, interval, addresses = advert.read(datagram, source, self.own)
+            group, priority, interval, addresses = advert.read(datagram, source, self.own_address)
             if group not in self.groups.machines:
                 raise DroppedError("group")
             if self.groups.machines[group].terms.priority == advert.OWNER and not self.awaiting_sync():
@@ -90,33 +90,33 @@
         self.counters.add("vrrp_adverts")
         if set(addresses) != set(self.addresses[group]):
             self.counters.add("vrrp_addresses_differ")
-        self.do(self.groups.advert_received(self.monotonic(), group, priority, interval, source))
+        self.perform(self.groups.advert_received(self.monotonic(), group, priority, interval, source))
         self.rearm()
 
     def rearm(self) -> None:
         """Set the timer to when the groups are due next."""
-        if self.ticking is not None and self.ticking.active():
-            self.ticking.cancel()
+        if self.timer is not None and self.timer.active():
+            self.timer.cancel()
         due = self.groups.due
         if due != float("inf"):
-            self.ticking = self.reactor.callLater(max(0.0, due - self.monotonic()) / 1000, self.tick)
+            self.timer = self.reactor.callLater(max(0.0, due - self.monotonic()) / 1000, self.tick)
 
     def tick(self) -> None:
         """The groups are due."""
         try:
-            self.do(self.groups.tick(self.monotonic()))
+            self.perform(self.groups.tick(self.monotonic()))
         finally:  # also after a fault: without a timer nobody would take over, nor advertise
             self.rearm()
 
-    def do(self, done: Done) -> None:
+    def perform(self, actions: Actions) -> None:
         """Carry out what the groups have decided."""
-        for group, act in done:
+        for group, action in actions:
             machine = self.groups.machines[group]
-            if act is Action.ADVERTISE:
+            if action is Action.ADVERTISE:
                 self.advertise(group, machine.priority)
-            elif act is Action.RESIGN:
+            elif action is Action.RESIGN:
                 self.advertise(group, advert.STOPPING)
-            elif act is Action.TAKE:
+            elif action is Action.TAKE:
                 self.take(group, machine.why)
             else:
                 self.leave(group, machine.why)
@@ -126,10 +126,10 @@
         interval = self.groups.machines[group].terms.interval
         for peer in self.peers:
             host, port = peer.adverts
-            told = Advert(group, priority, interval, self.addresses[group])
-            text = advert.write(told, self.own, host)
+            message = Advert(group, priority, interval, self.addresses[group])
+            text = advert.write(message, self.own_address, host)
             try:
-                self.adverts.transport.write(text, (str(host), port))
+                self.protocol.transport.write(text, (str(host), port))
                 self.counters.add("vrrp_sent")
             except OSError:
                 self.counters.add("vrrp_not_sent")
--- a/spurdeal/vrrp/exchange.py
+++ b/spurdeal/vrrp/exchange.py
@@ -22,7 +22,7 @@
 REPEATS = 4  # within the time that a verdict may take: a datagram or its answer may be lost
 
 
-class Telling(DatagramProtocol):
+class HandoverProtocol(DatagramProtocol):
     """Handover datagrams of the peers."""
 
     transport: Any
@@ -32,7 +32,7 @@
 
     def datagramReceived(self, datagram: bytes, address: tuple[Any, ...]) -> None:
         """See DatagramProtocol."""
-        self.exchange.came(datagram, (str(address[0]), int(address[1])))
+        self.exchange.on_datagram(datagram, (str(address[0]), int(address[1])))
 
 
 class Exchange:
@@ -46,53 +46,53 @@
     ) -> None:
         self.handover, self.reactor, self.counters = handover, runtime.reactor, runtime.counters
         self.monotonic = runtime.monotonic
-        self.places = {peer.name: (str(peer.handover[0]), peer.handover[1]) for peer in plan.peers}
-        self.by_address = {place: name for name, place in self.places.items()}
-        self.telling = Telling(self)
+        self.peer_addresses = {peer.name: (str(peer.handover[0]), peer.handover[1]) for peer in plan.peers}
+        self.peer_by_address = {address: name for name, address in self.peer_addresses.items()}
+        self.protocol = HandoverProtocol(self)
         self.pending_callbacks: dict[object, Callable[[bool | None], None]] = {}  # what waits for its verdict
-        self.flushing = False
-        self.greeted, self.greeted_since = 0, self.monotonic()
+        self.flush_scheduled = False
+        self.greetings_sent, self.greeting_window_start = 0, self.monotonic()
 
-    def tell_all(self, facts: DispatcherState, idle: bool) -> None:
+    def send_state(self, state: DispatcherState, idle: bool) -> None:
         """Tell each peer how we are. idle: our part of cold budgets may be lent."""
         if self.handover is None:
             return
         now = self.monotonic()
-        for peer in self.places:
-            self.send(peer, self.handover.compose(now, peer, facts, idle))
-        self.conclude(self.handover.tick(now))
+        for peer in self.peer_addresses:
+            self.send(peer, self.handover.compose(now, peer, state, idle))
+        self.deliver_verdicts(self.handover.tick(now))
 
     def flush(self) -> None:
         """What waits for the peers' word goes out at once, all of one turn together."""
-        self.flushing = False
+        self.flush_scheduled = False
         if self.handover is None:
             return
         now = self.monotonic()
-        for peer in self.places:
+        for peer in self.peer_addresses:
             datagram = self.handover.compose_urgent(now, peer)
             if datagram is not None:
                 self.send(peer, datagram)
-        self.conclude(self.handover.tick(now))
+        self.deliver_verdicts(self.handover.tick(now))
         if self.handover.waiting:
             self.flush_soon(self.handover.settings.ahead_wait / REPEATS)
 
     def flush_soon(self, delay: float = 0.0) -> None:
         """Flush after so many ms, unless that is to happen already."""
-        if not self.flushing:
-            self.flushing = True
+        if not self.flush_scheduled:
+            self.flush_scheduled = True
             self.reactor.callLater(delay / 1000, self.flush)
 
     def send(self, peer: str, datagram: bytes) -> None:
         """To that peer, as far as the system takes it."""
         try:
-            self.telling.transport.write(datagram, self.places[peer])
+            self.protocol.transport.write(datagram, self.peer_addresses[peer])
             self.counters.add("handover_sent")
         except OSError:
             self.counters.add("handover_not_sent")
 
-    def came(self, datagram: bytes, address: tuple[str, int]) -> None:
+    def on_datagram(self, datagram: bytes, address: tuple[str, int]) -> None:
         """A datagram; what cannot be used is counted by its reason."""
-        peer = self.by_address.get(address)
+        peer = self.peer_by_address.get(address)
         if peer is None or self.handover is None:
             self.counters.add("handover_drop_sender")
             return
@@ -105,19 +105,19 @@
                 self.greet(self.handover, now, peer, datagram)
             return
         self.counters.add("handover_taken")
-        self.conclude(verdicts)
+        self.deliver_verdicts(verdicts)
         if self.handover.replies[peer]:
             self.flush_soon()
 
     def greet(self, handover: Handover, now: float, peer: str, datagram: bytes) -> None:
         """Answer one who does not know our start with it, as long as the rate allows."""
-        if now - self.greeted_since >= GREETING_WINDOW:
-            self.greeted, self.greeted_since = 0, now
-        if self.greeted < MAX_GREETINGS:
-            self.greeted += 1
+        if now - self.greeting_window_start >= GREETING_WINDOW:
+            self.greetings_sent, self.greeting_window_start = 0, now
+        if self.greetings_sent < MAX_GREETINGS:
+            self.greetings_sent += 1
             self.send(peer, handover.sessions[peer].greet(now, datagram))
 
-    def conclude(self, verdicts: Sequence[Verdict]) -> None:
+    def deliver_verdicts(self, verdicts: Sequence[Verdict]) -> None:
         """Tell what waits for these verdicts."""
         for token, go in verdicts:
             call = self.pending_callbacks.pop(token, None)
--- a/spurdeal/vrrp/groups.py
+++ b/spurdeal/vrrp/groups.py
@@ -9,7 +9,7 @@
 from .machine import NEVER, Action, GroupSettings, State, StateMachine
 
 CONDITIONS = ("list_stale", "no_engine", "shut_out", "stopping")  # what can be tracked
-LEAST = 1  # a priority that is lowered stays a priority; 0 is said by stopping only
+MIN_PRIORITY = 1  # a priority that is lowered stays a priority; 0 is said by stopping only
 
 
 class Tracked(NamedTuple):
@@ -19,7 +19,7 @@
     lowers: int
 
 
-Done = list[tuple[int, Action]]
+Actions = list[tuple[int, Action]]
 
 
 class Groups:
@@ -34,40 +34,44 @@
         self.machines = {each.group: StateMachine(each) for each in terms}
         self.tracked = {group: tuple(tracked.get(group, ())) for group in self.machines}
         self.bundles = {group: tuple(bundle) for bundle in bundles for group in bundle}
-        self.holding = frozenset[str]()
+        self.conditions_met = frozenset[str]()
 
-    def start(self, now: float, awaiting_sync: bool) -> Done:
+    def start(self, now: float, awaiting_sync: bool) -> Actions:
         """Startup of all groups; barred, none takes its addresses yet."""
-        return self.each(lambda machine: machine.start(now, awaiting_sync))
+        return self.for_each_group(lambda machine: machine.start(now, awaiting_sync))
 
-    def stop(self, now: float) -> Done:
+    def stop(self, now: float) -> Actions:
         """Shutdown of all groups."""
-        return self.each(lambda machine: machine.stop(now))
+        return self.for_each_group(lambda machine: machine.stop(now))
 
-    def tick(self, now: float) -> Done:
+    def tick(self, now: float) -> Actions:
         """What is due by now, in all groups."""
-        done: Done = []
+        pairs: Actions = []
         for group, machine in self.machines.items():
-            done += self.moved(now, group, machine.state, machine.tick(now))
-        return done
+            pairs += self.state_changed(now, group, machine.state, machine.tick(now))
+        return pairs
 
     def advert_received(
         self, now: float, group: int, priority: int, interval: float, sender: Address
-    ) -> Done:
+    ) -> Actions:
         """A checked advertisement of a group."""
         machine = self.machines[group]
-        return self.moved(now, group, machine.state, machine.advert_received(now, priority, interval, sender))
+        return self.state_changed(
+            now, group, machine.state, machine.advert_received(now, priority, interval, sender)
+        )
 
-    def conditions(self, now: float, holding: Iterable[str]) -> Done:
+    def conditions(self, now: float, conditions_met: Iterable[str]) -> Actions:
         """The tracked conditions that hold now; an owner's priority is never lowered (section 6.1)."""
-        self.holding = frozenset(holding)
-        done: Done = []
+        self.conditions_met = frozenset(conditions_met)
+        pairs: Actions = []
         for group, machine in self.machines.items():
-            lowered = sum(each.lowers for each in self.tracked[group] if each.condition in self.holding)
+            reduction = sum(
+                each.lowers for each in self.tracked[group] if each.condition in self.conditions_met
+            )
             own = machine.terms.priority
-            rank = own if own == OWNER else max(LEAST, own - lowered)
-            done += [(group, act) for act in machine.set_priority(now, rank)]
-        return done
+            priority = own if own == OWNER else max(MIN_PRIORITY, own - reduction)
+            pairs += [(group, action) for action in machine.set_priority(now, priority)]
+        return pairs
 
     def end_sync_wait(self) -> None:
         """All groups may take addresses back from here on."""
@@ -85,24 +89,24 @@
 
     # Bundles: one that takes its address takes the others' along, and so does one that leaves.
 
-    def moved(self, now: float, group: int, before: State, acts: list[Action]) -> Done:
+    def state_changed(self, now: float, group: int, before: State, acts: list[Action]) -> Actions:
         """What is to be done for a group, and for its bundle where its state has changed."""
-        done = [(group, act) for act in acts]
+        pairs = [(group, action) for action in acts]
         after = self.machines[group].state
         if after is before or after is State.INITIALIZE:
-            return done
+            return pairs
         for other in self.bundles.get(group, ()):
             machine = self.machines[other]
             if machine.state is after or machine.state is State.INITIALIZE:
                 continue
             why = f"with group {group}"
             if after is State.ACTIVE:
-                done += [(other, act) for act in machine.become_active(now, why)]
+                pairs += [(other, action) for action in machine.become_active(now, why)]
             else:
                 machine.become_backup(now, why)
-                done.append((other, Action.RELEASE))
-        return done
+                pairs.append((other, Action.RELEASE))
+        return pairs
 
-    def each(self, call: Callable[[StateMachine], list[Action]]) -> Done:
+    def for_each_group(self, call: Callable[[StateMachine], list[Action]]) -> Actions:
         """The same call for each group."""
-        return [(group, act) for group, machine in self.machines.items() for act in call(machine)]
+        return [(group, action) for group, machine in self.machines.items() for action in call(machine)]
--- a/spurdeal/vrrp/guard.py
+++ b/spurdeal/vrrp/guard.py
@@ -46,7 +46,7 @@
         self.budget_shares, self.share = budget_shares, share
         self.guarded, self.assumed_cold = at_most_once(service.configuration.site), assumed_cold
         own = 1.0 / service.configuration.site.dispatchers
-        self.parts = own, own
+        self.shares = own, own
         self.sent_cold: dict[int, list[ColdSend]] = {}  # by engine, within a window
 
     # The link's Guard.
@@ -56,10 +56,10 @@
         if not self.share or self.handover is None:
             return
         mono = self.monotonic()
-        parts = self.budget_shares.share(mono), self.budget_shares.start_share(mono)
-        if parts != self.parts:
-            self.parts = parts
-            self.adapter.rules.capacity_shares_changed(now, *parts)
+        shares = self.budget_shares.share(mono), self.budget_shares.start_share(mono)
+        if shares != self.shares:
+            self.shares = shares
+            self.adapter.rules.capacity_shares_changed(now, *shares)
             self.counters.add("tenure_changes")
 
     def door(self, kind: int, ident: bytes) -> Answer | None:
@@ -85,7 +85,7 @@
         if verdict is None:
             self.exchange.flush_soon()
         else:
-            self.exchange.reactor.callLater(0, self.exchange.conclude, [verdict])
+            self.exchange.reactor.callLater(0, self.exchange.deliver_verdicts, [verdict])
         return False
 
     def given_up(self, number: int, attempt: int) -> None:
@@ -125,7 +125,7 @@
             self.counters.add("cold_withheld")
             return False
         self.budget_shares.record_use(now)
-        self.sent_cold[engine] = [*self.recent(engine, now), ColdSend(now, 1.0)]
+        self.sent_cold[engine] = [*self.recent_sends(engine, now), ColdSend(now, 1.0)]
         return True
 
     def endpoint(self, endpoint: Endpoint) -> Endpoint:
@@ -150,11 +150,11 @@
         found = self.adapter.rules.engines.get(engine)
         return found is not None and found.warm_at > self.adapter.clock()
 
-    def recent(self, engine: int, now: float) -> list[ColdSend]:
+    def recent_sends(self, engine: int, now: float) -> list[ColdSend]:
         """What we have sent to a cold engine within a window."""
         return [row for row in self.sent_cold.get(engine, ()) if row.at > now - self.budget_shares.window]
 
-    def facts(self, now: float, number: int, held: list[int]) -> DispatcherState:
+    def dispatcher_state(self, now: float, number: int, held: list[int]) -> DispatcherState:
         """What the peers are told of us.
 
         Args:
@@ -163,14 +163,14 @@
             held: The groups whose addresses we hold.
         """
         unix, rules = self.adapter.clock(), self.adapter.rules
-        cold, aside = [], []
+        cold, ejected = [], []
         for ident, place in self.adapter.index.places.items():
             engine = rules.engines.get(place)
             if engine is None:
                 continue
             if engine.warm_at > unix and ident in self.adapter.endpoints:
-                work = sum(row.work for row in self.recent(place, now))
+                work = sum(row.work for row in self.recent_sends(place, now))
                 cold.append((ident, self.adapter.endpoints[ident].started, work))
             if engine.aside_until > unix:
-                aside.append((ident, engine.aside_until - unix))
-        return DispatcherState(number, held, cold, aside)
+                ejected.append((ident, engine.aside_until - unix))
+        return DispatcherState(number, held, cold, ejected)
--- a/spurdeal/vrrp/handover.py
+++ b/spurdeal/vrrp/handover.py
@@ -14,7 +14,7 @@
 from typing import Any, NamedTuple
 
 from .marks import Admission, IdempotencyTable
-from .message import MOST_ENGINES, MOST_TOLD, PAGE, Message, Page, PeerState, read_message
+from .message import MAX_ANNOUNCED, MAX_ENGINES, PAGE_SIZE, Message, Page, PeerState, read_message
 from .sealed import Keys, Session
 from .tenure import BudgetShares
 
@@ -27,7 +27,7 @@
     list_number: int
     held: Sequence[int]
     cold: Sequence[tuple[str, float, float]]  # engine, start, ms of work sent there in the cold window
-    aside: Sequence[tuple[str, float]]  # engine, ms left
+    ejected: Sequence[tuple[str, float]]  # engine, ms left
 
 
 class Verdict(NamedTuple):
@@ -44,7 +44,7 @@
     ident: bytes
     deadline: float
     until: float
-    missing: frozenset[str]
+    awaited_peers: frozenset[str]
 
 
 @dataclass(frozen=True)
@@ -95,23 +95,28 @@
     ) -> None:
         own, peers, boot, keys = membership.name, membership.peers, membership.boot, membership.keys
         self.sessions = {peer: Session(own, peer, boot, keys) for peer in peers}
-        self.settings, self.budget_shares, self.records, self.began = settings, budget_shares, records, now
+        self.settings, self.budget_shares, self.records, self.started_at = (
+            settings,
+            budget_shares,
+            records,
+            now,
+        )
         self.known: dict[str, PeerState] = {}
-        self.left: dict[str, float] = {}
+        self.remaining_loans: dict[str, float] = {}
         self.waiting: dict[object, PendingSend] = {}
         self.announcement = 0
-        self.clearing: dict[str, list[tuple[bytes, float, int]]] = {peer: [] for peer in peers}
+        self.pending_clears: dict[str, list[tuple[bytes, float, int]]] = {peer: [] for peer in peers}
         self.replies: dict[str, list[tuple[float, bool]]] = {peer: [] for peer in peers}
-        self.pages_of: dict[str, list[list[tuple[bytes, float]]]] = {}  # what a new peer has yet to get
-        self.pages_asked: dict[str, int] = {}
-        self.pages_got: dict[str, int] = {}
+        self.record_pages: dict[str, list[list[tuple[bytes, float]]]] = {}  # what a new peer has yet to get
+        self.requested_pages: dict[str, int] = {}
+        self.received_pages: dict[str, int] = {}
         self.synced: set[str] = set()
 
     # What is asked of it.
 
     def complete(self, now: float) -> bool:
         """All that peers know is here, or the stated time without is over."""
-        return len(self.synced) == len(self.sessions) or now >= self.began + self.settings.sync_timeout
+        return len(self.synced) == len(self.sessions) or now >= self.started_at + self.settings.sync_timeout
 
     def check_admission(self, now: float, ident: bytes) -> Admission:
         """For one that must not run twice, on its way in."""
@@ -130,7 +135,7 @@
 
     def last_heard(self, peer: str) -> float:
         """When a peer was last heard, in ms; our start where it never was."""
-        return self.known[peer].at if peer in self.known else self.began
+        return self.known[peer].heard_at if peer in self.known else self.started_at
 
     def required_peers(self, now: float) -> list[str]:
         """The peers that must answer what is told ahead."""
@@ -143,12 +148,12 @@
         self.announcement += 1
         if not self.records.add(now, ident, deadline, self.announcement):
             return Verdict(token, None if ident in self.records.known else False)
-        missing = frozenset(self.required_peers(now)) if self.settings.ahead else frozenset[str]()
-        if not missing:
+        awaited_peers = frozenset(self.required_peers(now)) if self.settings.ahead else frozenset[str]()
+        if not awaited_peers:
             self.records.mark_sent(ident)
             return Verdict(token, True)
         self.waiting[token] = PendingSend(
-            self.announcement, ident, deadline, now + self.settings.ahead_wait, missing
+            self.announcement, ident, deadline, now + self.settings.ahead_wait, awaited_peers
         )
         return None
 
@@ -159,9 +164,9 @@
     def finish(self, ident: bytes, never_ran: bool) -> None:
         """It was answered. Only where each attempt is known not to have run is its mark taken back."""
         if never_ran and (announcement := self.records.remove_own(ident)) is not None:
-            for clearing in self.clearing.values():
-                clearing.append((ident, announcement, CLEAR_REPEATS))
-                del clearing[: -MOST_TOLD * CLEAR_REPEATS]  # older ones end by time
+            for pending_clears in self.pending_clears.values():
+                pending_clears.append((ident, announcement, CLEAR_REPEATS))
+                del pending_clears[: -MAX_ANNOUNCED * CLEAR_REPEATS]  # older ones end by time
 
     def tick(self, now: float) -> list[Verdict]:
         """Verdicts for those that have waited too long: they must not go."""
@@ -172,26 +177,29 @@
 
     # Datagrams.
 
-    def compose(self, now: float, peer: str, facts: DispatcherState, idle: bool) -> bytes:
+    def compose(self, now: float, peer: str, state: DispatcherState, idle: bool) -> bytes:
         """All there is to tell this peer now."""
         part, wait = self.budget_shares.lend(now, peer, idle)
-        clears, self.clearing[peer] = self.clearing[peer][:MOST_TOLD], self.clearing[peer][MOST_TOLD:]
-        self.clearing[peer] += [
+        clears, self.pending_clears[peer] = (
+            self.pending_clears[peer][:MAX_ANNOUNCED],
+            self.pending_clears[peer][MAX_ANNOUNCED:],
+        )
+        self.pending_clears[peer] += [
             (ident, announcement, times - 1) for ident, announcement, times in clears if times > 1
         ]
         body: dict[str, Any] = {
-            "list": facts.list_number,
-            "held": list(facts.held),
-            "cold": [list(row) for row in facts.cold[:MOST_ENGINES]],
-            "aside": [list(row) for row in facts.aside[:MOST_ENGINES]],
+            "list": state.list_number,
+            "held": list(state.held),
+            "cold": [list(row) for row in state.cold[:MAX_ENGINES]],
+            "aside": [list(row) for row in state.ejected[:MAX_ENGINES]],
             "lend": [part, wait],
             "left": self.budget_shares.remaining_loan(now, peer),
             "clear": [[ident.decode(), announcement] for ident, announcement, _ in clears],
         }
         if peer not in self.synced:
-            body["need"] = self.pages_got.get(peer, 0)
-        if (pages := self.pages_of.get(peer)) is not None:
-            asked = min(self.pages_asked.get(peer, 0), len(pages))
+            body["need"] = self.received_pages.get(peer, 0)
+        if (pages := self.record_pages.get(peer)) is not None:
+            asked = min(self.requested_pages.get(peer, 0), len(pages))
             page = pages[asked] if asked < len(pages) else []
             body["marks"] = [[ident.decode(), left] for ident, left in page]
             body["page"] = [asked, len(pages)]
@@ -199,16 +207,22 @@
 
     def compose_urgent(self, now: float, peer: str) -> bytes | None:
         """Only what waits for an answer, and answers: at once, between the regular ones."""
-        told = self.announcements_and_replies(now, peer)
-        return self.sessions[peer].write(now, told) if told["tell"] or told["reply"] else None
+        body = self.announcements_and_replies(now, peer)
+        return self.sessions[peer].write(now, body) if body["tell"] or body["reply"] else None
 
     def announcements_and_replies(self, now: float, peer: str) -> dict[str, Any]:
         """What is told ahead and answered in the next datagram to a peer."""
-        waiting = [waiting for waiting in self.waiting.values() if peer in waiting.missing][:MOST_TOLD]
-        replies, self.replies[peer] = self.replies[peer][:MOST_TOLD], self.replies[peer][MOST_TOLD:]
+        waiting = [waiting for waiting in self.waiting.values() if peer in waiting.awaited_peers][
+            :MAX_ANNOUNCED
+        ]
+        replies, self.replies[peer] = self.replies[peer][:MAX_ANNOUNCED], self.replies[peer][MAX_ANNOUNCED:]
         return {
             "tell": [
-                [each.ident.decode(), max(0.0, each.deadline + self.records.keep - now), each.announcement]
+                [
+                    each.ident.decode(),
+                    max(0.0, each.deadline + self.records.retention - now),
+                    each.announcement,
+                ]
                 for each in waiting
             ],
             "reply": [list(reply) for reply in replies],
@@ -221,77 +235,77 @@
             RefusedError: It cannot be used; nothing has changed then but what Session counts as seen.
         """
         session = self.sessions[peer]
-        boots = session.boots
+        restarts = session.restarts
         body, asked = session.read(now, datagram)
         message = read_message(now, body)
         # All is read: nothing above has changed anything.
-        if session.boots != boots:
-            self.restarted(peer)
-        self.take_known(now, peer, message.known)
+        if session.restarts != restarts:
+            self.peer_restarted(peer)
+        self.update_peer_state(now, peer, message.known)
         if asked is not None:
-            self.take_tenure(now, peer, message, asked)
+            self.update_loans(now, peer, message, asked)
         for ident, announcement in message.clears:
             self.records.remove_from_peer(peer, ident, announcement)
-        for told in message.told:
-            marked = self.records.add_from_peer(now, peer, told.ident, told.left, told.announcement)
-            self.replies[peer].append((told.announcement, marked))
-            del self.replies[peer][: -4 * MOST_TOLD]
-        self.take_need(now, peer, message.need)
+        for request in message.announced:
+            marked = self.records.add_from_peer(now, peer, request.ident, request.left, request.announcement)
+            self.replies[peer].append((request.announcement, marked))
+            del self.replies[peer][: -4 * MAX_ANNOUNCED]
+        self.page_requested(now, peer, message.need)
         if message.page is not None:
-            self.take_page(now, peer, message.page, message.records)
+            self.page_received(now, peer, message.page, message.records)
         return self.replies_received(peer, message.replies)
 
-    def take_known(self, now: float, peer: str, known: PeerState | None) -> None:
+    def update_peer_state(self, now: float, peer: str, known: PeerState | None) -> None:
         """What the peer tells of itself; None where this datagram only shows that it is there."""
         if known is not None:
             self.known[peer] = known
         elif peer in self.known:
-            self.known[peer] = self.known[peer]._replace(at=now)
+            self.known[peer] = self.known[peer]._replace(heard_at=now)
 
-    def take_tenure(self, now: float, peer: str, message: Message, asked: float) -> None:
+    def update_loans(self, now: float, peer: str, message: Message, asked: float) -> None:
         """What the peer lends, and what is left of what it lent, as it answers what we sent at `asked`."""
         if message.lend is not None:
             self.budget_shares.borrow(now, peer, message.lend.part, message.lend.wait, asked)
         if message.left is not None:
-            self.left[peer] = message.left
-            self.budget_shares.remaining_reported(now, self.left, len(self.sessions))
+            self.remaining_loans[peer] = message.left
+            self.budget_shares.remaining_reported(now, self.remaining_loans, len(self.sessions))
 
-    def take_need(self, now: float, peer: str, need: int | None) -> None:
+    def page_requested(self, now: float, peer: str, need: int | None) -> None:
         """The page of our marks that the peer needs next; None where it has them all."""
         if need is None:
-            self.pages_of.pop(peer, None)
+            self.record_pages.pop(peer, None)
             return
-        if peer not in self.pages_of:
-            self.pages_of[peer] = list(self.records.pages(now, PAGE))
-        self.pages_asked[peer] = need
+        if peer not in self.record_pages:
+            self.record_pages[peer] = list(self.records.pages(now, PAGE_SIZE))
+        self.requested_pages[peer] = need
 
-    def take_page(self, now: float, peer: str, page: Page, records: list[tuple[bytes, float]]) -> None:
+    def page_received(self, now: float, peer: str, page: Page, records: list[tuple[bytes, float]]) -> None:
         """A page of the peer's marks, where it is the one that we need."""
-        if peer in self.synced or page.at != self.pages_got.get(peer, 0):
+        if peer in self.synced or page.position != self.received_pages.get(peer, 0):
             return
         self.records.add_page(now, peer, records)
-        self.pages_got[peer] = page.at + 1
-        if page.at + 1 >= page.of:
+        self.received_pages[peer] = page.position + 1
+        if page.position + 1 >= page.total:
             self.synced.add(peer)
 
-    def restarted(self, peer: str) -> None:
+    def peer_restarted(self, peer: str) -> None:
         """A new start of the peer: it knows nothing, and what it had told us stands as marks."""
-        self.pages_of.pop(peer, None)
-        self.left.pop(peer, None)
+        self.record_pages.pop(peer, None)
+        self.remaining_loans.pop(peer, None)
 
     def replies_received(self, peer: str, replies: Iterable[tuple[float, bool]]) -> list[Verdict]:
         """Verdicts that follow from a peer's answers."""
         verdicts = []
         for announcement, ok in replies:
             for token, waiting in list(self.waiting.items()):
-                if waiting.announcement != announcement or peer not in waiting.missing:
+                if waiting.announcement != announcement or peer not in waiting.awaited_peers:
                     continue
-                missing = waiting.missing - {peer}
+                awaited_peers = waiting.awaited_peers - {peer}
                 if not ok:
                     del self.waiting[token]
                     verdicts.append(Verdict(token, None))
-                elif missing:
-                    self.waiting[token] = waiting._replace(missing=missing)
+                elif awaited_peers:
+                    self.waiting[token] = waiting._replace(awaited_peers=awaited_peers)
                 else:
                     del self.waiting[token]
                     self.records.mark_sent(waiting.ident)
--- a/spurdeal/vrrp/machine.py
+++ b/spurdeal/vrrp/machine.py
@@ -108,9 +108,9 @@
             return []
         if self.state is not State.ACTIVE:
             return []
-        acts = self.tick(now) if now - self.seen > self.own_down_interval() else []
-        if acts:  # it stood still, and this tells who holds the address now
-            return acts + self.advert_received(now, priority, interval, sender)
+        actions = self.tick(now) if now - self.seen > self.own_down_interval() else []
+        if actions:  # it stood still, and this tells who holds the address now
+            return actions + self.advert_received(now, priority, interval, sender)
         self.seen = now
         if priority == STOPPING:
             self.due = now + self.terms.interval
--- a/spurdeal/vrrp/marks.py
+++ b/spurdeal/vrrp/marks.py
@@ -33,8 +33,8 @@
 class IdempotencyTable:
     """All marks, at most so many. None is dropped before its time: a full table sheds instead."""
 
-    def __init__(self, most: int, keep: float) -> None:
-        self.most, self.keep = most, keep
+    def __init__(self, capacity: int, retention: float) -> None:
+        self.capacity, self.retention = capacity, retention
         self.known: dict[bytes, IdempotencyRecord] = {}
         self.next_expiry = float("inf")
         self.refused = self.duplicates = 0
@@ -45,7 +45,7 @@
         if ident in self.known:
             self.duplicates += 1
             return Admission.MAY_HAVE_RUN
-        if len(self.known) >= self.most:
+        if len(self.known) >= self.capacity:
             self.refused += 1
             return Admission.TABLE_FULL
         return Admission.ALLOWED
@@ -55,10 +55,11 @@
         found = self.known.get(ident)
         if found is not None and found.peer:
             return False  # a peer was first, since the door
-        if found is None and len(self.known) >= self.most:
+        if found is None and len(self.known) >= self.capacity:
             return False
         self.store(
-            ident, IdempotencyRecord(deadline + self.keep, "", found.sent if found else False, announcement)
+            ident,
+            IdempotencyRecord(deadline + self.retention, "", found.sent if found else False, announcement),
         )
         return True
 
@@ -81,7 +82,7 @@
 
     def recall(self, ident: bytes, until: float) -> None:
         """An earlier start of ours may have sent it, as its ledger tells; new peers are told."""
-        if ident not in self.known and len(self.known) < self.most:
+        if ident not in self.known and len(self.known) < self.capacity:
             self.store(ident, IdempotencyRecord(until, "", True, 0))
 
     # What peers tell.
@@ -94,7 +95,7 @@
         """
         self.expire(now)
         found = self.known.get(ident)
-        if (found is not None and found.peer != peer) or (found is None and len(self.known) >= self.most):
+        if (found is not None and found.peer != peer) or (found is None and len(self.known) >= self.capacity):
             return False
         until = max(now + left, found.until if found else 0.0)
         self.store(
--- a/spurdeal/vrrp/message.py
+++ b/spurdeal/vrrp/message.py
@@ -8,23 +8,27 @@
 
 from .sealed import RefusedError
 
-PAGE, MOST_TOLD, MOST_ENGINES = 64, 48, 64  # entries in one datagram: all of them fit in sealed.LARGEST
-MOST_PAGES = 4096
-LONGEST_ID = 64  # characters
-MOST_GROUPS = 255
-LONGEST_LEFT = 3_600_000.0  # ms; nothing told lasts longer
-LARGEST_TURN = LATEST_START = 1e15
-LARGEST_LIST = MOST_WORK = 1e12
+PAGE_SIZE, MAX_ANNOUNCED, MAX_ENGINES = (
+    64,
+    48,
+    64,
+)  # entries in one datagram: all of them fit in sealed.LARGEST
+MAX_PAGES = 4096
+MAX_ID_LENGTH = 64  # characters
+MAX_GROUPS = 255
+MAX_REMAINING = 3_600_000.0  # ms; nothing told lasts longer
+MAX_ANNOUNCEMENT = MAX_START = 1e15
+MAX_LIST_NUMBER = MAX_WORK = 1e12
 
 
 class PeerState(NamedTuple):
     """What was last heard of a peer."""
 
-    at: float
+    heard_at: float
     list_number: int
     held: tuple[int, ...]
     cold: tuple[tuple[str, float, float], ...]
-    aside: tuple[tuple[str, float], ...]
+    ejected: tuple[tuple[str, float], ...]
 
 
 class AnnouncedRequest(NamedTuple):
@@ -35,7 +39,7 @@
     announcement: float
 
 
-class Loan(NamedTuple):
+class LoanOffer(NamedTuple):
     """What the peer lends of its part of cold budgets, and in how many ms it may be used."""
 
     part: float
@@ -45,8 +49,8 @@
 class Page(NamedTuple):
     """Which page of the peer's marks this is, and of how many."""
 
-    at: int
-    of: int
+    position: int
+    total: int
 
 
 class Message(NamedTuple):
@@ -61,42 +65,42 @@
         need: The page of our marks that it needs next.
     """
 
-    told: list[AnnouncedRequest]
+    announced: list[AnnouncedRequest]
     replies: list[tuple[float, bool]]
     clears: list[tuple[bytes, float]]
     records: list[tuple[bytes, float]]
     known: PeerState | None
-    lend: Loan | None
+    lend: LoanOffer | None
     left: float | None
     need: int | None
     page: Page | None
 
 
-def number(value: object, most: float = LONGEST_LEFT) -> float:
+def parse_number(value: object, maximum: float = MAX_REMAINING) -> float:
     """A number from 0 to `most`."""
     if (
         not isinstance(value, (int, float))
         or isinstance(value, bool)
         or not isfinite(value)
-        or not 0 <= value <= most
+        or not 0 <= value <= maximum
     ):
         raise RefusedError("body")
     return float(value)
 
 
-def ident_of(value: object) -> bytes:
+def parse_id(value: object) -> bytes:
     """An id, or an engine's name."""
-    if not isinstance(value, str) or not 1 <= len(value) <= LONGEST_ID or not value.isascii():
+    if not isinstance(value, str) or not 1 <= len(value) <= MAX_ID_LENGTH or not value.isascii():
         raise RefusedError("body")
     return value.encode()
 
 
-def rows(body: Mapping[str, Any], name: str, width: int, most: int) -> list[list[Any]]:
+def parse_rows(body: Mapping[str, Any], name: str, width: int, maximum: int) -> list[list[Any]]:
     """A list of rows of that width; empty where there is none."""
     found = body.get(name, [])
     if (
         not isinstance(found, list)
-        or len(found) > most
+        or len(found) > maximum
         or not all(isinstance(row, list) and len(row) == width for row in found)
     ):
         raise RefusedError("body")
@@ -109,58 +113,59 @@
     Raises:
         RefusedError: Something in it has not its form.
     """
-    told = [
-        AnnouncedRequest(ident_of(ident), number(left), number(announcement, LARGEST_TURN))
-        for ident, left, announcement in rows(body, "tell", 3, MOST_TOLD)
+    announced = [
+        AnnouncedRequest(parse_id(ident), parse_number(left), parse_number(announcement, MAX_ANNOUNCEMENT))
+        for ident, left, announcement in parse_rows(body, "tell", 3, MAX_ANNOUNCED)
     ]
     return Message(
-        told,
+        announced,
         [
-            (number(announcement, LARGEST_TURN), ok is True)
-            for announcement, ok in rows(body, "reply", 2, MOST_TOLD)
+            (parse_number(announcement, MAX_ANNOUNCEMENT), ok is True)
+            for announcement, ok in parse_rows(body, "reply", 2, MAX_ANNOUNCED)
         ],
         [
-            (ident_of(ident), number(announcement, LARGEST_TURN))
-            for ident, announcement in rows(body, "clear", 2, MOST_TOLD)
+            (parse_id(ident), parse_number(announcement, MAX_ANNOUNCEMENT))
+            for ident, announcement in parse_rows(body, "clear", 2, MAX_ANNOUNCED)
         ],
-        [(ident_of(ident), number(left)) for ident, left in rows(body, "marks", 2, PAGE)],
-        read_known(now, body),
-        read_loan(body),
-        number(body["left"]) if "left" in body else None,
-        int(number(body["need"], MOST_PAGES)) if "need" in body else None,
+        [(parse_id(ident), parse_number(left)) for ident, left in parse_rows(body, "marks", 2, PAGE_SIZE)],
+        read_peer_state(now, body),
+        read_loan_offer(body),
+        parse_number(body["left"]) if "left" in body else None,
+        int(parse_number(body["need"], MAX_PAGES)) if "need" in body else None,
         read_page(body),
     )
 
 
-def read_known(now: float, body: Mapping[str, Any]) -> PeerState | None:
+def read_peer_state(now: float, body: Mapping[str, Any]) -> PeerState | None:
     """What the peer tells of itself, if it does."""
     if "list" not in body:
         return None
     cold = tuple(
-        (ident_of(ident).decode(), number(started, LATEST_START), number(sent, MOST_WORK))
-        for ident, started, sent in rows(body, "cold", 3, MOST_ENGINES)
+        (parse_id(ident).decode(), parse_number(started, MAX_START), parse_number(sent, MAX_WORK))
+        for ident, started, sent in parse_rows(body, "cold", 3, MAX_ENGINES)
     )
-    aside = tuple(
-        (ident_of(ident).decode(), number(left)) for ident, left in rows(body, "aside", 2, MOST_ENGINES)
+    ejected = tuple(
+        (parse_id(ident).decode(), parse_number(left))
+        for ident, left in parse_rows(body, "aside", 2, MAX_ENGINES)
     )
     held = body.get("held", [])
-    if not isinstance(held, list) or len(held) > MOST_GROUPS:
+    if not isinstance(held, list) or len(held) > MAX_GROUPS:
         raise RefusedError("body")
-    groups = tuple(int(number(group, MOST_GROUPS)) for group in held)
-    return PeerState(now, int(number(body["list"], LARGEST_LIST)), groups, cold, aside)
+    groups = tuple(int(parse_number(group, MAX_GROUPS)) for group in held)
+    return PeerState(now, int(parse_number(body["list"], MAX_LIST_NUMBER)), groups, cold, ejected)
 
 
-def read_loan(body: Mapping[str, Any]) -> Loan | None:
+def read_loan_offer(body: Mapping[str, Any]) -> LoanOffer | None:
     """What is lent, if anything is told of it."""
     if "lend" not in body:
         return None
-    ((part, wait),) = rows({"lend": [body["lend"]]}, "lend", 2, 1)
-    return Loan(number(part, 1.0), number(wait))
+    ((part, wait),) = parse_rows({"lend": [body["lend"]]}, "lend", 2, 1)
+    return LoanOffer(parse_number(part, 1.0), parse_number(wait))
 
 
 def read_page(body: Mapping[str, Any]) -> Page | None:
     """Which page of marks there is, if any."""
     if "page" not in body:
         return None
-    ((at, of),) = rows({"page": [body["page"]]}, "page", 2, 1)
-    return Page(int(number(at, MOST_PAGES)), int(number(of, MOST_PAGES)))
+    ((position, total),) = parse_rows({"page": [body["page"]]}, "page", 2, 1)
+    return Page(int(parse_number(position, MAX_PAGES)), int(parse_number(total, MAX_PAGES)))
--- a/spurdeal/vrrp/sealed.py
+++ b/spurdeal/vrrp/sealed.py
@@ -19,9 +19,9 @@
 HEAD = struct.Struct("!4sBBQQQQ")  # magic, key id, length of the name, boot, number, echoed boot and number
 SEAL = 16
 MAX_KEYS, MAX_KEY_ID, MIN_KEY = 2, 255, 16  # keys, their ids, and bytes of one
-LARGEST = 8192
+MAX_DATAGRAM = 8192
 WINDOW = 64  # numbers behind the newest that may still arrive, once each
-ECHO_WITHIN = 2000.0  # ms: a new start of the peer must repeat what we sent no longer ago
+MAX_ECHO_AGE = 2000.0  # ms: a new start of the peer must repeat what we sent no longer ago
 
 
 class RefusedError(Exception):
@@ -53,9 +53,9 @@
         self.own, self.peer, self.boot, self.keys = own.encode(), peer.encode(), boot, keys
         self.number = 0
         self.sent: OrderedDict[int, float] = OrderedDict()  # when our last ones left, to measure loans from
-        self.peer_boot, self.newest, self.replay_window = 0, 0, 0
-        self.proved = 0  # the number of ours by which the peer's start proved itself
-        self.boots = 0  # how often the peer's start has changed
+        self.peer_boot, self.highest_number, self.replay_window = 0, 0, 0
+        self.proof_number = 0  # the number of ours by which the peer's start proved itself
+        self.restarts = 0  # how often the peer's start has changed
 
     def write(self, now: float, body: dict[str, Any], echo: tuple[int, int] | None = None) -> bytes:
         """The next datagram; now is ms of the sender's monotonic clock.
@@ -70,12 +70,17 @@
         key = self.keys.sealing
         data = (
             HEAD.pack(
-                MAGIC, key, len(self.own), self.boot, self.number, *(echo or (self.peer_boot, self.newest))
+                MAGIC,
+                key,
+                len(self.own),
+                self.boot,
+                self.number,
+                *(echo or (self.peer_boot, self.highest_number)),
             )
             + self.own
             + json.dumps(body, separators=(",", ":")).encode()
         )
-        if len(data) + SEAL > LARGEST:
+        if len(data) + SEAL > MAX_DATAGRAM:
             raise ValueError(f"{len(data)} bytes are more than a datagram holds")
         return data + self.keys.seal(key, data)
 
@@ -87,12 +92,12 @@
         """
         boot, number, echo_boot, echo_number, text = self.open(datagram)
         asked = self.sent.get(echo_number) if echo_boot == self.boot else None
-        fresh = asked is not None and now - asked <= ECHO_WITHIN
+        fresh = asked is not None and now - asked <= MAX_ECHO_AGE
         if boot == self.peer_boot:
-            age = self.newest - number
+            age = self.highest_number - number
             if age >= WINDOW or (age >= 0 and self.replay_window >> age & 1):
                 raise RefusedError("replayed")
-        elif not fresh or echo_number <= self.proved:
+        elif not fresh or echo_number <= self.proof_number:
             # An unknown start must show that it hears us now, and later than the known one did: else an
             # old start's datagrams, replayed soon after its end, would be taken.
             raise RefusedError("unproven")
@@ -103,22 +108,27 @@
         if not isinstance(body, dict):
             raise RefusedError("body")
         if boot != self.peer_boot:
-            self.peer_boot, self.newest, self.replay_window, self.boots = boot, number, 1, self.boots + 1
-            self.proved = echo_number
-        elif number > self.newest:
-            self.replay_window = (self.replay_window << min(WINDOW, number - self.newest) | 1) & (
+            self.peer_boot, self.highest_number, self.replay_window, self.restarts = (
+                boot,
+                number,
+                1,
+                self.restarts + 1,
+            )
+            self.proof_number = echo_number
+        elif number > self.highest_number:
+            self.replay_window = (self.replay_window << min(WINDOW, number - self.highest_number) | 1) & (
                 1 << WINDOW
             ) - 1
-            self.newest = number
+            self.highest_number = number
         else:
-            self.replay_window |= 1 << (self.newest - number)
+            self.replay_window |= 1 << (self.highest_number - number)
         return body, asked
 
     def open(self, datagram: bytes) -> tuple[int, int, int, int, bytes]:
         """Length, magic, key, seal and name, in this order; what is not ours is refused before it is read."""
         if len(datagram) < HEAD.size + SEAL:
             raise RefusedError("short")
-        if len(datagram) > LARGEST:
+        if len(datagram) > MAX_DATAGRAM:
             raise RefusedError("long")
         magic, key, size, boot, number, echo_boot, echo_number = HEAD.unpack_from(datagram)
         if magic != MAGIC:
--- a/spurdeal/vrrp/setup.py
+++ b/spurdeal/vrrp/setup.py
@@ -94,12 +94,12 @@
 
 def make_holder(vrrp: Vrrp, service: Service, reactor: Reactor, log: logging.Logger) -> Holder:
     """What takes and leaves the addresses."""
-    told, counters = vrrp.holder, service.counters
-    if told.kind == "announce":
-        switch = (str(told.switch[0]), told.switch[1])
-        place = (service.configuration.host, service.configuration.port)
-        return Announcer(reactor, switch, place, counters)
-    if told.kind == "listen":
+    holder, counters = vrrp.holder, service.counters
+    if holder.kind == "announce":
+        switch = (str(holder.switch[0]), holder.switch[1])
+        own_endpoint = (service.configuration.host, service.configuration.port)
+        return Announcer(reactor, switch, own_endpoint, counters)
+    if holder.kind == "listen":
         clients = service.clients
-        return Listener(reactor, ServedPort(clients, told.port, clients.drain), counters, log)
-    return Commands(reactor, CommandSettings(told.take, told.leave, told.within), counters, log)
+        return Listener(reactor, ServedPort(clients, holder.port, clients.drain), counters, log)
+    return Commands(reactor, CommandSettings(holder.take, holder.leave, holder.within), counters, log)
--- a/spurdeal/vrrp/station.py
+++ b/spurdeal/vrrp/station.py
@@ -26,9 +26,9 @@
 
 __all__ = ["Runtime", "Station", "keys_of"]
 
-LARGEST_ADVERT = 8 + 16 * advert.MOST_ADDRESSES
-LARGEST_DATAGRAM = 65_535
-LOOK_EVERY = 100.0  # ms between two looks at the conditions where there is no handover
+MAX_ADVERT_SIZE = 8 + 16 * advert.MAX_ADDRESSES
+MAX_DATAGRAM_SIZE = 65_535
+CHECK_INTERVAL = 100.0  # ms between two looks at the conditions where there is no handover
 
 
 class Station:
@@ -53,7 +53,7 @@
         self.reactor, self.monotonic = runtime.reactor, runtime.monotonic
         self.counters, self.log = runtime.counters, runtime.log
         now, site = self.monotonic(), service.configuration.site
-        self.began, self.fresh, self.awaiting_sync, self.stopping = now, False, True, False
+        self.started_at, self.list_fresh, self.awaiting_sync, self.stopping = now, False, True, False
         self.shut_out: Callable[[], bool] = lambda: False  # by the fleet, where there is one
         self.groups = make_groups(self.vrrp)
         self.budget_shares = BudgetShares(site.dispatchers, site.cold_window, plan.tenure.lease, now)
@@ -64,7 +64,11 @@
             service, self.exchange, self.budget_shares, plan.tenure.on, self.assumed_cold
         )
         self.advertising = Advertising(
-            plan, self.groups, self.holder, runtime, Callbacks(self.taken, lambda: self.awaiting_sync)
+            plan,
+            self.groups,
+            self.holder,
+            runtime,
+            Callbacks(self.addresses_taken, lambda: self.awaiting_sync),
         )
         self.ports: list[object] = []
 
@@ -75,11 +79,11 @@
 
     def on_advert(self, datagram: bytes, sender: str) -> None:
         """An advertisement of a peer."""
-        self.advertising.came(datagram, sender)
+        self.advertising.on_datagram(datagram, sender)
 
     def on_handover_datagram(self, datagram: bytes, address: tuple[str, int]) -> None:
         """A handover datagram of a peer."""
-        self.exchange.came(datagram, address)
+        self.exchange.on_datagram(datagram, address)
 
     # Start and stop.
 
@@ -87,25 +91,29 @@
         """Before the service takes anything: its list is seen through this from the first."""
         self.adapter.guard = self.guard
         self.listen()
-        self.advertising.do(self.groups.start(self.monotonic(), awaiting_sync=True))
-        self.every()
+        self.advertising.perform(self.groups.start(self.monotonic(), awaiting_sync=True))
+        self.run_periodic()
         self.advertising.rearm()
 
     def listen(self) -> None:
         """Take datagrams of the peers from here on."""
         host, port = self.vrrp.listen
-        adverts = self.advertising.adverts
+        advert_protocol = self.advertising.protocol
         self.ports.append(
-            self.reactor.listenUDP(port, adverts, interface=str(host), maxPacketSize=LARGEST_ADVERT + 1)
+            self.reactor.listenUDP(
+                port, advert_protocol, interface=str(host), maxPacketSize=MAX_ADVERT_SIZE + 1
+            )
         )
-        sock = getattr(adverts.transport, "socket", None)
+        sock = getattr(advert_protocol.transport, "socket", None)
         if sock is not None and isinstance(host, IPv4Address):
             sock.setsockopt(socket.IPPROTO_IP, socket.IP_TTL, advert.TTL)
         if self.plan.handover is not None:
             host, port = self.plan.handover.listen
-            telling = self.exchange.telling
+            handover_protocol = self.exchange.protocol
             self.ports.append(
-                self.reactor.listenUDP(port, telling, interface=str(host), maxPacketSize=LARGEST_DATAGRAM)
+                self.reactor.listenUDP(
+                    port, handover_protocol, interface=str(host), maxPacketSize=MAX_DATAGRAM_SIZE
+                )
             )
         if isinstance(self.holder, Announcer):
             own = str(self.vrrp.listen[0])
@@ -117,8 +125,8 @@
         """A planned stop: resigns, leaves the addresses, and tells the peers what they need, until exit."""
         if not self.stopping:
             self.stopping = True
-            self.advertising.do(self.groups.stop(self.monotonic()))
-            self.tell_all()
+            self.advertising.perform(self.groups.stop(self.monotonic()))
+            self.send_state()
 
     def read_again(self, plan: Installation) -> None:
         """SIGHUP: keys are in force at once, the rest at a start."""
@@ -126,14 +134,14 @@
             try:
                 keys = keys_of(plan.handover)
             except (OSError, ValueError) as fault:
-                self.kept(str(fault))
+                self.reject_installation(str(fault))
                 return
             for session in self.handover.sessions.values():
                 session.keys = keys
         before, after = (each.model_dump(exclude={"handover": {"keys"}}) for each in (self.plan, plan))
         self.log.info("installation_read", extra={"figures": {"rest_at_a_start": before != after}})
 
-    def kept(self, why: str) -> None:
+    def reject_installation(self, why: str) -> None:
         """A file that cannot be used leaves the old in force."""
         self.counters.add("installations_unusable")
         self.log.error("installation_kept", extra={"figures": {"why": why}})
@@ -151,17 +159,17 @@
 
     # Time.
 
-    def every(self) -> None:
+    def run_periodic(self) -> None:
         """At each handover interval: conditions, the bar, and what the peers are told."""
         now = self.monotonic()
-        interval = self.plan.handover.every if self.plan.handover else LOOK_EVERY
-        self.reactor.callLater(interval / 1000, self.every)
-        self.look_at_list()
+        interval = self.plan.handover.every if self.plan.handover else CHECK_INTERVAL
+        self.reactor.callLater(interval / 1000, self.run_periodic)
+        self.check_list()
         if self.awaiting_sync and self.sync_wait_over(now):
             self.end_sync_wait(now)
         if not self.stopping:
-            self.advertising.do(self.groups.conditions(now, self.holding(now)))
-        self.tell_all()
+            self.advertising.perform(self.groups.conditions(now, self.conditions_met(now)))
+        self.send_state()
         self.advertising.rearm()
 
     def sync_wait_over(self, now: float) -> bool:
@@ -169,31 +177,33 @@
 
         The list and the peers' marks are known by then, or waited for long enough.
         """
-        waited = now - self.began >= self.vrrp.bar
-        return waited or (self.fresh and (self.handover is None or self.handover.complete(now)))
+        waited = now - self.started_at >= self.vrrp.bar
+        return waited or (self.list_fresh and (self.handover is None or self.handover.complete(now)))
 
     def end_sync_wait(self, now: float) -> None:
         """The addresses may be taken back from here on."""
         self.awaiting_sync = False
         self.groups.end_sync_wait()
-        self.log.info("bar_lifted", extra={"figures": {"after_ms": now - self.began, "fresh": self.fresh}})
+        self.log.info(
+            "bar_lifted", extra={"figures": {"after_ms": now - self.started_at, "fresh": self.list_fresh}}
+        )
 
-    def look_at_list(self) -> None:
+    def check_list(self) -> None:
         """The first answer of the name service since the start: engines' starts are known now."""
-        if not self.fresh and self.service.names.answered_at > float("-inf"):
-            self.fresh = True
+        if not self.list_fresh and self.service.names.answered_at > float("-inf"):
+            self.list_fresh = True
             self.adapter.apply_list(self.adapter.endpoints)
 
     def assumed_cold(self) -> bool:
         """Whether each engine may have been started anew without our knowing."""
-        unsure = not self.fresh and self.plan.tenure.on
-        return unsure and self.monotonic() < self.began + self.vrrp.bar
+        unsure = not self.list_fresh and self.plan.tenure.on
+        return unsure and self.monotonic() < self.started_at + self.vrrp.bar
 
-    def holding(self, now: float) -> list[str]:
+    def conditions_met(self, now: float) -> list[str]:
         """The conditions that hold now and lower priorities."""
         unix = self.adapter.clock()
         stale = (self.reactor.seconds() - self.service.names.answered_at) * 1000 > self.vrrp.stale_after
-        conditions = ["list_stale"] if stale and now - self.began > self.vrrp.stale_after else []
+        conditions = ["list_stale"] if stale and now - self.started_at > self.vrrp.stale_after else []
         if not any(engine.aside_until <= unix for engine in self.adapter.rules.ready):
             conditions.append("no_engine")
         if self.shut_out():
@@ -202,24 +212,24 @@
 
     # Peers.
 
-    def taken(self, group: int, why: str) -> None:
+    def addresses_taken(self, group: int, why: str) -> None:
         """We hold a group's addresses: engines that its last holder had set aside are suspect here too."""
         part = f"{self.budget_shares.share(self.monotonic()):.2f}"
         self.log.info("address_taken", extra={"figures": {"group": group, "why": why, "part": part}})
         if self.handover is None:
             return
         for known in self.handover.known.values():
-            for ident, left in known.aside:
+            for ident, left in known.ejected:
                 if ident in self.adapter.index.places:
                     self.adapter.gather(
                         self.adapter.rules.engine_suspected, self.adapter.index.place_of(ident), left
                     )
 
-    def tell_all(self) -> None:
+    def send_state(self) -> None:
         """Tell the peers how we are; our part of cold budgets may be lent while we hold nothing."""
         if self.handover is None:
             return
         held = self.groups.held()
         idle = self.plan.tenure.on and (self.stopping or not held)
-        facts = self.guard.facts(self.monotonic(), self.service.names.number, held)
-        self.exchange.tell_all(facts, idle)
+        dispatcher_state = self.guard.dispatcher_state(self.monotonic(), self.service.names.number, held)
+        self.exchange.send_state(dispatcher_state, idle)
--- a/tests/test_station.py
+++ b/tests/test_station.py
@@ -318,7 +318,7 @@
         before = (
             dict(vars(machine)),
             session.peer_boot,
-            session.newest,
+            session.highest_number,
             dict(station.handover.records.known),
             dict(station.budget_shares.loans),
             two.holds(),
@@ -343,7 +343,7 @@
         after = (
             dict(vars(machine)),
             session.peer_boot,
-            session.newest,
+            session.highest_number,
             dict(station.handover.records.known),
             dict(station.budget_shares.loans),
             two.holds(),
--- a/tests/test_system_faults.py
+++ b/tests/test_system_faults.py
@@ -562,10 +562,10 @@
             return tick(now)
 
         advertising.groups.tick = tick_or_fail
-        advertising.ticking.cancel()
+        advertising.timer.cancel()
         with self.assertRaises(ZeroDivisionError):
             advertising.tick()
-        self.assertTrue(advertising.ticking.active())
+        self.assertTrue(advertising.timer.active())
 
     def test_the_fleets_is_read_so(self) -> None:
         world, ports = World(self), list[Any]()
--- a/tests/test_vrrp.py
+++ b/tests/test_vrrp.py
@@ -44,7 +44,7 @@
     def test_both_readings_of_the_checksum_over_ipv4_and_the_one_over_ipv6(self) -> None:
         text = bytearray(advert.write(Advert(7, 200, 1000, (ip_address("10.0.0.1"),)), ONE, TWO))
         text[6:8] = b"\0\0"
-        with_header = ~advert.ones_sum(advert.pseudo_header(ONE, TWO, len(text)) + text) & 0xFFFF
+        with_header = ~advert.ones_complement_sum(advert.pseudo_header(ONE, TWO, len(text)) + text) & 0xFFFF
         text[6:8] = with_header.to_bytes(2, "big")
         self.assertEqual(advert.read(bytes(text), ONE, TWO)[0], 7)
         six = advert.write(Advert(7, 200, 1000, (SIX, SEVEN)), SIX, SEVEN)
@@ -271,7 +271,7 @@
     def test_spoilt_forged_and_cut_ones_change_nothing(self) -> None:
         one, two = self.pair()
         good, chance = one.write(60, {"n": 1}), random.Random(6)
-        before = (two.peer_boot, two.newest, two.replay_window, two.number)
+        before = (two.peer_boot, two.highest_number, two.replay_window, two.number)
         for _ in range(5000):
             text = bytearray(good)
             text[chance.randrange(len(text))] ^= 1 << chance.randrange(8)
@@ -281,7 +281,7 @@
         forged = Session("one", "two", 11, Keys({1: b"x" * 16}))
         with self.assertRaisesRegex(RefusedError, "seal"):
             two.read(62, forged.write(62, {}))
-        self.assertEqual(before, (two.peer_boot, two.newest, two.replay_window, two.number))
+        self.assertEqual(before, (two.peer_boot, two.highest_number, two.replay_window, two.number))
         self.assertEqual(two.read(63, good)[0], {"n": 1})
 
 
