--- a/spurdeal/vrrp/__init__.py
+++ b/spurdeal/vrrp/__init__.py
@@ -1,4 +1,6 @@
-"""A dispatcher's address taken over by VRRP version 3 over UDP.
+"""Failover of a dispatcher's addresses by VRRP version 3 (RFC 9568), carried over UDP.
 
-Between dispatchers, handover and tenure see that nothing runs twice and no budget is used twice.
+Peers replicate which non-idempotent requests may have run, so that none runs twice across a failover
+(`handover`), and lease each other their shares of cold engines' budgets, so that no budget is overused
+(`tenure`).
 """
--- a/spurdeal/vrrp/address.py
+++ b/spurdeal/vrrp/address.py
@@ -1,7 +1,8 @@
-"""Holding an address: by listening on it, by telling a switch, or by an operator's command.
+"""Ways to hold a virtual address: announce it to a switch, listen on it, or run an operator's command.
 
-Each holder has `take(group, addresses)` and `leave(group, addresses)`; leaving drains, so that what was taken
-there is answered. What fails is counted and tried again while the address is held.
+Each holder has `take(group, addresses)` and `leave(group, addresses)`. A `Listener` drains the connections of
+an address that it leaves, so that accepted requests are answered. Failures are counted; a failed listen is
+retried while the address is held, announcements are repeated, and a failed command is only logged.
 """
 
 from __future__ import annotations
@@ -20,14 +21,21 @@
 from ..net.counters import Counters
 from .advert import Address
 
-ANNOUNCE_DELAYS = (0.0, 0.02, 0.06, 0.2)  # seconds: a lost datagram must not cost the takeover
-ANNOUNCE_INTERVAL = 1.0
-LISTEN_RETRY_DELAY = 0.05  # seconds: the one that leaves may hold the port for a moment yet
-MAX_QUEUED_COMMANDS = 16
+ANNOUNCE_DELAYS = (0.0, 0.02, 0.06, 0.2)  # seconds after a takeover: a lost datagram must not delay it
+ANNOUNCE_INTERVAL = 1.0  # seconds between announcements after that
+LISTEN_RETRY_DELAY = 0.05  # seconds: the previous holder may keep the port open for a moment
+MAX_QUEUED_COMMANDS = 16  # above this the oldest is dropped
 
 
 class Announcer(DatagramProtocol):
-    """Tells a switch again and again that an address is here, as gratuitous ARPs do (RFC 9568, 6.4.1)."""
+    """Announces held addresses to a switch repeatedly, as gratuitous ARP does (RFC 9568, section 6.4.1).
+
+    Args:
+        reactor: Schedules the announcements.
+        switch: Host and UDP port that announcements are sent to.
+        own_endpoint: Host and port where this dispatcher serves; part of each announcement.
+        counters: Counts `announced` and `announce_not_sent`.
+    """
 
     transport: Any
 
@@ -39,7 +47,7 @@
         self.timers: dict[int, list[Timer]] = {}
 
     def take(self, group: int, addresses: Sequence[Address]) -> None:
-        """Announce the addresses of a group from now on."""
+        """Start announcing the addresses of a group."""
         self.cancel(group)
         self.held[group] = addresses
         self.timers[group] = [self.reactor.callLater(at, self.announce, group) for at in ANNOUNCE_DELAYS]
@@ -48,12 +56,12 @@
         )
 
     def announce_periodically(self, group: int) -> None:
-        """Announce once more, each ANNOUNCE_EVERY."""
+        """Announce a group and schedule the next announcement after ANNOUNCE_INTERVAL."""
         self.announce(group)
         self.timers[group] = [self.reactor.callLater(ANNOUNCE_INTERVAL, self.announce_periodically, group)]
 
     def announce(self, group: int) -> None:
-        """Send one announcement for each address of a group."""
+        """Send one announcement for each address of a group; send errors are counted."""
         for address in self.held[group]:
             text = json.dumps(
                 {"address": str(address), "group": group, "at": list(self.own_endpoint)}
@@ -65,12 +73,12 @@
                 self.counters.add("announce_not_sent")
 
     def leave(self, group: int, addresses: Sequence[Address]) -> None:
-        """Announce the addresses of a group no more."""
+        """Stop announcing the addresses of a group."""
         self.cancel(group)
         self.held.pop(group, None)
 
     def cancel(self, group: int) -> None:
-        """Drop the announcements of a group that are scheduled."""
+        """Cancel the scheduled announcements of a group."""
         for call in self.timers.pop(group, ()):
             if call.active():
                 call.cancel()
@@ -78,12 +86,12 @@
 
 @dataclass(frozen=True)
 class ServedPort:
-    """What is served at the addresses.
+    """The service offered at the addresses.
 
     Attributes:
-        factory: Makes the protocol of each connection.
-        port: On which it is served.
-        drain: Called with an address that is left: what was taken there is to be answered, then closed.
+        factory: Builds the protocol of each connection.
+        port: TCP port.
+        drain: Called with an address that is left; answers its open requests, then closes its connections.
     """
 
     factory: ServerFactory
@@ -94,7 +102,7 @@
 class Listener:
     """Listens on the addresses in this process.
 
-    One that leaves an address accepts no more there and answers the rest.
+    After an address is left, no connection is accepted there and the open ones are drained.
     """
 
     def __init__(
@@ -109,14 +117,14 @@
         self.wanted: set[Address] = set()
 
     def take(self, group: int, addresses: Sequence[Address]) -> None:
-        """Listen on these addresses."""
+        """Start listening on these addresses; those already held are skipped."""
         for address in addresses:
             if address not in self.wanted:
                 self.wanted.add(address)
                 self.listen(address)
 
     def listen(self, address: Address) -> None:
-        """Listen on an address; where its port is in use, again after LISTEN_AGAIN."""
+        """Listen on an address; if that fails, log it and retry after LISTEN_RETRY_DELAY."""
         if address not in self.wanted or address in self.ports:
             return
         try:
@@ -132,7 +140,7 @@
             self.reactor.callLater(LISTEN_RETRY_DELAY, self.listen, address)
 
     def leave(self, group: int, addresses: Sequence[Address]) -> None:
-        """Accept no more on these addresses, and drain their connections."""
+        """Stop accepting on these addresses and drain their connections."""
         for address in addresses:
             self.wanted.discard(address)
             port = self.ports.pop(address, None)
@@ -143,7 +151,13 @@
 
 @dataclass(frozen=True)
 class CommandSettings:
-    """The operator's commands. `{address}` in a word stands for the address; within is in ms."""
+    """The operator's commands.
+
+    Attributes:
+        take: Program and arguments that take an address; `{address}` in an argument is replaced by it.
+        leave: Likewise, to give the address up.
+        within: Time limit of one command, in ms.
+    """
 
     take: Sequence[str]
     leave: Sequence[str]
@@ -151,7 +165,10 @@
 
 
 class Commands:
-    """Runs the operator's command, one after the other, each ended after its time."""
+    """Runs the operator's commands one at a time; a command that exceeds its time limit is killed.
+
+    No shell is involved. At most MAX_QUEUED_COMMANDS wait; above that the oldest is dropped and counted.
+    """
 
     def __init__(
         self,
@@ -166,25 +183,25 @@
         self.running = False
 
     def take(self, group: int, addresses: Sequence[Address]) -> None:
-        """Run the command that takes an address, for each."""
+        """Queue the `take` command for each address."""
         self.enqueue(True, addresses)
 
     def leave(self, group: int, addresses: Sequence[Address]) -> None:
-        """Run the command that leaves an address, for each."""
+        """Queue the `leave` command for each address."""
         self.enqueue(False, addresses)
 
     def enqueue(self, taken: bool, addresses: Sequence[Address]) -> None:
-        """Queue a command for each address."""
+        """Queue the `take` (or `leave`) command for each address."""
         for address in addresses:
             arguments = [word.replace("{address}", str(address)) for word in self.arguments[taken]]
-            if len(self.queue) >= MAX_QUEUED_COMMANDS:  # only the newest tell how things stand
+            if len(self.queue) >= MAX_QUEUED_COMMANDS:  # the newest commands reflect the current state
                 self.queue.pop(0)
                 self.counters.add("commands_dropped")
             self.queue.append(arguments)
         self.run_next()
 
     def run_next(self) -> None:
-        """Run the next command, unless one is running."""
+        """Start the next queued command unless one is running."""
         if self.running or not self.queue:
             return
         self.running = True
@@ -198,7 +215,7 @@
         run.timer = self.reactor.callLater(self.within / 1000, run.kill_overdue)
 
     def command_ended(self, arguments: Sequence[str], fault: str) -> None:
-        """A command has ended; `fault` is empty where it went well."""
+        """Count and log the end of a command and start the next; `fault` is empty on success."""
         self.counters.add("commands_failed" if fault else "commands_run")
         if fault:
             self.log.error("command_failed", extra={"figures": {"command": arguments[0], "why": fault}})
@@ -207,7 +224,7 @@
 
 
 class CommandProcess(ProcessProtocol):
-    """One command, from its start to its end."""
+    """The process of one command."""
 
     transport: Any
 
@@ -216,7 +233,7 @@
         self.timer: Timer | None = None
 
     def kill_overdue(self) -> None:
-        """Its time is over: end it."""
+        """Kill the process: its time limit has passed."""
         self.timed_out = True
         self.transport.signalProcess("KILL")
 
@@ -225,7 +242,7 @@
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
         fault = (
-            "ended after its time"
+            "killed after its time limit"
             if self.timed_out
             else ""
             if isinstance(reason.value, ProcessDone)
--- a/spurdeal/vrrp/advert.py
+++ b/spurdeal/vrrp/advert.py
@@ -1,4 +1,7 @@
-"""VRRP version 3 advertisements (RFC 9568, section 5.2), read and written. Carried over UDP here."""
+"""Encoding and decoding of VRRP version 3 advertisements (RFC 9568, section 5.2), carried over UDP.
+
+Section numbers below are those of RFC 9568 unless another RFC is named.
+"""
 
 from __future__ import annotations
 
@@ -10,15 +13,20 @@
 
 VERSION, ADVERTISEMENT, PROTOCOL, TTL = 3, 1, 112, 255
 HEADER = struct.Struct("!BBBBHH")
-CENTISECOND = 10.0  # ms
+CENTISECOND = 10.0  # ms: the unit of the interval on the wire
 MAX_BYTE, MAX_CENTISECONDS, ALL_ONES = 0xFF, 0x0FFF, 0xFFFF
 MAX_INTERVAL = MAX_CENTISECONDS * CENTISECOND  # ms
 MAX_ADDRESSES = 255
-STOPPING, OWNER = 0, 255  # priorities of section 5.2.4 that mean more than a rank
+# Special priorities of section 5.2.4: the sender leaves the group, and the sender owns the addresses.
+STOPPING, OWNER = 0, 255
 
 
 class DroppedError(Exception):
-    """A datagram that fails a receive check of section 7.1; `reason` is the counter's name."""
+    """A datagram that fails a receive check of section 7.1.
+
+    Attributes:
+        reason: Suffix of the counter that counts it (`vrrp_drop_...`).
+    """
 
     def __init__(self, reason: str, detail: str = "") -> None:
         super().__init__(f"{reason}: {detail}" if detail else reason)
@@ -26,7 +34,7 @@
 
 
 def ones_complement_sum(data: bytes | memoryview) -> int:
-    """The one's complement sum of 16-bit words (RFC 1071), an odd byte padded with zero."""
+    """Return the one's complement sum of 16-bit words (RFC 1071); an odd last byte is padded with zero."""
     padded = bytes(data) + b"\0" * (len(data) % 2)
     total: int = sum(word for (word,) in struct.iter_unpack("!H", padded))
     while total >> 16:
@@ -35,26 +43,26 @@
 
 
 def pseudo_header(source: Address, target: Address, length: int) -> bytes:
-    """What RFC 8200, section 8.1, puts before an IPv6 message; its IPv4 form is that of RFC 793."""
+    """Return the pseudo-header for the checksum: RFC 8200, section 8.1, for IPv6, RFC 793 for IPv4."""
     if isinstance(source, IPv4Address):
         return source.packed + target.packed + struct.pack("!BBH", 0, PROTOCOL, length)
     return source.packed + target.packed + struct.pack("!I3xB", length, PROTOCOL)
 
 
 def checksum(message: bytes, source: Address, target: Address) -> int:
-    """Section 5.2.8: for IPv6 with a pseudo-header, for IPv4 over the message alone."""
+    """Return the checksum of section 5.2.8: with a pseudo-header for IPv6, without one for IPv4."""
     before = b"" if isinstance(source, IPv4Address) else pseudo_header(source, target, len(message))
     return ~ones_complement_sum(before + message) & 0xFFFF
 
 
 class Advert(NamedTuple):
-    """What an advertisement says.
+    """The contents of an advertisement.
 
     Attributes:
-        group: The VRID, 1 to 255.
+        group: Virtual router identifier (VRID), 1 to 255.
         priority: 0 to 255; see STOPPING and OWNER.
-        interval: In ms; written in centiseconds, 10 to 40,950 ms.
-        addresses: Of the group, all of one kind.
+        interval: Advertisement interval in ms, 10 to 40,950; encoded in centiseconds.
+        addresses: 1 to 255 virtual addresses of one family.
     """
 
     group: int
@@ -64,23 +72,23 @@
 
 
 def write(advert: Advert, source: Address, target: Address) -> bytes:
-    """One advertisement as bytes.
+    """Encode an advertisement.
 
     Args:
-        advert: What it says.
-        source: The datagram's own address, which the IPv6 checksum covers.
-        target: Likewise.
+        advert: Its contents.
+        source: Source address of the datagram; the IPv6 checksum covers it.
+        target: Destination address of the datagram; likewise.
 
     Raises:
-        ValueError: No field can hold what it says.
+        ValueError: A value is out of range, or the addresses are of two families.
     """
     group, priority, interval, addresses = advert
     ticks = round(interval / CENTISECOND)
     in_fields = 1 <= group <= MAX_BYTE and 0 <= priority <= MAX_BYTE and 1 <= ticks <= MAX_CENTISECONDS
     if not in_fields:
-        raise ValueError(f"no field holds group {group}, priority {priority} or interval {interval} ms")
+        raise ValueError(f"out of range: group {group}, priority {priority} or interval {interval} ms")
     if not 1 <= len(addresses) <= MAX_ADDRESSES or len({address.version for address in addresses}) != 1:
-        raise ValueError("1 to 255 addresses of one kind are advertised")
+        raise ValueError("an advertisement needs 1 to 255 addresses of one family")
     body = b"".join(address.packed for address in addresses)
     first = VERSION << 4 | ADVERTISEMENT
     blank = HEADER.pack(first, group, priority, len(addresses), ticks, 0) + body
@@ -88,16 +96,16 @@
 
 
 def read(datagram: bytes, source: Address, target: Address, ttl: int | None = None) -> Advert:
-    """Read an advertisement, with the checks of section 7.1.
+    """Decode an advertisement, with the receive checks of section 7.1.
 
-    The list's kind of address is that of the group, told by its length: a v4 datagram may carry v6 addresses
-    here, as UDP carries both over either.
+    The family of the addresses follows from their length, not from the datagram's family: over UDP an IPv4
+    datagram may carry IPv6 addresses.
 
     Args:
-        datagram: As it came.
-        source: The datagram's own address.
-        target: Likewise.
-        ttl: None where the system does not tell it.
+        datagram: The payload as received.
+        source: Source address of the datagram.
+        target: Destination address of the datagram.
+        ttl: Received TTL; None if the system does not report it, and then not checked.
 
     Raises:
         DroppedError: A check fails.
@@ -126,14 +134,20 @@
 
 
 def checksum_valid(datagram: bytes, source: Address, target: Address) -> bool:
-    """Both readings of the IPv4 checksum are taken: RFC 5798 was read with a pseudo-header by some."""
+    """Return whether the checksum is correct.
+
+    Over IPv4 it is accepted with and without a pseudo-header: implementations of RFC 5798 differ in this.
+    """
     if ones_complement_sum(datagram) == ALL_ONES and isinstance(source, IPv4Address):
         return True
     return ones_complement_sum(pseudo_header(source, target, len(datagram)) + datagram) == ALL_ONES
 
 
 def fields(datagram: bytes, source: Address, target: Address) -> dict[str, object]:
-    """Field by field, also where a check fails, for people; `dropped` then names the reason."""
+    """Return the fields of a datagram for display, also if a check fails.
+
+    Missing bytes of the header count as zero; `dropped` holds the reason if a check fails.
+    """
     padded = datagram[: HEADER.size].ljust(HEADER.size, b"\0")
     first, group, priority, count, ticks, received = HEADER.unpack(padded)
     found: dict[str, object] = {
--- a/spurdeal/vrrp/advertising.py
+++ b/spurdeal/vrrp/advertising.py
@@ -1,6 +1,6 @@
-"""VRRP beside one dispatcher: advertisements and timers in, advertisements and addresses out.
+"""Network side of VRRP: receives and sends advertisements, runs timers, takes and releases addresses.
 
-It decides nothing: `groups` does.
+The protocol decisions are made in `groups` and `machine`.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class AdvertProtocol(DatagramProtocol):
-    """Datagrams of the peers' advertisements."""
+    """Receives the peers' advertisements."""
 
     transport: Any
 
@@ -38,11 +38,11 @@
 
 @dataclass(frozen=True)
 class Callbacks:
-    """What the groups tell the dispatcher, and ask of it.
+    """Calls from the VRRP groups into the dispatcher.
 
     Attributes:
-        taken: Called with a group and why its addresses were taken, once they are.
-        barred: Whether the dispatcher may not take addresses back yet.
+        taken: Called with a group and the reason once its addresses are taken.
+        awaiting_sync: Whether the dispatcher still waits for its list and the peers' state after a start.
     """
 
     taken: Callable[[int, str], None]
@@ -50,7 +50,7 @@
 
 
 class Advertising:
-    """The dispatcher's VRRP groups on the network."""
+    """Connects the dispatcher's VRRP groups to the network."""
 
     def __init__(
         self,
@@ -74,7 +74,7 @@
         self.timer: Timer | None = None
 
     def on_datagram(self, datagram: bytes, sender: str) -> None:
-        """An advertisement, checked (RFC 9568, section 7.1) and counted by what it fails."""
+        """Process an advertisement; one that fails a check (RFC 9568, section 7.1) is counted and dropped."""
         try:
             source = ip_address(sender)
             if source not in self.by_sender:
@@ -83,7 +83,7 @@
             if group not in self.groups.machines:
                 raise DroppedError("group")
             if self.groups.machines[group].terms.priority == advert.OWNER and not self.awaiting_sync():
-                raise DroppedError("owner")  # section 7.1: who owns the addresses listens to nobody
+                raise DroppedError("owner")  # section 7.1: the address owner drops advertisements
         except DroppedError as fault:
             self.counters.add("vrrp_drop_" + fault.reason)
             return
@@ -94,7 +94,7 @@
         self.rearm()
 
     def rearm(self) -> None:
-        """Set the timer to when the groups are due next."""
+        """Set the timer to the next due time of the groups."""
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
         due = self.groups.due
@@ -102,14 +102,14 @@
             self.timer = self.reactor.callLater(max(0.0, due - self.monotonic()) / 1000, self.tick)
 
     def tick(self) -> None:
-        """The groups are due."""
+        """Run the timers of the groups that are due."""
         try:
             self.perform(self.groups.tick(self.monotonic()))
-        finally:  # also after a fault: without a timer nobody would take over, nor advertise
+        finally:  # also after an exception: without a timer no takeover and no advertisement would follow
             self.rearm()
 
     def perform(self, actions: Actions) -> None:
-        """Carry out what the groups have decided."""
+        """Carry out the actions of the state machines, in order."""
         for group, action in actions:
             machine = self.groups.machines[group]
             if action is Action.ADVERTISE:
@@ -122,7 +122,7 @@
                 self.leave(group, machine.why)
 
     def advertise(self, group: int, priority: int) -> None:
-        """To each peer."""
+        """Send an advertisement of a group to each peer; send errors are counted."""
         interval = self.groups.machines[group].terms.interval
         for peer in self.peers:
             host, port = peer.adverts
@@ -135,14 +135,17 @@
                 self.counters.add("vrrp_not_sent")
 
     def take(self, group: int, why: str) -> None:
-        """Take the addresses of a group."""
+        """Take the addresses of a group and notify the dispatcher.
+
+        Without `accept` the addresses are not passed to the holder.
+        """
         if self.accepting[group]:
             self.holder.take(group, self.addresses[group])
         self.counters.add("addresses_taken")
         self.taken(group, why)
 
     def leave(self, group: int, why: str) -> None:
-        """Leave the addresses of a group."""
+        """Release the addresses of a group."""
         self.holder.leave(group, self.addresses[group])
         self.counters.add("addresses_left")
         self.log.info("address_left", extra={"figures": {"group": group, "why": why}})
--- a/spurdeal/vrrp/exchange.py
+++ b/spurdeal/vrrp/exchange.py
@@ -1,6 +1,6 @@
-"""Handover datagrams between one dispatcher and its peers, and the verdicts that requests wait for.
+"""Network side of the handover: sends and receives its datagrams and delivers verdicts to waiting requests.
 
-It decides nothing: `handover` does.
+The decisions are made in `handover`.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 if TYPE_CHECKING:
     from ..settings.installation import Installation
 
-MAX_GREETINGS = 20  # a second: an unproven datagram draws one answer, and a flood must not draw a flood
+MAX_GREETINGS = 20  # per window: each unproven datagram is answered, and a flood must not be amplified
 GREETING_WINDOW = 1000.0  # ms
-REPEATS = 4  # within the time that a verdict may take: a datagram or its answer may be lost
+REPEATS = 4  # sends of an announcement within `ahead_wait`: a datagram or its reply may be lost
 
 
 class HandoverProtocol(DatagramProtocol):
-    """Handover datagrams of the peers."""
+    """Receives the peers' handover datagrams."""
 
     transport: Any
 
@@ -36,7 +36,7 @@
 
 
 class Exchange:
-    """Sends and takes handover datagrams; nothing happens where there is no handover."""
+    """Sends and receives handover datagrams; does nothing if no handover is configured."""
 
     def __init__(
         self,
@@ -49,12 +49,14 @@
         self.peer_addresses = {peer.name: (str(peer.handover[0]), peer.handover[1]) for peer in plan.peers}
         self.peer_by_address = {address: name for name, address in self.peer_addresses.items()}
         self.protocol = HandoverProtocol(self)
-        self.pending_callbacks: dict[object, Callable[[bool | None], None]] = {}  # what waits for its verdict
+        self.pending_callbacks: dict[
+            object, Callable[[bool | None], None]
+        ] = {}  # sends that wait for a verdict, by token
         self.flush_scheduled = False
         self.greetings_sent, self.greeting_window_start = 0, self.monotonic()
 
     def send_state(self, state: DispatcherState, idle: bool) -> None:
-        """Tell each peer how we are. idle: our part of cold budgets may be lent."""
+        """Send the regular state datagram to each peer; with `idle`, our budget share may be lent."""
         if self.handover is None:
             return
         now = self.monotonic()
@@ -63,7 +65,10 @@
         self.deliver_verdicts(self.handover.tick(now))
 
     def flush(self) -> None:
-        """What waits for the peers' word goes out at once, all of one turn together."""
+        """Send announcements and replies that are due, those of one event-loop turn in one datagram.
+
+        Repeated while any announcement waits for replies.
+        """
         self.flush_scheduled = False
         if self.handover is None:
             return
@@ -77,13 +82,13 @@
             self.flush_soon(self.handover.settings.ahead_wait / REPEATS)
 
     def flush_soon(self, delay: float = 0.0) -> None:
-        """Flush after so many ms, unless that is to happen already."""
+        """Schedule a flush after `delay` ms unless one is scheduled."""
         if not self.flush_scheduled:
             self.flush_scheduled = True
             self.reactor.callLater(delay / 1000, self.flush)
 
     def send(self, peer: str, datagram: bytes) -> None:
-        """To that peer, as far as the system takes it."""
+        """Send a datagram to a peer; send errors are counted."""
         try:
             self.protocol.transport.write(datagram, self.peer_addresses[peer])
             self.counters.add("handover_sent")
@@ -91,7 +96,7 @@
             self.counters.add("handover_not_sent")
 
     def on_datagram(self, datagram: bytes, address: tuple[str, int]) -> None:
-        """A datagram; what cannot be used is counted by its reason."""
+        """Process a datagram; one that is refused is counted by its reason."""
         peer = self.peer_by_address.get(address)
         if peer is None or self.handover is None:
             self.counters.add("handover_drop_sender")
@@ -110,7 +115,7 @@
             self.flush_soon()
 
     def greet(self, handover: Handover, now: float, peer: str, datagram: bytes) -> None:
-        """Answer one who does not know our start with it, as long as the rate allows."""
+        """Answer an unproven datagram with our start, at most MAX_GREETINGS per window."""
         if now - self.greeting_window_start >= GREETING_WINDOW:
             self.greetings_sent, self.greeting_window_start = 0, now
         if self.greetings_sent < MAX_GREETINGS:
@@ -118,7 +123,7 @@
             self.send(peer, handover.sessions[peer].greet(now, datagram))
 
     def deliver_verdicts(self, verdicts: Sequence[Verdict]) -> None:
-        """Tell what waits for these verdicts."""
+        """Call back the sends that waited for these verdicts, and count the outcomes."""
         for token, go in verdicts:
             call = self.pending_callbacks.pop(token, None)
             if call is not None:
--- a/spurdeal/vrrp/groups.py
+++ b/spurdeal/vrrp/groups.py
@@ -1,4 +1,4 @@
-"""Several groups in one dispatcher: tracked conditions lower priorities, and bundled groups move together."""
+"""VRRP groups of one dispatcher: tracked conditions lower priorities, bundles change state together."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from .advert import OWNER, Address
 from .machine import NEVER, Action, GroupSettings, State, StateMachine
 
-CONDITIONS = ("list_stale", "no_engine", "shut_out", "stopping")  # what can be tracked
-MIN_PRIORITY = 1  # a priority that is lowered stays a priority; 0 is said by stopping only
+CONDITIONS = ("list_stale", "no_engine", "shut_out", "stopping")  # that a group may track
+MIN_PRIORITY = 1  # of a lowered priority: 0 is reserved for a shutdown
 
 
 class Tracked(NamedTuple):
-    """A condition, and by how much it lowers the priority while it holds."""
+    """A tracked condition, and by how much it lowers the priority while it holds."""
 
     condition: str
     lowers: int
@@ -23,7 +23,16 @@
 
 
 class Groups:
-    """All groups of one dispatcher, by VRID. What is to be done comes as pairs of group and Act."""
+    """All VRRP groups of one dispatcher, by VRID.
+
+    Methods return what is to be done as pairs of group and Action, in order. Times are ms of one monotonic
+    clock.
+
+    Args:
+        terms: Settings of each group.
+        tracked: Tracked conditions by group.
+        bundles: Sets of groups that become Active or Backup together.
+    """
 
     def __init__(
         self,
@@ -37,15 +46,15 @@
         self.conditions_met = frozenset[str]()
 
     def start(self, now: float, awaiting_sync: bool) -> Actions:
-        """Startup of all groups; barred, none takes its addresses yet."""
+        """Start all groups; with `awaiting_sync`, none preempts nor becomes Active at once as owner."""
         return self.for_each_group(lambda machine: machine.start(now, awaiting_sync))
 
     def stop(self, now: float) -> Actions:
-        """Shutdown of all groups."""
+        """Shut all groups down."""
         return self.for_each_group(lambda machine: machine.stop(now))
 
     def tick(self, now: float) -> Actions:
-        """What is due by now, in all groups."""
+        """Run the timers that are due in all groups."""
         pairs: Actions = []
         for group, machine in self.machines.items():
             pairs += self.state_changed(now, group, machine.state, machine.tick(now))
@@ -54,14 +63,14 @@
     def advert_received(
         self, now: float, group: int, priority: int, interval: float, sender: Address
     ) -> Actions:
-        """A checked advertisement of a group."""
+        """Process an advertisement of a group that has passed the receive checks."""
         machine = self.machines[group]
         return self.state_changed(
             now, group, machine.state, machine.advert_received(now, priority, interval, sender)
         )
 
     def conditions(self, now: float, conditions_met: Iterable[str]) -> Actions:
-        """The tracked conditions that hold now; an owner's priority is never lowered (section 6.1)."""
+        """Set the conditions that hold now and adapt priorities; an owner's stays (RFC 9568, section 6.1)."""
         self.conditions_met = frozenset(conditions_met)
         pairs: Actions = []
         for group, machine in self.machines.items():
@@ -74,23 +83,23 @@
         return pairs
 
     def end_sync_wait(self) -> None:
-        """All groups may take addresses back from here on."""
+        """Allow all groups to preempt again."""
         for machine in self.machines.values():
             machine.end_sync_wait()
 
     @property
     def due(self) -> float:
-        """When `tick` is wanted next, in ms; NEVER where no timer runs."""
+        """When `tick` is due next, in ms; NEVER if no timer runs."""
         return min((machine.due for machine in self.machines.values()), default=NEVER)
 
     def held(self) -> list[int]:
-        """The groups whose addresses we hold."""
+        """Return the groups whose addresses this dispatcher holds."""
         return [group for group, machine in self.machines.items() if machine.state is State.ACTIVE]
 
-    # Bundles: one that takes its address takes the others' along, and so does one that leaves.
+    # Bundles: when one group becomes Active or Backup, the others of its bundle follow.
 
     def state_changed(self, now: float, group: int, before: State, acts: list[Action]) -> Actions:
-        """What is to be done for a group, and for its bundle where its state has changed."""
+        """Return the actions of a group and, if its state has changed, those of its bundle."""
         pairs = [(group, action) for action in acts]
         after = self.machines[group].state
         if after is before or after is State.INITIALIZE:
@@ -108,5 +117,5 @@
         return pairs
 
     def for_each_group(self, call: Callable[[StateMachine], list[Action]]) -> Actions:
-        """The same call for each group."""
+        """Make the same call on each group's state machine and collect the actions."""
         return [(group, action) for group, machine in self.machines.items() for action in call(machine)]
--- a/spurdeal/vrrp/guard.py
+++ b/spurdeal/vrrp/guard.py
@@ -1,6 +1,6 @@
-"""The link's Guard where dispatchers stand in for one another: handover's verdicts, and tenure's parts.
+"""The adapter's Guard with VRRP peers: applies the handover's verdicts and this dispatcher's budget shares.
 
-It decides nothing: `handover` and `tenure` do.
+The decisions are made in `handover` and `tenure`.
 """
 
 from __future__ import annotations
@@ -18,18 +18,21 @@
 
 
 class ColdSend(NamedTuple):
-    """Something was sent to a cold engine. at: ms."""
+    """One send to a cold engine: when, in ms of the monotonic clock, and its work (1.0 each)."""
 
     at: float
     work: float
 
 
 class HandoverGuard:
-    """Asked by the link about each request and each send.
+    """Consulted by the adapter about each request and each send.
 
     Args:
-        share: Whether cold budgets are shared by tenure.
-        assumed_cold: Whether each engine counts as started just now.
+        service: The dispatcher's service.
+        exchange: Carries the handover's datagrams.
+        budget_shares: This dispatcher's shares of cold engines' budgets.
+        share: Whether cold budgets are shared between dispatchers (`tenure.on`).
+        assumed_cold: Whether every engine is to count as just started.
     """
 
     def __init__(
@@ -47,12 +50,12 @@
         self.guarded, self.assumed_cold = at_most_once(service.configuration.site), assumed_cold
         own = 1.0 / service.configuration.site.dispatchers
         self.shares = own, own
-        self.sent_cold: dict[int, list[ColdSend]] = {}  # by engine, within a window
+        self.sent_cold: dict[int, list[ColdSend]] = {}  # by engine, within one cold window
 
-    # The link's Guard.
+    # The Guard protocol of net.requests.
 
     def batch_started(self, now: float) -> None:
-        """Tell the rules our parts of cold budgets, where they have changed."""
+        """Pass our budget shares to the rules if they have changed."""
         if not self.share or self.handover is None:
             return
         mono = self.monotonic()
@@ -63,7 +66,7 @@
             self.counters.add("tenure_changes")
 
     def door(self, kind: int, ident: bytes) -> Answer | None:
-        """An answer at once, where the request may have run at a peer or cannot be guarded."""
+        """Answer a request at once if it may have run already, or if no record of it can be kept."""
         if self.handover is None or not self.guarded[kind]:
             return None
         found = self.handover.check_admission(self.monotonic(), ident.lower())
@@ -73,7 +76,7 @@
         return Failed() if found is Admission.MAY_HAVE_RUN else Shed(self.retry_after)
 
     def before(self, request: OpenRequest, attempt: int, go: Callable[[bool | None], None]) -> bool:
-        """Whether an attempt may leave now; False where `go` is called with the peers' verdict, later."""
+        """Return whether an attempt may leave now; if False, `go` is called later with the verdict."""
         if self.handover is None or not self.guarded[request.kind]:
             return True
         now, token = self.monotonic(), (request.number, attempt)
@@ -89,34 +92,34 @@
         return False
 
     def given_up(self, number: int, attempt: int) -> None:
-        """An attempt that waits for its verdict is not to be sent any more."""
+        """Forget an attempt that waits for its verdict and is not to be sent any more."""
         self.exchange.pending_callbacks.pop((number, attempt), None)
         if self.handover is not None:
             self.handover.abandon((number, attempt))
 
     def answered(self, request: OpenRequest, answer: Answer | None) -> None:
-        """The answer has left, or the client (None)."""
+        """Process the end of a request: its answer was sent, or the client left (None)."""
         if self.handover is not None and self.guarded[request.kind]:
             self.handover.finish(request.ident.lower(), isinstance(answer, Shed))
 
     def never_ran(self, request: OpenRequest) -> None:
-        """It was granted, and the caller has shown that nothing ran."""
+        """Drop the record of a granted request: the caller has shown that nothing ran."""
         if self.handover is not None and self.guarded[request.kind]:
             self.handover.finish(request.ident.lower(), never_ran=True)
 
     def attempt_cancelled(self, request: OpenRequest, attempt: int) -> None:
-        """Nothing follows of it here."""
+        """Do nothing: the handover needs no notice of it."""
 
     def said(self, line: str) -> None:
-        """Nothing follows of it here."""
+        """Do nothing: the handover needs no notice of it."""
 
     def batch_ended(self) -> None:
-        """Nothing follows of it here."""
+        """Do nothing: the handover needs no notice of it."""
 
     def departs(self, request: OpenRequest, attempt: int, engine: int) -> bool:
-        """Whether something may go there now.
+        """Return whether an attempt may be sent to this engine now.
 
-        A cold engine's budget may have been lent since the rules chose.
+        Our share of a cold engine's budget may have been lent since the rules chose the engine.
         """
         if not self.share or self.handover is None or not self.is_cold(engine):
             return True
@@ -129,9 +132,9 @@
         return True
 
     def endpoint(self, endpoint: Endpoint) -> Endpoint:
-        """The endpoint with its engine's latest start that a peer tells.
+        """Return the endpoint with the latest start of its engine that any peer reports.
 
-        Until the list is known to be fresh, each engine may have been started anew, and counts as cold.
+        Until the first list after our start, each engine may have been restarted and counts as cold.
         """
         if self.assumed_cold():
             return endpoint._replace(started=self.adapter.clock())
@@ -146,20 +149,20 @@
     # Cold engines.
 
     def is_cold(self, engine: int) -> bool:
-        """Whether that engine is in the list, and not warm yet."""
+        """Return whether that engine is in the list and still in slow start."""
         found = self.adapter.rules.engines.get(engine)
         return found is not None and found.warm_at > self.adapter.clock()
 
     def recent_sends(self, engine: int, now: float) -> list[ColdSend]:
-        """What we have sent to a cold engine within a window."""
+        """Return what was sent to a cold engine within the last cold window."""
         return [row for row in self.sent_cold.get(engine, ()) if row.at > now - self.budget_shares.window]
 
     def dispatcher_state(self, now: float, number: int, held: list[int]) -> DispatcherState:
-        """What the peers are told of us.
+        """Return the state that is sent to the peers.
 
         Args:
             now: Monotonic clock, in ms.
-            number: Of the list in force.
+            number: Number of the list in force.
             held: The groups whose addresses we hold.
         """
         unix, rules = self.adapter.clock(), self.adapter.rules
--- a/spurdeal/vrrp/handover.py
+++ b/spurdeal/vrrp/handover.py
@@ -1,10 +1,10 @@
-"""What dispatchers of one installation tell each other, and what follows from it. Free of I/O and clocks.
+"""State replication between the dispatchers of one installation. No I/O, no clocks.
 
-Every few ms each tells each peer: the number of its list, which engines are cold since when and what it sent
-there, which it has set aside, which groups it holds, what it lends of its tenure, and its marks. Between
-these, a non-idempotent request is told ahead of its sending, and answered. Times are ms of one monotonic
-clock; a datagram tells only what is left of them. A body is JSON with the keys of `compose`; one with
-anything unusable in it is refused whole and changes nothing.
+At each interval a dispatcher sends each peer: the number of its list, the starts of cold engines and the work
+sent to them, the engines that it has ejected, the groups that it holds, the budget share that it lends, and
+pages of its idempotency records. Between these datagrams it announces non-idempotent requests before they
+are sent, and the peers reply. Times are ms of one monotonic clock; a datagram carries remaining times only.
+A body is JSON with the keys of `compose`; one with any invalid value is refused whole and changes nothing.
 """
 
 from __future__ import annotations
@@ -18,29 +18,29 @@
 from .sealed import Keys, Session
 from .tenure import BudgetShares
 
-CLEAR_REPEATS = 3  # datagrams in a row in which a mark taken back is told: one or two may be lost
+CLEAR_REPEATS = 3  # consecutive datagrams that carry a withdrawal: one or two may be lost
 
 
 class DispatcherState(NamedTuple):
-    """What one dispatcher sees of the fleet, for its peers. Starts are Unix ms, as the list tells them."""
+    """State of one dispatcher, as sent to its peers. Starts are Unix ms, as in the list."""
 
     list_number: int
     held: Sequence[int]
-    cold: Sequence[tuple[str, float, float]]  # engine, start, ms of work sent there in the cold window
-    ejected: Sequence[tuple[str, float]]  # engine, ms left
+    cold: Sequence[tuple[str, float, float]]  # engine, start, work sent to it within the cold window
+    ejected: Sequence[tuple[str, float]]  # engine, remaining ms
 
 
 class Verdict(NamedTuple):
-    """One told ahead may go (True), must not (False), or may have run at a peer (None)."""
+    """Whether an announced request may be sent (True), must not (False), or may have run elsewhere (None)."""
 
     token: object
     go: bool | None
 
 
 class PendingSend(NamedTuple):
-    """One that was told ahead and waits for its peers' answers; times in ms."""
+    """A request that is announced and waits for the peers' replies; times in ms."""
 
-    announcement: int  # of this telling: an answer to an earlier one is none to this (found by the walks)
+    announcement: int  # its number: a reply to an earlier one does not count (found by lab.handover_walk)
     ident: bytes
     deadline: float
     until: float
@@ -49,13 +49,13 @@
 
 @dataclass(frozen=True)
 class Membership:
-    """Which start of which dispatcher this is, and its peers.
+    """Identity of this dispatcher and its peers.
 
     Attributes:
-        name: Its own.
-        peers: The other dispatchers' names.
-        boot: Tells this start from earlier ones.
-        keys: Seal the datagrams.
+        name: Its name.
+        peers: Names of the other dispatchers.
+        boot: Random number that distinguishes this start from earlier ones.
+        keys: Keys that authenticate the datagrams.
     """
 
     name: str
@@ -66,14 +66,14 @@
 
 @dataclass(frozen=True)
 class HandoverSettings:
-    """What is told ahead, and what holds without peers. Times in ms.
+    """Settings of the handover. Times in ms.
 
     Attributes:
-        ahead: Whether non-idempotent requests are told before they are sent.
-        ahead_wait: Within how long they must be answered.
-        alone_after: None refuses them while a peer is not heard; a figure lets them go once it was not heard
-            for so long.
-        without: After so long without any peer, what peers know counts as known.
+        ahead: Whether non-idempotent requests are announced before they are sent.
+        ahead_wait: Time limit for the peers' replies to an announcement.
+        alone_after: None sheds non-idempotent requests while a peer is silent; otherwise a peer that has been
+            silent for longer than this need not reply.
+        sync_timeout: So long after the start, requests are admitted even without all peers' records.
     """
 
     ahead: bool
@@ -83,7 +83,15 @@
 
 
 class Handover:
-    """One dispatcher's side towards its peers."""
+    """Replication of state and idempotency records between this dispatcher and its peers.
+
+    Args:
+        membership: Identity of this dispatcher and its peers.
+        settings: Settings of the handover.
+        budget_shares: This dispatcher's shares of cold engines' budgets.
+        records: Its idempotency records.
+        now: Time of the start, in ms.
+    """
 
     def __init__(
         self,
@@ -107,19 +115,21 @@
         self.announcement = 0
         self.pending_clears: dict[str, list[tuple[bytes, float, int]]] = {peer: [] for peer in peers}
         self.replies: dict[str, list[tuple[float, bool]]] = {peer: [] for peer in peers}
-        self.record_pages: dict[str, list[list[tuple[bytes, float]]]] = {}  # what a new peer has yet to get
+        self.record_pages: dict[
+            str, list[list[tuple[bytes, float]]]
+        ] = {}  # snapshot of our records for a peer that synchronizes
         self.requested_pages: dict[str, int] = {}
         self.received_pages: dict[str, int] = {}
         self.synced: set[str] = set()
 
-    # What is asked of it.
+    # Requests.
 
     def complete(self, now: float) -> bool:
-        """All that peers know is here, or the stated time without is over."""
+        """Return whether all peers' records are here, or the wait for them has timed out."""
         return len(self.synced) == len(self.sessions) or now >= self.started_at + self.settings.sync_timeout
 
     def check_admission(self, now: float, ident: bytes) -> Admission:
-        """For one that must not run twice, on its way in."""
+        """Decide whether a new non-idempotent request is admitted."""
         found = self.records.check(now, ident)
         if found is Admission.ALLOWED and (
             not self.complete(now) or (self.settings.ahead and self.peer_unreachable(now))
@@ -128,23 +138,27 @@
         return found
 
     def peer_unreachable(self, now: float) -> bool:
-        """A peer that should be told ahead cannot be."""
+        """Return whether a peer whose reply is required has been silent for over three reply limits."""
         return any(
             now - self.last_heard(peer) > 3 * self.settings.ahead_wait for peer in self.required_peers(now)
         )
 
     def last_heard(self, peer: str) -> float:
-        """When a peer was last heard, in ms; our start where it never was."""
+        """Return when a peer was last heard, in ms; our start if never."""
         return self.known[peer].heard_at if peer in self.known else self.started_at
 
     def required_peers(self, now: float) -> list[str]:
-        """The peers that must answer what is told ahead."""
+        """Return the peers that must reply to an announcement."""
         if self.settings.alone_after is None:
             return list(self.sessions)
         return [peer for peer in self.sessions if now - self.last_heard(peer) <= self.settings.alone_after]
 
     def prepare_send(self, now: float, ident: bytes, deadline: float, token: object) -> Verdict | None:
-        """It is about to be sent. A verdict at once, or None: one comes of `take` or `tick`."""
+        """Record a request that is to be sent, and announce it.
+
+        Returns:
+            A verdict; None if `receive` or `tick` will return it later.
+        """
         self.announcement += 1
         if not self.records.add(now, ident, deadline, self.announcement):
             return Verdict(token, None if ident in self.records.known else False)
@@ -158,18 +172,20 @@
         return None
 
     def abandon(self, token: object) -> bool:
-        """It is not to be sent any more; True if it was still waiting, and so never went."""
+        """Give up a send; True if it still waited for replies, and so never left."""
         return self.waiting.pop(token, None) is not None
 
     def finish(self, ident: bytes, never_ran: bool) -> None:
-        """It was answered. Only where each attempt is known not to have run is its mark taken back."""
+        """Process the end of a request; its record is withdrawn only if no attempt of it has run."""
         if never_ran and (announcement := self.records.remove_own(ident)) is not None:
             for pending_clears in self.pending_clears.values():
                 pending_clears.append((ident, announcement, CLEAR_REPEATS))
-                del pending_clears[: -MAX_ANNOUNCED * CLEAR_REPEATS]  # older ones end by time
+                del pending_clears[
+                    : -MAX_ANNOUNCED * CLEAR_REPEATS
+                ]  # older withdrawals are dropped: their records expire
 
     def tick(self, now: float) -> list[Verdict]:
-        """Verdicts for those that have waited too long: they must not go."""
+        """Return verdicts for requests whose replies are overdue: they must not be sent."""
         late = [token for token, waiting in self.waiting.items() if now >= waiting.until]
         for token in late:
             del self.waiting[token]
@@ -178,7 +194,7 @@
     # Datagrams.
 
     def compose(self, now: float, peer: str, state: DispatcherState, idle: bool) -> bytes:
-        """All there is to tell this peer now."""
+        """Return the regular datagram for a peer. `idle`: our budget share may be lent."""
         part, wait = self.budget_shares.lend(now, peer, idle)
         clears, self.pending_clears[peer] = (
             self.pending_clears[peer][:MAX_ANNOUNCED],
@@ -206,12 +222,12 @@
         return self.sessions[peer].write(now, body | self.announcements_and_replies(now, peer))
 
     def compose_urgent(self, now: float, peer: str) -> bytes | None:
-        """Only what waits for an answer, and answers: at once, between the regular ones."""
+        """Return a datagram with announcements and replies only; None if there are none."""
         body = self.announcements_and_replies(now, peer)
         return self.sessions[peer].write(now, body) if body["tell"] or body["reply"] else None
 
     def announcements_and_replies(self, now: float, peer: str) -> dict[str, Any]:
-        """What is told ahead and answered in the next datagram to a peer."""
+        """Return the announcements and replies for the next datagram to a peer."""
         waiting = [waiting for waiting in self.waiting.values() if peer in waiting.awaited_peers][
             :MAX_ANNOUNCED
         ]
@@ -229,16 +245,19 @@
         }
 
     def receive(self, now: float, peer: str, datagram: bytes) -> list[Verdict]:
-        """A datagram of that peer. now: ms.
+        """Process a datagram of a peer received at `now` (ms).
+
+        Returns:
+            Verdicts on announced requests.
 
         Raises:
-            RefusedError: It cannot be used; nothing has changed then but what Session counts as seen.
+            RefusedError: The datagram is invalid; nothing has changed then except the session's state.
         """
         session = self.sessions[peer]
         restarts = session.restarts
         body, asked = session.read(now, datagram)
         message = read_message(now, body)
-        # All is read: nothing above has changed anything.
+        # The body is valid as a whole: from here on it takes effect.
         if session.restarts != restarts:
             self.peer_restarted(peer)
         self.update_peer_state(now, peer, message.known)
@@ -256,14 +275,14 @@
         return self.replies_received(peer, message.replies)
 
     def update_peer_state(self, now: float, peer: str, known: PeerState | None) -> None:
-        """What the peer tells of itself; None where this datagram only shows that it is there."""
+        """Store the state of a peer; None only shows that it is alive."""
         if known is not None:
             self.known[peer] = known
         elif peer in self.known:
             self.known[peer] = self.known[peer]._replace(heard_at=now)
 
     def update_loans(self, now: float, peer: str, message: Message, asked: float) -> None:
-        """What the peer lends, and what is left of what it lent, as it answers what we sent at `asked`."""
+        """Apply the peer's loan and the remaining time of ours; `asked`: send time of what it answers."""
         if message.lend is not None:
             self.budget_shares.borrow(now, peer, message.lend.part, message.lend.wait, asked)
         if message.left is not None:
@@ -271,7 +290,7 @@
             self.budget_shares.remaining_reported(now, self.remaining_loans, len(self.sessions))
 
     def page_requested(self, now: float, peer: str, need: int | None) -> None:
-        """The page of our marks that the peer needs next; None where it has them all."""
+        """Note the page of our records that the peer needs next; None if it has all."""
         if need is None:
             self.record_pages.pop(peer, None)
             return
@@ -280,7 +299,7 @@
         self.requested_pages[peer] = need
 
     def page_received(self, now: float, peer: str, page: Page, records: list[tuple[bytes, float]]) -> None:
-        """A page of the peer's marks, where it is the one that we need."""
+        """Add a page of the peer's records if it is the one that is needed next."""
         if peer in self.synced or page.position != self.received_pages.get(peer, 0):
             return
         self.records.add_page(now, peer, records)
@@ -289,12 +308,12 @@
             self.synced.add(peer)
 
     def peer_restarted(self, peer: str) -> None:
-        """A new start of the peer: it knows nothing, and what it had told us stands as marks."""
+        """Reset what depends on the peer's start; the records that it announced before stay."""
         self.record_pages.pop(peer, None)
         self.remaining_loans.pop(peer, None)
 
     def replies_received(self, peer: str, replies: Iterable[tuple[float, bool]]) -> list[Verdict]:
-        """Verdicts that follow from a peer's answers."""
+        """Return the verdicts that follow from a peer's replies."""
         verdicts = []
         for announcement, ok in replies:
             for token, waiting in list(self.waiting.items()):
--- a/spurdeal/vrrp/machine.py
+++ b/spurdeal/vrrp/machine.py
@@ -1,9 +1,10 @@
-"""The VRRP state machine (RFC 9568, section 6), free of I/O and clocks. Times are ms of one monotonic clock.
+"""The VRRP state machine (RFC 9568, section 6), without I/O and clocks. Times are ms of one monotonic clock.
 
-Each call names the time and returns what is to be done, in order: Act.ADVERTISE, Act.RESIGN (an advertisement
-with priority 0), Act.HOLD (take the address and announce it) and Act.LEAVE. `due` is when `tick` is wanted
-next.
-Departures from the RFC, each for one failure, are marked where they stand.
+Each call is given the time and returns the actions to carry out, in order: Action.ADVERTISE, Action.RESIGN
+(an advertisement with priority 0), Action.TAKE (take the addresses and announce them) and Action.RELEASE.
+`due` is when `tick` is to be called next.
+Section numbers are those of RFC 9568. Departures from it, each because of one failure, are marked
+"Departure".
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 
 
 class Action(Enum):
-    """What is to be done; see the module."""
+    """What the caller is to do; see the module's docstring."""
 
     ADVERTISE = "advertise"
     RESIGN = "resign"
@@ -34,7 +35,16 @@
 
 
 class GroupSettings(NamedTuple):
-    """What one group of one dispatcher is told: section 6.1. Times in ms."""
+    """Settings of one group of one dispatcher (section 6.1).
+
+    Attributes:
+        group: Virtual router identifier (VRID), 1 to 255.
+        priority: 1 to 254, or 255 for the owner of the addresses.
+        interval: Advertisement interval in ms.
+        primary: Own address; breaks ties between equal priorities.
+        preempt: Whether a Backup replaces an Active one of lower priority.
+        preempt_delay: Least time in ms from the first advertisement of lower priority to preemption.
+    """
 
     group: int
     priority: int
@@ -45,30 +55,41 @@
 
 
 def skew_time(priority: int, interval: float) -> float:
-    """Section 6.1: ((256 - priority) * Active_Adver_Interval) / 256."""
+    """Return Skew_Time of section 6.1: ((256 - priority) * Active_Adver_Interval) / 256, in ms."""
     return (256 - priority) * interval / 256
 
 
 def active_down_interval(priority: int, interval: float) -> float:
-    """Section 6.1: three intervals of the sender, and Skew_Time."""
+    """Return Active_Down_Interval of section 6.1: three intervals of the sender plus Skew_Time, in ms."""
     return 3 * interval + skew_time(priority, interval)
 
 
 class StateMachine:
-    """One group's state. `why` says what the last change came from."""
+    """State machine of one group.
+
+    Attributes:
+        why: Reason of the last change of state, for the log.
+        due: When `tick` is to be called next, in ms; NEVER if no timer runs.
+        seen: When the machine last ran, in ms; a long gap shows that the process was paused.
+    """
 
     def __init__(self, terms: GroupSettings) -> None:
         self.terms, self.state, self.why = terms, State.INITIALIZE, "made"
-        self.priority = terms.priority  # in force: tracked conditions lower it
+        self.priority = terms.priority  # in effect: tracked conditions lower it
         self.sender_interval = terms.interval  # Active_Adver_Interval
         self.due, self.seen = NEVER, 0.0
-        self.awaiting_sync = False  # a returning one: no list and no handover yet
-        self.preempt_at = NEVER  # since when one lower is heard, and the delay
+        self.awaiting_sync = False  # after a start: no list or no peers' state yet
+        self.preempt_at = (
+            NEVER  # when preemption is allowed: first advertisement of lower priority plus the delay
+        )
 
     # Events.
 
     def start(self, now: float, awaiting_sync: bool = False) -> list[Action]:
-        """Startup, section 6.4.1. Barred, also an owner waits in Backup: it may know an old list only."""
+        """Startup, section 6.4.1.
+
+        Departure: with `awaiting_sync` an owner also starts as Backup, as it may have an outdated list only.
+        """
         assert self.state is State.INITIALIZE
         self.seen, self.awaiting_sync = now, awaiting_sync
         self.sender_interval = self.terms.interval
@@ -78,17 +99,17 @@
         return []
 
     def stop(self, now: float) -> list[Action]:
-        """Shutdown: an Active one resigns, so that others wait for Skew_Time only."""
+        """Shutdown: an Active one resigns, so that Backups wait for Skew_Time only."""
         active = self.state is State.ACTIVE
         self.state, self.due, self.why, self.seen = State.INITIALIZE, NEVER, "stopped", now
         return [Action.RESIGN, Action.RELEASE] if active else []
 
     def tick(self, now: float) -> list[Action]:
-        """A timer is due: Adver_Timer in Active, Active_Down_Timer in Backup. Early calls do nothing."""
+        """Run Adver_Timer in Active and Active_Down_Timer in Backup; does nothing before `due`."""
         gap, self.seen = now - self.seen, now
         if self.state is State.ACTIVE and gap > self.own_down_interval():
-            # Departure: a process that stood still for so long was taken over meanwhile. Advertising first
-            # would draw the address back for a moment, with two holders; it listens for one interval instead.
+            # Departure: a process paused for so long has been replaced meanwhile. Advertising at once would
+            # take the address back for a moment, with two holders; it becomes Backup and listens first.
             self.become_backup(now, f"stood still {gap:.0f} ms")
             return [Action.RELEASE]
         if now < self.due:
@@ -101,7 +122,7 @@
         return []
 
     def advert_received(self, now: float, priority: int, interval: float, sender: Address) -> list[Action]:
-        """A checked advertisement of this group, section 6.4.2 and 6.4.3."""
+        """Process an advertisement that passed the receive checks (sections 6.4.2 and 6.4.3)."""
         if self.state is State.BACKUP:
             self.seen = now
             self.heard_in_backup(now, priority, interval)
@@ -109,7 +130,7 @@
         if self.state is not State.ACTIVE:
             return []
         actions = self.tick(now) if now - self.seen > self.own_down_interval() else []
-        if actions:  # it stood still, and this tells who holds the address now
+        if actions:  # it was paused, and this advertisement shows who holds the address now
             return actions + self.advert_received(now, priority, interval, sender)
         self.seen = now
         if priority == STOPPING:
@@ -119,13 +140,13 @@
             self.sender_interval = interval
             self.become_backup(now, f"heard priority {priority}")
             return [Action.RELEASE]
-        # One lower believes that it holds the address: told at once, it gives way within a datagram's time.
-        # The switch may lead to it by now, so that the address is announced again.
+        # A dispatcher of lower priority is Active too: advertising at once makes it yield within a datagram's
+        # time. The switch may forward to it by now, so the address is announced again.
         self.due = now + self.terms.interval
         return [Action.ADVERTISE, Action.TAKE]
 
     def heard_in_backup(self, now: float, priority: int, interval: float) -> None:
-        """Section 6.4.2: an advertisement sets the timer anew, unless it is to be preempted."""
+        """Section 6.4.2: an advertisement restarts Active_Down_Timer unless its sender is to be preempted."""
         if priority == STOPPING:
             self.due = min(self.due, now + skew_time(self.priority, self.sender_interval))
             self.preempt_at = NEVER
@@ -134,10 +155,13 @@
             self.due = now + active_down_interval(self.priority, interval)
             if priority >= self.priority:
                 self.preempt_at = NEVER
-        # else: one lower is heard, and Active_Down_Timer runs on: it preempts when that ends
+        # else: the sender has a lower priority; Active_Down_Timer runs on, and preemption follows its end
 
     def may_preempt(self, now: float) -> bool:
-        """Preempt_Mode, with a delay (ours) from the first lower one that was heard."""
+        """Return whether preemption is allowed now: Preempt_Mode, and a delay of our own.
+
+        Departure: the delay runs from the first advertisement of lower priority.
+        """
         if not self.terms.preempt or self.awaiting_sync:
             return False
         if self.preempt_at == NEVER:
@@ -145,7 +169,7 @@
         return now >= self.preempt_at
 
     def set_priority(self, now: float, priority: int) -> list[Action]:
-        """Tracked conditions have changed the priority in force. An Active one says so at once."""
+        """Set the priority in effect, as tracked conditions change; an Active one advertises it at once."""
         if priority == self.priority:
             return []
         self.priority = priority
@@ -155,22 +179,22 @@
         return []
 
     def end_sync_wait(self) -> None:
-        """A fresh list and a handover are here, or the stated time without is over."""
+        """Allow preemption: the list and the peers' state are here, or the wait for them has timed out."""
         self.awaiting_sync = False
 
     # Changes of state.
 
     def become_active(self, now: float, why: str) -> list[Action]:
-        """Section 6.4.1 and 6.4.2: take the addresses."""
+        """Become Active and take the addresses (sections 6.4.1 and 6.4.2)."""
         self.state, self.why, self.preempt_at, self.seen = State.ACTIVE, why, NEVER, now
         self.due = now + self.terms.interval
         return [Action.ADVERTISE, Action.TAKE]
 
     def become_backup(self, now: float, why: str) -> None:
-        """Section 6.4.1 and 6.4.3: wait for Active_Down_Timer."""
+        """Become Backup and start Active_Down_Timer (sections 6.4.1 and 6.4.3)."""
         self.state, self.why, self.preempt_at, self.seen = State.BACKUP, why, NEVER, now
         self.due = now + active_down_interval(self.priority, self.sender_interval)
 
     def own_down_interval(self) -> float:
-        """How long others wait for an advertisement of ours, at the least."""
+        """Return how long Backups wait at least for an advertisement of ours, in ms."""
         return 3 * self.terms.interval
--- a/spurdeal/vrrp/marks.py
+++ b/spurdeal/vrrp/marks.py
@@ -1,8 +1,8 @@
-"""Which requests that must not run twice may have run, here or at a peer. Free of I/O and clocks.
+"""Idempotency records: which non-idempotent requests may have run, here or at a peer. No I/O, no clocks.
 
-A mark is made before such a request is sent, and taken away only when each attempt of it is known not to have
-run, or when its time is over. Times are ms of one monotonic clock; between dispatchers only what is left is
-told.
+A record is made before such a request is sent, and removed only when no attempt of it can have run, or when
+it expires. Times are ms of one monotonic clock; dispatchers exchange remaining times only, as their clocks
+are not comparable.
 """
 
 from __future__ import annotations
@@ -13,25 +13,30 @@
 
 
 class Admission(Enum):
-    """What a request that must not run twice meets on its way in."""
+    """Whether a new non-idempotent request is admitted. The values name counters (`door_...`)."""
 
     ALLOWED = "open"
-    MAY_HAVE_RUN = "ran"  # it may have run: broken off, never shed and never sent again
-    PEER_UNREACHABLE = "away"  # no peer can be told ahead: shed, nothing ran
-    TABLE_FULL = "full"  # no room for another mark: shed, nothing ran
+    MAY_HAVE_RUN = "ran"  # failed: never shed and never sent again
+    PEER_UNREACHABLE = "away"  # a peer cannot be informed before the send: shed, nothing ran
+    TABLE_FULL = "full"  # no room for another record: shed, nothing ran
 
 
 class IdempotencyRecord(NamedTuple):
-    """What is known of one request that may have run."""
+    """Record of one request that may have run. `until`: expiry, in ms."""
 
     until: float
-    peer: str  # who told; "" for our own
-    sent: bool  # it has left, or may have
-    announcement: float  # the telling that it is from; what is said of an earlier one changes nothing
+    peer: str  # who reported it; "" for our own
+    sent: bool  # it was sent, or may have been
+    announcement: float  # number of its announcement; a message about an earlier one changes nothing
 
 
 class IdempotencyTable:
-    """All marks, at most so many. None is dropped before its time: a full table sheds instead."""
+    """Idempotency records by request id. None is dropped before it expires: a full table sheds requests.
+
+    Args:
+        capacity: Most records.
+        retention: How long a record outlives the deadline of its request, in ms.
+    """
 
     def __init__(self, capacity: int, retention: float) -> None:
         self.capacity, self.retention = capacity, retention
@@ -40,7 +45,7 @@
         self.refused = self.duplicates = 0
 
     def check(self, now: float, ident: bytes) -> Admission:
-        """A new request: its id may be known from an earlier way in."""
+        """Check the id of a new request; a known one may have run already."""
         self.expire(now)
         if ident in self.known:
             self.duplicates += 1
@@ -51,10 +56,14 @@
         return Admission.ALLOWED
 
     def add(self, now: float, ident: bytes, deadline: float, announcement: int) -> bool:
-        """Ours is about to be told and sent; kept for a time after its deadline. False: there is no room."""
+        """Record a request of ours before it is announced and sent.
+
+        Returns:
+            False if a peer has recorded it since it was admitted, or if there is no room.
+        """
         found = self.known.get(ident)
         if found is not None and found.peer:
-            return False  # a peer was first, since the door
+            return False  # a peer has recorded it since it was admitted here
         if found is None and len(self.known) >= self.capacity:
             return False
         self.store(
@@ -64,15 +73,15 @@
         return True
 
     def mark_sent(self, ident: bytes) -> None:
-        """It has left, or may have."""
+        """Note that the request was sent, or may have been."""
         if ident in self.known:
             self.known[ident] = self.known[ident]._replace(sent=True)
 
     def remove_own(self, ident: bytes) -> float | None:
-        """Each attempt is known not to have run, so it may go again.
+        """Remove our record of a request of which no attempt has run, so that it may be sent again.
 
         Returns:
-            Its last telling; None if it was not ours.
+            The number of its last announcement; None if there is no record of ours.
         """
         found = self.known.get(ident)
         if found is None or found.peer:
@@ -81,17 +90,27 @@
         return found.announcement
 
     def recall(self, ident: bytes, until: float) -> None:
-        """An earlier start of ours may have sent it, as its ledger tells; new peers are told."""
+        """Record a request that an earlier start of ours may have sent, as its ledger shows.
+
+        Peers that synchronize from us get it too. Without room it is not recorded.
+        """
         if ident not in self.known and len(self.known) < self.capacity:
             self.store(ident, IdempotencyRecord(until, "", True, 0))
 
-    # What peers tell.
+    # Messages from peers.
 
     def add_from_peer(self, now: float, peer: str, ident: bytes, left: float, announcement: float) -> bool:
-        """A peer will send it.
+        """Record a request that a peer announces.
+
+        Args:
+            now: Monotonic clock, in ms.
+            peer: Its name.
+            ident: Id of the request.
+            left: ms until the record expires.
+            announcement: Number of the announcement.
 
         Returns:
-            False where it is ours, or another's, or there is no room: it must not send.
+            False if it is recorded as ours or another peer's, or if there is no room: the peer must not send.
         """
         self.expire(now)
         found = self.known.get(ident)
@@ -107,22 +126,22 @@
         return True
 
     def remove_from_peer(self, peer: str, ident: bytes, announcement: float) -> None:
-        """A peer takes its mark back.
+        """Remove the record of a peer that withdraws it.
 
-        It is said several times, and overtaken by a newer telling it must not take that one's mark away.
+        Withdrawals are repeated; one that arrives after a newer announcement must not remove its record.
         """
         found = self.known.get(ident)
         if found is not None and found.peer == peer and found.announcement <= announcement:
             del self.known[ident]
 
     def add_page(self, now: float, peer: str, marks: Iterable[tuple[bytes, float]]) -> None:
-        """A page of what a peer knows. Ours and nearer ones stay; what has no room is counted."""
+        """Add a page of a peer's records; known ids stay as they are, and what has no room is counted."""
         for ident, left in marks:
             if ident not in self.known and not self.add_from_peer(now, peer, ident, left, float("inf")):
                 self.refused += 1
 
     def pages(self, now: float, size: int) -> Iterator[list[tuple[bytes, float]]]:
-        """All that we know, for a peer that has started anew, with ms left."""
+        """Yield all records with their remaining ms, in pages of `size`, for a peer that has restarted."""
         self.expire(now)
         page: list[tuple[bytes, float]] = []
         for ident, mark in list(self.known.items()):
@@ -133,15 +152,15 @@
         if page:
             yield page
 
-    # Time.
+    # Expiry.
 
     def store(self, ident: bytes, mark: IdempotencyRecord) -> None:
-        """Set a mark, and see that it ends in time."""
+        """Set a record and update the next expiry."""
         self.known[ident] = mark
         self.next_expiry = min(self.next_expiry, mark.until)
 
     def expire(self, now: float) -> None:
-        """Drop the marks whose time is over."""
+        """Drop expired records."""
         if now < self.next_expiry:
             return
         self.known = {ident: mark for ident, mark in self.known.items() if mark.until > now}
--- a/spurdeal/vrrp/message.py
+++ b/spurdeal/vrrp/message.py
@@ -1,4 +1,4 @@
-"""The body of a handover datagram, read whole before anything of it counts. Free of I/O and clocks."""
+"""Parsing of handover bodies: a body is validated whole before any of it takes effect. No I/O, no clocks."""
 
 from __future__ import annotations
 
@@ -12,17 +12,25 @@
     64,
     48,
     64,
-)  # entries in one datagram: all of them fit in sealed.LARGEST
+)  # entries per datagram; together they fit sealed.MAX_DATAGRAM
 MAX_PAGES = 4096
 MAX_ID_LENGTH = 64  # characters
 MAX_GROUPS = 255
-MAX_REMAINING = 3_600_000.0  # ms; nothing told lasts longer
+MAX_REMAINING = 3_600_000.0  # ms: of any remaining time
 MAX_ANNOUNCEMENT = MAX_START = 1e15
 MAX_LIST_NUMBER = MAX_WORK = 1e12
 
 
 class PeerState(NamedTuple):
-    """What was last heard of a peer."""
+    """Last state received from a peer.
+
+    Attributes:
+        heard_at: When it was last heard, in ms of our monotonic clock.
+        list_number: Number of its list.
+        held: Groups whose addresses it holds.
+        cold: Its cold engines: name, start in Unix ms, work sent within the cold window.
+        ejected: Engines that it has ejected, with the remaining ms.
+    """
 
     heard_at: float
     list_number: int
@@ -32,7 +40,7 @@
 
 
 class AnnouncedRequest(NamedTuple):
-    """A non-idempotent request that the peer is about to send. left: ms that its mark lasts."""
+    """A non-idempotent request that the peer is about to send. `left`: ms until its record expires."""
 
     ident: bytes
     left: float
@@ -40,29 +48,32 @@
 
 
 class LoanOffer(NamedTuple):
-    """What the peer lends of its part of cold budgets, and in how many ms it may be used."""
+    """The share of cold budgets that the peer lends, 0 to 1, and the ms until it may be used."""
 
     part: float
     wait: float
 
 
 class Page(NamedTuple):
-    """Which page of the peer's marks this is, and of how many."""
+    """Position of a page of the peer's records, from 0, and the number of pages."""
 
     position: int
     total: int
 
 
 class Message(NamedTuple):
-    """All that a datagram tells.
+    """Contents of a handover datagram.
 
     Attributes:
-        replies: By the turn of what we told, whether it may go.
-        clears: Marks taken back, by id and turn.
-        marks: By id, for how many ms each lasts.
-        known: None where the datagram tells only of requests.
-        left: ms until what the peer lent counts no more with it.
-        need: The page of our marks that it needs next.
+        announced: Requests that the peer is about to send.
+        replies: By the number of our announcement, whether the request may be sent.
+        clears: Withdrawn records, by request id and number of the announcement.
+        records: A page of the peer's records: request id and remaining ms.
+        known: The peer's state; None if the datagram carries announcements and replies only.
+        lend: The share that the peer lends; None if the datagram does not say.
+        left: ms for which the peer may still use what we lent; None if the datagram does not say.
+        need: The page of our records that the peer needs next; None if it has all.
+        page: Position of `records`; None without a page.
     """
 
     announced: list[AnnouncedRequest]
@@ -77,7 +88,11 @@
 
 
 def parse_number(value: object, maximum: float = MAX_REMAINING) -> float:
-    """A number from 0 to `most`."""
+    """Return a number from 0 to `maximum`.
+
+    Raises:
+        RefusedError: It is not one.
+    """
     if (
         not isinstance(value, (int, float))
         or isinstance(value, bool)
@@ -89,14 +104,22 @@
 
 
 def parse_id(value: object) -> bytes:
-    """An id, or an engine's name."""
+    """Return a request id or an engine's name: 1 to MAX_ID_LENGTH ASCII characters.
+
+    Raises:
+        RefusedError: It is not one.
+    """
     if not isinstance(value, str) or not 1 <= len(value) <= MAX_ID_LENGTH or not value.isascii():
         raise RefusedError("body")
     return value.encode()
 
 
 def parse_rows(body: Mapping[str, Any], name: str, width: int, maximum: int) -> list[list[Any]]:
-    """A list of rows of that width; empty where there is none."""
+    """Return a list of at most `maximum` rows of that width; empty if the key is missing.
+
+    Raises:
+        RefusedError: The value is not such a list.
+    """
     found = body.get(name, [])
     if (
         not isinstance(found, list)
@@ -108,10 +131,10 @@
 
 
 def read_message(now: float, body: Mapping[str, Any]) -> Message:
-    """Read a body.
+    """Parse a body received at `now` (ms).
 
     Raises:
-        RefusedError: Something in it has not its form.
+        RefusedError: A value has the wrong form or is out of range.
     """
     announced = [
         AnnouncedRequest(parse_id(ident), parse_number(left), parse_number(announcement, MAX_ANNOUNCEMENT))
@@ -137,7 +160,11 @@
 
 
 def read_peer_state(now: float, body: Mapping[str, Any]) -> PeerState | None:
-    """What the peer tells of itself, if it does."""
+    """Return the state of the peer; None if the body carries none.
+
+    Raises:
+        RefusedError: A value has the wrong form or is out of range.
+    """
     if "list" not in body:
         return None
     cold = tuple(
@@ -156,7 +183,11 @@
 
 
 def read_loan_offer(body: Mapping[str, Any]) -> LoanOffer | None:
-    """What is lent, if anything is told of it."""
+    """Return the loan offer; None if the body carries none.
+
+    Raises:
+        RefusedError: A value has the wrong form or is out of range.
+    """
     if "lend" not in body:
         return None
     ((part, wait),) = parse_rows({"lend": [body["lend"]]}, "lend", 2, 1)
@@ -164,7 +195,11 @@
 
 
 def read_page(body: Mapping[str, Any]) -> Page | None:
-    """Which page of marks there is, if any."""
+    """Return the position of the page of records; None if the body carries none.
+
+    Raises:
+        RefusedError: A value has the wrong form or is out of range.
+    """
     if "page" not in body:
         return None
     ((position, total),) = parse_rows({"page": [body["page"]]}, "page", 2, 1)
--- a/spurdeal/vrrp/sealed.py
+++ b/spurdeal/vrrp/sealed.py
@@ -1,9 +1,9 @@
-"""Datagrams between dispatchers of one installation: sealed with a key, and fresh.
+"""Authenticated datagrams with replay protection between the dispatchers of one installation.
 
-A datagram is a head, a body and the first 16 bytes of HMAC-SHA256 (RFC 2104, RFC 4868 cuts likewise) over
-both. The head names the key, the sender's start (`boot`, random), its number, and the last that was taken of
-the receiver's: start and number. What is replayed from an earlier start of either side repeats what is no
-longer the last, so it counts for nothing, and no clock is compared.
+A datagram is a header, the sender's name, a body and the first 16 bytes of HMAC-SHA256 over these (RFC 2104;
+RFC 4868 truncates likewise). The header carries the key id, the sender's start (`boot`, random), its sequence
+number, and the start and sequence number of the last datagram accepted from the receiver (the echo). A replay
+from an earlier start of either side echoes an outdated number and is refused, without comparing clocks.
 """
 
 from __future__ import annotations
@@ -16,16 +16,22 @@
 from typing import Any
 
 MAGIC = b"SPH1"
-HEAD = struct.Struct("!4sBBQQQQ")  # magic, key id, length of the name, boot, number, echoed boot and number
-SEAL = 16
-MAX_KEYS, MAX_KEY_ID, MIN_KEY = 2, 255, 16  # keys, their ids, and bytes of one
-MAX_DATAGRAM = 8192
-WINDOW = 64  # numbers behind the newest that may still arrive, once each
-MAX_ECHO_AGE = 2000.0  # ms: a new start of the peer must repeat what we sent no longer ago
+HEAD = struct.Struct(
+    "!4sBBQQQQ"
+)  # magic, key id, length of the name, boot, number, echoed boot, echoed number
+SEAL = 16  # bytes of the truncated HMAC
+MAX_KEYS, MAX_KEY_ID, MIN_KEY = 2, 255, 16  # number of keys, largest id, least bytes of a key
+MAX_DATAGRAM = 8192  # bytes
+WINDOW = 64  # sequence numbers below the highest that are still accepted, once each
+MAX_ECHO_AGE = 2000.0  # ms: a new start of the peer must echo a datagram of ours that is no older
 
 
 class RefusedError(Exception):
-    """A datagram that changes nothing; `reason` is the counter's name."""
+    """A datagram that is refused and changes nothing.
+
+    Attributes:
+        reason: Suffix of the counter that counts it (`handover_drop_...`, `fleet_...`).
+    """
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
@@ -33,7 +39,11 @@
 
 
 class Keys:
-    """One or two keys by id. The first seals; all open, so that a change loses nothing."""
+    """One or two keys by id. The first signs and all verify, so that keys rotate without loss.
+
+    Raises:
+        ValueError: Not one or two keys of MIN_KEY bytes or more with ids from 0 to MAX_KEY_ID.
+    """
 
     def __init__(self, keys: Mapping[int, bytes]) -> None:
         sound = all(0 <= ident <= MAX_KEY_ID and len(key) >= MIN_KEY for ident, key in keys.items())
@@ -42,26 +52,40 @@
         self.keys, self.sealing = dict(keys), next(iter(keys))
 
     def seal(self, ident: int, data: bytes) -> bytes:
-        """The seal of the data by that key."""
+        """Return the truncated HMAC of the data with that key."""
         return hmac.digest(self.keys[ident], data, "sha256")[:SEAL]
 
 
 class Session:
-    """What is known of one peer's datagrams, and of ours to it."""
+    """Sequence numbers and replay window of the datagrams exchanged with one peer.
+
+    Args:
+        own: Name of this dispatcher.
+        peer: Name of the peer.
+        boot: Random number of our start.
+        keys: Keys of the installation.
+    """
 
     def __init__(self, own: str, peer: str, boot: int, keys: Keys) -> None:
         self.own, self.peer, self.boot, self.keys = own.encode(), peer.encode(), boot, keys
         self.number = 0
-        self.sent: OrderedDict[int, float] = OrderedDict()  # when our last ones left, to measure loans from
+        self.sent: OrderedDict[int, float] = (
+            OrderedDict()
+        )  # send times of our last datagrams in ms, by number: loans count from these
         self.peer_boot, self.highest_number, self.replay_window = 0, 0, 0
-        self.proof_number = 0  # the number of ours by which the peer's start proved itself
-        self.restarts = 0  # how often the peer's start has changed
+        self.proof_number = 0  # our datagram whose echo proved the peer's start to be current
+        self.restarts = 0  # how often the peer has restarted
 
     def write(self, now: float, body: dict[str, Any], echo: tuple[int, int] | None = None) -> bytes:
-        """The next datagram; now is ms of the sender's monotonic clock.
+        """Return the next datagram.
+
+        Args:
+            now: Monotonic clock, in ms.
+            body: Written as JSON.
+            echo: Start and number to echo; by default those of the last datagram accepted from the peer.
 
         Raises:
-            ValueError: The body is too large.
+            ValueError: The datagram would exceed MAX_DATAGRAM.
         """
         self.number += 1
         self.sent[self.number] = now
@@ -81,14 +105,17 @@
             + json.dumps(body, separators=(",", ":")).encode()
         )
         if len(data) + SEAL > MAX_DATAGRAM:
-            raise ValueError(f"{len(data)} bytes are more than a datagram holds")
+            raise ValueError(f"datagram of {len(data)} bytes without its seal is too large")
         return data + self.keys.seal(key, data)
 
     def read(self, now: float, datagram: bytes) -> tuple[dict[str, Any], float | None]:
-        """The body, and when the last of ours that the peer had taken was sent: None if it is too long ago.
+        """Verify and decode a datagram received at `now` (ms).
+
+        Returns:
+            The body, and when our datagram that it echoes was sent, in ms; None if that is no longer known.
 
         Raises:
-            RefusedError: Anything is wrong; nothing has changed then.
+            RefusedError: The datagram is invalid, replayed or unproven; nothing has changed then.
         """
         boot, number, echo_boot, echo_number, text = self.open(datagram)
         asked = self.sent.get(echo_number) if echo_boot == self.boot else None
@@ -98,8 +125,8 @@
             if age >= WINDOW or (age >= 0 and self.replay_window >> age & 1):
                 raise RefusedError("replayed")
         elif not fresh or echo_number <= self.proof_number:
-            # An unknown start must show that it hears us now, and later than the known one did: else an
-            # old start's datagrams, replayed soon after its end, would be taken.
+            # An unknown start must echo a recent datagram of ours, newer than the echo that proved the known
+            # start: otherwise datagrams of an old start, replayed soon after its end, would be accepted.
             raise RefusedError("unproven")
         try:
             body = json.loads(text)
@@ -125,7 +152,14 @@
         return body, asked
 
     def open(self, datagram: bytes) -> tuple[int, int, int, int, bytes]:
-        """Length, magic, key, seal and name, in this order; what is not ours is refused before it is read."""
+        """Verify length, magic, key, seal and name, in this order, before anything is parsed.
+
+        Returns:
+            The sender's start and number, the echoed start and number, and the body.
+
+        Raises:
+            RefusedError: A check fails.
+        """
         if len(datagram) < HEAD.size + SEAL:
             raise RefusedError("short")
         if len(datagram) > MAX_DATAGRAM:
@@ -142,10 +176,13 @@
         return boot, number, echo_boot, echo_number, datagram[HEAD.size + size : -SEAL]
 
     def greet(self, now: float, datagram: bytes) -> bytes:
-        """An empty answer to an unproven one whose seal is right.
+        """Return an empty datagram in answer to an unproven one whose seal is valid.
 
-        It echoes that start, which can then prove itself. Nothing else is taken of it. A replay gains an echo
-        of an old number, which proves nothing.
+        It echoes that start, which can then prove itself; nothing else of the datagram is used. A replayed
+        datagram only obtains the echo of an old number, which proves nothing.
+
+        Raises:
+            RefusedError: The seal or another check fails.
         """
         boot, number, *_ = self.open(datagram)
         return self.write(now, {}, (boot, number))
--- a/spurdeal/vrrp/setup.py
+++ b/spurdeal/vrrp/setup.py
@@ -1,4 +1,4 @@
-"""What the operator's file makes of VRRP, handover and keys: the objects that a station works with."""
+"""Builds the objects of a station from the operator's file: VRRP groups, handover, keys, address holder."""
 
 from __future__ import annotations
 
@@ -31,9 +31,9 @@
 
     Attributes:
         reactor: The event loop.
-        monotonic: Gives ms that run on while the process stands still.
-        counters: Where events are counted.
-        log: For the operator.
+        monotonic: Monotonic clock in ms that also runs while the process is paused.
+        counters: Counters of events.
+        log: The operator's log.
     """
 
     reactor: Reactor
@@ -43,11 +43,11 @@
 
 
 def keys_of(part: HandoverPart | FleetPart) -> Keys:
-    """The keys of a part, read.
+    """Return the keys of a section of the file.
 
     Raises:
-        OSError: A file cannot be read.
-        ValueError: A file holds no key.
+        OSError: A key file cannot be read.
+        ValueError: A key file holds no key in hex, or a key or id is out of bounds (see Keys).
     """
     return Keys(
         {
@@ -60,7 +60,7 @@
 
 
 def make_groups(vrrp: Vrrp) -> Groups:
-    """The VRRP groups, none of them started."""
+    """Return the VRRP groups, none of them started."""
     own = vrrp.listen[0]
     terms = [
         GroupSettings(each.group, each.priority, each.interval, own, each.preempt, each.preempt_delay)
@@ -73,10 +73,11 @@
 
 
 def make_handover(plan: Installation, boot: int, budget_shares: BudgetShares, now: float) -> Handover | None:
-    """The handover; None where the file has none.
+    """Return the handover; None if the file configures none.
 
     Raises:
-        OSError, ValueError: As `keys_of`.
+        OSError: A key file cannot be read.
+        ValueError: A key is invalid.
     """
     part, vrrp = plan.handover, plan.vrrp
     if part is None or vrrp is None:
@@ -93,7 +94,7 @@
 
 
 def make_holder(vrrp: Vrrp, service: Service, reactor: Reactor, log: logging.Logger) -> Holder:
-    """What takes and leaves the addresses."""
+    """Return the configured holder, which takes and leaves the addresses."""
     holder, counters = vrrp.holder, service.counters
     if holder.kind == "announce":
         switch = (str(holder.switch[0]), holder.switch[1])
--- a/spurdeal/vrrp/station.py
+++ b/spurdeal/vrrp/station.py
@@ -1,6 +1,6 @@
-"""VRRP, handover and tenure beside one dispatcher, put together: start and stop, conditions, and the bar.
+"""VRRP, handover and budget shares of one dispatcher: start, stop, tracked conditions, initial sync.
 
-It decides nothing: `groups`, `handover` and `tenure` do.
+The decisions are made in `groups`, `handover` and `tenure`.
 """
 
 from __future__ import annotations
@@ -26,19 +26,26 @@
 
 __all__ = ["Runtime", "Station", "keys_of"]
 
-MAX_ADVERT_SIZE = 8 + 16 * advert.MAX_ADDRESSES
-MAX_DATAGRAM_SIZE = 65_535
-CHECK_INTERVAL = 100.0  # ms between two looks at the conditions where there is no handover
+MAX_ADVERT_SIZE = 8 + 16 * advert.MAX_ADDRESSES  # bytes: header and IPv6 addresses
+MAX_DATAGRAM_SIZE = 65_535  # bytes
+CHECK_INTERVAL = 100.0  # ms between checks of the conditions without a handover
 
 
 class Station:
-    """One dispatcher among its peers.
+    """One dispatcher among its VRRP peers.
+
+    After a start it awaits sync: until the list is fresh and the peers' records are here, or for `vrrp.bar`
+    ms at most, it takes no address back by preemption.
 
     Args:
-        boot: Tells this start from earlier ones.
+        service: The dispatcher's service.
+        plan: The operator's file; its `vrrp` section must be present.
+        boot: Random number that distinguishes this start from earlier ones.
+        runtime: Event loop, clock, counters and log.
 
     Raises:
-        OSError, ValueError: The handover's keys cannot be read.
+        OSError: A key file of the handover cannot be read.
+        ValueError: A key of the handover is invalid.
     """
 
     def __init__(
@@ -54,7 +61,7 @@
         self.counters, self.log = runtime.counters, runtime.log
         now, site = self.monotonic(), service.configuration.site
         self.started_at, self.list_fresh, self.awaiting_sync, self.stopping = now, False, True, False
-        self.shut_out: Callable[[], bool] = lambda: False  # by the fleet, where there is one
+        self.shut_out: Callable[[], bool] = lambda: False  # set by the fleet, if there is one
         self.groups = make_groups(self.vrrp)
         self.budget_shares = BudgetShares(site.dispatchers, site.cold_window, plan.tenure.lease, now)
         self.handover: Handover | None = make_handover(plan, boot, self.budget_shares, now)
@@ -74,21 +81,21 @@
 
     @property
     def pending_callbacks(self) -> dict[object, Callable[[bool | None], None]]:
-        """What waits for the peers' verdict."""
+        """Sends that wait for the peers' verdict, by token."""
         return self.exchange.pending_callbacks
 
     def on_advert(self, datagram: bytes, sender: str) -> None:
-        """An advertisement of a peer."""
+        """Process an advertisement of a peer."""
         self.advertising.on_datagram(datagram, sender)
 
     def on_handover_datagram(self, datagram: bytes, address: tuple[str, int]) -> None:
-        """A handover datagram of a peer."""
+        """Process a handover datagram of a peer."""
         self.exchange.on_datagram(datagram, address)
 
     # Start and stop.
 
     def start(self) -> None:
-        """Before the service takes anything: its list is seen through this from the first."""
+        """Start listening and the groups; to be called before the service accepts requests or a list."""
         self.adapter.guard = self.guard
         self.listen()
         self.advertising.perform(self.groups.start(self.monotonic(), awaiting_sync=True))
@@ -96,7 +103,7 @@
         self.advertising.rearm()
 
     def listen(self) -> None:
-        """Take datagrams of the peers from here on."""
+        """Open the sockets for the peers' datagrams."""
         host, port = self.vrrp.listen
         advert_protocol = self.advertising.protocol
         self.ports.append(
@@ -122,14 +129,14 @@
             TolerantReading(opened, self.reactor, self.counters, self.log, most_errors=None)
 
     def stop(self) -> None:
-        """A planned stop: resigns, leaves the addresses, and tells the peers what they need, until exit."""
+        """Begin a graceful shutdown: resign, release the addresses, inform the peers until exit."""
         if not self.stopping:
             self.stopping = True
             self.advertising.perform(self.groups.stop(self.monotonic()))
             self.send_state()
 
     def read_again(self, plan: Installation) -> None:
-        """SIGHUP: keys are in force at once, the rest at a start."""
+        """Apply a file reread on SIGHUP: keys take effect at once, all else at the next start."""
         if self.handover is not None and plan.handover is not None:
             try:
                 keys = keys_of(plan.handover)
@@ -142,25 +149,25 @@
         self.log.info("installation_read", extra={"figures": {"rest_at_a_start": before != after}})
 
     def reject_installation(self, why: str) -> None:
-        """A file that cannot be used leaves the old in force."""
+        """Count and log a file that cannot be used; the old one stays in effect."""
         self.counters.add("installations_unusable")
         self.log.error("installation_kept", extra={"figures": {"why": why}})
 
     def recall(self, ends: Mapping[bytes, float]) -> None:
-        """Peers that have lost theirs get the ledger's ids from us.
+        """Restore idempotency records from the ledger; peers without them get them from us.
 
         Args:
-            ends: By id, until when it counts, in Unix ms.
+            ends: Expiry of each record in Unix ms, by request id.
         """
         if self.handover is not None:
             apart = self.monotonic() - self.adapter.clock()
             for ident, until in ends.items():
                 self.handover.records.recall(ident, until + apart)
 
-    # Time.
+    # Periodic work.
 
     def run_periodic(self) -> None:
-        """At each handover interval: conditions, the bar, and what the peers are told."""
+        """Check the list, the initial sync and conditions, and inform the peers, at each interval."""
         now = self.monotonic()
         interval = self.plan.handover.every if self.plan.handover else CHECK_INTERVAL
         self.reactor.callLater(interval / 1000, self.run_periodic)
@@ -173,15 +180,15 @@
         self.advertising.rearm()
 
     def sync_wait_over(self, now: float) -> bool:
-        """Whether the addresses may be taken back.
+        """Return whether addresses may be taken back.
 
-        The list and the peers' marks are known by then, or waited for long enough.
+        That is once the list is fresh and the peers' records are here, or the wait has timed out.
         """
         waited = now - self.started_at >= self.vrrp.bar
         return waited or (self.list_fresh and (self.handover is None or self.handover.complete(now)))
 
     def end_sync_wait(self, now: float) -> None:
-        """The addresses may be taken back from here on."""
+        """Allow addresses to be taken back."""
         self.awaiting_sync = False
         self.groups.end_sync_wait()
         self.log.info(
@@ -189,18 +196,18 @@
         )
 
     def check_list(self) -> None:
-        """The first answer of the name service since the start: engines' starts are known now."""
+        """Note the first answer of the name service: from then on the engines' starts are known."""
         if not self.list_fresh and self.service.names.answered_at > float("-inf"):
             self.list_fresh = True
             self.adapter.apply_list(self.adapter.endpoints)
 
     def assumed_cold(self) -> bool:
-        """Whether each engine may have been started anew without our knowing."""
+        """Return whether each engine may have restarted without our knowledge."""
         unsure = not self.list_fresh and self.plan.tenure.on
         return unsure and self.monotonic() < self.started_at + self.vrrp.bar
 
     def conditions_met(self, now: float) -> list[str]:
-        """The conditions that hold now and lower priorities."""
+        """Return the tracked conditions that hold now."""
         unix = self.adapter.clock()
         stale = (self.reactor.seconds() - self.service.names.answered_at) * 1000 > self.vrrp.stale_after
         conditions = ["list_stale"] if stale and now - self.started_at > self.vrrp.stale_after else []
@@ -213,7 +220,7 @@
     # Peers.
 
     def addresses_taken(self, group: int, why: str) -> None:
-        """We hold a group's addresses: engines that its last holder had set aside are suspect here too."""
+        """Log a takeover; engines that a peer had ejected count as suspect here too."""
         part = f"{self.budget_shares.share(self.monotonic()):.2f}"
         self.log.info("address_taken", extra={"figures": {"group": group, "why": why, "part": part}})
         if self.handover is None:
@@ -226,7 +233,7 @@
                     )
 
     def send_state(self) -> None:
-        """Tell the peers how we are; our part of cold budgets may be lent while we hold nothing."""
+        """Send our state to the peers; our budget share may be lent while we hold no address."""
         if self.handover is None:
             return
         held = self.groups.held()
