--- a/spurdeal/vrrp/guard.py
+++ b/spurdeal/vrrp/guard.py
@@ -138,13 +138,17 @@
         """
         if self.assumed_cold():
             return endpoint._replace(started=self.adapter.clock())
-        told = [
+        reported_starts = [
             started
             for known in (self.handover.known.values() if self.handover else ())
             for ident, started, _ in known.cold
             if ident == endpoint.ident
         ]
-        return endpoint._replace(started=max(endpoint.started, *told)) if told else endpoint
+        return (
+            endpoint._replace(started=max(endpoint.started, *reported_starts))
+            if reported_starts
+            else endpoint
+        )
 
     # Cold engines.
 
--- a/spurdeal/vrrp/machine.py
+++ b/spurdeal/vrrp/machine.py
@@ -110,7 +110,7 @@
         if self.state is State.ACTIVE and gap > self.own_down_interval():
             # Departure: a process paused for so long has been replaced meanwhile. Advertising at once would
             # take the address back for a moment, with two holders; it becomes Backup and listens first.
-            self.become_backup(now, f"stood still {gap:.0f} ms")
+            self.become_backup(now, f"paused for {gap:.0f} ms")
             return [Action.RELEASE]
         if now < self.due:
             return []
--- a/spurdeal/vrrp/marks.py
+++ b/spurdeal/vrrp/marks.py
@@ -134,9 +134,9 @@
         if found is not None and found.peer == peer and found.announcement <= announcement:
             del self.known[ident]
 
-    def add_page(self, now: float, peer: str, marks: Iterable[tuple[bytes, float]]) -> None:
+    def add_page(self, now: float, peer: str, records: Iterable[tuple[bytes, float]]) -> None:
         """Add a page of a peer's records; known ids stay as they are, and what has no room is counted."""
-        for ident, left in marks:
+        for ident, left in records:
             if ident not in self.known and not self.add_from_peer(now, peer, ident, left, float("inf")):
                 self.refused += 1
 
@@ -144,8 +144,8 @@
         """Yield all records with their remaining ms, in pages of `size`, for a peer that has restarted."""
         self.expire(now)
         page: list[tuple[bytes, float]] = []
-        for ident, mark in list(self.known.items()):
-            page.append((ident, mark.until - now))
+        for ident, record in list(self.known.items()):
+            page.append((ident, record.until - now))
             if len(page) == size:
                 yield page
                 page = []
@@ -154,14 +154,14 @@
 
     # Expiry.
 
-    def store(self, ident: bytes, mark: IdempotencyRecord) -> None:
+    def store(self, ident: bytes, record: IdempotencyRecord) -> None:
         """Set a record and update the next expiry."""
-        self.known[ident] = mark
-        self.next_expiry = min(self.next_expiry, mark.until)
+        self.known[ident] = record
+        self.next_expiry = min(self.next_expiry, record.until)
 
     def expire(self, now: float) -> None:
         """Drop expired records."""
         if now < self.next_expiry:
             return
-        self.known = {ident: mark for ident, mark in self.known.items() if mark.until > now}
-        self.next_expiry = min((mark.until for mark in self.known.values()), default=float("inf"))
+        self.known = {ident: record for ident, record in self.known.items() if record.until > now}
+        self.next_expiry = min((record.until for record in self.known.values()), default=float("inf"))
--- a/tests/test_vrrp.py
+++ b/tests/test_vrrp.py
@@ -1,4 +1,4 @@
-"""VRRP's datagrams and state machine, groups, tenure, marks and seals: all without I/O."""
+"""VRRP advertisements and state machine, budget shares, idempotency records, authentication: without I/O."""
 
 import random
 import struct
@@ -32,16 +32,16 @@
     return GroupSettings(7, priority, 1000.0, ONE)._replace(**more)
 
 
-class Datagrams(unittest.TestCase):
-    def test_as_the_rfc_lays_them_out(self) -> None:
-        """Section 5.2, with the sum of its five words folded by hand."""
+class Adverts(unittest.TestCase):
+    def test_encoding_follows_the_rfc(self) -> None:
+        """RFC 9568, section 5.2: the checksum is the folded sum of the five words."""
         text = advert.write(Advert(7, 200, 1000, (ip_address("10.0.0.1"),)), ONE, TWO)
         total = 0x3107 + 0xC801 + 0x0064 + 0x0A00 + 0x0001
         folded = (total & 0xFFFF) + (total >> 16)
         self.assertEqual(text.hex(), f"3107c8010064{~folded & 0xFFFF:04x}0a000001")
         self.assertEqual(advert.read(text, ONE, TWO), (7, 200, 1000.0, (ip_address("10.0.0.1"),)))
 
-    def test_both_readings_of_the_checksum_over_ipv4_and_the_one_over_ipv6(self) -> None:
+    def test_checksum_with_and_without_pseudo_header_over_ipv4_and_with_it_over_ipv6(self) -> None:
         text = bytearray(advert.write(Advert(7, 200, 1000, (ip_address("10.0.0.1"),)), ONE, TWO))
         text[6:8] = b"\0\0"
         with_header = ~advert.ones_complement_sum(advert.pseudo_header(ONE, TWO, len(text)) + text) & 0xFFFF
@@ -55,7 +55,7 @@
     def test_each_receive_check_has_a_reason(self) -> None:
         good = advert.write(Advert(7, 200, 1000, (ip_address("10.0.0.1"),)), ONE, TWO)
 
-        def spoilt(at: int, value: int) -> bytes:
+        def corrupted(at: int, value: int) -> bytes:
             text = bytearray(good)
             text[at] = value
             return bytes(text)
@@ -63,20 +63,20 @@
         for reason, text, ttl in (
             ("ttl", good, 254),
             ("short", good[:7], None),
-            ("version", spoilt(0, 0x21), None),
-            ("type", spoilt(0, 0x32), None),
+            ("version", corrupted(0, 0x21), None),
+            ("type", corrupted(0, 0x32), None),
             ("length", good + b"\0", None),
-            ("length", spoilt(3, 2), None),
-            ("length", spoilt(3, 0), None),
+            ("length", corrupted(3, 2), None),
+            ("length", corrupted(3, 0), None),
             ("interval", good[:4] + b"\0\0" + good[6:], None),
-            ("checksum", spoilt(2, 199), None),
+            ("checksum", corrupted(2, 199), None),
         ):
             with self.subTest(reason), self.assertRaises(DroppedError) as caught:
                 advert.read(text, ONE, TWO, ttl)
             self.assertEqual(caught.exception.reason, reason)
         self.assertEqual(advert.read(good, ONE, TWO, 255)[0], 7)
 
-    def test_noise_is_dropped_and_nothing_else(self) -> None:
+    def test_random_bytes_and_bit_flips_raise_no_other_error_than_dropped(self) -> None:
         chance = random.Random(5)
         good = advert.write(Advert(7, 200, 1000, (ip_address("10.0.0.1"),)), ONE, TWO)
         taken = 0
@@ -90,11 +90,11 @@
                 taken += 1
             except DroppedError:
                 pass
-        # Flips that undo each other, or make up a one's complement sum, are all that can pass.
+        # Only flips that cancel out, or that keep the one's complement sum, can pass.
         self.assertLess(taken, 20_000 // 50)
 
 
-class Machines(unittest.TestCase):
+class StateMachines(unittest.TestCase):
     def test_timers_are_those_of_section_6_1(self) -> None:
         self.assertEqual(skew_time(200, 1000), 218.75)
         self.assertEqual(active_down_interval(200, 1000), 3218.75)
@@ -106,12 +106,12 @@
         self.assertEqual((machine.state, machine.due), (State.ACTIVE, 4218.75))
         self.assertEqual(machine.tick(4218.75), [Action.ADVERTISE])
 
-    def test_an_owner_is_active_at_once_unless_it_is_barred(self) -> None:
+    def test_an_owner_is_active_at_once_unless_it_awaits_sync(self) -> None:
         self.assertEqual(StateMachine(terms(255)).start(0), [Action.ADVERTISE, Action.TAKE])
         waiting = StateMachine(terms(255))
         self.assertEqual((waiting.start(0, awaiting_sync=True), waiting.state), ([], State.BACKUP))
 
-    def test_backup_takes_the_senders_interval_and_priority_0_leaves_skew_time_only(self) -> None:
+    def test_backup_adopts_the_senders_interval_and_priority_0_leaves_skew_time_only(self) -> None:
         machine = StateMachine(terms(100))
         machine.start(0)
         machine.advert_received(10, 200, 2000.0, TWO)
@@ -119,7 +119,7 @@
         machine.advert_received(20, advert.STOPPING, 2000.0, TWO)
         self.assertEqual(machine.due, 20 + skew_time(100, 2000.0))
 
-    def test_preemption_waits_for_its_delay_and_for_the_bar(self) -> None:
+    def test_preemption_waits_for_its_delay_and_for_sync(self) -> None:
         for preempt, delay, awaiting_sync, taken_at in (
             (True, 0, False, 3218.75),
             (True, 5000, False, 8418.75),
@@ -139,8 +139,8 @@
                 if taken is not None and taken_at is not None:
                     self.assertLess(abs(taken - taken_at), 250)
 
-    def test_equal_priorities_go_by_address_and_a_lower_one_is_told_at_once(self) -> None:
-        for sender, priority, acts, state in (
+    def test_equal_priorities_go_by_address_and_a_lower_one_is_answered_at_once(self) -> None:
+        for sender, priority, actions, state in (
             (TWO, 200, [Action.RELEASE], State.BACKUP),
             (ip_address("127.0.0.9"), 200, [Action.ADVERTISE, Action.TAKE], State.ACTIVE),
             (TWO, 199, [Action.ADVERTISE, Action.TAKE], State.ACTIVE),
@@ -149,10 +149,10 @@
             machine = StateMachine(terms(200))
             machine.start(0)
             machine.tick(4000)
-            self.assertEqual(machine.advert_received(4010, priority, 1000.0, sender), acts)
+            self.assertEqual(machine.advert_received(4010, priority, 1000.0, sender), actions)
             self.assertIs(machine.state, state)
 
-    def test_one_that_stood_still_does_not_draw_the_address_back(self) -> None:
+    def test_a_paused_one_becomes_backup_instead_of_taking_the_address_back(self) -> None:
         machine = StateMachine(terms(200))
         machine.start(0)
         machine.tick(4000)
@@ -163,14 +163,14 @@
         heard.tick(4000)
         self.assertEqual(heard.advert_received(8000, 100, 1000.0, TWO), [Action.RELEASE])
 
-    def test_stop_resigns_and_a_stopped_one_hears_nothing(self) -> None:
+    def test_stop_resigns_and_a_stopped_one_ignores_advertisements(self) -> None:
         machine = StateMachine(terms(200))
         machine.start(0)
         machine.tick(4000)
         self.assertEqual(machine.stop(4100), [Action.RESIGN, Action.RELEASE])
         self.assertEqual((machine.due, machine.advert_received(4200, 0, 10.0, TWO)), (NEVER, []))
 
-    def test_tracked_conditions_lower_and_bundles_move_together(self) -> None:
+    def test_tracked_conditions_lower_priorities_and_bundles_change_state_together(self) -> None:
         both = [terms(200), GroupSettings(8, 90, 1000.0, ONE)]
         groups = Groups(both, {7: [Tracked("list_stale", 150), Tracked("no_engine", 150)]}, [(7, 8)])
         groups.start(0, awaiting_sync=False)
@@ -188,18 +188,18 @@
         )
 
 
-class Tenures(unittest.TestCase):
-    def test_a_part_rests_for_a_window_between_its_users(self) -> None:
+class BudgetShareLoans(unittest.TestCase):
+    def test_a_share_rests_for_a_window_between_its_users(self) -> None:
         one, two = (BudgetShares(2, 1500, 1000, 0.0) for _ in range(2))
         self.assertEqual(one.share(0), 0.0)  # an earlier start may have lent it
         self.assertEqual(one.share(2600), 0.5)
         self.assertEqual(two.lend(3000, "one", idle=True), (0.5, 0.0))
         one.borrow(3010, "two", 0.5, 0.0, asked=2990)
         self.assertEqual((one.share(3010), two.share(3010)), (1.0, 0.0))
-        self.assertEqual((one.share(3989), one.share(3990)), (1.0, 0.5))  # counted from when it had asked
-        self.assertEqual((two.share(5509), two.share(5510)), (0.0, 0.5))  # longer, and a window
+        self.assertEqual((one.share(3989), one.share(3990)), (1.0, 0.5))  # counts from its own send
+        self.assertEqual((two.share(5509), two.share(5510)), (0.0, 0.5))  # lease, clock drift and a window
 
-    def test_what_was_just_used_is_lent_for_later_only(self) -> None:
+    def test_a_share_just_used_is_lent_for_later_only(self) -> None:
         one = BudgetShares(2, 1500, 1000, 0.0)
         one.record_use(4000)
         self.assertEqual(one.lend(4100, "two", idle=True), (0.5, 1400.0))
@@ -207,21 +207,21 @@
         two.borrow(4100, "one", 0.5, 1400.0, asked=4099)
         self.assertEqual((two.share(5000), two.share(5600)), (0.5, 0.5))  # the loan ends before it begins
 
-    def test_nobody_lends_twice_or_while_it_holds_or_what_an_earlier_start_lent(self) -> None:
+    def test_no_loan_to_a_second_peer_nor_while_active_nor_of_what_an_earlier_start_lent(self) -> None:
         one = BudgetShares(3, 1500, 1000, 0.0)
         self.assertEqual(one.lend(100, "two", idle=True), (0.0, 0.0))
         self.assertEqual(one.lend(3000, "two", idle=False), (0.0, 0.0))
         self.assertGreater(one.lend(3000, "two", idle=True)[0], 0)
         self.assertEqual(one.lend(3100, "three", idle=True), (0.0, 0.0))
 
-    def test_a_new_start_uses_its_part_sooner_once_all_have_said_what_they_hold(self) -> None:
+    def test_a_new_start_uses_its_share_sooner_once_all_peers_have_reported(self) -> None:
         one = BudgetShares(3, 1500, 1000, 10_000.0)
         one.remaining_reported(10_050, {"two": 0.0}, 2)
         self.assertEqual(one.share(11_600), 0.0)
         one.remaining_reported(10_100, {"two": 0.0, "three": 200.0}, 2)
         self.assertEqual((one.share(11_799), one.share(11_801)), (0.0, 1 / 3))
 
-    def test_the_start_of_n_sums_to_one_and_is_never_zero(self) -> None:
+    def test_start_shares_sum_to_one_at_most_and_are_never_zero(self) -> None:
         one, two = (BudgetShares(2, 1500, 1000, -9999.0) for _ in range(2))
         two.lend(0, "one", idle=True)
         one.borrow(1, "two", 0.5, 0.0, asked=0)
@@ -229,7 +229,7 @@
         self.assertGreater(two.start_share(1), 0.0)
 
 
-class Seals(unittest.TestCase):
+class Sessions(unittest.TestCase):
     def pair(self) -> tuple[Session, Session]:
         one, two = Session("one", "two", 11, KEYS), Session("two", "one", 22, KEYS)
         greeting = two.greet(0, one.write(0, {"n": 1}))
@@ -237,7 +237,7 @@
         self.assertEqual(two.read(2, one.write(2, {"n": 2})), ({"n": 2}, 0))
         return one, two
 
-    def test_three_datagrams_prove_both_and_each_is_taken_once(self) -> None:
+    def test_three_datagrams_prove_both_and_each_is_accepted_once(self) -> None:
         one, two = self.pair()
         texts = [one.write(10 + number, {"n": number}) for number in range(5)]
         for text in (texts[3], texts[0], texts[4]):
@@ -245,7 +245,7 @@
             with self.assertRaisesRegex(RefusedError, "replayed"):
                 two.read(21, text)
 
-    def test_an_earlier_start_replayed_is_not_believed(self) -> None:
+    def test_a_replayed_earlier_start_is_refused(self) -> None:
         one, two = self.pair()
         old = [one.write(30, {"old": number}) for number in range(3)]
         again = Session("one", "two", 33, KEYS)
@@ -256,7 +256,7 @@
                 two.read(42, text)
         self.assertEqual(two.read(43, again.write(43, {"new": 2}))[0], {"new": 2})
 
-    def test_keys_change_without_a_gap(self) -> None:
+    def test_keys_rotate_without_loss(self) -> None:
         one, two = self.pair()
         old, new = b"k" * 16, b"n" * 16
         two.keys = Keys({1: old, 2: new})
@@ -268,16 +268,16 @@
         with self.assertRaisesRegex(RefusedError, "key"):
             two.read(53, Session("one", "two", 9, KEYS).write(53, {}))
 
-    def test_spoilt_forged_and_cut_ones_change_nothing(self) -> None:
+    def test_corrupt_forged_and_truncated_datagrams_change_nothing(self) -> None:
         one, two = self.pair()
         good, chance = one.write(60, {"n": 1}), random.Random(6)
         before = (two.peer_boot, two.highest_number, two.replay_window, two.number)
         for _ in range(5000):
             text = bytearray(good)
             text[chance.randrange(len(text))] ^= 1 << chance.randrange(8)
-            for spoilt in (bytes(text), good[: chance.randrange(len(good))], chance.randbytes(60)):
+            for corrupted in (bytes(text), good[: chance.randrange(len(good))], chance.randbytes(60)):
                 with self.assertRaises(RefusedError):
-                    two.read(61, spoilt)
+                    two.read(61, corrupted)
         forged = Session("one", "two", 11, Keys({1: b"x" * 16}))
         with self.assertRaisesRegex(RefusedError, "seal"):
             two.read(62, forged.write(62, {}))
@@ -289,20 +289,20 @@
     FACTS = DispatcherState(3, (7,), (("s-1", 1000.0, 5.0),), (("s-2", 400.0),))
 
     def make(self, name: str, peer: str, boot: int, now: float = 0.0, **more: object) -> Handover:
-        told: dict[str, Any] = {
+        defaults: dict[str, Any] = {
             "ahead": True,
             "ahead_wait": 50.0,
             "alone_after": None,
             "sync_timeout": 10_000.0,
         }
-        marks = IdempotencyTable(int(str(more.pop("most", 1000))), 60_000)
-        settings = HandoverSettings(**(told | more))
+        records = IdempotencyTable(int(str(more.pop("most", 1000))), 60_000)
+        settings = HandoverSettings(**(defaults | more))
         return Handover(
-            Membership(name, (peer,), boot, KEYS), settings, BudgetShares(2, 1500, 1000, now), marks, now
+            Membership(name, (peer,), boot, KEYS), settings, BudgetShares(2, 1500, 1000, now), records, now
         )
 
     def talk(self, one: Handover, two: Handover, now: float, times: int = 4) -> list[object]:
-        """Each tells the other in turn; greetings as the station sends them. Verdicts of both."""
+        """Exchange datagrams in turn, with greetings as the station sends them; return all verdicts."""
         verdicts: list[object] = []
         for _ in range(times):
             for here, there, name, other in ((one, two, "one", "two"), (two, one, "two", "one")):
@@ -314,7 +314,7 @@
                     here.receive(now, other, there.sessions[name].greet(now, text))
         return verdicts
 
-    def test_what_was_told_ahead_runs_nowhere_else(self) -> None:
+    def test_an_announced_request_runs_nowhere_else(self) -> None:
         one, two = self.make("one", "two", 1), self.make("two", "one", 2)
         self.talk(one, two, 10)
         self.assertEqual(one.check_admission(20, b"x"), Admission.ALLOWED)
@@ -330,7 +330,7 @@
             (Admission.ALLOWED, Admission.ALLOWED),
         )
 
-    def test_both_at_once_run_it_at_most_once(self) -> None:
+    def test_announced_by_both_at_once_it_runs_at_most_once(self) -> None:
         one, two = self.make("one", "two", 1), self.make("two", "one", 2)
         self.talk(one, two, 10)
         one.prepare_send(20, b"x", 5000, "a")
@@ -341,7 +341,7 @@
             ["Verdict(token='a', go=None)", "Verdict(token='b', go=None)"],
         )
 
-    def test_without_the_peers_word_it_is_not_sent(self) -> None:
+    def test_without_the_peers_reply_it_is_not_sent(self) -> None:
         one, two = self.make("one", "two", 1), self.make("two", "one", 2)
         self.talk(one, two, 10)
         one.prepare_send(20, b"x", 5000, "a")
@@ -352,7 +352,7 @@
         self.assertEqual(lone.check_admission(20_000, b"y"), Admission.ALLOWED)
         self.assertEqual(lone.prepare_send(20_000, b"y", 25_000, "c"), ("c", True))
 
-    def test_a_new_start_learns_all_marks_before_it_lets_any_in(self) -> None:
+    def test_a_new_start_has_all_records_before_it_admits_any_request(self) -> None:
         one, two = self.make("one", "two", 1), self.make("two", "one", 2)
         self.talk(one, two, 10)
         for number in range(200):
@@ -367,7 +367,7 @@
         )
         self.assertEqual(one.check_admission(43, b"5"), Admission.MAY_HAVE_RUN)
 
-    def test_a_full_table_sheds_and_forgets_nothing(self) -> None:
+    def test_a_full_table_sheds_and_drops_no_record(self) -> None:
         one, two = self.make("one", "two", 1, most=3), self.make("two", "one", 2)
         self.talk(one, two, 10)
         for number in range(3):
@@ -376,9 +376,9 @@
         self.assertEqual(one.check_admission(21, b"1"), Admission.MAY_HAVE_RUN)
         self.assertEqual(
             one.check_admission(5000 + 60_001 + 21, b"1"), Admission.PEER_UNREACHABLE
-        )  # over, the peer is silent
+        )  # the record has expired, the peer is silent
 
-    def test_bodies_that_cannot_be_used_change_nothing(self) -> None:
+    def test_invalid_bodies_change_nothing(self) -> None:
         one, two = self.make("one", "two", 1), self.make("two", "one", 2)
         self.talk(one, two, 10)
         known = two.known["one"]
