--- a/spurdeal/cli/running.py
+++ b/spurdeal/cli/running.py
@@ -195,7 +195,7 @@
             self.adapter.guard,
         )
         if self.station is not None:
-            self.station.recall(ledger.ends)
+            self.station.restore_records(ledger.ends)
         figures = {"recovered": ledger.recovered, "torn_tails": ledger.torn, "bytes": ledger.bytes}
         self.log.info("ledger", extra={"figures": figures})
 
--- a/spurdeal/fleet/local_versions.py
+++ b/spurdeal/fleet/local_versions.py
@@ -42,7 +42,7 @@
     """Which keys are in use; nothing can be learnt of them from it."""
     return Version(
         0,
-        keys.sealing,
+        keys.signing_key_id,
         digest_of(*[bytes([ident]) + keys.seal(ident, b"fleet") for ident in sorted(keys.keys)]),
     )
 
--- a/spurdeal/fleet/receiver.py
+++ b/spurdeal/fleet/receiver.py
@@ -94,7 +94,7 @@
         try:
             if session is None:
                 session = self.first_session(name)
-                session.open(datagram)
+                session.verify(datagram)
                 messenger.sessions[name] = session
             return session.read(now, datagram)
         except RefusedError as fault:
--- a/spurdeal/lab/budget_model.py
+++ b/spurdeal/lab/budget_model.py
@@ -86,7 +86,7 @@
     """A tenure's state, relative to now."""
     lent = sorted((to, until - now) for to, until in tenure.lent_until.items() if until + WINDOW > now)
     loans = sorted(
-        LoanState(peer, loan.part, max(0.0, loan.since - now), loan.until - now)
+        LoanState(peer, loan.share, max(0.0, loan.since - now), loan.until - now)
         for peer, loan in tenure.loans.items()
         if loan.until > now
     )
@@ -260,7 +260,7 @@
     """What was lent is used on: the budget is doubled."""
 
     def share(self, now: float) -> float:
-        return self.own + sum(loan.part for loan in self.loans.values() if loan.since <= now < loan.until)
+        return self.own + sum(loan.share for loan in self.loans.values() if loan.since <= now < loan.until)
 
 
 class NoRest(BudgetShares):
@@ -268,7 +268,7 @@
 
     def share(self, now: float) -> float:
         own = 0.0 if self.is_lent(now) or now < self.own_usable_from else self.own
-        return own + sum(loan.part for loan in self.loans.values() if loan.since <= now < loan.until)
+        return own + sum(loan.share for loan in self.loans.values() if loan.since <= now < loan.until)
 
 
 class ForgetsLoans(BudgetShares):
@@ -290,5 +290,5 @@
 class LongLoan(BudgetShares):
     """A borrower counts the lease from the datagram's arrival."""
 
-    def borrow(self, now: float, peer: str, part: float, wait: float, asked: float) -> None:
-        super().borrow(now, peer, part, wait, now)
+    def borrow(self, now: float, peer: str, share: float, wait: float, asked: float) -> None:
+        super().borrow(now, peer, share, wait, now)
--- a/spurdeal/lab/handover_walk.py
+++ b/spurdeal/lab/handover_walk.py
@@ -124,14 +124,14 @@
 
     def crash(self, name: str, peer: str) -> None:
         """One side starts anew, where the other has read its marks."""
-        if self.crashes and self.sides[peer].complete(self.now):
+        if self.crashes and self.sides[peer].is_synchronized(self.now):
             self.crashes -= 1
             self.sides[name] = self.fresh(name)
 
     def shape(self) -> int:
         """The state but for its numbers, to count different ones."""
         sides = tuple(
-            (tuple(side.records.known.items()), len(side.waiting), len(side.synced))
+            (tuple(side.records.by_id.items()), len(side.waiting), len(side.synced))
             for side in self.sides.values()
         )
         return hash((*sides, len(self.runs), len(self.flight)))
@@ -189,7 +189,7 @@
 class OpensUnread(Handover):
     """A new start lets requests in before it has the peers' marks."""
 
-    def complete(self, now: float) -> bool:
+    def is_synchronized(self, now: float) -> bool:
         return True
 
     def required_peers(self, now: float) -> list[str]:
--- a/spurdeal/vrrp/advertising.py
+++ b/spurdeal/vrrp/advertising.py
@@ -82,7 +82,7 @@
             group, priority, interval, addresses = advert.read(datagram, source, self.own_address)
             if group not in self.groups.machines:
                 raise DroppedError("group")
-            if self.groups.machines[group].terms.priority == advert.OWNER and not self.awaiting_sync():
+            if self.groups.machines[group].settings.priority == advert.OWNER and not self.awaiting_sync():
                 raise DroppedError("owner")  # section 7.1: the address owner drops advertisements
         except DroppedError as fault:
             self.counters.add("vrrp_drop_" + fault.reason)
@@ -123,7 +123,7 @@
 
     def advertise(self, group: int, priority: int) -> None:
         """Send an advertisement of a group to each peer; send errors are counted."""
-        interval = self.groups.machines[group].terms.interval
+        interval = self.groups.machines[group].settings.interval
         for peer in self.peers:
             host, port = peer.adverts
             message = Advert(group, priority, interval, self.addresses[group])
--- a/spurdeal/vrrp/groups.py
+++ b/spurdeal/vrrp/groups.py
@@ -69,7 +69,7 @@
             now, group, machine.state, machine.advert_received(now, priority, interval, sender)
         )
 
-    def conditions(self, now: float, conditions_met: Iterable[str]) -> Actions:
+    def set_conditions(self, now: float, conditions_met: Iterable[str]) -> Actions:
         """Set the conditions that hold now and adapt priorities; an owner's stays (RFC 9568, section 6.1)."""
         self.conditions_met = frozenset(conditions_met)
         pairs: Actions = []
@@ -77,7 +77,7 @@
             reduction = sum(
                 each.lowers for each in self.tracked[group] if each.condition in self.conditions_met
             )
-            own = machine.terms.priority
+            own = machine.settings.priority
             priority = own if own == OWNER else max(MIN_PRIORITY, own - reduction)
             pairs += [(group, action) for action in machine.set_priority(now, priority)]
         return pairs
--- a/spurdeal/vrrp/guard.py
+++ b/spurdeal/vrrp/guard.py
@@ -140,7 +140,7 @@
             return endpoint._replace(started=self.adapter.clock())
         reported_starts = [
             started
-            for known in (self.handover.known.values() if self.handover else ())
+            for known in (self.handover.peer_states.values() if self.handover else ())
             for ident, started, _ in known.cold
             if ident == endpoint.ident
         ]
--- a/spurdeal/vrrp/handover.py
+++ b/spurdeal/vrrp/handover.py
@@ -109,22 +109,21 @@
             records,
             now,
         )
-        self.known: dict[str, PeerState] = {}
+        self.peer_states: dict[str, PeerState] = {}
         self.remaining_loans: dict[str, float] = {}
         self.waiting: dict[object, PendingSend] = {}
         self.announcement = 0
         self.pending_clears: dict[str, list[tuple[bytes, float, int]]] = {peer: [] for peer in peers}
         self.replies: dict[str, list[tuple[float, bool]]] = {peer: [] for peer in peers}
-        self.record_pages: dict[
-            str, list[list[tuple[bytes, float]]]
-        ] = {}  # snapshot of our records for a peer that synchronizes
+        # Snapshot of our records, in pages, for each peer that synchronizes.
+        self.record_pages: dict[str, list[list[tuple[bytes, float]]]] = {}
         self.requested_pages: dict[str, int] = {}
         self.received_pages: dict[str, int] = {}
         self.synced: set[str] = set()
 
     # Requests.
 
-    def complete(self, now: float) -> bool:
+    def is_synchronized(self, now: float) -> bool:
         """Return whether all peers' records are here, or the wait for them has timed out."""
         return len(self.synced) == len(self.sessions) or now >= self.started_at + self.settings.sync_timeout
 
@@ -132,7 +131,7 @@
         """Decide whether a new non-idempotent request is admitted."""
         found = self.records.check(now, ident)
         if found is Admission.ALLOWED and (
-            not self.complete(now) or (self.settings.ahead and self.peer_unreachable(now))
+            not self.is_synchronized(now) or (self.settings.ahead and self.peer_unreachable(now))
         ):
             return Admission.PEER_UNREACHABLE
         return found
@@ -145,7 +144,7 @@
 
     def last_heard(self, peer: str) -> float:
         """Return when a peer was last heard, in ms; our start if never."""
-        return self.known[peer].heard_at if peer in self.known else self.started_at
+        return self.peer_states[peer].heard_at if peer in self.peer_states else self.started_at
 
     def required_peers(self, now: float) -> list[str]:
         """Return the peers that must reply to an announcement."""
@@ -161,7 +160,7 @@
         """
         self.announcement += 1
         if not self.records.add(now, ident, deadline, self.announcement):
-            return Verdict(token, None if ident in self.records.known else False)
+            return Verdict(token, None if ident in self.records.by_id else False)
         awaited_peers = frozenset(self.required_peers(now)) if self.settings.ahead else frozenset[str]()
         if not awaited_peers:
             self.records.mark_sent(ident)
@@ -195,7 +194,7 @@
 
     def compose(self, now: float, peer: str, state: DispatcherState, idle: bool) -> bytes:
         """Return the regular datagram for a peer. `idle`: our budget share may be lent."""
-        part, wait = self.budget_shares.lend(now, peer, idle)
+        share, wait = self.budget_shares.lend(now, peer, idle)
         clears, self.pending_clears[peer] = (
             self.pending_clears[peer][:MAX_ANNOUNCED],
             self.pending_clears[peer][MAX_ANNOUNCED:],
@@ -208,7 +207,7 @@
             "held": list(state.held),
             "cold": [list(row) for row in state.cold[:MAX_ENGINES]],
             "aside": [list(row) for row in state.ejected[:MAX_ENGINES]],
-            "lend": [part, wait],
+            "lend": [share, wait],
             "left": self.budget_shares.remaining_loan(now, peer),
             "clear": [[ident.decode(), announcement] for ident, announcement, _ in clears],
         }
@@ -260,7 +259,7 @@
         # The body is valid as a whole: from here on it takes effect.
         if session.restarts != restarts:
             self.peer_restarted(peer)
-        self.update_peer_state(now, peer, message.known)
+        self.update_peer_state(now, peer, message.peer_state)
         if asked is not None:
             self.update_loans(now, peer, message, asked)
         for ident, announcement in message.clears:
@@ -274,17 +273,17 @@
             self.page_received(now, peer, message.page, message.records)
         return self.replies_received(peer, message.replies)
 
-    def update_peer_state(self, now: float, peer: str, known: PeerState | None) -> None:
+    def update_peer_state(self, now: float, peer: str, peer_state: PeerState | None) -> None:
         """Store the state of a peer; None only shows that it is alive."""
-        if known is not None:
-            self.known[peer] = known
-        elif peer in self.known:
-            self.known[peer] = self.known[peer]._replace(heard_at=now)
+        if peer_state is not None:
+            self.peer_states[peer] = peer_state
+        elif peer in self.peer_states:
+            self.peer_states[peer] = self.peer_states[peer]._replace(heard_at=now)
 
     def update_loans(self, now: float, peer: str, message: Message, asked: float) -> None:
         """Apply the peer's loan and the remaining time of ours; `asked`: send time of what it answers."""
         if message.lend is not None:
-            self.budget_shares.borrow(now, peer, message.lend.part, message.lend.wait, asked)
+            self.budget_shares.borrow(now, peer, message.lend.share, message.lend.wait, asked)
         if message.left is not None:
             self.remaining_loans[peer] = message.left
             self.budget_shares.remaining_reported(now, self.remaining_loans, len(self.sessions))
--- a/spurdeal/vrrp/machine.py
+++ b/spurdeal/vrrp/machine.py
@@ -73,10 +73,10 @@
         seen: When the machine last ran, in ms; a long gap shows that the process was paused.
     """
 
-    def __init__(self, terms: GroupSettings) -> None:
-        self.terms, self.state, self.why = terms, State.INITIALIZE, "made"
-        self.priority = terms.priority  # in effect: tracked conditions lower it
-        self.sender_interval = terms.interval  # Active_Adver_Interval
+    def __init__(self, settings: GroupSettings) -> None:
+        self.settings, self.state, self.why = settings, State.INITIALIZE, "made"
+        self.priority = settings.priority  # in effect: tracked conditions lower it
+        self.sender_interval = settings.interval  # Active_Adver_Interval
         self.due, self.seen = NEVER, 0.0
         self.awaiting_sync = False  # after a start: no list or no peers' state yet
         self.preempt_at = (
@@ -92,7 +92,7 @@
         """
         assert self.state is State.INITIALIZE
         self.seen, self.awaiting_sync = now, awaiting_sync
-        self.sender_interval = self.terms.interval
+        self.sender_interval = self.settings.interval
         if self.priority == OWNER and not awaiting_sync:
             return self.become_active(now, "owner")
         self.become_backup(now, "started")
@@ -115,7 +115,7 @@
         if now < self.due:
             return []
         if self.state is State.ACTIVE:
-            self.due = now + self.terms.interval
+            self.due = now + self.settings.interval
             return [Action.ADVERTISE]
         if self.state is State.BACKUP:
             return self.become_active(now, "active down")
@@ -134,15 +134,17 @@
             return actions + self.advert_received(now, priority, interval, sender)
         self.seen = now
         if priority == STOPPING:
-            self.due = now + self.terms.interval
+            self.due = now + self.settings.interval
             return [Action.ADVERTISE]
-        if priority > self.priority or (priority == self.priority and int(sender) > int(self.terms.primary)):
+        if priority > self.priority or (
+            priority == self.priority and int(sender) > int(self.settings.primary)
+        ):
             self.sender_interval = interval
             self.become_backup(now, f"heard priority {priority}")
             return [Action.RELEASE]
         # A dispatcher of lower priority is Active too: advertising at once makes it yield within a datagram's
         # time. The switch may forward to it by now, so the address is announced again.
-        self.due = now + self.terms.interval
+        self.due = now + self.settings.interval
         return [Action.ADVERTISE, Action.TAKE]
 
     def heard_in_backup(self, now: float, priority: int, interval: float) -> None:
@@ -162,10 +164,10 @@
 
         Departure: the delay runs from the first advertisement of lower priority.
         """
-        if not self.terms.preempt or self.awaiting_sync:
+        if not self.settings.preempt or self.awaiting_sync:
             return False
         if self.preempt_at == NEVER:
-            self.preempt_at = now + self.terms.preempt_delay
+            self.preempt_at = now + self.settings.preempt_delay
         return now >= self.preempt_at
 
     def set_priority(self, now: float, priority: int) -> list[Action]:
@@ -174,7 +176,7 @@
             return []
         self.priority = priority
         if self.state is State.ACTIVE:
-            self.due = now + self.terms.interval
+            self.due = now + self.settings.interval
             return [Action.ADVERTISE]
         return []
 
@@ -187,7 +189,7 @@
     def become_active(self, now: float, why: str) -> list[Action]:
         """Become Active and take the addresses (sections 6.4.1 and 6.4.2)."""
         self.state, self.why, self.preempt_at, self.seen = State.ACTIVE, why, NEVER, now
-        self.due = now + self.terms.interval
+        self.due = now + self.settings.interval
         return [Action.ADVERTISE, Action.TAKE]
 
     def become_backup(self, now: float, why: str) -> None:
@@ -197,4 +199,4 @@
 
     def own_down_interval(self) -> float:
         """Return how long Backups wait at least for an advertisement of ours, in ms."""
-        return 3 * self.terms.interval
+        return 3 * self.settings.interval
--- a/spurdeal/vrrp/marks.py
+++ b/spurdeal/vrrp/marks.py
@@ -34,23 +34,23 @@
     """Idempotency records by request id. None is dropped before it expires: a full table sheds requests.
 
     Args:
-        capacity: Most records.
+        capacity: Maximum number of records.
         retention: How long a record outlives the deadline of its request, in ms.
     """
 
     def __init__(self, capacity: int, retention: float) -> None:
         self.capacity, self.retention = capacity, retention
-        self.known: dict[bytes, IdempotencyRecord] = {}
+        self.by_id: dict[bytes, IdempotencyRecord] = {}
         self.next_expiry = float("inf")
         self.refused = self.duplicates = 0
 
     def check(self, now: float, ident: bytes) -> Admission:
         """Check the id of a new request; a known one may have run already."""
         self.expire(now)
-        if ident in self.known:
+        if ident in self.by_id:
             self.duplicates += 1
             return Admission.MAY_HAVE_RUN
-        if len(self.known) >= self.capacity:
+        if len(self.by_id) >= self.capacity:
             self.refused += 1
             return Admission.TABLE_FULL
         return Admission.ALLOWED
@@ -61,10 +61,10 @@
         Returns:
             False if a peer has recorded it since it was admitted, or if there is no room.
         """
-        found = self.known.get(ident)
+        found = self.by_id.get(ident)
         if found is not None and found.peer:
             return False  # a peer has recorded it since it was admitted here
-        if found is None and len(self.known) >= self.capacity:
+        if found is None and len(self.by_id) >= self.capacity:
             return False
         self.store(
             ident,
@@ -74,8 +74,8 @@
 
     def mark_sent(self, ident: bytes) -> None:
         """Note that the request was sent, or may have been."""
-        if ident in self.known:
-            self.known[ident] = self.known[ident]._replace(sent=True)
+        if ident in self.by_id:
+            self.by_id[ident] = self.by_id[ident]._replace(sent=True)
 
     def remove_own(self, ident: bytes) -> float | None:
         """Remove our record of a request of which no attempt has run, so that it may be sent again.
@@ -83,18 +83,18 @@
         Returns:
             The number of its last announcement; None if there is no record of ours.
         """
-        found = self.known.get(ident)
+        found = self.by_id.get(ident)
         if found is None or found.peer:
             return None
-        del self.known[ident]
+        del self.by_id[ident]
         return found.announcement
 
-    def recall(self, ident: bytes, until: float) -> None:
+    def restore(self, ident: bytes, until: float) -> None:
         """Record a request that an earlier start of ours may have sent, as its ledger shows.
 
         Peers that synchronize from us get it too. Without room it is not recorded.
         """
-        if ident not in self.known and len(self.known) < self.capacity:
+        if ident not in self.by_id and len(self.by_id) < self.capacity:
             self.store(ident, IdempotencyRecord(until, "", True, 0))
 
     # Messages from peers.
@@ -113,8 +113,8 @@
             False if it is recorded as ours or another peer's, or if there is no room: the peer must not send.
         """
         self.expire(now)
-        found = self.known.get(ident)
-        if (found is not None and found.peer != peer) or (found is None and len(self.known) >= self.capacity):
+        found = self.by_id.get(ident)
+        if (found is not None and found.peer != peer) or (found is None and len(self.by_id) >= self.capacity):
             return False
         until = max(now + left, found.until if found else 0.0)
         self.store(
@@ -130,21 +130,21 @@
 
         Withdrawals are repeated; one that arrives after a newer announcement must not remove its record.
         """
-        found = self.known.get(ident)
+        found = self.by_id.get(ident)
         if found is not None and found.peer == peer and found.announcement <= announcement:
-            del self.known[ident]
+            del self.by_id[ident]
 
     def add_page(self, now: float, peer: str, records: Iterable[tuple[bytes, float]]) -> None:
         """Add a page of a peer's records; known ids stay as they are, and what has no room is counted."""
         for ident, left in records:
-            if ident not in self.known and not self.add_from_peer(now, peer, ident, left, float("inf")):
+            if ident not in self.by_id and not self.add_from_peer(now, peer, ident, left, float("inf")):
                 self.refused += 1
 
     def pages(self, now: float, size: int) -> Iterator[list[tuple[bytes, float]]]:
         """Yield all records with their remaining ms, in pages of `size`, for a peer that has restarted."""
         self.expire(now)
         page: list[tuple[bytes, float]] = []
-        for ident, record in list(self.known.items()):
+        for ident, record in list(self.by_id.items()):
             page.append((ident, record.until - now))
             if len(page) == size:
                 yield page
@@ -156,12 +156,12 @@
 
     def store(self, ident: bytes, record: IdempotencyRecord) -> None:
         """Set a record and update the next expiry."""
-        self.known[ident] = record
+        self.by_id[ident] = record
         self.next_expiry = min(self.next_expiry, record.until)
 
     def expire(self, now: float) -> None:
         """Drop expired records."""
         if now < self.next_expiry:
             return
-        self.known = {ident: record for ident, record in self.known.items() if record.until > now}
-        self.next_expiry = min((record.until for record in self.known.values()), default=float("inf"))
+        self.by_id = {ident: record for ident, record in self.by_id.items() if record.until > now}
+        self.next_expiry = min((record.until for record in self.by_id.values()), default=float("inf"))
--- a/spurdeal/vrrp/message.py
+++ b/spurdeal/vrrp/message.py
@@ -50,7 +50,7 @@
 class LoanOffer(NamedTuple):
     """The share of cold budgets that the peer lends, 0 to 1, and the ms until it may be used."""
 
-    part: float
+    share: float
     wait: float
 
 
@@ -69,7 +69,7 @@
         replies: By the number of our announcement, whether the request may be sent.
         clears: Withdrawn records, by request id and number of the announcement.
         records: A page of the peer's records: request id and remaining ms.
-        known: The peer's state; None if the datagram carries announcements and replies only.
+        peer_state: The peer's state; None if the datagram carries announcements and replies only.
         lend: The share that the peer lends; None if the datagram does not say.
         left: ms for which the peer may still use what we lent; None if the datagram does not say.
         need: The page of our records that the peer needs next; None if it has all.
@@ -80,7 +80,7 @@
     replies: list[tuple[float, bool]]
     clears: list[tuple[bytes, float]]
     records: list[tuple[bytes, float]]
-    known: PeerState | None
+    peer_state: PeerState | None
     lend: LoanOffer | None
     left: float | None
     need: int | None
@@ -190,8 +190,8 @@
     """
     if "lend" not in body:
         return None
-    ((part, wait),) = parse_rows({"lend": [body["lend"]]}, "lend", 2, 1)
-    return LoanOffer(parse_number(part, 1.0), parse_number(wait))
+    ((share, wait),) = parse_rows({"lend": [body["lend"]]}, "lend", 2, 1)
+    return LoanOffer(parse_number(share, 1.0), parse_number(wait))
 
 
 def read_page(body: Mapping[str, Any]) -> Page | None:
--- a/spurdeal/vrrp/sealed.py
+++ b/spurdeal/vrrp/sealed.py
@@ -49,7 +49,7 @@
         sound = all(0 <= ident <= MAX_KEY_ID and len(key) >= MIN_KEY for ident, key in keys.items())
         if not 1 <= len(keys) <= MAX_KEYS or not sound:
             raise ValueError("one or two keys of 16 bytes or more, with ids from 0 to 255")
-        self.keys, self.sealing = dict(keys), next(iter(keys))
+        self.keys, self.signing_key_id = dict(keys), next(iter(keys))
 
     def seal(self, ident: int, data: bytes) -> bytes:
         """Return the truncated HMAC of the data with that key."""
@@ -91,7 +91,7 @@
         self.sent[self.number] = now
         while len(self.sent) > WINDOW * 4:
             self.sent.popitem(last=False)
-        key = self.keys.sealing
+        key = self.keys.signing_key_id
         data = (
             HEAD.pack(
                 MAGIC,
@@ -117,7 +117,7 @@
         Raises:
             RefusedError: The datagram is invalid, replayed or unproven; nothing has changed then.
         """
-        boot, number, echo_boot, echo_number, text = self.open(datagram)
+        boot, number, echo_boot, echo_number, text = self.verify(datagram)
         asked = self.sent.get(echo_number) if echo_boot == self.boot else None
         fresh = asked is not None and now - asked <= MAX_ECHO_AGE
         if boot == self.peer_boot:
@@ -151,7 +151,7 @@
             self.replay_window |= 1 << (self.highest_number - number)
         return body, asked
 
-    def open(self, datagram: bytes) -> tuple[int, int, int, int, bytes]:
+    def verify(self, datagram: bytes) -> tuple[int, int, int, int, bytes]:
         """Verify length, magic, key, seal and name, in this order, before anything is parsed.
 
         Returns:
@@ -184,5 +184,5 @@
         Raises:
             RefusedError: The seal or another check fails.
         """
-        boot, number, *_ = self.open(datagram)
+        boot, number, *_ = self.verify(datagram)
         return self.write(now, {}, (boot, number))
--- a/spurdeal/vrrp/station.py
+++ b/spurdeal/vrrp/station.py
@@ -153,7 +153,7 @@
         self.counters.add("installations_unusable")
         self.log.error("installation_kept", extra={"figures": {"why": why}})
 
-    def recall(self, ends: Mapping[bytes, float]) -> None:
+    def restore_records(self, ends: Mapping[bytes, float]) -> None:
         """Restore idempotency records from the ledger; peers without them get them from us.
 
         Args:
@@ -162,7 +162,7 @@
         if self.handover is not None:
             apart = self.monotonic() - self.adapter.clock()
             for ident, until in ends.items():
-                self.handover.records.recall(ident, until + apart)
+                self.handover.records.restore(ident, until + apart)
 
     # Periodic work.
 
@@ -175,7 +175,7 @@
         if self.awaiting_sync and self.sync_wait_over(now):
             self.end_sync_wait(now)
         if not self.stopping:
-            self.advertising.perform(self.groups.conditions(now, self.conditions_met(now)))
+            self.advertising.perform(self.groups.set_conditions(now, self.conditions_met(now)))
         self.send_state()
         self.advertising.rearm()
 
@@ -185,7 +185,7 @@
         That is once the list is fresh and the peers' records are here, or the wait has timed out.
         """
         waited = now - self.started_at >= self.vrrp.bar
-        return waited or (self.list_fresh and (self.handover is None or self.handover.complete(now)))
+        return waited or (self.list_fresh and (self.handover is None or self.handover.is_synchronized(now)))
 
     def end_sync_wait(self, now: float) -> None:
         """Allow addresses to be taken back."""
@@ -221,11 +221,11 @@
 
     def addresses_taken(self, group: int, why: str) -> None:
         """Log a takeover; engines that a peer had ejected count as suspect here too."""
-        part = f"{self.budget_shares.share(self.monotonic()):.2f}"
-        self.log.info("address_taken", extra={"figures": {"group": group, "why": why, "part": part}})
+        share = f"{self.budget_shares.share(self.monotonic()):.2f}"
+        self.log.info("address_taken", extra={"figures": {"group": group, "why": why, "part": share}})
         if self.handover is None:
             return
-        for known in self.handover.known.values():
+        for known in self.handover.peer_states.values():
             for ident, left in known.ejected:
                 if ident in self.adapter.index.places:
                     self.adapter.gather(
--- a/spurdeal/vrrp/tenure.py
+++ b/spurdeal/vrrp/tenure.py
@@ -22,7 +22,7 @@
 class Loan(NamedTuple):
     """A share that a peer lends us, usable from `since` until `until`, in ms."""
 
-    part: float
+    share: float
     since: float
     until: float
 
@@ -53,7 +53,7 @@
     def share(self, now: float) -> float:
         """Return the usable share, 0 to 1, of all dispatchers' budget for a cold engine."""
         own = self.own if now >= self.own_usable_from and not self.is_lent(now - self.window) else 0.0
-        return own + sum(loan.part for loan in self.loans.values() if loan.since <= now < loan.until)
+        return own + sum(loan.share for loan in self.loans.values() if loan.since <= now < loan.until)
 
     def start_share(self, now: float) -> float:
         """Return the usable share of the initial concurrency limit over all dispatchers.
@@ -62,7 +62,7 @@
         """
         own = self.own * (RETAINED_START_SHARE if self.is_lent(now) else 1.0)
         return own + sum(
-            loan.part * (1 - RETAINED_START_SHARE)
+            loan.share * (1 - RETAINED_START_SHARE)
             for loan in self.loans.values()
             if loan.since <= now < loan.until
         )
@@ -97,16 +97,16 @@
         self.lent_until[peer] = now + self.lease * (1 + MAX_CLOCK_DRIFT)
         return self.own, max(0.0, self.last_use + self.window - now)
 
-    def borrow(self, now: float, peer: str, part: float, wait: float, asked: float) -> None:
+    def borrow(self, now: float, peer: str, share: float, wait: float, asked: float) -> None:
         """Accept a share that a peer lends after `wait` ms, in answer to what we sent at `asked` (ms)."""
         until = asked + self.lease
         before = self.loans.get(peer)
-        if part <= 0.0 or until <= now:
+        if share <= 0.0 or until <= now:
             return
         since = max(now + wait, self.borrowing_from)
         if before is not None and before.until > now:  # renewed: what was usable stays so
             since, until = min(since, before.since), max(until, before.until)
-        self.loans[peer] = Loan(part, since, until)
+        self.loans[peer] = Loan(share, since, until)
 
     def remaining_loan(self, now: float, peer: str) -> float:
         """Return how many ms we may still use this peer's share; a restarted peer no longer knows it."""
--- a/tests/test_station.py
+++ b/tests/test_station.py
@@ -275,7 +275,7 @@
         for side in (one, two):
             side.kill()
         one, two = pair.again("n1"), pair.again("n2")
-        one.station.recall({X: pair.unix() + 60_000})  # what its ledger holds
+        one.station.restore_records({X: pair.unix() + 60_000})  # what its ledger holds
         self.assertEqual(two.submit(X), [Shed(500.0)])  # it does not know yet what its peer knows
         pair.go(1000)
         self.assertEqual([two.submit(X), one.submit(X)], [[Failed()], [Failed()]])
@@ -319,7 +319,7 @@
             dict(vars(machine)),
             session.peer_boot,
             session.highest_number,
-            dict(station.handover.records.known),
+            dict(station.handover.records.by_id),
             dict(station.budget_shares.loans),
             two.holds(),
         )
@@ -344,7 +344,7 @@
             dict(vars(machine)),
             session.peer_boot,
             session.highest_number,
-            dict(station.handover.records.known),
+            dict(station.handover.records.by_id),
             dict(station.budget_shares.loans),
             two.holds(),
         )
--- a/tests/test_vrrp.py
+++ b/tests/test_vrrp.py
@@ -179,9 +179,9 @@
             [pair for pair in done if pair[1] is Action.TAKE], [(7, Action.TAKE), (8, Action.TAKE)]
         )
         self.assertEqual(groups.held(), [7, 8])
-        self.assertEqual(groups.conditions(3600, ["list_stale"]), [(7, Action.ADVERTISE)])
+        self.assertEqual(groups.set_conditions(3600, ["list_stale"]), [(7, Action.ADVERTISE)])
         self.assertEqual(groups.machines[7].priority, 50)
-        groups.conditions(3700, ["list_stale", "no_engine"])
+        groups.set_conditions(3700, ["list_stale", "no_engine"])
         self.assertEqual(groups.machines[7].priority, 1)
         self.assertEqual(
             groups.advert_received(3800, 7, 60, 1000.0, TWO), [(7, Action.RELEASE), (8, Action.RELEASE)]
@@ -361,7 +361,7 @@
         again = self.make("two", "one", 3, now=30.0)
         self.assertEqual(again.check_admission(31, b"fresh"), Admission.PEER_UNREACHABLE)
         self.talk(one, again, 40, times=12)
-        self.assertTrue(again.complete(41))
+        self.assertTrue(again.is_synchronized(41))
         self.assertEqual(
             {again.check_admission(42, b"%d" % number) for number in range(200)}, {Admission.MAY_HAVE_RUN}
         )
@@ -381,7 +381,7 @@
     def test_invalid_bodies_change_nothing(self) -> None:
         one, two = self.make("one", "two", 1), self.make("two", "one", 2)
         self.talk(one, two, 10)
-        known = two.known["one"]
+        known = two.peer_states["one"]
         for body in (
             {"list": -1},
             {"list": "3"},
@@ -402,7 +402,7 @@
         ):
             with self.subTest(body), self.assertRaisesRegex(RefusedError, "body"):
                 two.receive(20, "one", one.sessions["two"].write(20, body))
-        self.assertEqual((two.known["one"], two.records.known), (known, {}))
+        self.assertEqual((two.peer_states["one"], two.records.by_id), (known, {}))
         raw = struct.pack("!I", 7)
         with self.assertRaises(RefusedError):
             two.receive(21, "one", raw)
