--- a/spurdeal/vrrp/message.py
+++ b/spurdeal/vrrp/message.py
@@ -8,16 +8,13 @@
 
 from .sealed import RefusedError
 
-PAGE_SIZE, MAX_ANNOUNCED, MAX_ENGINES = (
-    64,
-    48,
-    64,
-)  # entries per datagram; together they fit sealed.MAX_DATAGRAM
-MAX_PAGES = 4096
+# Entries per datagram of records, announcements and engines; together they fit sealed.MAX_DATAGRAM.
+PAGE_SIZE, MAX_ANNOUNCED, MAX_ENGINES = 64, 48, 64
+MAX_PAGES = 4096  # of records
 MAX_ID_LENGTH = 64  # characters
-MAX_GROUPS = 255
+MAX_GROUPS = 255  # groups held, and the largest group number
 MAX_REMAINING = 3_600_000.0  # ms: of any remaining time
-MAX_ANNOUNCEMENT = MAX_START = 1e15
+MAX_ANNOUNCEMENT = MAX_START = 1e15  # number of an announcement; start of an engine in Unix ms
 MAX_LIST_NUMBER = MAX_WORK = 1e12
 
 
--- a/spurdeal/vrrp/sealed.py
+++ b/spurdeal/vrrp/sealed.py
@@ -30,7 +30,7 @@
     """A datagram that is refused and changes nothing.
 
     Attributes:
-        reason: Suffix of the counter that counts it (`handover_drop_...`, `fleet_...`).
+        reason: Suffix of the counter that counts it (`handover_drop_...`; `drop_...` of the fleet).
     """
 
     def __init__(self, reason: str) -> None:
--- a/spurdeal/vrrp/setup.py
+++ b/spurdeal/vrrp/setup.py
@@ -94,7 +94,7 @@
 
 
 def make_holder(vrrp: Vrrp, service: Service, reactor: Reactor, log: logging.Logger) -> Holder:
-    """Return the configured holder, which takes and leaves the addresses."""
+    """Return the holder that the file names; it takes and leaves the addresses."""
     holder, counters = vrrp.holder, service.counters
     if holder.kind == "announce":
         switch = (str(holder.switch[0]), holder.switch[1])
