--- a/spurdeal/list_freshness.py
+++ b/spurdeal/list_freshness.py
@@ -18,18 +18,20 @@
 from .answer_times import AnswerTimes
 from .interface import Verdict
 
-TOLD_WITHIN = 1500.0  # ms, by the protocol
-UNASKED_PART = 2 / 3  # of that; the rest is for the distance between two questions, and the way
-UNASKED_MOST = UNASKED_PART * TOLD_WITHIN
-PATIENCE_PART = 0.5  # of the drain's grace
-PATIENCE_LEAST = 100.0  # ms; a loop at rest polls each 50
-KNOWN_AGE = 1000.0  # ms from the writing of a start's configuration to its reading, at most
-KNOWN_FOR = TOLD_WITHIN - KNOWN_AGE  # ms from its reading until the first question has to leave
-ROW = 6  # answers in a row that tell the list in force, after a question without one
-MOST_OPEN = 64  # questions of which the time is kept
-
-
-class Doubt(StrEnum):
+PROPAGATION_LIMIT = 1500.0  # ms, by the protocol
+QUERY_GAP_SHARE = 2 / 3  # of that; the rest is for the distance between two questions, and the way
+MAX_QUERY_GAP = QUERY_GAP_SHARE * PROPAGATION_LIMIT
+RESPONSE_TIMEOUT_SHARE = 0.5  # of the drain's grace
+MIN_RESPONSE_TIMEOUT = 100.0  # ms; a loop at rest polls each 50
+MAX_CONFIGURATION_AGE = 1000.0  # ms from the writing of a start's configuration to its reading, at most
+INITIAL_LEASE = (
+    PROPAGATION_LIMIT - MAX_CONFIGURATION_AGE
+)  # ms from its reading until the first question has to leave
+SETTLING_RESPONSES = 6  # answers in a row that tell the list in force, after a question without one
+MAX_OPEN_QUERIES = 64  # questions of which the time is kept
+
+
+class StaleReason(StrEnum):
     """Why the list is not followed."""
 
     UNASKED = "no question has left"
@@ -53,80 +55,80 @@
     """
 
     def __init__(self, drain_grace: float) -> None:
-        self.is_ruled = drain_grace > 0.0  # else the settings name no such rule
-        self.patience = max(PATIENCE_LEAST, PATIENCE_PART * drain_grace)
+        self.is_enabled = drain_grace > 0.0  # else the settings name no such rule
+        self.timeout = max(MIN_RESPONSE_TIMEOUT, RESPONSE_TIMEOUT_SHARE * drain_grace)
         self.confirmed_at: float | None = None
-        self.open_since = deque[float]()
+        self.unanswered_since = deque[float]()
         self.unanswered = 0
-        self.row_since, self.row_length = 0.0, 0
-        self.settled_from = float("-inf")
+        self.run_start, self.run_length = 0.0, 0
+        self.settles_from = float("-inf")
         self.answer_times = AnswerTimes()
         self.polled_at: Callable[[], float] | None = None
 
     def known(self, at: float) -> None:
         """The list of the start was read; it may have been written some time before."""
-        self.confirmed_at = at + KNOWN_FOR - UNASKED_MOST
+        self.confirmed_at = at + INITIAL_LEASE - MAX_QUERY_GAP
 
     def asked(self, now: float) -> None:
         """A question has left."""
         if self.confirmed_at is None:
             self.confirmed_at = now
-        if len(self.open_since) >= MOST_OPEN:
-            del self.open_since[1]  # the oldest one begins the doubt, the later ones end it
-        self.open_since.append(now)
+        if len(self.unanswered_since) >= MAX_OPEN_QUERIES:
+            del self.unanswered_since[1]  # the oldest one begins the doubt, the later ones end it
+        self.unanswered_since.append(now)
         self.unanswered += 1
 
     def moved(self) -> None:
         """Another name service is asked from now on: it may lag behind what the one before it has told."""
-        if self.open_since:
-            self.settled_from = self.open_since[-1] + TOLD_WITHIN
+        if self.unanswered_since:
+            self.settles_from = self.unanswered_since[-1] + PROPAGATION_LIMIT
 
     def answered(self, now: float, asked_at: float, verdict: Verdict) -> None:
         """The answer to the question that left at that time told each engine that gets requests."""
         if self.confirmed_at is None or asked_at >= self.confirmed_at:
             self.answer_times.measured(now - asked_at)
             self.confirmed_at = asked_at
-        if asked_at in self.open_since:
-            self.open_since.remove(asked_at)
+        if asked_at in self.unanswered_since:
+            self.unanswered_since.remove(asked_at)
         self.unanswered = 0
-        self.count_in_row(asked_at, verdict)
-        if asked_at >= self.settled_from and self.row_length >= ROW:
-            self.open_since = deque(left for left in self.open_since if left > self.row_since)
+        self.extend_run(asked_at, verdict)
+        if asked_at >= self.settles_from and self.run_length >= SETTLING_RESPONSES:
+            self.unanswered_since = deque(left for left in self.unanswered_since if left > self.run_start)
 
-    def count_in_row(self, asked_at: float, verdict: Verdict) -> None:
+    def extend_run(self, asked_at: float, verdict: Verdict) -> None:
         """One more answer; another list, or a question without an answer between them, ends the row."""
-        if asked_at < self.row_since:
+        if asked_at < self.run_start:
             return
-        missed = any(self.row_since < left < asked_at for left in self.open_since)
+        missed = any(self.run_start < left < asked_at for left in self.unanswered_since)
         if verdict is Verdict.OLDER:
-            self.row_since, self.row_length = asked_at, 0
-        elif self.row_length and verdict is Verdict.CONFIRMED and not missed:
-            self.row_length += 1
+            self.run_start, self.run_length = asked_at, 0
+        elif self.run_length and verdict is Verdict.CONFIRMED and not missed:
+            self.run_length += 1
         else:
-            self.row_since, self.row_length = asked_at, 1
+            self.run_start, self.run_length = asked_at, 1
 
-    def is_settling(self) -> bool:
+    def has_unsettled_query(self) -> bool:
         """Whether a question has no answer, and a later one has: more answers are to settle it."""
-        oldest = self.open_since[0] if self.open_since else float("inf")
+        oldest = self.unanswered_since[0] if self.unanswered_since else float("inf")
         return self.confirmed_at is not None and oldest < self.confirmed_at
 
-    def doubt(self, now: float) -> Doubt | None:
+    def stale_reason(self, now: float) -> StaleReason | None:
         """Why requests may not be sent by the list; None where they may."""
-        if not self.is_ruled or self.confirmed_at is None:
+        if not self.is_enabled or self.confirmed_at is None:
             return None
-        next_asked_at = self.open_since[0] if self.open_since else now
-        if next_asked_at - self.confirmed_at > UNASKED_MOST:
-            return Doubt.UNASKED
-        if self.polled_at is not None and now - self.polled_at() > self.patience:
-            return Doubt.UNPOLLED
-        if now - next_asked_at > self.patience:
-            return Doubt.UNANSWERED
+        next_asked_at = self.unanswered_since[0] if self.unanswered_since else now
+        if next_asked_at - self.confirmed_at > MAX_QUERY_GAP:
+            return StaleReason.UNASKED
+        if self.polled_at is not None and now - self.polled_at() > self.timeout:
+            return StaleReason.UNPOLLED
+        if now - next_asked_at > self.timeout:
+            return StaleReason.UNANSWERED
         return None
 
-    def followed(self, now: float) -> bool:
+    def may_be_followed(self, now: float) -> bool:
         """Whether requests may be sent by the list."""
-        return self.doubt(now) is None
+        return self.stale_reason(now) is None
 
-    def repeat_after(self, chance: float) -> float:
+    def retransmit_after(self, chance: float) -> float:
         """In how many ms the last question is to be repeated, if it has no answer; chance: 0 to 1."""
-        return self.answer_times.repeat_after(self.unanswered, chance)
+        return self.answer_times.retransmit_after(self.unanswered, chance)
--- a/spurdeal/net/names.py
+++ b/spurdeal/net/names.py
@@ -22,7 +22,7 @@
 ASK_AGAIN = 0.04  # seconds until a question that was not sent, or whose answer settled nothing, is repeated
 IDENT_SIZE = 2  # bytes, RFC 1035, section 4.1.1
 IDENTS = 1 << 8 * IDENT_SIZE
-MOST_OPEN = 64  # questions whose answer may still come
+MAX_OPEN_QUERIES = 64  # questions whose answer may still come
 SILENT_AFTER = 2.0  # seconds without an answer: told in the log
 MISSED_LOGGED = 2  # questions in a row without an answer from which on the next answer tells of them
 
@@ -36,7 +36,7 @@
     """
 
     at: float
-    repeat_after: float
+    retransmit_after: float
 
 
 class Question(NamedTuple):
@@ -156,10 +156,10 @@
     def await_answer(self, ident: int, question: Question) -> None:
         """A question has left: its answer is taken, or it is repeated."""
         self.open_questions[ident] = question
-        if len(self.open_questions) > MOST_OPEN:
+        if len(self.open_questions) > MAX_OPEN_QUERIES:
             del self.open_questions[next(iter(self.open_questions))]
-        if question.asked.repeat_after > 0.0:  # else nobody decides on it
-            self.next_question.reset(question.asked.repeat_after / 1000)
+        if question.asked.retransmit_after > 0.0:  # else nobody decides on it
+            self.next_question.reset(question.asked.retransmit_after / 1000)
 
     def ask_in_time(self, answered: Question) -> None:
         """The question that left last is answered: the next is due as far behind it as usual."""
--- a/spurdeal/rules.py
+++ b/spurdeal/rules.py
@@ -213,14 +213,14 @@
 
     def list_asked(self, now: float) -> float:
         self.freshness.asked(now)
-        return self.freshness.repeat_after(self.chance.draw())
+        return self.freshness.retransmit_after(self.chance.draw())
 
     def name_service_changed(self) -> None:
         self.freshness.moved()
 
     def list_answered(self, now: float, asked_at: float, verdict: Verdict) -> bool:
         self.freshness.answered(now, asked_at, verdict)
-        return self.freshness.is_settling()
+        return self.freshness.has_unsettled_query()
 
     # Requests on their way out: the stages.
 
@@ -331,7 +331,7 @@
             or t.request.over
             or now >= t.request.deadline
             or e.line.life != Life.READY
-            or not self.freshness.followed(now)
+            or not self.freshness.may_be_followed(now)
             or e.line.started != t.started
             or not self.may_repeat(t.request)
             or (now < e.warm_at and not t.cold)
@@ -353,10 +353,12 @@
     def end_batch(self, now: float) -> None:
         """Held ones leave, lowest aged cost per utility first, each to the engine with most room."""
         self.now, self.promised, kept, ripe = now, None, list[Request](), False
-        doubt = self.freshness.doubt(now)
-        if self.list_followed != (doubt is None):
-            self.list_followed = doubt is None
-            self.adapter.log("list followed again" if doubt is None else f"list not followed: {doubt}")
+        stale_reason = self.freshness.stale_reason(now)
+        if self.list_followed != (stale_reason is None):
+            self.list_followed = stale_reason is None
+            self.adapter.log(
+                "list followed again" if stale_reason is None else f"list not followed: {stale_reason}"
+            )
         stuck = [False for _ in self.workloads]  # nothing frees room within a turn: one speaks for its kind
         waiting = iter(self.held)
         try:
@@ -377,7 +379,7 @@
     def choose(self, s: Request, fewest: bool) -> Engine | None:
         if not self.in_turn(s) or (s.made > s.unsent and not self.may_go_further()):
             return None
-        if not self.freshness.followed(self.now):
+        if not self.freshness.may_be_followed(self.now):
             return None
         w, engines = s.workload, self.allowed(s)
         if not engines:
--- a/tests/soak/tracing.py
+++ b/tests/soak/tracing.py
@@ -18,7 +18,7 @@
 
 from spurdeal.interface import Verdict
 from spurdeal.list_freshness import ListFreshness
-from spurdeal.net.names import MOST_OPEN
+from spurdeal.net.names import MAX_OPEN_QUERIES
 from tests.soak.judge import GRACE, Datagram
 
 BREAK = re.compile(r"(\S+) drain: (\S+) of dispatcher (\d+) to (\S+), (\S+) s after told")
@@ -66,7 +66,7 @@
         """See NameService.await_answer."""
         self.freshness.asked(datagram.at * 1000)
         self.open[datagram.ident] = datagram.at
-        if len(self.open) > MOST_OPEN:
+        if len(self.open) > MAX_OPEN_QUERIES:
             del self.open[next(iter(self.open))]
 
     def arrived(self, datagram: Datagram) -> None:
@@ -83,11 +83,11 @@
     def state(self, at: float, told_at: float) -> str:
         """What decides whether the list is followed at a time."""
         freshness, now = self.freshness, at * 1000
-        oldest = now - freshness.open_since[0] if freshness.open_since else 0.0
+        oldest = now - freshness.unanswered_since[0] if freshness.unanswered_since else 0.0
         figures = (
-            f"{len(freshness.open_since)} open for {oldest:.0f} ms, patience {freshness.patience:.0f} ms"
+            f"{len(freshness.unanswered_since)} open for {oldest:.0f} ms, patience {freshness.timeout:.0f} ms"
         )
-        return f"{self.reason(told_at)}; {figures}, doubt {freshness.doubt(now)}"
+        return f"{self.reason(told_at)}; {figures}, doubt {freshness.stale_reason(now)}"
 
     def reason(self, told_at: float) -> str:
         """The condition by which the list was followed."""
--- a/tests/test_list_freshness.py
+++ b/tests/test_list_freshness.py
@@ -3,17 +3,17 @@
 import unittest
 from unittest.mock import patch
 
-from spurdeal.answer_times import BACKOFF, BACKOFF_MOST, REPEAT_FIRST, REPEAT_LEAST, REPEAT_MOST
+from spurdeal.answer_times import BACKOFF, INITIAL_RETRANSMIT, MAX_BACKOFF, MAX_RETRANSMIT, MIN_RETRANSMIT
 from spurdeal.interface import Verdict
 from spurdeal.lab import names
 from spurdeal.list_freshness import (
-    KNOWN_FOR,
-    MOST_OPEN,
-    ROW,
-    TOLD_WITHIN,
-    UNASKED_MOST,
-    Doubt,
+    INITIAL_LEASE,
+    MAX_OPEN_QUERIES,
+    MAX_QUERY_GAP,
+    PROPAGATION_LIMIT,
+    SETTLING_RESPONSES,
     ListFreshness,
+    StaleReason,
 )
 from spurdeal.net.service import Service
 from spurdeal.slow_start import NEWS_DELAY
@@ -38,50 +38,50 @@
             self.list.asked(float(at))
 
     def test_a_list_that_does_not_come_by_questions_is_always_followed(self) -> None:
-        self.assertTrue(self.list.followed(1e9))
+        self.assertTrue(self.list.may_be_followed(1e9))
 
     def test_a_name_service_that_stays_silent_ends_the_lease_for_good(self) -> None:
         self.confirm(0.0)
         self.ask_until(20_000)
-        self.assertTrue(self.list.followed(GRACE / 2))
+        self.assertTrue(self.list.may_be_followed(GRACE / 2))
         for now in (GRACE / 2 + 1.0, 1001.0 + GRACE / 2, 6000.0, NEWS_DELAY + GRACE / 2, 20_100.0):
-            self.assertEqual(self.list.doubt(now), Doubt.UNANSWERED, now)
+            self.assertEqual(self.list.stale_reason(now), StaleReason.UNANSWERED, now)
 
     def test_the_lease_counts_from_when_the_answered_question_left(self) -> None:
         self.confirm(0.0)
         self.list.asked(100.0)
         self.list.answered(5000.0, 100.0, Verdict.CONFIRMED)
-        self.assertTrue(self.list.followed(100.0 + UNASKED_MOST))
-        self.assertEqual(self.list.doubt(101.0 + UNASKED_MOST), Doubt.UNASKED)
+        self.assertTrue(self.list.may_be_followed(100.0 + MAX_QUERY_GAP))
+        self.assertEqual(self.list.stale_reason(101.0 + MAX_QUERY_GAP), StaleReason.UNASKED)
 
     def test_questions_that_do_not_leave(self) -> None:
         self.list.asked(0.0)
         self.list.answered(1.0, 0.0, Verdict.CONFIRMED)
-        self.assertTrue(self.list.followed(UNASKED_MOST))
-        self.assertFalse(self.list.followed(UNASKED_MOST + 1))
+        self.assertTrue(self.list.may_be_followed(MAX_QUERY_GAP))
+        self.assertFalse(self.list.may_be_followed(MAX_QUERY_GAP + 1))
 
     def test_after_that_an_answer_alone_lets_it_be_followed(self) -> None:
         self.list.asked(0.0)
         self.list.answered(1.0, 0.0, Verdict.CONFIRMED)
         for at in range(3000, 20_000, 100):
             self.list.asked(float(at))
-            self.assertEqual(self.list.doubt(at + 1.0), Doubt.UNASKED)
-        self.answer_in_a_row(20_000.0, ROW)
-        self.assertTrue(self.list.followed(20_000.0 + ROW * 40.0))
+            self.assertEqual(self.list.stale_reason(at + 1.0), StaleReason.UNASKED)
+        self.answer_in_a_row(20_000.0, SETTLING_RESPONSES)
+        self.assertTrue(self.list.may_be_followed(20_000.0 + SETTLING_RESPONSES * 40.0))
 
     def test_a_question_without_an_answer_may_have_been_answered_with_news(self) -> None:
         self.list.asked(0.0)
         self.list.answered(2.0, 0.0, Verdict.CONFIRMED)
         for at in (200.0, 280.0, 300.0):
             self.list.asked(at)
-        self.assertIsNone(self.list.doubt(200.0 + GRACE / 2))
-        self.assertEqual(self.list.doubt(201.0 + GRACE / 2), Doubt.UNANSWERED)
+        self.assertIsNone(self.list.stale_reason(200.0 + GRACE / 2))
+        self.assertEqual(self.list.stale_reason(201.0 + GRACE / 2), StaleReason.UNANSWERED)
         self.list.answered(330.0, 280.0, Verdict.NEWER)
-        self.assertEqual(self.list.doubt(330.0), Doubt.UNANSWERED)
+        self.assertEqual(self.list.stale_reason(330.0), StaleReason.UNANSWERED)
         for at in range(350, 1301, 50):
             self.list.asked(float(at))
         for now in (1300.0, 1301.0, 2000.0):
-            self.assertEqual(self.list.doubt(now), Doubt.UNANSWERED)
+            self.assertEqual(self.list.stale_reason(now), StaleReason.UNANSWERED)
 
     def answer_in_a_row(self, first: float, count: int) -> None:
         """So many questions, 40 ms apart, answered at once with the list in force."""
@@ -92,98 +92,100 @@
     def test_a_question_without_an_answer_is_settled_by_answers_in_a_row(self) -> None:
         self.confirm(0.0)
         self.list.asked(200.0)
-        self.answer_in_a_row(240.0, ROW - 1)
-        self.assertEqual(self.list.doubt(500.0), Doubt.UNANSWERED)
-        self.assertTrue(self.list.is_settling())
+        self.answer_in_a_row(240.0, SETTLING_RESPONSES - 1)
+        self.assertEqual(self.list.stale_reason(500.0), StaleReason.UNANSWERED)
+        self.assertTrue(self.list.has_unsettled_query())
         self.answer_in_a_row(460.0, 1)
-        self.assertIsNone(self.list.doubt(500.0))
-        self.assertFalse(self.list.is_settling())
+        self.assertIsNone(self.list.stale_reason(500.0))
+        self.assertFalse(self.list.has_unsettled_query())
 
     def test_a_newer_list_begins_the_row_anew(self) -> None:
         self.confirm(0.0)
         self.list.asked(200.0)
-        self.answer_in_a_row(240.0, ROW - 1)
+        self.answer_in_a_row(240.0, SETTLING_RESPONSES - 1)
         self.list.asked(450.0)
         self.list.answered(451.0, 450.0, Verdict.NEWER)
-        self.answer_in_a_row(460.0, ROW - 2)
-        self.assertEqual(self.list.doubt(700.0), Doubt.UNANSWERED)
+        self.answer_in_a_row(460.0, SETTLING_RESPONSES - 2)
+        self.assertEqual(self.list.stale_reason(700.0), StaleReason.UNANSWERED)
         self.answer_in_a_row(700.0, 1)
-        self.assertIsNone(self.list.doubt(710.0))
+        self.assertIsNone(self.list.stale_reason(710.0))
 
     def test_another_question_without_an_answer_begins_the_row_anew(self) -> None:
         self.confirm(0.0)
         self.list.asked(200.0)
-        self.answer_in_a_row(240.0, ROW - 1)
+        self.answer_in_a_row(240.0, SETTLING_RESPONSES - 1)
         self.list.asked(450.0)
-        self.answer_in_a_row(460.0, ROW - 1)
-        self.assertEqual(self.list.doubt(700.0), Doubt.UNANSWERED)
+        self.answer_in_a_row(460.0, SETTLING_RESPONSES - 1)
+        self.assertEqual(self.list.stale_reason(700.0), StaleReason.UNANSWERED)
         self.answer_in_a_row(700.0, 1)
-        self.assertIsNone(self.list.doubt(710.0))
+        self.assertIsNone(self.list.stale_reason(710.0))
 
     def test_its_own_late_answer_settles_a_question(self) -> None:
         self.confirm(0.0)
         self.list.asked(200.0)
         self.answer_in_a_row(240.0, 1)
-        self.assertEqual(self.list.doubt(400.0), Doubt.UNANSWERED)
+        self.assertEqual(self.list.stale_reason(400.0), StaleReason.UNANSWERED)
         self.list.answered(401.0, 200.0, Verdict.CONFIRMED)
-        self.assertIsNone(self.list.doubt(401.0))
+        self.assertIsNone(self.list.stale_reason(401.0))
 
     def test_answers_of_another_name_service_settle_nothing_for_as_long_as_it_may_lag(self) -> None:
         self.confirm(0.0)
         self.list.asked(200.0)
         self.list.moved()
         self.answer_in_a_row(210.0, 30)
-        self.assertEqual(self.list.doubt(1500.0), Doubt.UNANSWERED)
-        self.answer_in_a_row(200.0 + TOLD_WITHIN, 1)
-        self.assertIsNone(self.list.doubt(201.0 + TOLD_WITHIN))
+        self.assertEqual(self.list.stale_reason(1500.0), StaleReason.UNANSWERED)
+        self.answer_in_a_row(200.0 + PROPAGATION_LIMIT, 1)
+        self.assertIsNone(self.list.stale_reason(201.0 + PROPAGATION_LIMIT))
 
     def test_many_questions_without_an_answer_may_all_be_lost(self) -> None:
         for number in range(40):
-            self.assertEqual(number >= 2, self.list.doubt(100.0 * number) is Doubt.UNANSWERED, number)
+            self.assertEqual(
+                number >= 2, self.list.stale_reason(100.0 * number) is StaleReason.UNANSWERED, number
+            )
             self.list.asked(100.0 * number)
 
     def test_the_answer_to_an_earlier_question_does_not_speak_for_a_later_one(self) -> None:
         self.list.asked(0.0)
         self.list.asked(50.0)
         self.list.answered(60.0, 50.0, Verdict.CONFIRMED)
-        self.assertEqual(list(self.list.open_since), [0.0])
+        self.assertEqual(list(self.list.unanswered_since), [0.0])
         self.list.answered(400.0, 0.0, Verdict.CONFIRMED)
         self.list.asked(400.0)
-        self.assertEqual(list(self.list.open_since), [400.0])
+        self.assertEqual(list(self.list.unanswered_since), [400.0])
 
     def test_a_late_answer_to_a_question_that_was_overtaken_does_not_count_as_a_usual_one(self) -> None:
         self.list.asked(0.0)
         self.list.asked(10_000.0)
         self.list.answered(10_002.0, 10_000.0, Verdict.CONFIRMED)
         self.list.answered(10_003.0, 0.0, Verdict.CONFIRMED)
-        self.assertEqual(self.list.repeat_after(MEAN), REPEAT_LEAST)
+        self.assertEqual(self.list.retransmit_after(MEAN), MIN_RETRANSMIT)
 
     def test_questions_are_repeated_at_growing_distances_until_one_is_answered(self) -> None:
         self.list.asked(0.0)
-        self.assertEqual(self.list.repeat_after(MEAN), REPEAT_FIRST)
+        self.assertEqual(self.list.retransmit_after(MEAN), INITIAL_RETRANSMIT)
         self.list.answered(2.0, 0.0, Verdict.CONFIRMED)
         pauses = list[float]()
         for number in range(100):
             self.list.asked(200.0 + number)
-            pauses.append(self.list.repeat_after(MEAN))
-        self.assertEqual(pauses[:4], [REPEAT_LEAST * BACKOFF**step for step in range(4)])
-        self.assertEqual(set(pauses[4:]), {BACKOFF_MOST})
+            pauses.append(self.list.retransmit_after(MEAN))
+        self.assertEqual(pauses[:4], [MIN_RETRANSMIT * BACKOFF**step for step in range(4)])
+        self.assertEqual(set(pauses[4:]), {MAX_BACKOFF})
         self.list.answered(301.0, 299.0, Verdict.CONFIRMED)
         self.list.asked(302.0)
-        self.assertEqual(self.list.repeat_after(MEAN), REPEAT_LEAST)
+        self.assertEqual(self.list.retransmit_after(MEAN), MIN_RETRANSMIT)
 
     def test_repetitions_of_many_dispatchers_are_spread(self) -> None:
         self.list.asked(0.0)
-        shortest, longest = self.list.repeat_after(0.0), self.list.repeat_after(1.0)
-        self.assertEqual((shortest, longest), (0.75 * REPEAT_FIRST, 1.25 * REPEAT_FIRST))
+        shortest, longest = self.list.retransmit_after(0.0), self.list.retransmit_after(1.0)
+        self.assertEqual((shortest, longest), (0.75 * INITIAL_RETRANSMIT, 1.25 * INITIAL_RETRANSMIT))
 
     def test_a_slow_name_service_is_followed_between_an_answer_and_the_next_question(self) -> None:
         for asked in range(0, 5000, 500):
             self.list.asked(float(asked))
-            self.assertEqual(self.list.doubt(asked + 1.0 + GRACE / 2), Doubt.UNANSWERED)
+            self.assertEqual(self.list.stale_reason(asked + 1.0 + GRACE / 2), StaleReason.UNANSWERED)
             self.list.answered(asked + 400.0, float(asked), Verdict.CONFIRMED)
-            self.assertIsNone(self.list.doubt(asked + 500.0))
-        self.assertEqual(self.list.repeat_after(MEAN), REPEAT_MOST)
+            self.assertIsNone(self.list.stale_reason(asked + 500.0))
+        self.assertEqual(self.list.retransmit_after(MEAN), MAX_RETRANSMIT)
 
     def test_a_name_service_that_is_quick_again_is_expected_to_be_quick(self) -> None:
         for number in range(10):
@@ -193,59 +195,59 @@
             self.list.asked(200.0 * number)
             self.list.answered(200.0 * number + 2.0, 200.0 * number, Verdict.CONFIRMED)
         self.list.asked(3400.0)
-        self.assertEqual(self.list.repeat_after(MEAN), REPEAT_LEAST)
-        self.assertEqual(self.list.doubt(3401.0 + GRACE / 2), Doubt.UNANSWERED)
+        self.assertEqual(self.list.retransmit_after(MEAN), MIN_RETRANSMIT)
+        self.assertEqual(self.list.stale_reason(3401.0 + GRACE / 2), StaleReason.UNANSWERED)
 
     def test_the_times_of_many_questions_are_bounded_and_the_oldest_and_the_latest_are_kept(self) -> None:
         self.ask_until(100_000)
-        self.assertEqual(len(self.list.open_since), MOST_OPEN)
-        self.assertEqual((self.list.open_since[0], self.list.open_since[-1]), (0.0, 100_000.0))
+        self.assertEqual(len(self.list.unanswered_since), MAX_OPEN_QUERIES)
+        self.assertEqual((self.list.unanswered_since[0], self.list.unanswered_since[-1]), (0.0, 100_000.0))
 
     def test_sockets_that_were_not_looked_at(self) -> None:
         self.list.polled_at = lambda: 1000.0
         self.list.asked(1000.0)
-        self.assertTrue(self.list.followed(1000.0 + GRACE / 2))
-        self.assertFalse(self.list.followed(1001.0 + GRACE / 2))
+        self.assertTrue(self.list.may_be_followed(1000.0 + GRACE / 2))
+        self.assertFalse(self.list.may_be_followed(1001.0 + GRACE / 2))
 
     def test_without_a_grace_in_the_settings_there_is_no_rule(self) -> None:
         free = ListFreshness(0.0)
         free.polled_at = lambda: 0.0
         free.asked(0.0)
-        self.assertTrue(free.followed(60_000.0))
+        self.assertTrue(free.may_be_followed(60_000.0))
 
     def test_a_process_that_stood_still_before_its_first_question(self) -> None:
         self.list.known(0.0)
-        self.assertFalse(self.list.followed(60_000.0))
+        self.assertFalse(self.list.may_be_followed(60_000.0))
         self.list.asked(60_000.0)
-        self.assertFalse(self.list.followed(60_000.0))
+        self.assertFalse(self.list.may_be_followed(60_000.0))
 
     def test_the_list_of_a_start_may_be_some_time_old_when_it_is_read(self) -> None:
         self.list.known(0.0)
-        self.assertTrue(self.list.followed(KNOWN_FOR))
-        self.assertEqual(self.list.doubt(KNOWN_FOR + 1.0), Doubt.UNASKED)
-        self.list.asked(KNOWN_FOR + 2.0)
-        self.assertEqual(self.list.doubt(KNOWN_FOR + 3.0), Doubt.UNASKED)
-        self.list.answered(KNOWN_FOR + 4.0, KNOWN_FOR + 2.0, Verdict.CONFIRMED)
-        self.assertTrue(self.list.followed(KNOWN_FOR + 4.0))
+        self.assertTrue(self.list.may_be_followed(INITIAL_LEASE))
+        self.assertEqual(self.list.stale_reason(INITIAL_LEASE + 1.0), StaleReason.UNASKED)
+        self.list.asked(INITIAL_LEASE + 2.0)
+        self.assertEqual(self.list.stale_reason(INITIAL_LEASE + 3.0), StaleReason.UNASKED)
+        self.list.answered(INITIAL_LEASE + 4.0, INITIAL_LEASE + 2.0, Verdict.CONFIRMED)
+        self.assertTrue(self.list.may_be_followed(INITIAL_LEASE + 4.0))
 
     def test_an_older_list_settles_its_own_question_and_ends_the_row(self) -> None:
         self.confirm(0.0)
         self.list.asked(200.0)
-        self.answer_in_a_row(240.0, ROW - 1)
+        self.answer_in_a_row(240.0, SETTLING_RESPONSES - 1)
         self.list.asked(450.0)
         self.list.answered(451.0, 450.0, Verdict.OLDER)
-        self.assertEqual(list(self.list.open_since), [200.0])
-        self.answer_in_a_row(460.0, ROW - 1)
-        self.assertEqual(self.list.doubt(700.0), Doubt.UNANSWERED)
+        self.assertEqual(list(self.list.unanswered_since), [200.0])
+        self.answer_in_a_row(460.0, SETTLING_RESPONSES - 1)
+        self.assertEqual(self.list.stale_reason(700.0), StaleReason.UNANSWERED)
         self.answer_in_a_row(700.0, 1)
-        self.assertIsNone(self.list.doubt(710.0))
+        self.assertIsNone(self.list.stale_reason(710.0))
 
     def test_a_question_on_its_way_is_not_one_that_was_missed(self) -> None:
         self.confirm(0.0)
         self.list.asked(200.0)
-        self.assertFalse(self.list.is_settling())
+        self.assertFalse(self.list.has_unsettled_query())
         self.answer_in_a_row(240.0, 1)
-        self.assertTrue(self.list.is_settling())
+        self.assertTrue(self.list.has_unsettled_query())
 
 
 class OfADispatcher(unittest.TestCase):
@@ -259,7 +261,7 @@
         self.assertEqual(world.count("names_bad"), 1)
         world.go(130)
         freshness = world.service.adapter.rules.freshness
-        self.assertEqual(freshness.doubt(world.now()), Doubt.UNANSWERED)
+        self.assertEqual(freshness.stale_reason(world.now()), StaleReason.UNANSWERED)
 
     def test_a_list_that_was_old_when_the_dispatcher_could_start_waits_for_the_first_answer(self) -> None:
         def wait(service: Service, world: World) -> None:
--- a/tests/test_review_findings.py
+++ b/tests/test_review_findings.py
@@ -6,7 +6,7 @@
 from spurdeal.interface import Life, Verdict
 from spurdeal.lab import names
 from spurdeal.list_agreement import RENUMBERED_AFTER, Agreement, judged, same_use
-from spurdeal.list_freshness import ROW, TOLD_WITHIN, ListFreshness
+from spurdeal.list_freshness import PROPAGATION_LIMIT, SETTLING_RESPONSES, ListFreshness
 from spurdeal.net.engine_list import Endpoint
 from tests.helpers import World
 
@@ -50,19 +50,19 @@
 
     def settle(self) -> None:
         """The name service answers each question at once, until the list is followed."""
-        for _ in range(2 * ROW):
+        for _ in range(2 * SETTLING_RESPONSES):
             self.next_question()
             self.told(1, ALL_READY, -1)
-        self.assertTrue(self.followed())
+        self.assertTrue(self.may_be_followed())
 
-    def followed(self) -> bool:
+    def may_be_followed(self) -> bool:
         """Whether requests may be sent by the list."""
-        return self.world.service.adapter.rules.freshness.followed(self.world.now())
+        return self.world.service.adapter.rules.freshness.may_be_followed(self.world.now())
 
     def may_get(self, place: int) -> bool:
         """Whether an attempt at that engine may begin now."""
         endpoint = self.world.service.adapter.endpoints.get(f"s-{place}")
-        return self.followed() and endpoint is not None and endpoint.life == Life.READY
+        return self.may_be_followed() and endpoint is not None and endpoint.life == Life.READY
 
     def check_never_sent(
         self, place: int, sent: float, until: float, serial: int, lag: tuple[Record, ...]
@@ -86,14 +86,14 @@
         sent = self.next_question()  # answered with 3, in which s-1 drains: lost
         self.next_question()
         self.told(2, ALL_READY, -1)  # newer than 1, and older than what was sent
-        self.check_never_sent(1, sent, sent + TOLD_WITHIN, 2, ALL_READY)
+        self.check_never_sent(1, sent, sent + PROPAGATION_LIMIT, 2, ALL_READY)
 
     def test_a_number_that_is_too_high_settles_no_question(self) -> None:
         self.settle()
         sent = self.next_question()  # answered with 2, in which s-1 drains: lost
         self.next_question()
         self.told(1000, ALL_READY, -1)
-        while self.world.now() < sent + TOLD_WITHIN:  # nothing more arrives
+        while self.world.now() < sent + PROPAGATION_LIMIT:  # nothing more arrives
             self.world.go(5)
             if self.world.now() > sent + GRACE + SLACK:
                 self.assertFalse(self.may_get(1), f"{self.world.now() - sent:.0f} ms after it was told")
@@ -101,7 +101,7 @@
     def test_lagging_answers_in_a_row_settle_no_question_while_a_replica_may_lag(self) -> None:
         self.settle()
         sent = self.next_question()  # answered with 2, in which s-1 drains: lost
-        self.check_never_sent(1, sent, sent + TOLD_WITHIN, 1, ALL_READY)
+        self.check_never_sent(1, sent, sent + PROPAGATION_LIMIT, 1, ALL_READY)
 
 
 class Stalled(Answered):
@@ -119,7 +119,7 @@
 
         with patch.object(World, "sendto", staticmethod(slow_write)):
             self.next_question()  # answered at once with 2, in which s-1 drains: lost, as what follows
-            while self.world.now() < sent[0] + TOLD_WITHIN:
+            while self.world.now() < sent[0] + PROPAGATION_LIMIT:
                 if self.world.now() > sent[0] + GRACE + SLACK:
                     self.assertFalse(
                         self.may_get(1), f"{self.world.now() - sent[0]:.0f} ms after it was told"
@@ -148,7 +148,7 @@
         self.next_question()
         self.told(1000, ALL_READY, -1)
         self.told(2, ONE_DRAINS, -2)
-        while self.world.now() < sent + TOLD_WITHIN:  # nothing more arrives
+        while self.world.now() < sent + PROPAGATION_LIMIT:  # nothing more arrives
             self.world.go(5)
             if self.world.now() > sent + GRACE + SLACK:
                 self.assertFalse(self.may_get(1), f"{self.world.now() - sent:.0f} ms after it was told")
@@ -164,7 +164,7 @@
         self.told(1000, ALL_READY, -1)
         sent = self.next_question()
         self.told(2, ONE_DRAINS, -1)
-        self.check_never_sent(1, sent, sent + 2 * TOLD_WITHIN, 2, ONE_DRAINS)
+        self.check_never_sent(1, sent, sent + 2 * PROPAGATION_LIMIT, 2, ONE_DRAINS)
 
 
 class Slow(Answered):
@@ -183,7 +183,7 @@
             while due and due[0][0] <= self.world.now():
                 self.told(1, ALL_READY, due.pop(0)[1])
             if self.world.now() > began + 2000.0:
-                looks.append(self.followed())
+                looks.append(self.may_be_followed())
         return sum(looks) / len(looks)
 
     def test_a_list_whose_answers_all_come_within_the_grace_is_followed_most_of_the_time(self) -> None:
@@ -205,8 +205,8 @@
         freshness.known(read)
         freshness.asked(read + 900.0)
         for passed in range(900, 2000, 5):
-            if read + passed > drained + TOLD_WITHIN + GRACE + SLACK:
-                self.assertFalse(freshness.followed(read + passed), passed)
+            if read + passed > drained + PROPAGATION_LIMIT + GRACE + SLACK:
+                self.assertFalse(freshness.may_be_followed(read + passed), passed)
 
 
 def endpoint(ident: str, life: Life = Life.READY, started: float = 0.0) -> Endpoint:
@@ -237,7 +237,7 @@
         told = self.now
         for _ in range(RENUMBERED_AFTER):  # from a replica that lags
             self.answer(7, endpoint("a"), endpoint("b"))
-        while self.now < told + TOLD_WITHIN:  # it goes on, and still lags
+        while self.now < told + PROPAGATION_LIMIT:  # it goes on, and still lags
             self.answer(8, endpoint("a"), endpoint("b"), endpoint("c"))
             self.assertEqual(self.life("b"), Life.DRAINING, f"{self.now - told:.0f} ms after it was told")
 
@@ -255,7 +255,7 @@
         self.assertEqual(self.life("n6"), Life.READY)
 
     def test_two_numberings_in_turn_with_the_same_list_leave_it_followed(self) -> None:
-        freshness, followed = ListFreshness(GRACE), False
+        freshness, may_be_followed = ListFreshness(GRACE), False
         freshness.known(0.0)
         for number in range(250):  # 10 s
             asked = self.now + 39.0
@@ -263,8 +263,8 @@
             verdict = self.answer(5 if number % 2 else 3, endpoint("a"), endpoint("b"))
             if self.is_settled:
                 freshness.answered(self.now, asked, verdict)
-            followed = freshness.followed(self.now)
-        self.assertTrue(followed)
+            may_be_followed = freshness.may_be_followed(self.now)
+        self.assertTrue(may_be_followed)
 
 
 if __name__ == "__main__":
--- a/tests/test_system_faults.py
+++ b/tests/test_system_faults.py
@@ -498,7 +498,7 @@
         adapter: Any = steps.service.adapter
         self.assertEqual(adapter.rules.freshness.polled_at(), adapter.loop.polled_at)
         adapter.loop.polled_at -= 200.0
-        self.assertFalse(adapter.rules.freshness.followed(steps.clock()))
+        self.assertFalse(adapter.rules.freshness.may_be_followed(steps.clock()))
 
 
 class PlannedEnd(unittest.TestCase):
