--- a/spurdeal/list_agreement.py
+++ b/spurdeal/list_agreement.py
@@ -74,7 +74,7 @@
 
 
 @dataclass(frozen=True)
-class Judged(Generic[Endpoint]):
+class Assessment(Generic[Endpoint]):
     """What an answer leads to.
 
     Attributes:
@@ -84,13 +84,13 @@
 
     verdict: Verdict
     agreement: Agreement[Endpoint]
-    is_settled: bool = True
-    ask_again: bool = False
+    covers_serving: bool = True
+    query_soon: bool = False
 
 
-def judged(
+def assess(
     before: Agreement[Endpoint], number: int, endpoints: Mapping[str, Endpoint], asked_at: float, now: float
-) -> Judged[Endpoint]:
+) -> Assessment[Endpoint]:
     """What the answer to the question that left at `asked_at` leads to. Times are in ms."""
     is_same = number == before.number and alike(endpoints, before.told)
     if is_same:
@@ -102,7 +102,7 @@
 
 def confirmed(
     before: Agreement[Endpoint], endpoints: Mapping[str, Endpoint], asked_at: float
-) -> Judged[Endpoint]:
+) -> Assessment[Endpoint]:
     """The list in force was told again: engines that have waited for that are withheld no more."""
     in_force, withheld = before.in_force, before.withheld
     if released := [ident for ident, since in withheld.items() if asked_at > since]:
@@ -113,16 +113,18 @@
                 in_force[ident] = endpoints[ident]
         withheld = {ident: since for ident, since in withheld.items() if ident not in released}
     confirmed_at = max(asked_at, before.confirmed_at)
-    return Judged(Verdict.CONFIRMED, Agreement(before.number, endpoints, in_force, confirmed_at, withheld))
+    return Assessment(
+        Verdict.CONFIRMED, Agreement(before.number, endpoints, in_force, confirmed_at, withheld)
+    )
 
 
 def newer(
     before: Agreement[Endpoint], number: int, endpoints: Mapping[str, Endpoint], asked_at: float, now: float
-) -> Judged[Endpoint]:
+) -> Assessment[Endpoint]:
     """Another list was told: what it takes away is in force at once."""
     in_force, withheld = dict[str, Endpoint](), dict[str, float]()
     for ident, endpoint in endpoints.items():
-        is_proven = gets_requests(before, ident) or is_told_again(before, ident, endpoint, asked_at)
+        is_proven = gets_requests(before, ident) or is_reported_again(before, ident, endpoint, asked_at)
         if is_proven or endpoint.life != Life.READY:
             in_force[ident] = endpoint
             continue
@@ -131,12 +133,12 @@
         if known is not None:
             in_force[ident] = draining(endpoint)
     after = Agreement(number, endpoints, in_force, max(asked_at, before.confirmed_at), withheld)
-    return Judged(Verdict.NEWER, after, ask_again=any(since <= now for since in withheld.values()))
+    return Assessment(Verdict.NEWER, after, query_soon=any(since <= now for since in withheld.values()))
 
 
 def older(
     before: Agreement[Endpoint], number: int, endpoints: Mapping[str, Endpoint], asked_at: float, now: float
-) -> Judged[Endpoint]:
+) -> Assessment[Endpoint]:
     """An older list was told, or the number in force is wrong: what drains there gets no more requests."""
     serving = [ident for ident in before.in_force if gets_requests(before, ident)]
     ended = [ident for ident in serving if ident in endpoints and endpoints[ident].life != Life.READY]
@@ -145,18 +147,18 @@
         in_force = {**before.in_force, **{ident: draining(before.in_force[ident]) for ident in ended}}
         withheld = {**before.withheld, **dict.fromkeys(ended, now + RETURN_HOLD)}
         after = replace(before, in_force=in_force, withheld=withheld)
-    is_settled = all(ident in endpoints for ident in serving)
+    covers_serving = all(ident in endpoints for ident in serving)
     if asked_at < before.confirmed_at:
-        return Judged(Verdict.OLDER, after, is_settled)
+        return Assessment(Verdict.OLDER, after, covers_serving)
     after = replace(after, contradictions=before.contradictions + 1)
     if after.contradictions < RENUMBERED_AFTER:
-        return Judged(Verdict.OLDER, after, is_settled, ask_again=True)
+        return Assessment(Verdict.OLDER, after, covers_serving, query_soon=True)
     return renumbered(after, number, endpoints, asked_at, now)
 
 
 def renumbered(
     before: Agreement[Endpoint], number: int, endpoints: Mapping[str, Endpoint], asked_at: float, now: float
-) -> Judged[Endpoint]:
+) -> Assessment[Endpoint]:
     """The number in force was wrong: what a list of a lower number adds or lacks waits for RETURN_HOLD."""
     lacking = {
         ident: draining(endpoint) for ident, endpoint in before.in_force.items() if ident not in endpoints
@@ -172,7 +174,7 @@
         if ident not in joining or ident in before.in_force
     }
     withheld = dict.fromkeys([*joining, *lacking], now + RETURN_HOLD)
-    return Judged(Verdict.NEWER, Agreement(number, endpoints, in_force, before.confirmed_at, withheld))
+    return Assessment(Verdict.NEWER, Agreement(number, endpoints, in_force, before.confirmed_at, withheld))
 
 
 def gets_requests(agreement: Agreement[Endpoint], ident: str) -> bool:
@@ -181,7 +183,7 @@
     return known is not None and known.life == Life.READY
 
 
-def is_told_again(before: Agreement[Endpoint], ident: str, endpoint: Endpoint, asked_at: float) -> bool:
+def is_reported_again(before: Agreement[Endpoint], ident: str, endpoint: Endpoint, asked_at: float) -> bool:
     """Whether an engine that waits for requests was told alike to an earlier question."""
     since, told = before.withheld.get(ident), before.told.get(ident)
     return since is not None and asked_at > since and told is not None and same_use(told, endpoint)
--- a/spurdeal/net/names.py
+++ b/spurdeal/net/names.py
@@ -10,7 +10,7 @@
 from twisted.internet.protocol import DatagramProtocol
 
 from ..interface import Verdict
-from ..list_agreement import Agreement, judged
+from ..list_agreement import Agreement, assess
 from . import dns
 from .counters import Counters
 from .engine_list import Address, Endpoint, KnownList, answered_endpoints
@@ -339,7 +339,7 @@
     def take_list(self, told: KnownList, question: Question) -> None:
         """Puts a list in force, or counts the answer for or against the one that is."""
         now = question.asked.at + (self.reactor.seconds() - question.left_at) * 1000
-        found = judged(self.agreement, told.number, told.endpoints, question.asked.at, now)
+        found = assess(self.agreement, told.number, told.endpoints, question.asked.at, now)
         self.counters.add(f"lists_{found.verdict.name.lower()}")
         if found.verdict is Verdict.OLDER:
             self.note_contradiction(told.number, question)
@@ -348,8 +348,8 @@
         self.agreement = found.agreement
         if found.verdict is Verdict.CONFIRMED:
             self.on_confirmed()
-        is_missed = found.is_settled and self.on_answered(question.asked.at, found.verdict)
-        self.ask_soon(is_missed or found.ask_again)
+        is_missed = found.covers_serving and self.on_answered(question.asked.at, found.verdict)
+        self.ask_soon(is_missed or found.query_soon)
 
     def ask_soon(self, wanted: bool) -> None:
         """One more answer settles something: the next question does not wait for its usual time."""
--- a/spurdeal/slow_start.py
+++ b/spurdeal/slow_start.py
@@ -13,7 +13,9 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-NEWS_DELAY = 7000.0  # ms after which news of the list counts as told at the latest, by the protocol
+MAX_PROPAGATION_DELAY = (
+    7000.0  # ms after which news of the list counts as told at the latest, by the protocol
+)
 
 
 class Start(NamedTuple):
@@ -34,7 +36,7 @@
     def __init__(self) -> None:
         self.starts: dict[str, Start] = {}
         self.current_at: float | None = None
-        self.most_ahead = float("inf")
+        self.max_clock_lead = float("inf")
 
     def confirm(self, at: float) -> None:
         """The name service has told, by now, no newer list than the one in force."""
@@ -52,7 +54,7 @@
         """
         latest = max(told.values(), default=0.0)
         if latest:
-            self.most_ahead = min(self.most_ahead, max(0.0, now - latest))
+            self.max_clock_lead = min(self.max_clock_lead, max(0.0, now - latest))
         self.starts = {ident: self.start(ident, start, now) for ident, start in told.items()}
         self.confirm(now)
         return {ident: start.began for ident, start in self.starts.items()}
@@ -65,7 +67,7 @@
         if not told:
             return Start(0.0, 0.0)
         earliest = float("-inf") if self.current_at is None else self.current_at
-        return Start(told, min(now, max(told + self.most_ahead, earliest)))
+        return Start(told, min(now, max(told + self.max_clock_lead, earliest)))
 
 
 def leads_to_predecessor(opened: float, told: float, now: float) -> bool:
@@ -74,4 +76,4 @@
     Where the start lies in our future, the clocks differ and its time says nothing; the news of it is no
     older than NEWS_DELAY.
     """
-    return opened < (told if told <= now else now - NEWS_DELAY)
+    return opened < (told if told <= now else now - MAX_PROPAGATION_DELAY)
--- a/tests/test_list_agreement.py
+++ b/tests/test_list_agreement.py
@@ -3,7 +3,7 @@
 import unittest
 
 from spurdeal.interface import Life, Verdict
-from spurdeal.list_agreement import RENUMBERED_AFTER, RETURN_HOLD, Agreement, judged
+from spurdeal.list_agreement import RENUMBERED_AFTER, RETURN_HOLD, Agreement, assess
 from spurdeal.net.engine_list import Endpoint
 
 
@@ -30,9 +30,9 @@
         """One answer, 200 ms behind the last, to a question that has just left."""
         self.now += 200.0
         asked_at = self.now - 1.0 if asked_at is None else asked_at
-        found = judged(self.agreement, number, listed(*endpoints), asked_at, self.now)
+        found = assess(self.agreement, number, listed(*endpoints), asked_at, self.now)
         self.agreement = found.agreement
-        self.ask_again, self.is_settled = found.ask_again, found.is_settled
+        self.query_soon, self.covers_serving = found.query_soon, found.covers_serving
         return found.verdict
 
     def in_force(self) -> dict[str, str]:
@@ -41,17 +41,17 @@
 
     def test_the_list_in_force_is_confirmed_whatever_its_weights(self) -> None:
         self.assertEqual(self.answer(5, B, A._replace(weight=3.0)), Verdict.CONFIRMED)
-        self.assertEqual((self.ask_again, self.is_settled), (False, True))
+        self.assertEqual((self.query_soon, self.covers_serving), (False, True))
 
     def test_a_newer_list_that_takes_away_is_in_force_as_a_whole(self) -> None:
         self.assertEqual(self.answer(6, A_DRAINS), Verdict.NEWER)
         self.assertEqual(self.in_force(), {"a": "DRAINING"})
-        self.assertFalse(self.ask_again)
+        self.assertFalse(self.query_soon)
 
     def test_an_engine_that_joins_gets_requests_once_it_was_told_again(self) -> None:
         self.assertEqual(self.answer(6, A_DRAINS, B, C), Verdict.NEWER)
         self.assertEqual(self.in_force(), {"a": "DRAINING", "b": "READY"})
-        self.assertTrue(self.ask_again)
+        self.assertTrue(self.query_soon)
         self.assertEqual(self.answer(6, A_DRAINS, B, C), Verdict.CONFIRMED)
         self.assertEqual(self.in_force(), {"a": "DRAINING", "b": "READY", "c": "READY"})
 
@@ -68,7 +68,7 @@
         while self.now <= held_until:
             self.assertEqual(self.in_force(), {"a": "DRAINING", "b": "READY"})
             self.answer(7, A, B)
-            self.assertFalse(self.ask_again)
+            self.assertFalse(self.query_soon)
         self.answer(7, A, B)
         self.assertEqual(self.in_force(), {"a": "READY", "b": "READY"})
 
@@ -91,7 +91,7 @@
 
     def test_an_older_list_drains_what_drains_there(self) -> None:
         self.assertEqual(self.answer(4, A_DRAINS, B), Verdict.OLDER)
-        self.assertEqual((self.ask_again, self.is_settled), (True, True))
+        self.assertEqual((self.query_soon, self.covers_serving), (True, True))
         self.assertEqual(self.in_force(), {"a": "DRAINING", "b": "READY"})
         self.answer(5, A, B)
         self.assertEqual(self.in_force(), {"a": "DRAINING", "b": "READY"})
@@ -100,7 +100,7 @@
         for _ in range(10):
             for _ in range(RENUMBERED_AFTER - 1):
                 self.assertEqual(self.answer(4, A), Verdict.OLDER)
-                self.assertEqual((self.ask_again, self.is_settled), (True, False))
+                self.assertEqual((self.query_soon, self.covers_serving), (True, False))
             self.assertEqual(self.in_force(), {"a": "READY", "b": "READY"})
             self.assertEqual(self.answer(5, A, B), Verdict.CONFIRMED)
 
@@ -108,7 +108,7 @@
         self.answer(5, A, B)
         self.assertEqual(self.answer(1000, A, B), Verdict.NEWER)
         self.assertEqual(self.answer(5, A, B), Verdict.OLDER)
-        self.assertTrue(self.is_settled)
+        self.assertTrue(self.covers_serving)
 
     def test_an_older_list_to_a_question_that_was_overtaken_is_no_contradiction(self) -> None:
         self.answer(5, A, B)
--- a/tests/test_list_freshness.py
+++ b/tests/test_list_freshness.py
@@ -16,7 +16,7 @@
     StaleReason,
 )
 from spurdeal.net.service import Service
-from spurdeal.slow_start import NEWS_DELAY
+from spurdeal.slow_start import MAX_PROPAGATION_DELAY
 from tests.helpers import AGREED, SETTLED, Caller, World
 
 GRACE = 250.0
@@ -44,7 +44,7 @@
         self.confirm(0.0)
         self.ask_until(20_000)
         self.assertTrue(self.list.may_be_followed(GRACE / 2))
-        for now in (GRACE / 2 + 1.0, 1001.0 + GRACE / 2, 6000.0, NEWS_DELAY + GRACE / 2, 20_100.0):
+        for now in (GRACE / 2 + 1.0, 1001.0 + GRACE / 2, 6000.0, MAX_PROPAGATION_DELAY + GRACE / 2, 20_100.0):
             self.assertEqual(self.list.stale_reason(now), StaleReason.UNANSWERED, now)
 
     def test_the_lease_counts_from_when_the_answered_question_left(self) -> None:
--- a/tests/test_review_findings.py
+++ b/tests/test_review_findings.py
@@ -5,7 +5,7 @@
 
 from spurdeal.interface import Life, Verdict
 from spurdeal.lab import names
-from spurdeal.list_agreement import RENUMBERED_AFTER, Agreement, judged, same_use
+from spurdeal.list_agreement import RENUMBERED_AFTER, Agreement, assess, same_use
 from spurdeal.list_freshness import PROPAGATION_LIMIT, SETTLING_RESPONSES, ListFreshness
 from spurdeal.net.engine_list import Endpoint
 from tests.helpers import World
@@ -223,8 +223,8 @@
         """One answer, 40 ms behind the last."""
         self.now += 40.0
         listed = {each.ident: each for each in endpoints}
-        found = judged(self.agreement, number, listed, self.now - 1.0, self.now)
-        self.agreement, self.is_settled = found.agreement, found.is_settled
+        found = assess(self.agreement, number, listed, self.now - 1.0, self.now)
+        self.agreement, self.covers_serving = found.agreement, found.covers_serving
         return found.verdict
 
     def life(self, ident: str) -> Life | None:
@@ -261,7 +261,7 @@
             asked = self.now + 39.0
             freshness.asked(asked)
             verdict = self.answer(5 if number % 2 else 3, endpoint("a"), endpoint("b"))
-            if self.is_settled:
+            if self.covers_serving:
                 freshness.answered(self.now, asked, verdict)
             may_be_followed = freshness.may_be_followed(self.now)
         self.assertTrue(may_be_followed)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -3,7 +3,7 @@
 import unittest
 from typing import Any
 
-from spurdeal.slow_start import NEWS_DELAY, StartTimes, leads_to_predecessor
+from spurdeal.slow_start import MAX_PROPAGATION_DELAY, StartTimes, leads_to_predecessor
 from tests.helpers import AGREED, BASE, SETTINGS, Caller, World, instance
 
 HOUR = 3_600_000.0
@@ -36,7 +36,7 @@
                 self.assertEqual(began, {"a": 0.0, "b": now - 7000.0, "c": now})
                 later = starts.listed(now + 500.0, {"b": now - off - 9000.0, "d": now - off + 400.0})
                 self.assertEqual(later, {"b": now - 7000.0, "d": now + 500.0})
-                self.assertEqual(starts.most_ahead, off + 100.0)
+                self.assertEqual(starts.max_clock_lead, off + 100.0)
 
     def test_one_start_in_the_future_does_not_age_the_others(self) -> None:
         starts = StartTimes()
@@ -57,8 +57,8 @@
         self.assertTrue(leads_to_predecessor(opened=10.0, told=20.0, now=30.0))
         self.assertFalse(leads_to_predecessor(opened=25.0, told=20.0, now=30.0))
         now = 100_000.0
-        self.assertFalse(leads_to_predecessor(now - NEWS_DELAY + 1, told=now + HOUR, now=now))
-        self.assertTrue(leads_to_predecessor(now - NEWS_DELAY - 1, told=now + HOUR, now=now))
+        self.assertFalse(leads_to_predecessor(now - MAX_PROPAGATION_DELAY + 1, told=now + HOUR, now=now))
+        self.assertTrue(leads_to_predecessor(now - MAX_PROPAGATION_DELAY - 1, told=now + HOUR, now=now))
 
 
 class Budgets(unittest.TestCase):
