--- a/spurdeal/fleet/station.py
+++ b/spurdeal/fleet/station.py
@@ -134,7 +134,7 @@
         self.inner, self.adapter.guard = self.adapter.guard, self
         self.service.names.on_list = self.listed
         self.service.names.on_unchanged = self.same
-        self.service.names.numbers_shared = True
+        self.service.names.peers_share_lists = True
         self.service.clients.fleet = lambda: self.fleet.status(self.monotonic())
         self.act_on(self.service.names.number, self.service.endpoints, "start")
         host, port = self.plan.fleet.listen
@@ -204,7 +204,7 @@
         }
         names = self.service.names
         names.take_known(KnownList(max(names.number, version.number), endpoints))
-        names.is_brought = True
+        names.is_from_peer = True
         self.counters.add("lists_from_peers")
         self.acted_on("peer")
         self.adapter.apply_list(endpoints)
--- a/spurdeal/net/discovery_socket.py
+++ b/spurdeal/net/discovery_socket.py
@@ -47,7 +47,7 @@
         self.reopening: Any = None  # the delayed call
         self.closed = False
         names.on_closed = self.ended
-        names.before_asking = self.renew_in_time
+        names.before_query = self.renew_in_time
 
     def open(self) -> None:
         """Open the socket; where the system cannot, it is tried again soon."""
@@ -93,7 +93,7 @@
     def note_ended(self) -> None:
         """Count and log it."""
         self.counters.add("names_socket_ended")
-        figures = {"unheard_ms": self.names.unheard() * 1000}
+        figures = {"unheard_ms": self.names.silent_for() * 1000}
         self.log.warning("discovery_socket_ended", extra={"figures": figures})
 
     def renew_in_time(self) -> None:
@@ -126,7 +126,7 @@
         self.earlier.append(earlier)
         self.port = opened
         self.counters.add("names_ports_renewed")
-        figures = {"unheard_ms": self.names.unheard() * 1000, "open": len(self.earlier) + 1}
+        figures = {"unheard_ms": self.names.silent_for() * 1000, "open": len(self.earlier) + 1}
         self.log.warning("discovery_port_renewed", extra={"figures": figures})
 
     def earlier_ended(self, earlier: EarlierPort) -> None:
@@ -147,7 +147,7 @@
     def close(self) -> None:
         """A planned end: no question follows, and nothing is opened again."""
         self.closed = True
-        self.names.cancel_question()
+        self.names.cancel_query()
         if self.reopening is not None and self.reopening.active():
             self.reopening.cancel()
 
@@ -164,8 +164,8 @@
                 self.counters.add("discovery_reopened_by_look")
                 self.open()
             return
-        self.names.ask_on()
-        if self.names.unheard() > UNHEARD:
+        self.names.ensure_querying()
+        if self.names.silent_for() > UNHEARD:
             self.read_unasked(self.port)
 
     def read_unasked(self, port: Any) -> None:
--- a/spurdeal/net/link.py
+++ b/spurdeal/net/link.py
@@ -19,7 +19,7 @@
 from .engine_index import EngineIndex
 from .engine_list import Endpoint
 from .engines import Engines
-from .names import Asked
+from .names import SentQuery
 from .ordered import OrderedArrivals
 from .request_log import RequestLog
 from .requests import EarlyWithdrawals, Guard, OpenRequest, Sender, at_most_once
@@ -194,10 +194,10 @@
         """The list of the start was read at that time, and tells all until then."""
         self.rules.list_known(at)
 
-    def list_asked(self, seconds_ago: float) -> Asked:
+    def list_asked(self, seconds_ago: float) -> SentQuery:
         """A question for the list has left."""
         left_at = self.clock() - seconds_ago * 1000
-        return Asked(left_at, self.rules.list_asked(left_at))
+        return SentQuery(left_at, self.rules.list_asked(left_at))
 
     def list_moved(self) -> None:
         """Another name service is asked from now on."""
--- a/spurdeal/net/names.py
+++ b/spurdeal/net/names.py
@@ -27,7 +27,7 @@
 MISSED_LOGGED = 2  # questions in a row without an answer from which on the next answer tells of them
 
 
-class Asked(NamedTuple):
+class SentQuery(NamedTuple):
     """What is decided on a question that has left.
 
     Attributes:
@@ -48,7 +48,7 @@
         address: Whom it was sent to.
     """
 
-    asked: Asked
+    asked: SentQuery
     left_at: float
     address: Address
 
@@ -92,34 +92,34 @@
     ) -> None:
         self.reactor, self.address, self.on_list = reactor, address, on_list
         self.agreement = Agreement.of(known.number, known.endpoints)
-        self.numbers_shared = self.is_brought = False
+        self.peers_share_lists = self.is_from_peer = False
         self.last_read: ReadAnswer | None = None
         self.counters, self.log = counters, log
         # Not from 0 at each start: an answer to a predecessor at the same port would count as ours.
-        self.question_id = secrets.randbelow(IDENTS)
-        self.open_questions = dict[int, Question]()
+        self.query_id = secrets.randbelow(IDENTS)
+        self.open_queries = dict[int, Question]()
         self.missed = 0  # questions that have left since the one that was answered last
         self.next_question: Any = None  # the delayed call
         self.on_confirmed: Callable[[], None] = lambda: None
         self.on_unchanged: Callable[[dict[str, Endpoint]], None] | None = None
         self.on_closed: Callable[[], None] = lambda: None
-        self.before_asking: Callable[[], None] = lambda: None
-        self.on_asked: Callable[[float], Asked] = lambda _: Asked(0.0, 0.0)
-        self.on_answered: Callable[[float, Verdict], bool] = lambda _at, _verdict: False
+        self.before_query: Callable[[], None] = lambda: None
+        self.on_query_sent: Callable[[float], SentQuery] = lambda _: SentQuery(0.0, 0.0)
+        self.on_response: Callable[[float, Verdict], bool] = lambda _at, _verdict: False
         self.answered_at = float("-inf")
-        self.heard_or_began = reactor.seconds()  # since when silence counts
+        self.silent_since = reactor.seconds()  # since when silence counts
         self.silent = False
         self.unsent = 0  # questions in a row
 
     def startProtocol(self) -> None:
-        self.ask()
+        self.send_query()
 
     def stopProtocol(self) -> None:
         """Its socket has ended: an error on reading ends it for good."""
-        self.cancel_question()
+        self.cancel_query()
         self.on_closed()
 
-    def cancel_question(self) -> None:
+    def cancel_query(self) -> None:
         """Asks no more, until it is told to."""
         if self.next_question is not None and self.next_question.active():
             self.next_question.cancel()
@@ -128,19 +128,19 @@
     def move(self, address: Address) -> None:
         """The name service is elsewhere now; the numbers of its events go on."""
         self.address = address
-        self.cancel_question()
+        self.cancel_query()
         if self.transport is not None:
-            self.ask()
+            self.send_query()
 
-    def ask(self) -> None:
+    def send_query(self) -> None:
         """Sends the next question. It is repeated soon where no answer comes."""
-        self.question_id = (self.question_id + 1) % IDENTS
-        self.next_question = self.reactor.callLater(ASK_EVERY, self.ask)
+        self.query_id = (self.query_id + 1) % IDENTS
+        self.next_question = self.reactor.callLater(ASK_EVERY, self.send_query)
         self.watch_silence()
-        self.before_asking()
+        self.before_query()
         try:
             # Not by the transport's own write, which passes over some errors in silence.
-            question = dns.question(self.question_id, SERVICE, dns.SRV)
+            question = dns.question(self.query_id, SERVICE, dns.SRV)
             left_at = self.reactor.seconds()
             self.transport.getHandle().sendto(question, self.address)
         except OSError as fault:
@@ -150,14 +150,14 @@
         self.counters.add("names_asked")
         self.unsent = 0
         self.missed += 1
-        asked = self.on_asked(self.reactor.seconds() - left_at)
-        self.await_answer(self.question_id, Question(asked, left_at, self.address))
+        asked = self.on_query_sent(self.reactor.seconds() - left_at)
+        self.await_answer(self.query_id, Question(asked, left_at, self.address))
 
     def await_answer(self, ident: int, question: Question) -> None:
         """A question has left: its answer is taken, or it is repeated."""
-        self.open_questions[ident] = question
-        if len(self.open_questions) > MAX_OPEN_QUERIES:
-            del self.open_questions[next(iter(self.open_questions))]
+        self.open_queries[ident] = question
+        if len(self.open_queries) > MAX_OPEN_QUERIES:
+            del self.open_queries[next(iter(self.open_queries))]
         if question.asked.retransmit_after > 0.0:  # else nobody decides on it
             self.next_question.reset(question.asked.retransmit_after / 1000)
 
@@ -167,15 +167,15 @@
             passed = self.reactor.seconds() - answered.left_at
             self.next_question.reset(max(REST, ASK_EVERY - passed))
 
-    def ask_on(self) -> None:
+    def ensure_querying(self) -> None:
         """Ask, unless the next question is due at some time anyway."""
         if self.next_question is None or not self.next_question.active():
             self.counters.add("names_asked_on")
-            self.ask()
+            self.send_query()
 
-    def unheard(self) -> float:
+    def silent_for(self) -> float:
         """For how many seconds no answer has come."""
-        silence: float = self.reactor.seconds() - self.heard_or_began
+        silence: float = self.reactor.seconds() - self.silent_since
         return silence
 
     def not_sent(self, fault: OSError) -> None:
@@ -188,7 +188,7 @@
 
     def watch_silence(self) -> None:
         """Tells, once, that the list in force may be out of date."""
-        silence = self.unheard()
+        silence = self.silent_for()
         if silence > SILENT_AFTER:
             self.counters.most("names_longest_silence_ms", silence * 1000)
         if silence > SILENT_AFTER and not self.silent:
@@ -200,20 +200,20 @@
         now = self.reactor.seconds()
         self.counters.most("names_longest_answer_ms", (now - question.left_at) * 1000)
         self.note_missed(now)
-        silence, self.answered_at = now - self.heard_or_began, now
-        self.heard_or_began = now
+        silence, self.answered_at = now - self.silent_since, now
+        self.silent_since = now
         if self.silent:
             self.silent = False
             self.tell("discovery_answers_again", silence)
 
     def note_missed(self, now: float) -> None:
         """Tells of questions that nobody answered before this answer came."""
-        open_now = len(self.open_questions)  # this one is out already
+        open_now = len(self.open_queries)  # this one is out already
         missed, self.missed = self.missed - 1, 0
         if missed > 0:
             self.counters.add("names_unanswered", missed)
         if missed >= MISSED_LOGGED:
-            figures = {"questions": missed, "for_ms": (now - self.heard_or_began) * 1000, "open": open_now}
+            figures = {"questions": missed, "for_ms": (now - self.silent_since) * 1000, "open": open_now}
             self.log.warning("discovery_answers_missed", extra={"figures": figures})
 
     def tell(self, event: str, silence: float) -> None:
@@ -261,7 +261,7 @@
         self.log.warning("list_contradicted", extra={"figures": figures})
 
     def datagramReceived(self, datagram: bytes, address: tuple[str, int]) -> None:
-        question = self.open_questions.get(int.from_bytes(datagram[:IDENT_SIZE], "big"))
+        question = self.open_queries.get(int.from_bytes(datagram[:IDENT_SIZE], "big"))
         if question is None or address[:2] != question.address:
             self.counters.add("names_foreign")
             self.counters.add("names_foreign_address", question is not None)
@@ -285,9 +285,9 @@
             return
         self.counters.add("names_answered")
         self.heard(question)
-        if ident == self.question_id:
+        if ident == self.query_id:
             self.ask_in_time(question)
-        if self.numbers_shared:
+        if self.peers_share_lists:
             self.take_shared(answer, question)
         else:
             self.take_list(answer, question)
@@ -305,7 +305,7 @@
             answer = dns.read_answer(datagram, ident, SERVICE, dns.SRV)
             if answer is None:
                 return None
-            del self.open_questions[ident]
+            del self.open_queries[ident]
             serial, services, addresses, texts = answer
             if serial is None:
                 raise dns.BadDatagram("no serial")
@@ -313,7 +313,7 @@
                 body, KnownList(serial, answered_endpoints(services, addresses, texts))
             )
         else:
-            del self.open_questions[ident]
+            del self.open_queries[ident]
         return self.last_read.told
 
     def take_shared(self, told: KnownList, question: Question) -> None:
@@ -326,15 +326,15 @@
         if told.number > self.number:
             verdict = Verdict.NEWER
             self.put_in_force(Agreement.of(told.number, told.endpoints), question)
-            self.is_brought = False
+            self.is_from_peer = False
         elif told.number == self.number:
             self.on_confirmed()
             if self.on_unchanged is not None:
                 self.on_unchanged(told.endpoints)
-        elif not self.is_brought:
+        elif not self.is_from_peer:
             self.note_contradiction(told.number, question)
             return
-        self.ask_soon(self.on_answered(question.asked.at, verdict))
+        self.ask_soon(self.on_response(question.asked.at, verdict))
 
     def take_list(self, told: KnownList, question: Question) -> None:
         """Puts a list in force, or counts the answer for or against the one that is."""
@@ -348,7 +348,7 @@
         self.agreement = found.agreement
         if found.verdict is Verdict.CONFIRMED:
             self.on_confirmed()
-        is_missed = found.covers_serving and self.on_answered(question.asked.at, found.verdict)
+        is_missed = found.covers_serving and self.on_response(question.asked.at, found.verdict)
         self.ask_soon(is_missed or found.query_soon)
 
     def ask_soon(self, wanted: bool) -> None:
--- a/spurdeal/net/port_renewal.py
+++ b/spurdeal/net/port_renewal.py
@@ -8,23 +8,23 @@
 
 from typing import Protocol
 
-RENEW_AFTER = 0.3  # seconds without an answer; the first distance of two renewals as well
-RENEW_MOST = 5.0  # seconds between two renewals at most
-MISSED_LEAST = 3  # questions without an answer; a process that stood still has asked none
+INITIAL_RENEWAL_INTERVAL = 0.3  # seconds without an answer; the first distance of two renewals as well
+MAX_RENEWAL_INTERVAL = 5.0  # seconds between two renewals at most
+MIN_UNANSWERED = 3  # questions without an answer; a process that stood still has asked none
 
 
 class Silence(Protocol):
     """What the name service has left unanswered."""
 
     @property
-    def heard_or_began(self) -> float:
+    def silent_since(self) -> float:
         """When it answered last, in the reactor's seconds."""
 
     @property
     def missed(self) -> int:
         """How many questions have left since."""
 
-    def unheard(self) -> float:
+    def silent_for(self) -> float:
         """For how many seconds no answer has come."""
 
 
@@ -43,16 +43,16 @@
 
     def begin(self) -> None:
         """A new silence."""
-        self.heard_at = self.silence.heard_or_began
-        self.due = self.distance = RENEW_AFTER
+        self.heard_at = self.silence.silent_since
+        self.due = self.distance = INITIAL_RENEWAL_INTERVAL
 
     def is_due(self) -> bool:
         """Whether another port is to be opened now."""
-        if self.silence.heard_or_began != self.heard_at:
+        if self.silence.silent_since != self.heard_at:
             self.begin()
-        return self.silence.missed >= MISSED_LEAST and self.silence.unheard() >= self.due
+        return self.silence.missed >= MIN_UNANSWERED and self.silence.silent_for() >= self.due
 
     def renewed(self) -> None:
         """Another port was opened, or could not be."""
-        self.distance = min(RENEW_MOST, 2 * self.distance)
-        self.due = self.silence.unheard() + self.distance
+        self.distance = min(MAX_RENEWAL_INTERVAL, 2 * self.distance)
+        self.due = self.silence.silent_for() + self.distance
--- a/spurdeal/net/service.py
+++ b/spurdeal/net/service.py
@@ -86,8 +86,8 @@
             log,
         )
         self.names.on_confirmed = self.adapter.list_confirmed
-        self.names.on_asked = self.adapter.list_asked
-        self.names.on_answered = self.adapter.list_answered
+        self.names.on_query_sent = self.adapter.list_asked
+        self.names.on_response = self.adapter.list_answered
         self.discovery = DiscoverySocket(self.names, reactor, configuration.host, self.counters, log)
         self.endpoints = configuration.known.endpoints
         self.wall_clock = WallClockWatch(wall_clock, monotonic_ms, self.counters, log)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -767,7 +767,7 @@
 
     def test_idents_begin_again_and_an_answer_to_a_forgotten_one_is_foreign(self) -> None:
         world = World(self)
-        world.service.names.question_id = 0xFFFF
+        world.service.names.query_id = 0xFFFF
         old = world.names[-1]
         endpoint = ("s-7.east.hosts", "127.0.9.7:7001", 0, "kind=std cell=0 started=0")
         world.list(2, endpoint)
--- a/tests/test_discovery_log.py
+++ b/tests/test_discovery_log.py
@@ -27,8 +27,8 @@
         world = World(self)
         world.list(2, ENDPOINT)
         before, world.names_silent = world.count("names_unanswered"), True
-        world.service.names.ask()
-        world.service.names.ask()
+        world.service.names.send_query()
+        world.service.names.send_query()
         with self.assertNoLogs(world.service.log, logging.WARNING):
             world.answer(3, ENDPOINT)
         self.assertEqual(world.count("names_unanswered") - before, 1)
--- a/tests/test_port_renewal.py
+++ b/tests/test_port_renewal.py
@@ -11,7 +11,12 @@
 from typing import Any
 
 from spurdeal.lab import names
-from spurdeal.net.port_renewal import MISSED_LEAST, RENEW_AFTER, RENEW_MOST, PortRenewal
+from spurdeal.net.port_renewal import (
+    INITIAL_RENEWAL_INTERVAL,
+    MAX_RENEWAL_INTERVAL,
+    MIN_UNANSWERED,
+    PortRenewal,
+)
 from tests.helpers import Caller, World
 from tests.processes import Addresses, counters_at_exit
 from tests.scripted_names import Answering, ScriptedNameService, Step
@@ -51,11 +56,11 @@
     """A name service that has answered last at that time."""
 
     def __init__(self) -> None:
-        self.now = self.heard_or_began = 0.0
+        self.now = self.silent_since = 0.0
         self.missed = 0
 
-    def unheard(self) -> float:
-        return self.now - self.heard_or_began
+    def silent_for(self) -> float:
+        return self.now - self.silent_since
 
 
 class Distances(unittest.TestCase):
@@ -75,29 +80,31 @@
     def test_distances_double_up_to_a_limit(self) -> None:
         renewals = self.renewals(60.0, Silence())
         distances = [after - before for before, after in pairwise(renewals)]
-        self.assertAlmostEqual(renewals[0], RENEW_AFTER)
-        for distance, expected in zip(distances, (0.6, 1.2, 2.4, 4.8, *[RENEW_MOST] * 10), strict=True):
+        self.assertAlmostEqual(renewals[0], INITIAL_RENEWAL_INTERVAL)
+        for distance, expected in zip(
+            distances, (0.6, 1.2, 2.4, 4.8, *[MAX_RENEWAL_INTERVAL] * 10), strict=True
+        ):
             self.assertAlmostEqual(distance, expected, delta=0.11)
 
     def test_an_answer_begins_anew(self) -> None:
         silence = Silence()
         renewal = PortRenewal(silence)
         for now in (0.4, 1.1, 2.5):
-            silence.now, silence.missed = now, MISSED_LEAST
+            silence.now, silence.missed = now, MIN_UNANSWERED
             self.assertTrue(renewal.is_due())
             renewal.renewed()
-        silence.heard_or_began = 3.0
-        silence.now = 3.0 + RENEW_AFTER - 0.01
+        silence.silent_since = 3.0
+        silence.now = 3.0 + INITIAL_RENEWAL_INTERVAL - 0.01
         self.assertFalse(renewal.is_due())
-        silence.now = 3.0 + RENEW_AFTER + 0.01
+        silence.now = 3.0 + INITIAL_RENEWAL_INTERVAL + 0.01
         self.assertTrue(renewal.is_due())
 
     def test_a_process_that_stood_still_keeps_its_port(self) -> None:
         silence = Silence()
         renewal = PortRenewal(silence)
-        silence.now, silence.missed = 5.0, MISSED_LEAST - 1
+        silence.now, silence.missed = 5.0, MIN_UNANSWERED - 1
         self.assertFalse(renewal.is_due())
-        silence.missed = MISSED_LEAST
+        silence.missed = MIN_UNANSWERED
         self.assertTrue(renewal.is_due())
 
 
--- a/tests/test_review_findings.py
+++ b/tests/test_review_findings.py
@@ -158,7 +158,7 @@
     """Peers tell lists too."""
 
     def test_a_number_that_is_too_high_hides_no_drain(self) -> None:
-        self.world.service.names.numbers_shared = True
+        self.world.service.names.peers_share_lists = True
         self.settle()
         self.next_question()
         self.told(1000, ALL_READY, -1)
--- a/tests/test_system_faults.py
+++ b/tests/test_system_faults.py
@@ -194,7 +194,7 @@
 
     def test_questions_that_stopped_are_brought_on_again(self) -> None:
         world = World(self)
-        world.service.names.cancel_question()
+        world.service.names.cancel_query()
         asked = world.count("names_asked")
         world.go(1000)
         self.assertGreaterEqual(world.count("names_asked"), asked + 4)
