--- a/spurdeal/list_agreement.py
+++ b/spurdeal/list_agreement.py
@@ -61,7 +61,7 @@
     """
 
     number: int
-    told: Mapping[str, Endpoint]
+    reported: Mapping[str, Endpoint]
     in_force: Mapping[str, Endpoint]
     confirmed_at: float = float("-inf")
     withheld: Mapping[str, float] = field(default_factory=dict)
@@ -92,7 +92,7 @@
     before: Agreement[Endpoint], number: int, endpoints: Mapping[str, Endpoint], asked_at: float, now: float
 ) -> Assessment[Endpoint]:
     """What the answer to the question that left at `asked_at` leads to. Times are in ms."""
-    is_same = number == before.number and alike(endpoints, before.told)
+    is_same = number == before.number and alike(endpoints, before.reported)
     if is_same:
         return confirmed(before, endpoints, asked_at)
     if number > before.number or (number == before.number and asked_at >= before.confirmed_at):
@@ -185,8 +185,8 @@
 
 def is_reported_again(before: Agreement[Endpoint], ident: str, endpoint: Endpoint, asked_at: float) -> bool:
     """Whether an engine that waits for requests was told alike to an earlier question."""
-    since, told = before.withheld.get(ident), before.told.get(ident)
-    return since is not None and asked_at > since and told is not None and same_use(told, endpoint)
+    since, reported = before.withheld.get(ident), before.reported.get(ident)
+    return since is not None and asked_at > since and reported is not None and same_use(reported, endpoint)
 
 
 def draining(endpoint: Endpoint) -> Endpoint:
