--- a/spurdeal/list_agreement.py
+++ b/spurdeal/list_agreement.py
@@ -1,12 +1,12 @@
-"""Which list of engines is in force, by the numbers and the contents of the answers. Free of I/O.
-
-A number alone says little: it begins anew with each start of a dispatcher, and an answer may come from a
-replica that lags, from before a restart, or spoilt. So what an answer tells is weighed by what it changes.
-Whatever its number, an engine that it tells to drain gets no more requests at once. An engine that is to get
-requests for the first time gets them once a later question was answered alike, and one that had drained once
-RETURN_HOLD has passed besides. A list with a lower number than the one in force confirms that one only as far
-as it tells the engines that get requests; RENUMBERED_AFTER such answers in a row show that the number in
-force was wrong, and the lower one is taken.
+"""Which list of engines is in force, by the serial numbers and contents of the responses. Free of I/O.
+
+A serial number alone is not reliable: numbering restarts with each start of a dispatcher, and a response may
+come from a lagging replica, from before a restart, or be corrupt. So a response is judged by what it changes.
+An engine that it lists as draining gets no more requests at once, whatever the number. An engine that is to
+get requests for the first time gets them once the response to a later query agrees, and one that has drained
+only after RETURN_HOLD as well. A list with a lower number than the one in force confirms that one only as far
+as it contains the engines that get requests; RENUMBERED_AFTER such responses in a row show that the number in
+force was wrong, and the lower one is adopted.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 
 from .interface import Life, Verdict
 
-RENUMBERED_AFTER = 3  # answers in a row
-RETURN_HOLD = 1500.0  # ms; by the protocol no answer lags for longer
+RENUMBERED_AFTER = 3  # consecutive responses with a lower number
+RETURN_HOLD = 1500.0  # ms; by the protocol no response lags for longer
 
 
 class Entry(Protocol):
@@ -26,11 +26,11 @@
 
     @property
     def host(self) -> str:
-        """Where it listens."""
+        """The IP address on which it listens."""
 
     @property
     def port(self) -> int:
-        """Where it listens."""
+        """The port on which it listens."""
 
     @property
     def life(self) -> Life:
@@ -38,7 +38,7 @@
 
     @property
     def started(self) -> float:
-        """When it was started, in Unix ms; 0 for long ago."""
+        """Start time in Unix ms; 0 if long ago."""
 
     def _replace(self, *, life: Life) -> Self: ...
 
@@ -48,16 +48,16 @@
 
 @dataclass(frozen=True)
 class Agreement(Generic[Endpoint]):
-    """The list in force, and what is known for and against it.
+    """The list in force, and the responses that confirm or contradict it.
 
     Attributes:
-        number: Its number.
-        told: As it was told last.
-        in_force: The same, but for the engines that are withheld.
-        confirmed_at: When the question left whose answer last told it, in ms.
-        withheld: The engines that wait for requests, or to be forgotten, and after when a question must have
-            left, to be answered alike.
-        contradictions: Answers in a row with a lower number.
+        number: Its serial number.
+        reported: The list as the name server reported it last.
+        in_force: The list by which requests are sent: `reported` without the changes that are withheld.
+        confirmed_at: When the query was sent whose response reported the list last, in ms.
+        withheld: The engines that may not get requests yet, or not be removed yet, and the time after which a
+            query must be sent whose response agrees.
+        contradictions: Consecutive responses with a lower number.
     """
 
     number: int
@@ -69,17 +69,19 @@
 
     @classmethod
     def of(cls, number: int, endpoints: Mapping[str, Endpoint]) -> Agreement[Endpoint]:
-        """That of a list which is in force as a whole."""
+        """Returns the agreement on a list that is in force as a whole."""
         return cls(number, endpoints, endpoints)
 
 
 @dataclass(frozen=True)
 class Assessment(Generic[Endpoint]):
-    """What an answer leads to.
+    """The result of one response.
 
     Attributes:
-        is_settled: Whether it has told the state of each engine that gets requests.
-        ask_again: Whether the next question is to leave soon, as one more answer settles something.
+        verdict: How the response relates to the list in force.
+        agreement: The list in force after the response.
+        covers_serving: Whether the response contains each engine that gets requests.
+        query_soon: Whether to send the next query early, as one more response lets a change take effect.
     """
 
     verdict: Verdict
@@ -91,8 +93,8 @@
 def assess(
     before: Agreement[Endpoint], number: int, endpoints: Mapping[str, Endpoint], asked_at: float, now: float
 ) -> Assessment[Endpoint]:
-    """What the answer to the question that left at `asked_at` leads to. Times are in ms."""
-    is_same = number == before.number and alike(endpoints, before.reported)
+    """Assesses the response to the query sent at `asked_at`. Times are in ms."""
+    is_same = number == before.number and lists_match(endpoints, before.reported)
     if is_same:
         return confirmed(before, endpoints, asked_at)
     if number > before.number or (number == before.number and asked_at >= before.confirmed_at):
@@ -103,7 +105,7 @@
 def confirmed(
     before: Agreement[Endpoint], endpoints: Mapping[str, Endpoint], asked_at: float
 ) -> Assessment[Endpoint]:
-    """The list in force was told again: engines that have waited for that are withheld no more."""
+    """Handles a response with the list in force: releases the engines that were withheld until then."""
     in_force, withheld = before.in_force, before.withheld
     if released := [ident for ident, since in withheld.items() if asked_at > since]:
         in_force = dict(in_force)
@@ -121,7 +123,7 @@
 def newer(
     before: Agreement[Endpoint], number: int, endpoints: Mapping[str, Endpoint], asked_at: float, now: float
 ) -> Assessment[Endpoint]:
-    """Another list was told: what it takes away is in force at once."""
+    """Handles a response with a newer list: removals and drains take effect at once."""
     in_force, withheld = dict[str, Endpoint](), dict[str, float]()
     for ident, endpoint in endpoints.items():
         is_proven = gets_requests(before, ident) or is_reported_again(before, ident, endpoint, asked_at)
@@ -139,13 +141,13 @@
 def older(
     before: Agreement[Endpoint], number: int, endpoints: Mapping[str, Endpoint], asked_at: float, now: float
 ) -> Assessment[Endpoint]:
-    """An older list was told, or the number in force is wrong: what drains there gets no more requests."""
+    """Handles a response with a lower number: engines that drain in it get no more requests."""
     serving = [ident for ident in before.in_force if gets_requests(before, ident)]
-    ended = [ident for ident in serving if ident in endpoints and endpoints[ident].life != Life.READY]
+    drained = [ident for ident in serving if ident in endpoints and endpoints[ident].life != Life.READY]
     after = before
-    if ended:
-        in_force = {**before.in_force, **{ident: draining(before.in_force[ident]) for ident in ended}}
-        withheld = {**before.withheld, **dict.fromkeys(ended, now + RETURN_HOLD)}
+    if drained:
+        in_force = {**before.in_force, **{ident: draining(before.in_force[ident]) for ident in drained}}
+        withheld = {**before.withheld, **dict.fromkeys(drained, now + RETURN_HOLD)}
         after = replace(before, in_force=in_force, withheld=withheld)
     covers_serving = all(ident in endpoints for ident in serving)
     if asked_at < before.confirmed_at:
@@ -159,8 +161,8 @@
 def renumbered(
     before: Agreement[Endpoint], number: int, endpoints: Mapping[str, Endpoint], asked_at: float, now: float
 ) -> Assessment[Endpoint]:
-    """The number in force was wrong: what a list of a lower number adds or lacks waits for RETURN_HOLD."""
-    lacking = {
+    """Adopts a list with a lower number; its additions and removals take effect after RETURN_HOLD."""
+    missing = {
         ident: draining(endpoint) for ident, endpoint in before.in_force.items() if ident not in endpoints
     }
     joining = [
@@ -168,34 +170,34 @@
         for ident, endpoint in endpoints.items()
         if endpoint.life == Life.READY and not gets_requests(before, ident)
     ]
-    in_force = lacking | {
+    in_force = missing | {
         ident: draining(endpoint) if ident in joining else endpoint
         for ident, endpoint in endpoints.items()
         if ident not in joining or ident in before.in_force
     }
-    withheld = dict.fromkeys([*joining, *lacking], now + RETURN_HOLD)
+    withheld = dict.fromkeys([*joining, *missing], now + RETURN_HOLD)
     return Assessment(Verdict.NEWER, Agreement(number, endpoints, in_force, before.confirmed_at, withheld))
 
 
 def gets_requests(agreement: Agreement[Endpoint], ident: str) -> bool:
-    """Whether an engine gets requests by the list in force."""
+    """Whether the list in force lets an engine get requests."""
     known = agreement.in_force.get(ident)
     return known is not None and known.life == Life.READY
 
 
 def is_reported_again(before: Agreement[Endpoint], ident: str, endpoint: Endpoint, asked_at: float) -> bool:
-    """Whether an engine that waits for requests was told alike to an earlier question."""
+    """Whether the response to an earlier query already reported a withheld engine alike."""
     since, reported = before.withheld.get(ident), before.reported.get(ident)
     return since is not None and asked_at > since and reported is not None and same_use(reported, endpoint)
 
 
 def draining(endpoint: Endpoint) -> Endpoint:
-    """The same engine, which gets no requests any more."""
+    """Returns the entry with the engine draining."""
     return endpoint._replace(life=Life.DRAINING)
 
 
-def alike(one: Mapping[str, Endpoint], other: Mapping[str, Endpoint]) -> bool:
-    """Whether two lists tell the same of where to send requests; weights may differ."""
+def lists_match(one: Mapping[str, Endpoint], other: Mapping[str, Endpoint]) -> bool:
+    """Whether two lists agree on where to send requests; weights may differ."""
     if one is other:
         return True
     return one.keys() == other.keys() and all(
@@ -204,5 +206,5 @@
 
 
 def same_use(one: Entry, other: Entry) -> bool:
-    """Whether two entries of an engine tell the same process, in the same state."""
+    """Whether two entries of an engine mean the same process in the same state."""
     return (one.host, one.port, one.life, one.started) == (other.host, other.port, other.life, other.started)
--- a/spurdeal/list_freshness.py
+++ b/spurdeal/list_freshness.py
@@ -1,12 +1,12 @@
-"""Whether requests may be sent by the list of engines. Free of I/O.
-
-The list is held on a lease. A change counts as told as soon as an answer that holds it is sent, whether or
-not it arrives; and no answer is sent before its question has left. So requests may be sent while each
-question that left more than `patience` ago has had its own answer, and that told the list in force. Nothing
-else renews the lease: not silence, not an answer that cannot be used, nor one that tells an older list. A
-question that stays without an answer is settled by ROW answers in a row to later questions, which tell the
-same list: a single one may come from a replica that lags. Where no question leaves, the lease ends
-UNASKED_MOST behind the one that was answered last.
+"""The lease on the list of engines: whether requests may be sent by it. Free of I/O.
+
+A change counts as announced as soon as a response that holds it is sent, whether or not that response
+arrives; and no response is sent before its query. So requests may be sent while each query that was sent more
+than the response timeout ago has received its own response, and that response held the list in force. Nothing
+else renews the lease: not silence, not an unusable response, nor one with an older list. A query without a
+response is settled by SETTLING_RESPONSES consecutive responses to later queries that hold the same list: a
+single one may come from a lagging replica. While no query can be sent, the lease ends MAX_QUERY_GAP after the
+query that was answered last.
 """
 
 from __future__ import annotations
@@ -18,21 +18,20 @@
 from .answer_times import AnswerTimes
 from .interface import Verdict
 
-PROPAGATION_LIMIT = 1500.0  # ms, by the protocol
-QUERY_GAP_SHARE = 2 / 3  # of that; the rest is for the distance between two questions, and the way
+PROPAGATION_LIMIT = 1500.0  # ms after which a change counts as announced at the latest, by the protocol
+QUERY_GAP_SHARE = 2 / 3  # of PROPAGATION_LIMIT; the rest covers the query interval and the network delay
 MAX_QUERY_GAP = QUERY_GAP_SHARE * PROPAGATION_LIMIT
-RESPONSE_TIMEOUT_SHARE = 0.5  # of the drain's grace
-MIN_RESPONSE_TIMEOUT = 100.0  # ms; a loop at rest polls each 50
-MAX_CONFIGURATION_AGE = 1000.0  # ms from the writing of a start's configuration to its reading, at most
-INITIAL_LEASE = (
-    PROPAGATION_LIMIT - MAX_CONFIGURATION_AGE
-)  # ms from its reading until the first question has to leave
-SETTLING_RESPONSES = 6  # answers in a row that tell the list in force, after a question without one
-MAX_OPEN_QUERIES = 64  # questions of which the time is kept
+RESPONSE_TIMEOUT_SHARE = 0.5  # of the drain grace
+MIN_RESPONSE_TIMEOUT = 100.0  # ms; an idle event loop polls every 50 ms
+MAX_CONFIGURATION_AGE = 1000.0  # ms between writing and reading the configuration at startup, at most
+# ms from reading the configuration until the first query has to be sent
+INITIAL_LEASE = PROPAGATION_LIMIT - MAX_CONFIGURATION_AGE
+SETTLING_RESPONSES = 6  # consecutive responses with the list in force that settle an unanswered query
+MAX_OPEN_QUERIES = 64  # unanswered queries whose send time is kept
 
 
 class StaleReason(StrEnum):
-    """Why the list is not followed."""
+    """Why the list may not be followed."""
 
     UNASKED = "no question has left"
     UNPOLLED = "sockets were not looked at"
@@ -43,19 +42,21 @@
     """The lease on the list in force. Times are in ms.
 
     Attributes:
-        confirmed_at: When the question left whose answer last told the list in force, or the list of the
-            start was read; None where the list does not come by questions.
-        open_since: When the questions left that have no answer of their own; the oldest first.
-        unanswered: How many questions have left since the latest answer.
-        row_since, row_length: When the first question of the latest answers in a row left, and how many these
-            are.
-        settled_from: When a question must have left at least, for its answer to settle earlier ones.
-        answer_times: How long answers take.
-        polled_at: Tells when sockets were looked at last, where that is known.
+        is_enabled: Whether the settings define a drain grace; without one the list may always be followed.
+        timeout: The response timeout: how long a query may stay unanswered.
+        confirmed_at: When the query was sent whose response confirmed the list last. At startup it is set so
+            that the lease ends INITIAL_LEASE after reading; None if no name server provides the list.
+        unanswered_since: Send times of the queries without a response of their own, oldest first.
+        unanswered: Number of queries sent since the latest response.
+        run_start: When the first query of the current run of consecutive responses was sent.
+        run_length: Number of responses in this run.
+        settles_from: Responses to queries sent before this time do not settle earlier queries.
+        answer_times: The latest response times.
+        polled_at: Returns when the sockets were polled last, where that is known.
     """
 
     def __init__(self, drain_grace: float) -> None:
-        self.is_enabled = drain_grace > 0.0  # else the settings name no such rule
+        self.is_enabled = drain_grace > 0.0
         self.timeout = max(MIN_RESPONSE_TIMEOUT, RESPONSE_TIMEOUT_SHARE * drain_grace)
         self.confirmed_at: float | None = None
         self.unanswered_since = deque[float]()
@@ -66,62 +67,65 @@
         self.polled_at: Callable[[], float] | None = None
 
     def known(self, at: float) -> None:
-        """The list of the start was read; it may have been written some time before."""
+        """Records that the startup configuration was read; it may be up to MAX_CONFIGURATION_AGE old."""
         self.confirmed_at = at + INITIAL_LEASE - MAX_QUERY_GAP
 
     def asked(self, now: float) -> None:
-        """A question has left."""
+        """Records that a query was sent."""
         if self.confirmed_at is None:
             self.confirmed_at = now
         if len(self.unanswered_since) >= MAX_OPEN_QUERIES:
-            del self.unanswered_since[1]  # the oldest one begins the doubt, the later ones end it
+            # The oldest query decides when the lease ends, the latest ones when it is restored.
+            del self.unanswered_since[1]
         self.unanswered_since.append(now)
         self.unanswered += 1
 
     def moved(self) -> None:
-        """Another name service is asked from now on: it may lag behind what the one before it has told."""
+        """Records a change of the name server; the new one may lag behind the responses of the old one."""
         if self.unanswered_since:
             self.settles_from = self.unanswered_since[-1] + PROPAGATION_LIMIT
 
     def answered(self, now: float, asked_at: float, verdict: Verdict) -> None:
-        """The answer to the question that left at that time told each engine that gets requests."""
+        """Records a response that listed each engine in use, to the query sent at `asked_at`."""
         if self.confirmed_at is None or asked_at >= self.confirmed_at:
-            self.answer_times.measured(now - asked_at)
+            self.answer_times.record(now - asked_at)
             self.confirmed_at = asked_at
         if asked_at in self.unanswered_since:
             self.unanswered_since.remove(asked_at)
         self.unanswered = 0
         self.extend_run(asked_at, verdict)
         if asked_at >= self.settles_from and self.run_length >= SETTLING_RESPONSES:
-            self.unanswered_since = deque(left for left in self.unanswered_since if left > self.run_start)
+            self.unanswered_since = deque(
+                sent_at for sent_at in self.unanswered_since if sent_at > self.run_start
+            )
 
     def extend_run(self, asked_at: float, verdict: Verdict) -> None:
-        """One more answer; another list, or a question without an answer between them, ends the row."""
+        """Counts a response; another list, or an unanswered query in between, starts a new run."""
         if asked_at < self.run_start:
             return
-        missed = any(self.run_start < left < asked_at for left in self.unanswered_since)
+        has_gap = any(self.run_start < sent_at < asked_at for sent_at in self.unanswered_since)
         if verdict is Verdict.OLDER:
             self.run_start, self.run_length = asked_at, 0
-        elif self.run_length and verdict is Verdict.CONFIRMED and not missed:
+        elif self.run_length and verdict is Verdict.CONFIRMED and not has_gap:
             self.run_length += 1
         else:
             self.run_start, self.run_length = asked_at, 1
 
     def has_unsettled_query(self) -> bool:
-        """Whether a question has no answer, and a later one has: more answers are to settle it."""
+        """Whether an unanswered query precedes an answered one, so that further responses settle it."""
         oldest = self.unanswered_since[0] if self.unanswered_since else float("inf")
         return self.confirmed_at is not None and oldest < self.confirmed_at
 
     def stale_reason(self, now: float) -> StaleReason | None:
-        """Why requests may not be sent by the list; None where they may."""
+        """Why requests may not be sent by the list; None if they may."""
         if not self.is_enabled or self.confirmed_at is None:
             return None
-        next_asked_at = self.unanswered_since[0] if self.unanswered_since else now
-        if next_asked_at - self.confirmed_at > MAX_QUERY_GAP:
+        oldest_open_at = self.unanswered_since[0] if self.unanswered_since else now
+        if oldest_open_at - self.confirmed_at > MAX_QUERY_GAP:
             return StaleReason.UNASKED
         if self.polled_at is not None and now - self.polled_at() > self.timeout:
             return StaleReason.UNPOLLED
-        if now - next_asked_at > self.timeout:
+        if now - oldest_open_at > self.timeout:
             return StaleReason.UNANSWERED
         return None
 
@@ -130,5 +134,5 @@
         return self.stale_reason(now) is None
 
     def retransmit_after(self, chance: float) -> float:
-        """In how many ms the last question is to be repeated, if it has no answer; chance: 0 to 1."""
+        """Ms until the last query is retransmitted without a response; `chance` (0 to 1) sets the jitter."""
         return self.answer_times.retransmit_after(self.unanswered, chance)
--- a/spurdeal/slow_start.py
+++ b/spurdeal/slow_start.py
@@ -1,11 +1,12 @@
-"""When engines were started, on our own clock: since when slow start limits what they get. Free of I/O.
-
-The list tells starts in Unix ms of another machine. Our clock may be off from that, as the wall clock may
-have been stepped before this process began: with ours ahead, an engine that has just started would look warm.
-Ours is a steady clock, so what it is off by stays the same, and each list bounds it: no start lies in the
-future, so our clock is not further ahead than the latest start that is told lies in our past. A start counts
-as late as that allows, and not before the last list without it. Where both clocks are right, that makes it
-later than it was by the way of the news at most, or at our own start by the age of the latest one.
+"""Start times of engines on the dispatcher's clock, from which slow start is counted. Free of I/O.
+
+The list gives start times in Unix ms of another machine. The dispatcher's clock may differ from that one, as
+the wall clock may have been stepped before this process began. If it is ahead, an engine that has just
+started would look warm. The dispatcher's clock is monotonic, so the difference is constant, and each list
+bounds it: no start time lies in the future, so the clock is ahead by at most the age of the latest listed
+start. A start is taken to be as late as that bound allows, and not before the last list without it. With both
+clocks right, it is taken too late by at most the propagation delay, or at the dispatcher's own startup by the
+age of the latest listed start.
 """
 
 from __future__ import annotations
@@ -13,15 +14,18 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-MAX_PROPAGATION_DELAY = (
-    7000.0  # ms after which news of the list counts as told at the latest, by the protocol
-)
+MAX_PROPAGATION_DELAY = 7000.0  # ms after which a change counts as announced at the latest, by the protocol
 
 
 class Start(NamedTuple):
-    """A start as the list tells it, and since when it counts on our clock."""
+    """One start of an engine.
 
-    told: float
+    Attributes:
+        reported: Start time in the list, in Unix ms of another machine.
+        began: The same on the dispatcher's clock.
+    """
+
+    reported: float
     began: float
 
 
@@ -29,8 +33,9 @@
     """The starts of the engines in the list in force.
 
     Attributes:
-        current_at: When the list in force was last told to be the newest; None before the first.
-        most_ahead: By how much our clock may be ahead of the list's at most, in ms.
+        starts: By engine, its latest start.
+        current_at: When the list in force was last confirmed as the newest; None before the first list.
+        max_clock_lead: Upper bound of how far our clock is ahead of the list's clock, in ms.
     """
 
     def __init__(self) -> None:
@@ -39,41 +44,41 @@
         self.max_clock_lead = float("inf")
 
     def confirm(self, at: float) -> None:
-        """The name service has told, by now, no newer list than the one in force."""
+        """Records that the name server has no newer list than the one in force."""
         self.current_at = at
 
-    def listed(self, now: float, told: Mapping[str, float]) -> dict[str, float]:
-        """A list is put in force.
+    def listed(self, now: float, reported: Mapping[str, float]) -> dict[str, float]:
+        """Converts the start times of a list that comes into force.
 
         Args:
-            now: The time, on our clock in ms.
-            told: By engine, its start in Unix ms; 0 for long ago.
+            now: The time on our clock, in ms.
+            reported: By engine, its start in Unix ms; 0 if long ago.
 
         Returns:
-            By engine, its start on our clock; 0 for long ago.
+            By engine, its start on our clock; 0 if long ago.
         """
-        latest = max(told.values(), default=0.0)
+        latest = max(reported.values(), default=0.0)
         if latest:
             self.max_clock_lead = min(self.max_clock_lead, max(0.0, now - latest))
-        self.starts = {ident: self.start(ident, start, now) for ident, start in told.items()}
+        self.starts = {ident: self.start(ident, start, now) for ident, start in reported.items()}
         self.confirm(now)
         return {ident: start.began for ident, start in self.starts.items()}
 
-    def start(self, ident: str, told: float, now: float) -> Start:
-        """One engine's start: as it was taken when it was first told."""
+    def start(self, ident: str, reported: float, now: float) -> Start:
+        """Converts one start time; one that was listed before keeps its earlier result."""
         known = self.starts.get(ident)
-        if known is not None and known.told == told:
+        if known is not None and known.reported == reported:
             return known
-        if not told:
+        if not reported:
             return Start(0.0, 0.0)
         earliest = float("-inf") if self.current_at is None else self.current_at
-        return Start(told, min(now, max(told + self.max_clock_lead, earliest)))
+        return Start(reported, min(now, max(reported + self.max_clock_lead, earliest)))
 
 
-def leads_to_predecessor(opened: float, told: float, now: float) -> bool:
-    """Whether a connection was opened before its engine was started anew: its process is gone.
+def leads_to_predecessor(opened: float, started: float, now: float) -> bool:
+    """Whether a connection was opened before its engine restarted, so that its process is gone.
 
-    Where the start lies in our future, the clocks differ and its time says nothing; the news of it is no
-    older than NEWS_DELAY.
+    A start time in our future means that the clocks differ, and is not used; the restart was announced within
+    the last MAX_PROPAGATION_DELAY.
     """
-    return opened < (told if told <= now else now - MAX_PROPAGATION_DELAY)
+    return opened < (started if started <= now else now - MAX_PROPAGATION_DELAY)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -54,11 +54,11 @@
         self.assertEqual(list(starts.starts), ["b"])
 
     def test_which_connections_lead_to_a_process_that_is_gone(self) -> None:
-        self.assertTrue(leads_to_predecessor(opened=10.0, told=20.0, now=30.0))
-        self.assertFalse(leads_to_predecessor(opened=25.0, told=20.0, now=30.0))
+        self.assertTrue(leads_to_predecessor(opened=10.0, started=20.0, now=30.0))
+        self.assertFalse(leads_to_predecessor(opened=25.0, started=20.0, now=30.0))
         now = 100_000.0
-        self.assertFalse(leads_to_predecessor(now - MAX_PROPAGATION_DELAY + 1, told=now + HOUR, now=now))
-        self.assertTrue(leads_to_predecessor(now - MAX_PROPAGATION_DELAY - 1, told=now + HOUR, now=now))
+        self.assertFalse(leads_to_predecessor(now - MAX_PROPAGATION_DELAY + 1, started=now + HOUR, now=now))
+        self.assertTrue(leads_to_predecessor(now - MAX_PROPAGATION_DELAY - 1, started=now + HOUR, now=now))
 
 
 class Budgets(unittest.TestCase):
