--- a/spurdeal/lab/capacity/engine_list.py
+++ b/spurdeal/lab/capacity/engine_list.py
@@ -6,7 +6,7 @@
 
 from ...net import dns
 from ...net.engine_list import answered_endpoints
-from ...net.names import ASK_EVERY, SERVICE
+from ...net.names import QUERY_INTERVAL, SERVICE
 from ..names import Endpoint, answer
 from . import design
 from .fit import Form
@@ -18,7 +18,7 @@
 LARGEST_DATAGRAM = 65_507  # a UDP payload over IPv4
 RECORDS_PER_ENGINE, RECORDS_OF_LIST = 3, 1  # SRV, A and TXT; the SOA with the serial
 IDENT = 7
-ASKED_PER_S = 1 / ASK_EVERY
+ASKED_PER_S = 1 / QUERY_INTERVAL
 READS_PER_TRY = 5
 
 
--- a/spurdeal/net/names.py
+++ b/spurdeal/net/names.py
@@ -17,7 +17,7 @@
 from .transient_errors import name_of
 
 SERVICE = "_api._tcp.svc.local"
-ASK_EVERY = 0.2  # seconds; an answer lost is then made good well before changes count as told
+QUERY_INTERVAL = 0.2  # seconds; an answer lost is then made good well before changes count as told
 REST = 0.1  # seconds between an answer and the next question, at least
 ASK_AGAIN = 0.04  # seconds until a question that was not sent, or whose answer settled nothing, is repeated
 IDENT_SIZE = 2  # bytes, RFC 1035, section 4.1.1
@@ -135,7 +135,7 @@
     def send_query(self) -> None:
         """Sends the next question. It is repeated soon where no answer comes."""
         self.query_id = (self.query_id + 1) % IDENTS
-        self.next_question = self.reactor.callLater(ASK_EVERY, self.send_query)
+        self.next_question = self.reactor.callLater(QUERY_INTERVAL, self.send_query)
         self.watch_silence()
         self.before_query()
         try:
@@ -165,7 +165,7 @@
         """The question that left last is answered: the next is due as far behind it as usual."""
         if self.next_question is not None and self.next_question.active():
             passed = self.reactor.seconds() - answered.left_at
-            self.next_question.reset(max(REST, ASK_EVERY - passed))
+            self.next_question.reset(max(REST, QUERY_INTERVAL - passed))
 
     def ensure_querying(self) -> None:
         """Ask, unless the next question is due at some time anyway."""
