--- a/spurdeal/net/names.py
+++ b/spurdeal/net/names.py
@@ -1,4 +1,4 @@
-"""The list of engines: what is known at the start, then what the name service answers."""
+"""Service discovery: queries the name server for the list of engines and passes on newer lists."""
 
 from __future__ import annotations
 
@@ -17,66 +17,69 @@
 from .transient_errors import name_of
 
 SERVICE = "_api._tcp.svc.local"
-QUERY_INTERVAL = 0.2  # seconds; an answer lost is then made good well before changes count as told
-REST = 0.1  # seconds between an answer and the next question, at least
-ASK_AGAIN = 0.04  # seconds until a question that was not sent, or whose answer settled nothing, is repeated
-IDENT_SIZE = 2  # bytes, RFC 1035, section 4.1.1
-IDENTS = 1 << 8 * IDENT_SIZE
-MAX_OPEN_QUERIES = 64  # questions whose answer may still come
-SILENT_AFTER = 2.0  # seconds without an answer: told in the log
-MISSED_LOGGED = 2  # questions in a row without an answer from which on the next answer tells of them
+QUERY_INTERVAL = 0.2  # seconds; a lost response is thus made up for well before changes count as announced
+MIN_QUERY_GAP = 0.1  # seconds between a response and the next query, at least
+RETRY_DELAY = 0.04  # seconds until the next query after one that was not sent or that settled nothing
+QUERY_ID_SIZE = 2  # bytes; RFC 1035, section 4.1.1
+QUERY_IDS = 1 << 8 * QUERY_ID_SIZE
+MAX_OPEN_QUERIES = 64  # queries whose response is still accepted
+SILENT_AFTER = 2.0  # seconds without a response until that is logged
+MIN_MISSED_TO_LOG = 2  # consecutive unanswered queries; fewer are only counted
 
 
 class SentQuery(NamedTuple):
-    """What is decided on a question that has left.
+    """What the rules decided on a query that was sent.
 
     Attributes:
-        at: When it left, by the clock of the decisions.
-        repeat_after: In how many ms it is repeated, if it has no answer.
+        at: When it was sent, on the rules' clock.
+        retransmit_after: Ms until it is retransmitted without a response.
     """
 
     at: float
     retransmit_after: float
 
 
-class Question(NamedTuple):
-    """A question whose answer may still come.
+class OpenQuery(NamedTuple):
+    """A query whose response is still accepted.
 
     Attributes:
-        asked: What was decided on it.
-        left_at: When it left, in the reactor's seconds.
-        address: Whom it was sent to.
+        sent: What the rules decided on it.
+        sent_at: When it was sent, in the reactor's seconds.
+        address: The name server that it was sent to.
     """
 
-    asked: SentQuery
-    left_at: float
+    sent: SentQuery
+    sent_at: float
     address: Address
 
 
-class ReadAnswer(NamedTuple):
-    """An answer that was read: its bytes behind the question's id, and the list that it tells."""
+class ParsedResponse(NamedTuple):
+    """A parsed response: its bytes after the query id, and its list."""
 
     body: bytes
-    told: KnownList
+    listed: KnownList
 
 
 class NameService(DatagramProtocol):
-    """Asks for the whole list again and again, and passes on each newer one.
+    """Queries the whole list periodically and passes on each newer one.
 
     Attributes:
-        address: Where the name service is.
-        agreement: The list in force, as far as the answers tell it.
-        numbers_shared: Whether peers tell newer lists too.
-        is_brought: Whether the list in force is that of a peer.
-        on_list: Takes each newer list.
-        on_confirmed: Called with each answer that tells the list in force.
-        on_unchanged: Takes each answer without news, where somebody compares them.
-        on_closed: Called when its socket has ended, by a failure of the system's.
-        before_asking: Called before each question; may give it another transport to leave by.
-        on_asked: Called with each question that has left, so many seconds ago; decides when it is repeated.
-        on_answered: Called once the list of an answer is in force, with the time at which its question left,
-            and what it told; tells whether the next question is to leave soon.
-        answered_at: When an answer last told of the list, in the reactor's seconds.
+        address: The address of the name server.
+        agreement: The list in force and the responses for and against it.
+        peers_share_lists: Whether newer lists also come from peers.
+        is_from_peer: Whether the list in force came from a peer.
+        on_list: Called with each newer list.
+        on_confirmed: Called for each response with the list in force.
+        on_unchanged: Called with the endpoints of each response that has the number in force; None if unused.
+        on_closed: Called when the socket was closed by an error.
+        before_query: Called before each query; may replace the transport.
+        on_query_sent: Called after each query with the seconds since then; decides on its retransmission.
+        on_response: Called once the list of a response is in force, with the time at which its query was sent
+            and the verdict; returns whether to send the next query early.
+        answered_at: When the latest response with a list arrived, in the reactor's seconds.
+        silent_since: When the latest response arrived, or when this object was created.
+        missed: Queries sent since the one that was answered last.
+        unsent: Consecutive queries that could not be sent.
     """
 
     transport: Any
@@ -93,13 +96,13 @@
         self.reactor, self.address, self.on_list = reactor, address, on_list
         self.agreement = Agreement.of(known.number, known.endpoints)
         self.peers_share_lists = self.is_from_peer = False
-        self.last_read: ReadAnswer | None = None
+        self.last_parsed: ParsedResponse | None = None
         self.counters, self.log = counters, log
-        # Not from 0 at each start: an answer to a predecessor at the same port would count as ours.
-        self.query_id = secrets.randbelow(IDENTS)
-        self.open_queries = dict[int, Question]()
-        self.missed = 0  # questions that have left since the one that was answered last
-        self.next_question: Any = None  # the delayed call
+        # Random, so that a response to a predecessor on the same port is not taken for ours.
+        self.query_id = secrets.randbelow(QUERY_IDS)
+        self.open_queries = dict[int, OpenQuery]()
+        self.missed = 0
+        self.next_query: Any = None  # the delayed call
         self.on_confirmed: Callable[[], None] = lambda: None
         self.on_unchanged: Callable[[dict[str, Endpoint]], None] | None = None
         self.on_closed: Callable[[], None] = lambda: None
@@ -107,116 +110,118 @@
         self.on_query_sent: Callable[[float], SentQuery] = lambda _: SentQuery(0.0, 0.0)
         self.on_response: Callable[[float, Verdict], bool] = lambda _at, _verdict: False
         self.answered_at = float("-inf")
-        self.silent_since = reactor.seconds()  # since when silence counts
+        self.silent_since = reactor.seconds()
         self.silent = False
-        self.unsent = 0  # questions in a row
+        self.unsent = 0
 
     def startProtocol(self) -> None:
+        """See DatagramProtocol; sends the first query."""
         self.send_query()
 
     def stopProtocol(self) -> None:
-        """Its socket has ended: an error on reading ends it for good."""
+        """See DatagramProtocol; stops the queries, as an error on reading has closed the socket."""
         self.cancel_query()
         self.on_closed()
 
     def cancel_query(self) -> None:
-        """Asks no more, until it is told to."""
-        if self.next_question is not None and self.next_question.active():
-            self.next_question.cancel()
-        self.next_question = None
+        """Cancels the next query."""
+        if self.next_query is not None and self.next_query.active():
+            self.next_query.cancel()
+        self.next_query = None
 
     def move(self, address: Address) -> None:
-        """The name service is elsewhere now; the numbers of its events go on."""
+        """Switches to another name server; the serial numbers continue."""
         self.address = address
         self.cancel_query()
         if self.transport is not None:
             self.send_query()
 
     def send_query(self) -> None:
-        """Sends the next question. It is repeated soon where no answer comes."""
-        self.query_id = (self.query_id + 1) % IDENTS
-        self.next_question = self.reactor.callLater(QUERY_INTERVAL, self.send_query)
-        self.watch_silence()
+        """Sends the next query and schedules the one after it."""
+        self.query_id = (self.query_id + 1) % QUERY_IDS
+        self.next_query = self.reactor.callLater(QUERY_INTERVAL, self.send_query)
+        self.check_silence()
         self.before_query()
         try:
-            # Not by the transport's own write, which passes over some errors in silence.
-            question = dns.question(self.query_id, SERVICE, dns.SRV)
-            left_at = self.reactor.seconds()
-            self.transport.getHandle().sendto(question, self.address)
+            # Not with the transport's write, which ignores some errors.
+            message = dns.question(self.query_id, SERVICE, dns.SRV)
+            sent_at = self.reactor.seconds()
+            self.transport.getHandle().sendto(message, self.address)
         except OSError as fault:
-            self.next_question.reset(ASK_AGAIN)
-            self.not_sent(fault)
+            self.next_query.reset(RETRY_DELAY)
+            self.note_not_sent(fault)
             return
         self.counters.add("names_asked")
         self.unsent = 0
         self.missed += 1
-        asked = self.on_query_sent(self.reactor.seconds() - left_at)
-        self.await_answer(self.query_id, Question(asked, left_at, self.address))
+        sent = self.on_query_sent(self.reactor.seconds() - sent_at)
+        self.await_answer(self.query_id, OpenQuery(sent, sent_at, self.address))
 
-    def await_answer(self, ident: int, question: Question) -> None:
-        """A question has left: its answer is taken, or it is repeated."""
-        self.open_queries[ident] = question
+    def await_answer(self, ident: int, query: OpenQuery) -> None:
+        """Keeps a sent query until its response arrives, and schedules its retransmission."""
+        self.open_queries[ident] = query
         if len(self.open_queries) > MAX_OPEN_QUERIES:
             del self.open_queries[next(iter(self.open_queries))]
-        if question.asked.retransmit_after > 0.0:  # else nobody decides on it
-            self.next_question.reset(question.asked.retransmit_after / 1000)
+        if query.sent.retransmit_after > 0.0:  # 0 if no callback decides on it
+            self.next_query.reset(query.sent.retransmit_after / 1000)
 
-    def ask_in_time(self, answered: Question) -> None:
-        """The question that left last is answered: the next is due as far behind it as usual."""
-        if self.next_question is not None and self.next_question.active():
-            passed = self.reactor.seconds() - answered.left_at
-            self.next_question.reset(max(REST, QUERY_INTERVAL - passed))
+    def schedule_after_response(self, query: OpenQuery) -> None:
+        """Schedules the next query at the usual interval after the latest one, which was answered."""
+        if self.next_query is not None and self.next_query.active():
+            passed = self.reactor.seconds() - query.sent_at
+            self.next_query.reset(max(MIN_QUERY_GAP, QUERY_INTERVAL - passed))
 
     def ensure_querying(self) -> None:
-        """Ask, unless the next question is due at some time anyway."""
-        if self.next_question is None or not self.next_question.active():
+        """Sends a query unless the next one is scheduled."""
+        if self.next_query is None or not self.next_query.active():
             self.counters.add("names_asked_on")
             self.send_query()
 
     def silent_for(self) -> float:
-        """For how many seconds no answer has come."""
+        """Seconds without a response."""
         silence: float = self.reactor.seconds() - self.silent_since
         return silence
 
-    def not_sent(self, fault: OSError) -> None:
-        """A question has not left; the first of several in a row is told in the log."""
+    def note_not_sent(self, fault: OSError) -> None:
+        """Counts a query that could not be sent, and logs the first of several in a row."""
         self.counters.add("names_not_sent")
         self.counters.add(f"names_not_sent_errno_{fault.errno}")
         self.unsent += 1
         if self.unsent == 1:
             self.log.warning("discovery_not_asked", extra={"figures": {"error": name_of(fault)}})
 
-    def watch_silence(self) -> None:
-        """Tells, once, that the list in force may be out of date."""
+    def check_silence(self) -> None:
+        """Logs, once per silence, that the list in force may be stale."""
         silence = self.silent_for()
         if silence > SILENT_AFTER:
             self.counters.most("names_longest_silence_ms", silence * 1000)
         if silence > SILENT_AFTER and not self.silent:
             self.silent = True
-            self.tell("discovery_silent", silence)
+            self.log_silence("discovery_silent", silence)
 
-    def heard(self, question: Question) -> None:
-        """The name service has answered a question with a list."""
+    def note_response(self, query: OpenQuery) -> None:
+        """Records a response with a list."""
         now = self.reactor.seconds()
-        self.counters.most("names_longest_answer_ms", (now - question.left_at) * 1000)
+        self.counters.most("names_longest_answer_ms", (now - query.sent_at) * 1000)
         self.note_missed(now)
         silence, self.answered_at = now - self.silent_since, now
         self.silent_since = now
         if self.silent:
             self.silent = False
-            self.tell("discovery_answers_again", silence)
+            self.log_silence("discovery_answers_again", silence)
 
     def note_missed(self, now: float) -> None:
-        """Tells of questions that nobody answered before this answer came."""
-        open_now = len(self.open_queries)  # this one is out already
+        """Counts and logs the queries that stayed unanswered until this response."""
+        open_now = len(self.open_queries)  # the answered query is already removed
         missed, self.missed = self.missed - 1, 0
         if missed > 0:
             self.counters.add("names_unanswered", missed)
-        if missed >= MISSED_LOGGED:
+        if missed >= MIN_MISSED_TO_LOG:
             figures = {"questions": missed, "for_ms": (now - self.silent_since) * 1000, "open": open_now}
             self.log.warning("discovery_answers_missed", extra={"figures": figures})
 
-    def tell(self, event: str, silence: float) -> None:
+    def log_silence(self, event: str, silence: float) -> None:
+        """Logs the begin or the end of a silence of so many seconds."""
         figures = {
             "after_ms": silence * 1000,
             "address": f"{self.address.host}:{self.address.port}",
@@ -228,16 +233,16 @@
 
     @property
     def number(self) -> int:
-        """The number of the last event that is in force."""
+        """The serial number of the list in force."""
         return self.agreement.number
 
-    def put_in_force(self, agreement: Agreement[Endpoint], question: Question) -> None:
-        """Passes a list on; one that could not be taken is asked for again."""
+    def apply(self, agreement: Agreement[Endpoint], query: OpenQuery) -> None:
+        """Passes a list on; if that fails, the list before stays in force and this one is queried again."""
         before, self.agreement = self.agreement, agreement
         figures = {
             "number": agreement.number,
             "before": before.number,
-            "asked_ms_ago": (self.reactor.seconds() - question.left_at) * 1000,
+            "asked_ms_ago": (self.reactor.seconds() - query.sent_at) * 1000,
             "withheld": len(agreement.withheld),
         }
         self.log.info("list_answered", extra={"figures": figures})
@@ -248,110 +253,111 @@
             raise
 
     def take_known(self, known: KnownList) -> None:
-        """A list from elsewhere is in force: from a configuration that was read again, or from a peer."""
+        """Puts a list from another source in force: from a reloaded configuration or from a peer."""
         self.agreement = Agreement.of(known.number, known.endpoints)
 
-    def note_contradiction(self, serial: int, question: Question) -> None:
-        """Tells of an answer with an older list than the one in force."""
+    def note_contradiction(self, serial: int, query: OpenQuery) -> None:
+        """Logs a response with an older list than the one in force."""
         figures = {
             "number": serial,
             "in_force": self.number,
-            "asked_ms_ago": (self.reactor.seconds() - question.left_at) * 1000,
+            "asked_ms_ago": (self.reactor.seconds() - query.sent_at) * 1000,
         }
         self.log.warning("list_contradicted", extra={"figures": figures})
 
     def datagramReceived(self, datagram: bytes, address: tuple[str, int]) -> None:
-        question = self.open_queries.get(int.from_bytes(datagram[:IDENT_SIZE], "big"))
-        if question is None or address[:2] != question.address:
+        """See DatagramProtocol; drops what is no response to an open query."""
+        query = self.open_queries.get(int.from_bytes(datagram[:QUERY_ID_SIZE], "big"))
+        if query is None or address[:2] != query.address:
             self.counters.add("names_foreign")
-            self.counters.add("names_foreign_address", question is not None)
+            self.counters.add("names_foreign_address", query is not None)
             return
         try:
-            self.take_answer(datagram, question)
+            self.take_answer(datagram, query)
         except dns.BadDatagram as fault:
             self.counters.add("names_bad")
             self.log.warning("bad_datagram", extra={"figures": {"why": str(fault)}})
 
-    def take_answer(self, datagram: bytes, question: Question) -> None:
-        """Puts an answer's list in force if it is newer.
+    def take_answer(self, datagram: bytes, query: OpenQuery) -> None:
+        """Handles the response to an open query.
 
         Raises:
-            dns.BadDatagram: It cannot be read, or does not tell the whole list.
+            dns.BadDatagram: It cannot be parsed, or does not contain the whole list.
         """
-        ident = int.from_bytes(datagram[:IDENT_SIZE], "big")
-        answer = self.read(datagram, ident)
-        if answer is None:
+        ident = int.from_bytes(datagram[:QUERY_ID_SIZE], "big")
+        received = self.read(datagram, ident)
+        if received is None:
             self.counters.add("names_foreign")
             return
         self.counters.add("names_answered")
-        self.heard(question)
+        self.note_response(query)
         if ident == self.query_id:
-            self.ask_in_time(question)
+            self.schedule_after_response(query)
         if self.peers_share_lists:
-            self.take_shared(answer, question)
+            self.take_shared(received, query)
         else:
-            self.take_list(answer, question)
+            self.take_list(received, query)
 
     def read(self, datagram: bytes, ident: int) -> KnownList | None:
-        """The list of an answer; None where it is that of another question.
+        """Parses a response; returns None if it answers another question.
 
-        What is the same as the last one, byte for byte, is not read again.
+        A response that equals the last one byte for byte is not parsed again.
 
         Raises:
-            dns.BadDatagram: It cannot be read, or does not tell the whole list.
+            dns.BadDatagram: It cannot be parsed, or does not contain the whole list.
         """
-        body = datagram[IDENT_SIZE:]
-        if self.last_read is None or body != self.last_read.body:
-            answer = dns.read_answer(datagram, ident, SERVICE, dns.SRV)
-            if answer is None:
+        body = datagram[QUERY_ID_SIZE:]
+        if self.last_parsed is None or body != self.last_parsed.body:
+            parsed = dns.read_answer(datagram, ident, SERVICE, dns.SRV)
+            if parsed is None:
                 return None
             del self.open_queries[ident]
-            serial, services, addresses, texts = answer
+            serial, services, addresses, texts = parsed
             if serial is None:
                 raise dns.BadDatagram("no serial")
-            self.last_read = ReadAnswer(
+            self.last_parsed = ParsedResponse(
                 body, KnownList(serial, answered_endpoints(services, addresses, texts))
             )
         else:
             del self.open_queries[ident]
-        return self.last_read.told
+        return self.last_parsed.listed
 
-    def take_shared(self, told: KnownList, question: Question) -> None:
-        """Puts a list in force if it is newer. Peers tell lists too, and compare those of one number.
+    def take_shared(self, received: KnownList, query: OpenQuery) -> None:
+        """Puts a list in force if its number is higher, where peers share lists and compare equal numbers.
 
-        A lower number than one that a peer has brought may be that of a name service which lags. Lower than
-        one that the name service itself has told, it confirms nothing.
+        A number lower than that of a list from a peer may come from a lagging name server, and still counts
+        as a confirmation. A number lower than one from the name server itself confirms nothing.
         """
         verdict = Verdict.CONFIRMED
-        if told.number > self.number:
+        if received.number > self.number:
             verdict = Verdict.NEWER
-            self.put_in_force(Agreement.of(told.number, told.endpoints), question)
+            self.apply(Agreement.of(received.number, received.endpoints), query)
             self.is_from_peer = False
-        elif told.number == self.number:
+        elif received.number == self.number:
             self.on_confirmed()
             if self.on_unchanged is not None:
-                self.on_unchanged(told.endpoints)
+                self.on_unchanged(received.endpoints)
         elif not self.is_from_peer:
-            self.note_contradiction(told.number, question)
+            self.note_contradiction(received.number, query)
             return
-        self.ask_soon(self.on_response(question.asked.at, verdict))
-
-    def take_list(self, told: KnownList, question: Question) -> None:
-        """Puts a list in force, or counts the answer for or against the one that is."""
-        now = question.asked.at + (self.reactor.seconds() - question.left_at) * 1000
-        found = assess(self.agreement, told.number, told.endpoints, question.asked.at, now)
-        self.counters.add(f"lists_{found.verdict.name.lower()}")
-        if found.verdict is Verdict.OLDER:
-            self.note_contradiction(told.number, question)
-        if found.agreement.in_force is not self.agreement.in_force:
-            self.put_in_force(found.agreement, question)
-        self.agreement = found.agreement
-        if found.verdict is Verdict.CONFIRMED:
+        self.advance_next_query(self.on_response(query.sent.at, verdict))
+
+    def take_list(self, received: KnownList, query: OpenQuery) -> None:
+        """Assesses a list against the one in force, and puts the result in force."""
+        now = query.sent.at + (self.reactor.seconds() - query.sent_at) * 1000
+        assessment = assess(self.agreement, received.number, received.endpoints, query.sent.at, now)
+        self.counters.add(f"lists_{assessment.verdict.name.lower()}")
+        if assessment.verdict is Verdict.OLDER:
+            self.note_contradiction(received.number, query)
+        if assessment.agreement.in_force is not self.agreement.in_force:
+            self.apply(assessment.agreement, query)
+        self.agreement = assessment.agreement
+        if assessment.verdict is Verdict.CONFIRMED:
             self.on_confirmed()
-        is_missed = found.covers_serving and self.on_response(question.asked.at, found.verdict)
-        self.ask_soon(is_missed or found.query_soon)
+        is_missed = assessment.covers_serving and self.on_response(query.sent.at, assessment.verdict)
+        self.advance_next_query(is_missed or assessment.query_soon)
 
-    def ask_soon(self, wanted: bool) -> None:
-        """One more answer settles something: the next question does not wait for its usual time."""
-        if wanted and self.next_question is not None and self.next_question.active():
-            self.next_question.reset(ASK_AGAIN)
+    def advance_next_query(self, wanted: bool) -> None:
+        """Sends the next query early if one more response can settle something."""
+        if wanted and self.next_query is not None and self.next_query.active():
+            self.next_query.reset(RETRY_DELAY)
