--- a/spurdeal/fleet/station.py
+++ b/spurdeal/fleet/station.py
@@ -139,7 +139,7 @@
         self.act_on(self.service.names.number, self.service.endpoints, "start")
         host, port = self.plan.fleet.listen
         opened = self.reactor.listenUDP(port, self.datagrams, interface=str(host), maxPacketSize=LARGEST)
-        TolerantReading(opened, self.reactor, self.counters, self.log, most_errors=None)
+        TolerantReading(opened, self.reactor, self.counters, self.log, max_errors=None)
         if not self.fleet.allowed(self.monotonic()).doubtful:
             self.tell_parts(False)
         self.tick()
--- a/spurdeal/net/datagram_reading.py
+++ b/spurdeal/net/datagram_reading.py
@@ -13,7 +13,7 @@
 from .transient_errors import name_of
 
 READ_AGAIN = 0.02  # seconds after an error
-MOST_ERRORS = 25  # in a row, where another socket can be opened: this one is given up then
+MAX_ERRORS = 25  # in a row, where another socket can be opened: this one is given up then
 
 
 class TellingSocket:
@@ -45,10 +45,10 @@
         reactor: Any,
         counters: Counters,
         log: logging.Logger,
-        most_errors: int | None = MOST_ERRORS,
+        max_errors: int | None = MAX_ERRORS,
     ) -> None:
         self.port, self.reactor, self.counters, self.log = port, reactor, counters, log
-        self.most_errors = most_errors
+        self.max_errors = max_errors
         self.read = port.doRead
         self.errors = 0
         port.doRead = self.read_or_wait
@@ -70,7 +70,7 @@
             self.counters.add(f"datagram_read_errno_{fault.errno}")
             if self.errors == 1:
                 self.tell("datagram_read_failed", fault)
-            if self.most_errors is not None and self.errors > self.most_errors:
+            if self.max_errors is not None and self.errors > self.max_errors:
                 self.tell("datagram_socket_given_up", fault)
                 raise
             self.port.stopReading()
--- a/spurdeal/vrrp/station.py
+++ b/spurdeal/vrrp/station.py
@@ -109,7 +109,7 @@
             own = str(self.vrrp.listen[0])
             self.ports.append(self.reactor.listenUDP(0, self.holder, interface=own))
         for opened in self.ports:
-            TolerantReading(opened, self.reactor, self.counters, self.log, most_errors=None)
+            TolerantReading(opened, self.reactor, self.counters, self.log, max_errors=None)
 
     def stop(self) -> None:
         """A planned stop: resigns, leaves the addresses, and tells the peers what they need, until exit."""
--- a/tests/test_system_faults.py
+++ b/tests/test_system_faults.py
@@ -537,7 +537,7 @@
                 self.reading = True
 
         clock, counters, port = Clock(), Counters(), FailingPort()
-        TolerantReading(port, clock, counters, logging.Logger("n1"), most_errors=None)
+        TolerantReading(port, clock, counters, logging.Logger("n1"), max_errors=None)
         for _ in range(100):
             port.doRead()
             self.assertFalse(port.reading)
@@ -549,7 +549,7 @@
         pair = Pair(self)
         for side in pair.sides.values():
             readers = [cast(Any, port).doRead.__self__ for port in side.station.ports]
-            self.assertEqual([(type(reader), reader.most_errors) for reader in readers], TOLERANT * 3)
+            self.assertEqual([(type(reader), reader.max_errors) for reader in readers], TOLERANT * 3)
 
     def test_a_fault_in_a_tick_of_vrrp_ends_no_later_one(self) -> None:
         pair = Pair(self)
@@ -580,7 +580,7 @@
         clocks = Clocks(world.now, world.now, world.now)
         FleetStation(world.service, settings, world.reactor, clocks, world.service.log).start()
         readers = [port.doRead.__self__ for port in ports]
-        self.assertEqual([(type(reader), reader.most_errors) for reader in readers], TOLERANT)
+        self.assertEqual([(type(reader), reader.max_errors) for reader in readers], TOLERANT)
         world.service.counters.sums.clear()
 
 
