--- a/spurdeal/net/datagram_reading.py
+++ b/spurdeal/net/datagram_reading.py
@@ -1,6 +1,7 @@
-"""Reads of a datagram socket that fail for a moment: the socket, and what waits on it, is kept.
+"""Keeps a datagram socket open when reads fail temporarily.
 
-Each failure is told. Twisted's own `doRead` passes over ECONNREFUSED without a word, and answers stay unread.
+Each failure is logged and counted. Twisted's own `doRead` silently ignores ECONNREFUSED, and leaves datagrams
+unread.
 """
 
 from __future__ import annotations
@@ -12,21 +13,22 @@
 from .counters import Counters
 from .transient_errors import name_of
 
-READ_AGAIN = 0.02  # seconds after an error
-MAX_ERRORS = 25  # in a row, where another socket can be opened: this one is given up then
+READ_AGAIN = 0.02  # seconds until the next read after an error
+MAX_ERRORS = 25  # consecutive errors after which a socket is given up, if another one can be opened
 
 
-class TellingSocket:
-    """Takes the place of a datagram socket; all but recvfrom is the socket's own."""
+class ReportingSocket:
+    """Wraps a datagram socket, so that ECONNREFUSED on reading reaches the error handling."""
 
     def __init__(self, real: Any) -> None:
         self.real = real
 
     def __getattr__(self, name: str) -> Any:
+        """Passes all other attributes through to the socket."""
         return getattr(self.real, name)
 
     def recvfrom(self, size: int) -> Any:
-        """See socket.recvfrom; ECONNREFUSED is raised as an error that Twisted tells of."""
+        """See socket.recvfrom; ECONNREFUSED is raised as EIO, which Twisted does not ignore."""
         try:
             return self.real.recvfrom(size)
         except ConnectionRefusedError as fault:
@@ -34,9 +36,11 @@
 
 
 class TolerantReading:
-    """Takes the place of a Twisted UDP port's `doRead`, which ends the port at an error.
+    """Replaces the `doRead` of a Twisted UDP port, which closes the port at the first error.
 
-    most_errors: so many errors in a row end the port; None: none do.
+    Attributes:
+        max_errors: Consecutive errors after which the port is closed; None if errors never close it.
+        errors: Consecutive errors so far.
     """
 
     def __init__(
@@ -52,14 +56,14 @@
         self.read = port.doRead
         self.errors = 0
         port.doRead = self.read_or_wait
-        if (real := getattr(port, "socket", None)) is not None:  # none in memory
-            port.socket = TellingSocket(real)
+        if (real := getattr(port, "socket", None)) is not None:  # an in-memory port has none
+            port.socket = ReportingSocket(real)
 
     def read_or_wait(self) -> None:
-        """Read what waits; after an error, read again a little later.
+        """Reads the waiting datagrams; after an error, pauses reading for READ_AGAIN.
 
         Raises:
-            OSError: Too many reads in a row have failed.
+            OSError: More than `max_errors` consecutive reads have failed.
         """
         try:
             self.read()
@@ -69,19 +73,19 @@
             self.counters.add("datagram_read_errors")
             self.counters.add(f"datagram_read_errno_{fault.errno}")
             if self.errors == 1:
-                self.tell("datagram_read_failed", fault)
+                self.log_error("datagram_read_failed", fault)
             if self.max_errors is not None and self.errors > self.max_errors:
-                self.tell("datagram_socket_given_up", fault)
+                self.log_error("datagram_socket_given_up", fault)
                 raise
             self.port.stopReading()
             self.reactor.callLater(READ_AGAIN, self.resume)
 
-    def tell(self, event: str, fault: OSError) -> None:
-        """Log an error on reading, by the name of its number."""
+    def log_error(self, event: str, fault: OSError) -> None:
+        """Logs a read error by the name of its errno."""
         figures = {"error": name_of(fault), "in_a_row": self.errors}
         self.log.warning(event, extra={"figures": figures})
 
     def resume(self) -> None:
-        """Look for datagrams again, unless the port has ended meanwhile."""
+        """Resumes reading unless the port was closed meanwhile."""
         if self.port.connected:
             self.port.startReading()
--- a/spurdeal/net/discovery_socket.py
+++ b/spurdeal/net/discovery_socket.py
@@ -1,10 +1,11 @@
-"""The socket to the name service: opened, opened again, and watched over.
+"""The socket for queries to the name server: opens it, reopens it and supervises it.
 
-Each step of discovery is brought on by the one before: a question by a timer, a read by the poller, a socket
-by the end of the last. Whatever ends such a chain, and however, `look` finds it and brings it on again.
+Each step of discovery is triggered by the one before: a query by a timer, a read by the poller, a new socket
+by the close of the last one. If such a chain breaks, for whatever reason, `look` detects that and restarts
+it.
 
-Where answers stay away, another socket with another source port is opened and asked from. Those before it
-are read on for as long as their answers may tell something.
+If responses stay away, queries are sent from another socket with another source port. The earlier sockets are
+read for as long as responses to them may still matter.
 """
 
 from __future__ import annotations
@@ -22,18 +23,20 @@
 from .names import NameService
 from .port_renewal import PortRenewal
 
-REOPEN_AFTER = 0.02  # seconds until a socket is opened again
-LARGEST_DATAGRAM = 65_535  # bytes of an answer of the name service
-UNHEARD = 0.5  # seconds without an answer after which the socket is read without being told that it is ready
-MOST_PORTS = 1 + OPENED_FOR_NAMES  # open at a time
+REOPEN_AFTER = 0.02  # seconds until another attempt to open a socket
+LARGEST_DATAGRAM = 65_535  # bytes of a response
+# seconds without a response after which the socket is read although the poller reports nothing
+UNPROMPTED_READ_AFTER = 0.5
+MAX_PORTS = 1 + OPENED_FOR_NAMES  # open at a time
 
 
 class DiscoverySocket:
-    """Keeps a socket to the name service open, read and asked on.
+    """Keeps a socket to the name server open and read, and queries going.
 
     Attributes:
-        port: The one that is asked from; None while there is none.
-        earlier: Those that were asked from before and are still read; the oldest first.
+        port: The Twisted port from which queries are sent; None while there is none.
+        earlier: The ports used before that are still read, oldest first.
+        reopening: The delayed call that opens the next socket, if any.
     """
 
     def __init__(
@@ -44,24 +47,24 @@
         self.port: Any = None
         self.earlier = list[EarlierPort]()
         self.renewal = PortRenewal(names)
-        self.reopening: Any = None  # the delayed call
+        self.reopening: Any = None
         self.closed = False
         names.on_closed = self.ended
-        names.before_query = self.renew_in_time
+        names.before_query = self.renew_if_due
 
     def open(self) -> None:
-        """Open the socket; where the system cannot, it is tried again soon."""
+        """Opens the socket; if that fails, tries again after REOPEN_AFTER."""
         self.reopening = None
         try:
             self.port = self.opened(self.names)
         except (CannotListenError, OSError) as fault:
-            self.not_opened(fault)
+            self.retry_opening(fault)
 
     def opened(self, protocol: DatagramProtocol) -> Any:
-        """Another port, with a source port of its own.
+        """Opens a Twisted port on an ephemeral source port.
 
         Raises:
-            CannotListenError: The system cannot open or bind it.
+            CannotListenError: The system cannot open or bind the socket.
             OSError: It fails in another way.
         """
         port = self.reactor.listenUDP(0, protocol, interface=self.interface, maxPacketSize=LARGEST_DATAGRAM)
@@ -70,20 +73,20 @@
         return port
 
     def note_not_opened(self, fault: Exception, protocol: DatagramProtocol) -> None:
-        """Count and log it; neither its descriptor nor a half of it is kept."""
+        """Counts and logs a failed attempt, and stops a protocol that was half started."""
         self.counters.add("names_socket_not_opened")
         why = fault.socketError if isinstance(fault, CannotListenError) else fault
         self.log.warning("names_socket_not_opened", extra={"figures": {"why": str(why)}})
-        if protocol.transport is not None:  # it failed behind the protocol's start
+        if protocol.transport is not None:  # it failed after the protocol was started
             cast(Any, protocol).doStop()
 
-    def not_opened(self, fault: Exception) -> None:
-        """It is tried again soon."""
+    def retry_opening(self, fault: Exception) -> None:
+        """Handles a failed attempt to open the socket."""
         self.note_not_opened(fault, self.names)
         self.open_later()
 
     def ended(self) -> None:
-        """The socket has ended, and with it answers that were on their way."""
+        """Handles the close of the current socket, which loses the responses under way."""
         self.port = None
         if self.closed:
             return
@@ -91,21 +94,21 @@
         self.open_later()
 
     def note_ended(self) -> None:
-        """Count and log it."""
+        """Counts and logs a socket that was closed by an error."""
         self.counters.add("names_socket_ended")
         figures = {"unheard_ms": self.names.silent_for() * 1000}
         self.log.warning("discovery_socket_ended", extra={"figures": figures})
 
-    def renew_in_time(self) -> None:
-        """Before a question: where answers stay away, it is to leave from another source port."""
+    def renew_if_due(self) -> None:
+        """Called before each query; switches to another source port if responses stay away."""
         if self.port is None or self.closed or not self.renewal.is_due():
             return
         if self.has_room():
             self.renew()
 
     def has_room(self) -> bool:
-        """Whether one more port may be opened; the oldest makes room where later questions were answered."""
-        if len(self.earlier) + 1 < MOST_PORTS:
+        """Whether one more port may be opened; closes the oldest if later queries were answered."""
+        if len(self.earlier) + 1 < MAX_PORTS:
             return True
         if self.names.answered_at <= self.earlier[0].since:
             return False
@@ -113,7 +116,7 @@
         return True
 
     def renew(self) -> None:
-        """Ask from another port from now on; where none can be opened, from the same."""
+        """Sends queries from another source port; if none can be opened, keeps the current one."""
         self.renewal.renewed()
         earlier = EarlierPort(self.names)
         try:
@@ -130,50 +133,50 @@
         self.log.warning("discovery_port_renewed", extra={"figures": figures})
 
     def earlier_ended(self, earlier: EarlierPort) -> None:
-        """The socket of an earlier port has ended."""
+        """Handles the close of an earlier port by an error."""
         self.earlier.remove(earlier)
         if not self.closed:
             self.note_ended()
 
-    def look_at_earlier(self) -> None:
-        """Read the earlier ports, and close those whose answers tell nothing any more."""
+    def read_earlier(self) -> None:
+        """Reads the earlier ports, and closes those that were not used for KEPT seconds."""
         now = self.reactor.seconds()
         for earlier in list(self.earlier):
-            self.read_unasked(earlier.port)
+            self.read_unprompted(earlier.port)
             if earlier in self.earlier and now - earlier.since > KEPT:
                 self.earlier.remove(earlier)
                 earlier.close()
 
     def close(self) -> None:
-        """A planned end: no question follows, and nothing is opened again."""
+        """Graceful shutdown: stops the queries and opens no socket again."""
         self.closed = True
         self.names.cancel_query()
         if self.reopening is not None and self.reopening.active():
             self.reopening.cancel()
 
     def open_later(self) -> None:
-        """Without a socket no drain would be learned."""
+        """Schedules another attempt to open a socket, without which no drain would be noticed."""
         if self.reopening is None or not self.reopening.active():
             self.reopening = self.reactor.callLater(REOPEN_AFTER, self.open)
 
     def look(self) -> None:
-        """To be called often: brings on again what has stopped."""
-        self.look_at_earlier()
+        """Restarts queries, reads or sockets that have stopped; to be called often."""
+        self.read_earlier()
         if self.port is None:
             if self.reopening is None or not self.reopening.active():
                 self.counters.add("discovery_reopened_by_look")
                 self.open()
             return
         self.names.ensure_querying()
-        if self.names.silent_for() > UNHEARD:
-            self.read_unasked(self.port)
+        if self.names.silent_for() > UNPROMPTED_READ_AFTER:
+            self.read_unprompted(self.port)
 
-    def read_unasked(self, port: Any) -> None:
-        """Read what waits, although the poller told nothing of it: it may have lost the socket."""
+    def read_unprompted(self, port: Any) -> None:
+        """Reads waiting datagrams without a report of the poller, which may have lost the socket."""
         answered = self.counters.sums["names_answered"]
         try:
             port.doRead()
-        except OSError:  # too many in a row
+        except OSError:  # too many consecutive errors
             port.connectionLost()
             return
         if self.counters.sums["names_answered"] > answered and port.connected:
--- a/spurdeal/net/earlier_port.py
+++ b/spurdeal/net/earlier_port.py
@@ -1,4 +1,4 @@
-"""A source port from which the name service is not asked any more, and at which answers may still come."""
+"""A former source port of queries to the name server, on which responses may still arrive."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 from twisted.internet.protocol import DatagramProtocol
 
-KEPT = 7.0  # seconds: an answer that takes longer tells nothing that does not count as told already
+KEPT = 7.0  # seconds; a later response holds only changes that count as announced anyway
 
 
 class EarlierPort(DatagramProtocol):
-    """Takes the place of the name service's protocol at such a port, and passes on what comes there.
+    """Replaces the protocol `NameService` on such a port, and forwards datagrams to it.
 
     Attributes:
-        port: The port, once it has one.
-        since: When it was asked from last, in the reactor's seconds.
-        on_ended: Called when it has ended by a failure of the system's.
+        port: The Twisted port, once there is one.
+        since: When queries moved to another port, in the reactor's seconds.
+        on_ended: Called when the port was closed by an error.
     """
 
     noisy = False
@@ -29,19 +29,21 @@
         self.on_ended: Callable[[EarlierPort], None] = lambda _earlier: None
 
     def exchange(self, current: Any, opened: Any, now: float) -> None:
-        """The name service's protocol moves to the port just opened, and this one to the port before."""
+        """Moves `NameService` to the port just opened, and this protocol to its previous port."""
         names: Any = self.names
         names.transport, self.transport = self.transport, names.transport
         current.protocol, opened.protocol = self, names
         self.port, self.since = current, now
 
     def datagramReceived(self, datagram: bytes, address: tuple[str, int]) -> None:
+        """See DatagramProtocol; forwards the datagram."""
         self.names.datagramReceived(datagram, address)
 
     def stopProtocol(self) -> None:
+        """See DatagramProtocol; reports the close of the port."""
         self.on_ended(self)
 
     def close(self) -> None:
-        """Read it no more."""
+        """Closes the port without a report."""
         self.on_ended = lambda _earlier: None
         self.port.stopListening()
--- a/spurdeal/net/engine_index.py
+++ b/spurdeal/net/engine_index.py
@@ -1,4 +1,4 @@
-"""Names of engines, locations and kinds as the small numbers that the rules know them by."""
+"""Maps the names of engines, zones and kinds to the numbers that the rules use."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class EngineIndex:
-    """A number for each engine of the list, never used again, and for each location and kind.
+    """Numbers the engines of the list, without reusing a number, and the zones and kinds.
 
     Attributes:
-        places: By an engine's id, its number.
+        places: By engine id, its number.
     """
 
     def __init__(self, zones: Sequence[str], kinds: Sequence[str]) -> None:
@@ -22,17 +22,17 @@
         self.next_place = count()
 
     def place_of(self, ident: str) -> int:
-        """The number of an engine; a new one gets the next."""
+        """Returns the number of an engine; a new engine gets the next one."""
         if ident not in self.places:
             self.places[ident] = next(self.next_place)
         return self.places[ident]
 
     def forget(self, ident: str) -> None:
-        """An engine is gone."""
+        """Drops an engine that has left the list."""
         del self.places[ident]
 
     def line(self, ident: str, endpoint: Endpoint) -> Listed:
-        """What the rules are told of an engine of the list."""
+        """Converts an engine's entry for the rules."""
         return Listed(
             self.place_of(ident),
             number_of(self.zones, endpoint.zone),
@@ -45,7 +45,7 @@
 
 
 def number_of(names: list[str], name: str) -> int:
-    """The place of a name in a list; one that the settings do not name is added to it."""
+    """Returns the index of a name; appends one that is not in the settings."""
     if name not in names:
         names.append(name)
     return names.index(name)
--- a/spurdeal/net/engine_list.py
+++ b/spurdeal/net/engine_list.py
@@ -1,4 +1,4 @@
-"""The list of engines as messages: the numbered events of a configuration, and the records of an answer."""
+"""The list of engines as it is received: numbered events of a configuration, or records of a DNS response."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Endpoint(NamedTuple):
-    """An engine as the list names it; started is 0 for long ago."""
+    """An engine's entry in the list; `started` is in Unix ms, 0 if long ago."""
 
     ident: str
     host: str
@@ -35,17 +35,17 @@
 
 
 class KnownList(NamedTuple):
-    """The list that a start is configured with, and the number of its last event."""
+    """A whole list and its serial number, which is the number of its last event."""
 
     number: int
     endpoints: dict[str, Endpoint]
 
 
 def read_address(text: object) -> Address:
-    """Reads HOST:PORT.
+    """Parses HOST:PORT.
 
     Raises:
-        ValueError: The text is no IPv4 address with a port.
+        ValueError: The text is not an IPv4 address with a port.
     """
     host, colon, port = str(text).rpartition(":")
     if not colon or not port.isdigit() or not 0 < int(port) < 65536:
@@ -54,7 +54,7 @@
 
 
 def known_list(known: Mapping[str, Any]) -> KnownList:
-    """What the numbered events of the start add up to."""
+    """Builds the list from the numbered events of the configuration."""
     endpoints: dict[str, Endpoint] = {}
     last = int(known.get("no", 0))
     for item in sorted(known.get("items", []), key=lambda item: int(item["no"])):
@@ -71,7 +71,7 @@
 
 
 def known_endpoint(entry: Mapping[str, Any]) -> Endpoint:
-    """One engine of a numbered event."""
+    """Reads one engine of a numbered event."""
     address = read_address(entry["hostPort"])
     return Endpoint(
         str(entry["instanceId"]),
@@ -91,10 +91,10 @@
     addresses: Mapping[str, str],
     texts: Mapping[str, Sequence[str]],
 ) -> dict[str, Endpoint]:
-    """The engines that an answer's records name, by id.
+    """Builds the list from the records of a response, by engine id.
 
     Raises:
-        dns.BadDatagram: Records of one of them are missing or cannot be used.
+        dns.BadDatagram: Records of an engine are missing or unusable.
     """
     endpoints = {}
     for priority, weight, port, target in services:
@@ -102,18 +102,18 @@
         owner = target.lower()
         if len(labels) < 2 or owner not in addresses:
             raise dns.BadDatagram(f"no address for {target}")
-        told = dict(text.partition("=")[::2] for text in texts.get(owner, ()))
+        attributes = dict(text.partition("=")[::2] for text in texts.get(owner, ()))
         try:
             endpoints[labels[0]] = Endpoint(
                 labels[0],
                 addresses[owner],
                 port,
                 labels[1],
-                told["kind"],
-                int(told.get("cell", 0)),
+                attributes["kind"],
+                int(attributes.get("cell", 0)),
                 Life.DRAINING if priority else Life.READY,
                 weight / WEIGHT_SCALE,
-                float(told.get("started", 0.0)),
+                float(attributes.get("started", 0.0)),
             )
         except (KeyError, ValueError):
             raise dns.BadDatagram(f"no usable text for {target}") from None
--- a/spurdeal/net/monotonic_reactor.py
+++ b/spurdeal/net/monotonic_reactor.py
@@ -11,14 +11,14 @@
 if TYPE_CHECKING:
     from twisted.internet.epollreactor import EPollReactor
 
-MAKE_WITHIN, MAKE_EVERY = 5.0, 0.02  # seconds; for want of memory or descriptors
+MAKE_WITHIN, MAKE_EVERY = 5.0, 0.02  # seconds; while memory or descriptors are short
 
 
 def install_monotonic_reactor() -> EPollReactor:
-    """Make the process's reactor one whose timers run on the monotonic clock; to be called once, first.
+    """Installs a reactor whose timers use the monotonic clock; to be called once, before any other use.
 
-    Twisted's own goes by time.time: a step of the wall clock back stops each timer until that clock has
-    caught up, a step forward ends all of them at once.
+    Twisted's default reactor uses time.time: if the wall clock is stepped back, all timers stall until it has
+    caught up; if it is stepped forward, all of them fire at once.
     """
     from twisted.internet.epollreactor import EPollReactor
     from twisted.internet.main import installReactor
@@ -32,10 +32,10 @@
 
 
 def made_within(seconds: float, make: Callable[[], Any]) -> Any:
-    """What `make` returns, tried again while the system refuses it for a moment.
+    """Calls `make` and returns its result; retries transient errors for so many seconds.
 
     Raises:
-        OSError: It cannot be made, or could not within that time.
+        OSError: A permanent error, or the last transient one.
     """
     until = time.monotonic() + seconds
     while True:
--- a/spurdeal/net/port_renewal.py
+++ b/spurdeal/net/port_renewal.py
@@ -1,40 +1,40 @@
-"""When the name service is to be asked from another source port. Free of I/O.
+"""When to query the name server from another source port. Free of I/O.
 
-The path of a flow may fail for good while the name service works: an entry of an address translation or of a
-connection tracking table is lost or spoilt, and nothing comes back to that port any more.
+The path of one flow may fail permanently while the name server works: if its entry in an address translation
+or connection tracking table is lost or corrupt, no response reaches that port any more.
 """
 
 from __future__ import annotations
 
 from typing import Protocol
 
-INITIAL_RENEWAL_INTERVAL = 0.3  # seconds without an answer; the first distance of two renewals as well
+INITIAL_RENEWAL_INTERVAL = 0.3  # seconds without a response; also the first interval between two renewals
 MAX_RENEWAL_INTERVAL = 5.0  # seconds between two renewals at most
-MIN_UNANSWERED = 3  # questions without an answer; a process that stood still has asked none
+MIN_UNANSWERED = 3  # unanswered queries; a process that was suspended has sent none
 
 
 class Silence(Protocol):
-    """What the name service has left unanswered."""
+    """How long and for how many queries the name server has not responded."""
 
     @property
     def silent_since(self) -> float:
-        """When it answered last, in the reactor's seconds."""
+        """When the latest response arrived, in the reactor's seconds."""
 
     @property
     def missed(self) -> int:
-        """How many questions have left since."""
+        """Number of queries sent since."""
 
     def silent_for(self) -> float:
-        """For how many seconds no answer has come."""
+        """Seconds without a response."""
 
 
 class PortRenewal:
-    """Distances between two source ports in one silence: each is twice the one before, up to a limit.
+    """Exponential backoff between two changes of the source port during one silence.
 
     Attributes:
-        heard_at: The answer that ended the last silence, by its time.
+        silent_since: The silence that the other attributes belong to, by its begin.
         due: The next renewal, in seconds of silence.
-        distance: From the renewal before to that one.
+        interval: Seconds from the renewal before to that one.
     """
 
     def __init__(self, silence: Silence) -> None:
@@ -42,17 +42,17 @@
         self.begin()
 
     def begin(self) -> None:
-        """A new silence."""
-        self.heard_at = self.silence.silent_since
-        self.due = self.distance = INITIAL_RENEWAL_INTERVAL
+        """Resets the backoff for a new silence."""
+        self.silent_since = self.silence.silent_since
+        self.due = self.interval = INITIAL_RENEWAL_INTERVAL
 
     def is_due(self) -> bool:
-        """Whether another port is to be opened now."""
-        if self.silence.silent_since != self.heard_at:
+        """Whether to open another port now."""
+        if self.silence.silent_since != self.silent_since:
             self.begin()
         return self.silence.missed >= MIN_UNANSWERED and self.silence.silent_for() >= self.due
 
     def renewed(self) -> None:
-        """Another port was opened, or could not be."""
-        self.distance = min(MAX_RENEWAL_INTERVAL, 2 * self.distance)
-        self.due = self.silence.silent_for() + self.distance
+        """Records an attempt to open another port, successful or not."""
+        self.interval = min(MAX_RENEWAL_INTERVAL, 2 * self.interval)
+        self.due = self.silence.silent_for() + self.interval
--- a/spurdeal/net/wall_clock.py
+++ b/spurdeal/net/wall_clock.py
@@ -1,4 +1,4 @@
-"""Watches the system's wall clock for steps, which nothing but the log's times should follow."""
+"""Detects steps of the wall clock, which should affect only the times of log lines."""
 
 from __future__ import annotations
 
@@ -7,14 +7,15 @@
 
 from .counters import Counters
 
-LEAST_STEP = 100.0  # ms between two looks beyond what passed on the monotonic clock
+MIN_STEP = 100.0  # ms of difference from the monotonic clock between two checks
 
 
 class WallClockWatch:
-    """Compares the wall clock with the monotonic one, and tells of each step in the log and the counters.
+    """Compares the wall clock with the monotonic clock; logs and counts each step.
 
     Attributes:
-        offset: The wall clock less the monotonic one at the last look, in ms.
+        offset: Wall clock minus monotonic clock at the last check, in ms.
+        offset_at_start: The same at startup.
     """
 
     def __init__(
@@ -28,10 +29,10 @@
         self.offset = self.offset_at_start = wall() - monotonic()
 
     def look(self) -> None:
-        """Log a step since the last look; slow corrections are none."""
+        """Logs a step since the last check; gradual corrections do not count."""
         offset = self.wall() - self.monotonic()
         step, self.offset = offset - self.offset, offset
-        if abs(step) < LEAST_STEP:
+        if abs(step) < MIN_STEP:
             return
         self.counters.add("wall_clock_steps")
         self.counters.most("wall_clock_largest_step_ms", abs(step))
