--- a/spurdeal/net/dns.py
+++ b/spurdeal/net/dns.py
@@ -1,4 +1,4 @@
-"""DNS messages (RFC 1035): encodes a query with one question, decodes responses with compressed names."""
+"""DNS messages (RFC 1035): encodes a query with one question, decodes responses, with name compression."""
 
 import re
 import struct
--- a/spurdeal/net/names.py
+++ b/spurdeal/net/names.py
@@ -299,7 +299,7 @@
             self.take_list(received, query)
 
     def read(self, datagram: bytes, ident: int) -> KnownList | None:
-        """Parses a response; returns None if it answers another question.
+        """Parses a response; returns None if its question section differs.
 
         A response that equals the last one byte for byte is not parsed again.
 
--- a/tests/faulty_names.py
+++ b/tests/faulty_names.py
@@ -1,4 +1,4 @@
-"""A name service on a real socket whose answers get lost, cannot be used or are not sent."""
+"""A name server on a real socket whose responses are lost, unusable or not sent."""
 
 import threading
 import time
@@ -8,23 +8,23 @@
 from spurdeal.lab import names
 from tests.stepped_clock import NameService
 
-REFUSED = 0x8402  # the flags of an answer: SERVFAIL
+REFUSED = 0x8402  # flags of a response: SERVFAIL
 
 
 class Fault(Enum):
-    """What happens to an answer."""
+    """What happens to a response."""
 
     LOST = "it is sent and does not arrive"
-    UNUSABLE = "it says that the name service has failed"
+    UNUSABLE = "it reports a server failure"
     SILENT = "none is sent"
 
 
 class FaultyNameService(NameService):
-    """Answers each question with the list as the test has set it, but for the next ones.
+    """Answers each query with the list that the test has set, except for the next ones.
 
     Attributes:
-        sent: By the number of a list, when the first answer with it was sent, whether or not it arrived.
-        delay: How long an answer is on its way, in seconds.
+        sent: By serial number, when the first response with that list was sent, whether or not it arrived.
+        delay: Network delay of a response, in seconds.
     """
 
     fault, times, delay = Fault.SILENT, 0, 0.0
@@ -35,20 +35,20 @@
         super().__init__(host, port, endpoints)
 
     def fail(self, fault: Fault, times: int, then: Fault | None = None) -> None:
-        """The next answers fail in this way, and all behind them in the other, where one is given."""
+        """Makes the next responses fail in this way, and all later ones as in `then`, if given."""
         self.fault, self.times, self.then = fault, times, then
 
     def serve(self) -> None:
-        """Answer until it is closed."""
+        """Answers queries until the server is closed."""
         while not self.closed:
             with suppress(TimeoutError):
-                question, asker = self.socket.recvfrom(512)
-                self.asked.append(time.monotonic())
-                self.answer(question, asker)
+                query, client_address = self.socket.recvfrom(512)
+                self.query_times.append(time.monotonic())
+                self.answer(query, client_address)
         self.socket.close()
 
-    def answer(self, question: bytes, asker: tuple[str, int]) -> None:
-        """One question."""
+    def answer(self, query: bytes, client_address: tuple[str, int]) -> None:
+        """Answers one query."""
         fault = self.fault if self.times else self.then
         self.times -= self.times > 0
         if fault is Fault.SILENT:
@@ -57,15 +57,15 @@
         if fault is Fault.LOST:
             return
         flags = REFUSED if fault is Fault.UNUSABLE else 0x8400
-        told = names.answer(
-            question, self.serial, *(endpoint.record() for endpoint in self.endpoints), flags=flags
+        response = names.answer(
+            query, self.serial, *(endpoint.record() for endpoint in self.endpoints), flags=flags
         )
         if self.delay:
-            threading.Timer(self.delay, self.arrive, (told, asker)).start()
+            threading.Timer(self.delay, self.deliver, (response, client_address)).start()
         else:
-            self.socket.sendto(told, asker)
+            self.socket.sendto(response, client_address)
 
-    def arrive(self, told: bytes, asker: tuple[str, int]) -> None:
-        """An answer that was on its way."""
+    def deliver(self, response: bytes, client_address: tuple[str, int]) -> None:
+        """Sends a delayed response."""
         with suppress(OSError):  # the test is over
-            self.socket.sendto(told, asker)
+            self.socket.sendto(response, client_address)
--- a/tests/stepped_clock.py
+++ b/tests/stepped_clock.py
@@ -1,4 +1,4 @@
-"""The test's hand on the wall clock of `stepped_process`, and sides on real sockets that the test holds."""
+"""Controls the wall clock of `stepped_process`; engines and a name server on real sockets."""
 
 import mmap
 import socket
@@ -17,12 +17,12 @@
 __all__ = ["OFFSET_FILE", "Arrival", "NameService", "Server", "SteppedClock"]
 
 OFFSET = struct.Struct("d")  # seconds
-LOOK_AGAIN = 0.05  # seconds, until a side that has been closed ends
+CLOSE_CHECK_INTERVAL = 0.05  # seconds; how often a server checks whether it was closed
 ROW = b"a\t1\tx\n"
 
 
 class SteppedClock:
-    """The test's hand on the wall clock of the processes that it starts with this file."""
+    """Controls the wall clock of the processes that are started with this file."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
@@ -31,18 +31,18 @@
             self.shared = mmap.mmap(file.fileno(), OFFSET.size)
 
     def step_to(self, seconds: float) -> None:
-        """The wall clock is off by so much from now on."""
+        """Sets the offset of the wall clock."""
         OFFSET.pack_into(self.shared, 0, seconds)
 
     def unix_ms(self) -> float:
-        """What the wall clock of the processes shows."""
+        """Returns the time by the wall clock of the processes, in Unix ms."""
         offset: float = OFFSET.unpack_from(self.shared)[0]
         return (time.time() + offset) * 1000
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """One request at a server, at a time of the monotonic clock."""
+    """A request that arrived at a server, with the time on the monotonic clock."""
 
     at: float
     ident: str
@@ -51,7 +51,7 @@
 
 @dataclass
 class Server:
-    """A server that runs each request for `takes` seconds; None: it takes requests and never answers."""
+    """A server that runs each request for `takes` seconds; None: it never answers."""
 
     host: str
     port: int
@@ -66,7 +66,7 @@
         self.thread.start()
 
     def accept(self) -> None:
-        """Serve each connection in a thread, until the server is closed."""
+        """Serves each connection in a thread, until the server is closed."""
         while not self.closed:
             with suppress(TimeoutError):
                 connection = self.listening.accept()[0]
@@ -75,12 +75,12 @@
         self.listening.close()
 
     def close(self) -> None:
-        """Listen no more; returns once the address is free."""
+        """Stops listening; returns once the address is free."""
         self.closed = True
         self.thread.join()
 
     def serve(self, connection: socket.socket) -> None:
-        """One connection's commands."""
+        """Handles the commands of one connection."""
         parser = ArrayParser()
         with suppress(OSError), connection:
             while data := connection.recv(65536):
@@ -89,7 +89,7 @@
                     self.take(connection, [bytes(part) for part in parts])
 
     def take(self, connection: socket.socket, parts: list[bytes]) -> None:
-        """One command; the answer may come later."""
+        """Handles one command; the response may follow later."""
         if parts[0] == b"cancel":
             self.cancelled.append(parts[1].decode())
         if parts[0] != b"serve":
@@ -100,60 +100,58 @@
             threading.Timer(self.takes, self.answer, (connection, answer)).start()
 
     def answer(self, connection: socket.socket, message: bytes) -> None:
-        """Write an answer, if anybody still waits for it."""
+        """Writes a response, unless the connection is closed."""
         with suppress(OSError):
             connection.sendall(message)
 
     def since(self, at: float) -> list[Arrival]:
-        """What has arrived from that time on."""
+        """Returns the requests that have arrived since then."""
         return [arrival for arrival in self.arrivals if arrival.at >= at]
 
 
 class NameService:
-    """Answers each question with the list as the test has set it."""
+    """Answers each query with the list that the test has set."""
 
     def __init__(self, host: str, port: int, endpoints: list[names.Endpoint]) -> None:
-        self.endpoints, self.serial, self.asked = endpoints, 1, list[float]()
+        self.endpoints, self.serial, self.query_times = endpoints, 1, list[float]()
         self.socket = socket.socket(type=socket.SOCK_DGRAM)
         self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.socket.bind((host, port))
-        self.socket.settimeout(LOOK_AGAIN)
+        self.socket.settimeout(CLOSE_CHECK_INTERVAL)
         self.closed = False
         self.thread = threading.Thread(target=self.serve, daemon=True)
         self.thread.start()
 
     def close(self) -> None:
-        """Answer no more; returns once the address is free."""
+        """Stops answering; returns once the address is free."""
         self.closed = True
         self.thread.join()
 
     def serve(self) -> None:
-        """Answer until it is closed."""
+        """Answers queries until the server is closed."""
         while not self.closed:
             with suppress(TimeoutError):
-                question, asker = self.socket.recvfrom(512)
-                self.asked.append(time.monotonic())
-                answer = names.answer(
-                    question, self.serial, *(endpoint.record() for endpoint in self.endpoints)
-                )
-                self.socket.sendto(answer, asker)
+                query, client_address = self.socket.recvfrom(512)
+                self.query_times.append(time.monotonic())
+                answer = names.answer(query, self.serial, *(endpoint.record() for endpoint in self.endpoints))
+                self.socket.sendto(answer, client_address)
         self.socket.close()
 
     def change(self, change: Callable[[names.Endpoint], names.Endpoint]) -> None:
-        """A newer list."""
+        """Publishes a newer list, with this change to each entry."""
         self.endpoints = [change(endpoint) for endpoint in self.endpoints]
         self.serial += 1
 
     def drain(self, ident: str) -> None:
-        """One server drains."""
+        """Publishes a list in which one server drains."""
         self.change(lambda endpoint: endpoint._replace(draining=endpoint.draining or endpoint.ident == ident))
 
 
 def listener(host: str, port: int) -> socket.socket:
-    """A listening socket of a test's side."""
+    """Opens a listening socket."""
     listening = socket.socket()
     listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     listening.bind((host, port))
     listening.listen(128)
-    listening.settimeout(LOOK_AGAIN)
+    listening.settimeout(CLOSE_CHECK_INTERVAL)
     return listening
--- a/tests/stepped_process.py
+++ b/tests/stepped_process.py
@@ -1,7 +1,7 @@
-"""The dispatcher with a wall clock that a test steps: the system's, plus a number in a file that both share.
+"""Runs the dispatcher with the system's wall clock plus an offset that a test sets in a shared file.
 
-A program of its own, as time.time must be replaced before any other module takes hold of it. The monotonic
-clock is the system's own.
+A separate program, as time.time must be replaced before any other module imports it. The monotonic clock is
+unchanged.
 """
 
 import mmap
@@ -14,7 +14,7 @@
 
 
 def step_the_wall_clock(path: str) -> None:
-    """Replace each way in which Python reads the wall clock."""
+    """Replaces each function with which Python reads the wall clock."""
     number = struct.Struct("d")  # seconds
     with open(path, "r+b") as file:
         shared = mmap.mmap(file.fileno(), number.size)
--- a/tests/test_answer_orders.py
+++ b/tests/test_answer_orders.py
@@ -1,4 +1,4 @@
-"""A drain is told, and answers behind or before it are lost, late, old or wrong: nothing goes there late."""
+"""A drain is announced among lost, late, old or wrong responses: no request reaches the engine late."""
 
 import json
 import signal
@@ -9,76 +9,79 @@
 
 from spurdeal.lab import names
 from tests.processes import NAMES_PORT, Addresses
-from tests.scripted_names import Answering, ScriptedNameService, Step
+from tests.scripted_names import Delivery, ScriptedNameService, Step
 from tests.test_clock_steps import SteppedCase
 
-GRACE, SLACK = 0.25, 0.05  # seconds, as the settings and the protocol page have them
+GRACE, SLACK = 0.25, 0.05  # seconds, from the settings and the protocol page
 MOVED_PORT = NAMES_PORT + 1
-ASK_EACH = 0.01  # seconds
-TOLD_WITHIN = 30.0  # seconds in which a script comes to its drain
+REQUEST_INTERVAL = 0.01  # seconds
+SCRIPT_TIMEOUT = 30.0  # seconds within which a script reaches its drain
 OUTAGE = 3.2  # seconds
-LONG_OUTAGE = 7.0  # seconds; leaves 35 questions open, of which a wrong id may match one
-AT_REST = 0.5  # seconds of usual answers before a script
-DRAIN, LOST, SENT = Step(Answering.DRAIN), Step(Answering.LOST), Step(Answering.SENT)
-NEVER_MATCHED = range(0x38, 0x68)  # of an id's low 7 bits: a wrong bit leads from there to later questions
-OLD, SERVER_FAILURE = Step(Answering.OLD), Step(Answering.SERVER_FAILURE)
+LONG_OUTAGE = 7.0  # seconds; leaves 35 queries open, one of which a wrong id may match
+SETTLE_TIME = 0.5  # seconds of normal responses before a script
+DRAIN, LOST, SENT = Step(Delivery.DRAIN), Step(Delivery.LOST), Step(Delivery.SENT)
+NEVER_MATCHED = range(0x38, 0x68)  # low 7 bits of a query id whose corrupted id is that of a later query
+OLD, SERVER_FAILURE = Step(Delivery.OLD), Step(Delivery.SERVER_FAILURE)
 
 
-def for_seconds(how: Answering, seconds: float, delay: float = 0.0) -> Step:
-    """What happens to all answers of so many seconds."""
-    return Step(how, seconds=seconds, delay=delay)
+def for_seconds(delivery: Delivery, seconds: float, delay: float = 0.0) -> Step:
+    """Returns a step for all responses of so many seconds."""
+    return Step(delivery, seconds=seconds, delay=delay)
 
 
 def silence(seconds: float) -> Step:
-    """No answers for so long."""
-    return for_seconds(Answering.SILENT, seconds)
+    """Returns a step without responses for so many seconds."""
+    return for_seconds(Delivery.SILENT, seconds)
 
 
 def in_force(serial: int, endpoints: list[names.Endpoint]) -> dict[str, Any]:
-    """A list as a configuration holds it."""
+    """Encodes a list as in the configuration."""
     roster = {"generation": 1, "reset": True, "instances": [endpoint.told() for endpoint in endpoints]}
     return {"no": serial, "items": [{"no": serial, "roster": roster}]}
 
 
 class ScriptedCase(SteppedCase):
-    """A dispatcher, two servers, one of which drains, a scripted name service, and requests all the while."""
+    """A dispatcher, two servers, one of which drains, a scripted name server, and continuous requests."""
 
     addresses = Addresses.in_subnet(70)
     name_service = ScriptedNameService
     names: ScriptedNameService
 
-    def ask_for(self, seconds: float) -> None:
-        """Requests side by side, one each 10 ms."""
+    def send_requests_for(self, seconds: float) -> None:
+        """Sends a request every 10 ms, without waiting for responses."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
-            self.ask()
-            time.sleep(ASK_EACH)
+            self.send_request()
+            time.sleep(REQUEST_INTERVAL)
 
-    def told(self, service: ScriptedNameService) -> float:
-        """When the first answer with the drain was sent; requests go on until then."""
-        until = time.monotonic() + TOLD_WITHIN
-        while service.drain_told is None:
+    def announced_at(self, service: ScriptedNameService) -> float:
+        """Sends requests until the first response with the drain was sent; returns when that was."""
+        until = time.monotonic() + SCRIPT_TIMEOUT
+        while service.drain_announced_at is None:
             self.assertLess(time.monotonic(), until, "the script did not come to its drain")
-            self.ask_for(ASK_EACH)
-        return service.drain_told
-
-    def assert_none_late(self, told: float) -> None:
-        """No request came to the draining server after the grace."""
-        late = [round(arrival.at - told, 3) for arrival in self.servers[0].since(told + GRACE + SLACK)]
+            self.send_requests_for(REQUEST_INTERVAL)
+        return service.drain_announced_at
+
+    def assert_none_late(self, announced_at: float) -> None:
+        """Checks that no request reached the draining server after the grace."""
+        late = [
+            round(arrival.at - announced_at, 3)
+            for arrival in self.servers[0].since(announced_at + GRACE + SLACK)
+        ]
         self.assertEqual(late, [], f"{len(late)} requests, {late[:1]} to {late[-1:]} s")
 
     def check(self, *script: Step, seconds: float = 2.0) -> None:
-        """Answers follow the script; it is looked at until so long after the drain was told."""
+        """Runs a script, and sends requests until so many seconds after the announcement of the drain."""
         self.dispatcher()
-        time.sleep(AT_REST)
+        time.sleep(SETTLE_TIME)
         self.names.play(*script)
-        told = self.told(self.names)
-        self.ask_for(told + seconds - time.monotonic())
-        self.assert_none_late(told)
+        announced_at = self.announced_at(self.names)
+        self.send_requests_for(announced_at + seconds - time.monotonic())
+        self.assert_none_late(announced_at)
 
 
 class Silences(ScriptedCase):
-    """The drain is told in an answer that is lost, or cannot be used, and others are missing around it."""
+    """The drain is announced in a lost or unusable response, with other responses missing around it."""
 
     def test_a_drain_lost_half_a_second_into_a_silence(self) -> None:
         self.check(silence(0.5), DRAIN, LOST, silence(2.5), seconds=3.0)
@@ -93,29 +96,29 @@
         self.check(silence(OUTAGE), DRAIN, LOST, SERVER_FAILURE._replace(times=3))
 
     def test_a_drain_lost_among_server_failures(self) -> None:
-        failures = for_seconds(Answering.SERVER_FAILURE, 1.0)
+        failures = for_seconds(Delivery.SERVER_FAILURE, 1.0)
         self.check(failures, DRAIN, LOST, failures)
 
     def test_a_drain_lost_in_one_second_of_server_failures_and_silence(self) -> None:
-        self.check(for_seconds(Answering.SERVER_FAILURE, 0.5), DRAIN, LOST, silence(0.6))
+        self.check(for_seconds(Delivery.SERVER_FAILURE, 0.5), DRAIN, LOST, silence(0.6))
 
     def test_a_drain_in_lost_answers_behind_an_outage_in_which_more_questions_were_asked_than_kept(
         self,
     ) -> None:
-        self.check(silence(13.5), Step(Answering.SENT, delay=0.5), DRAIN, LOST._replace(times=8))
+        self.check(silence(13.5), Step(Delivery.SENT, delay=0.5), DRAIN, LOST._replace(times=8))
 
     def test_a_drain_in_answers_that_are_all_lost(self) -> None:
-        self.check(DRAIN, for_seconds(Answering.LOST, 2.0), seconds=2.5)
+        self.check(DRAIN, for_seconds(Delivery.LOST, 2.0), seconds=2.5)
 
     def test_a_drain_in_answers_that_are_all_cut_short(self) -> None:
-        self.check(DRAIN, for_seconds(Answering.CUT, 2.0), seconds=2.5)
+        self.check(DRAIN, for_seconds(Delivery.TRUNCATED, 2.0), seconds=2.5)
 
     def test_a_drain_in_answers_that_all_have_a_wrong_id(self) -> None:
-        self.check(DRAIN, for_seconds(Answering.WRONG_ID, 2.0), seconds=2.5)
+        self.check(DRAIN, for_seconds(Delivery.WRONG_ID, 2.0), seconds=2.5)
 
 
 class OldAnswers(ScriptedCase):
-    """Answers hold the list that was in force before the drain, to questions asked after it was told."""
+    """Responses to queries after the announcement hold the list from before the drain."""
 
     def test_two_old_answers_behind_a_lost_one(self) -> None:
         self.check(DRAIN, LOST, OLD._replace(times=2))
@@ -126,7 +129,7 @@
     def test_answers_with_a_lower_number_than_the_list_in_force_behind_a_lost_one(self) -> None:
         self.names.change(lambda endpoint: endpoint)
         self.names.lists[2] = list(self.names.endpoints)
-        self.check(DRAIN, LOST, Step(Answering.FIRST, times=5))
+        self.check(DRAIN, LOST, Step(Delivery.FIRST, times=5))
 
     def test_lost_and_old_answers_by_turns(self) -> None:
         self.check(DRAIN, *(LOST, OLD) * 3)
@@ -136,11 +139,11 @@
 
 
 class SlowAnswers(ScriptedCase):
-    """Answers take longer than the grace on their way, and count as told when they are sent."""
+    """Responses are delayed for longer than the grace, and count as announced when they are sent."""
 
     def check_delay(self, delay: float) -> None:
-        """The drain is told in answers that take so long, as do those before it."""
-        slow = for_seconds(Answering.SENT, 2 * delay + 1.0, delay)
+        """Announces the drain in responses with this delay, like those before it."""
+        slow = for_seconds(Delivery.SENT, 2 * delay + 1.0, delay)
         self.check(slow, DRAIN, slow, seconds=delay + 1.0)
 
     def test_answers_that_take_0_4_seconds(self) -> None:
@@ -153,9 +156,9 @@
         self.check_delay(1.5)
 
     def check_begin(self, first: float) -> None:
-        """The answer before the drain takes so long, those from the drain on 1.2 s."""
-        slower = for_seconds(Answering.SENT, 2.0, delay=1.2)
-        self.check(Step(Answering.SENT, delay=first), DRAIN, slower)
+        """Delays the response before the drain by so many seconds, and those from the drain on by 1.2 s."""
+        slower = for_seconds(Delivery.SENT, 2.0, delay=1.2)
+        self.check(Step(Delivery.SENT, delay=first), DRAIN, slower)
 
     def test_answers_that_begin_to_slow_down_by_one_of_0_47_seconds(self) -> None:
         self.check_begin(0.47)
@@ -164,19 +167,19 @@
         self.check_begin(0.8)
 
     def test_lost_answers_while_slow_ones_are_on_their_way(self) -> None:
-        slow = Step(Answering.SENT, times=3, delay=0.47)
-        self.check(slow, DRAIN, for_seconds(Answering.LOST, 0.9))
+        slow = Step(Delivery.SENT, times=3, delay=0.47)
+        self.check(slow, DRAIN, for_seconds(Delivery.LOST, 0.9))
 
     def test_lost_answers_behind_two_slow_ones(self) -> None:
-        slow = Step(Answering.SENT, times=2, delay=0.8)
-        self.check(slow, silence(0.85), DRAIN, for_seconds(Answering.LOST, 1.5))
+        slow = Step(Delivery.SENT, times=2, delay=0.8)
+        self.check(slow, silence(0.85), DRAIN, for_seconds(Delivery.LOST, 1.5))
 
 
 class WrongIds(ScriptedCase):
-    """An answer matches a question that has been open since an outage, and was asked seconds ago."""
+    """A response with a wrong id matches a query that has been open since an outage seconds ago."""
 
     def dispatcher(self) -> subprocess.Popen[str]:
-        """One whose next questions can be matched by a wrong id of later ones."""
+        """Starts a dispatcher whose next query ids can be matched by a corrupted id of later queries."""
         while True:
             child = super().dispatcher()
             if self.names.played[-1].ident % 0x80 not in NEVER_MATCHED:
@@ -185,8 +188,8 @@
             child.wait()
 
     def check_behind_wrong_id(self, *script: Step) -> None:
-        """An outage, a wrong id some seconds later, and then the drain."""
-        self.check(silence(LONG_OUTAGE), Step(Answering.OPEN_ID), DRAIN, *script, seconds=3.0)
+        """Runs an outage, a response with a wrong id, and then the drain."""
+        self.check(silence(LONG_OUTAGE), Step(Delivery.OPEN_ID), DRAIN, *script, seconds=3.0)
 
     def test_lost_answers_behind_a_wrong_id(self) -> None:
         self.check_behind_wrong_id(LOST._replace(times=8))
@@ -199,17 +202,17 @@
 
 
 class NewConfigurations(ScriptedCase):
-    """SIGHUP gives another address, or another list, around the drain."""
+    """SIGHUP configures another name server or another list around the drain."""
 
     def configured_again(self, port: int = NAMES_PORT, known: dict[str, Any] | None = None) -> None:
-        """The configuration names another address of the name service, or another list."""
-        told = json.loads(self.configured.read_text())
-        told["nameserver"] = f"{self.addresses.names}:{port}"
-        told["known"] = known or told["known"]
-        self.configured.write_text(json.dumps(told))
+        """Writes a configuration with another port of the name server, or another list."""
+        configuration = json.loads(self.configured.read_text())
+        configuration["nameserver"] = f"{self.addresses.names}:{port}"
+        configuration["known"] = known or configuration["known"]
+        self.configured.write_text(json.dumps(configuration))
 
     def moved(self, *script: Step) -> ScriptedNameService:
-        """A name service at another address, which the configuration names from now on."""
+        """Starts a name server at another address, and writes it into the configuration."""
         service = ScriptedNameService(self.addresses.names, MOVED_PORT, list(self.names.lists[1]))
         self.addCleanup(service.close)
         service.play(*script)
@@ -217,28 +220,28 @@
         return service
 
     def check_move(self, *script: Step) -> None:
-        """The drain is lost at the old address, which is silent then; the new one follows the script."""
+        """The old server loses the drain and is silent afterwards; the new one follows the script."""
         child = self.dispatcher()
         self.moved(*script)
-        self.names.play(DRAIN, LOST, silence(TOLD_WITHIN))
-        told = self.told(self.names)
+        self.names.play(DRAIN, LOST, silence(SCRIPT_TIMEOUT))
+        announced_at = self.announced_at(self.names)
         child.send_signal(signal.SIGHUP)
-        self.ask_for(2.5)
-        self.assert_none_late(told)
+        self.send_requests_for(2.5)
+        self.assert_none_late(announced_at)
 
     def check_move_in_outage(self, *script: Step) -> None:
-        """The old address is silent for 2 s before the move; the new one has the script."""
+        """The old server is silent for 2 s before the switch; the new one follows the script."""
         child = self.dispatcher()
         service = self.moved(*script)
-        self.names.play(silence(TOLD_WITHIN))
-        self.ask_for(2.0)
+        self.names.play(silence(SCRIPT_TIMEOUT))
+        self.send_requests_for(2.0)
         child.send_signal(signal.SIGHUP)
-        told = self.told(service)
-        self.ask_for(1.5)
-        self.assert_none_late(told)
+        announced_at = self.announced_at(service)
+        self.send_requests_for(1.5)
+        self.assert_none_late(announced_at)
 
     def test_a_new_address_that_lags_behind_the_old_one(self) -> None:
-        self.check_move(for_seconds(Answering.SENT, 1.5), DRAIN)
+        self.check_move(for_seconds(Delivery.SENT, 1.5), DRAIN)
 
     def test_a_new_address_that_is_silent(self) -> None:
         self.check_move(silence(2.0), DRAIN)
@@ -255,17 +258,17 @@
         self.names.lists[2] = list(self.names.endpoints)
         self.configured_again(known=in_force(2, self.names.lists[2]))
         self.names.play(DRAIN, LOST, silence(2.0))
-        told = self.told(self.names)
+        announced_at = self.announced_at(self.names)
         child.send_signal(signal.SIGHUP)
-        self.ask_for(2.5)
-        self.assert_none_late(told)
+        self.send_requests_for(2.5)
+        self.assert_none_late(announced_at)
 
 
 class Restarts(ScriptedCase):
-    """The dispatcher is killed and started again, with the list of its first start."""
+    """The dispatcher is killed and restarted with its original list."""
 
     def restarted(self, *script: Step) -> subprocess.Popen[str]:
-        """The successor; answers to it follow the script."""
+        """Restarts the dispatcher; responses to it follow the script."""
         before = self.dispatcher()
         before.kill()
         before.wait()
@@ -273,11 +276,11 @@
         return self.dispatcher()
 
     def check_restart(self, *script: Step) -> None:
-        """The drain is told to the successor."""
+        """Checks a drain that is announced to the restarted dispatcher."""
         self.restarted(*script)
-        told = self.told(self.names)
-        self.ask_for(told + 3.0 - time.monotonic())
-        self.assert_none_late(told)
+        announced_at = self.announced_at(self.names)
+        self.send_requests_for(announced_at + 3.0 - time.monotonic())
+        self.assert_none_late(announced_at)
 
     def test_a_first_answer_lost_before_a_silence(self) -> None:
         self.check_restart(DRAIN, LOST, silence(2.0))
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -1,4 +1,4 @@
-"""Steps of the wall clock, either way, on real processes; and a request that the link answered by itself."""
+"""Steps of the wall clock with real processes; and a request that the adapter answered by itself."""
 
 import json
 import signal
@@ -19,23 +19,23 @@
 from tests.stepped_clock import OFFSET_FILE, Arrival, NameService, Server, SteppedClock
 
 HOUR = 3600.0  # seconds
-WINDOW = 8.0  # seconds in which a cold server's budget counts
-LEARNED_WITHIN = 0.6  # seconds: a poll each 0.2 s, one of which may be lost; and the machine's
+WINDOW = 8.0  # seconds over which the budget of a cold server is counted
+DISCOVERY_TIME = 0.6  # seconds; one query every 0.2 s, one of which may be lost, and scheduling delays
 
 
-class Answer:
-    """One request, sent in a thread of its own: its status, or the error that its client saw."""
+class ClientRequest:
+    """A request sent in its own thread, with its status or the error that the client saw."""
 
     def __init__(self, addresses: Addresses, number: int, wait_ms: int, workload: str) -> None:
         self.addresses, self.number, self.wait_ms, self.workload = addresses, number, wait_ms, workload
         self.status: int | None = None
         self.error: Exception | None = None
         self.took = 0.0
-        self.thread = threading.Thread(target=self.ask, daemon=True)
+        self.thread = threading.Thread(target=self.send_request, daemon=True)
         self.thread.start()
 
-    def ask(self) -> None:
-        """Send it, and wait for the answer."""
+    def send_request(self) -> None:
+        """Sends the request and waits for the response."""
         began = time.monotonic()
         client = HTTPConnection(self.addresses.dispatcher, self.addresses.port, timeout=20)
         fields = {"Req-Id": f"{self.number:016x}", "Req-Wait-Ms": str(self.wait_ms)}
@@ -49,13 +49,13 @@
         self.took = time.monotonic() - began
 
     def result(self) -> int | Exception | None:
-        """The status, or the client's error."""
+        """Returns the status or the error of the client."""
         self.thread.join(30)
         return self.error or self.status
 
 
 class SteppedCase(ProcessCase):
-    """A dispatcher with a wall clock that the test steps, two servers and the name service."""
+    """A dispatcher whose wall clock the test can step, two servers and a name server."""
 
     addresses = Addresses.in_subnet(67)
     name_service: type[NameService] = NameService
@@ -78,66 +78,66 @@
         self.sent = 0
 
     def dispatcher(self) -> subprocess.Popen[str]:
-        """A dispatcher that is ready."""
+        """Starts a dispatcher and waits until it is ready."""
         environment = {OFFSET_FILE: str(self.clock.path), "PYTHONPATH": str(ROOT)}
         child = self.start(sys.executable, "-O", "tests/stepped_process.py", environment=environment)
         self.await_ready(child)
         return child
 
-    def ask(self, wait_ms: int = 5000, workload: str = "lookup") -> Answer:
-        """One more request."""
+    def send_request(self, wait_ms: int = 5000, workload: str = "lookup") -> ClientRequest:
+        """Sends another request."""
         self.sent += 1
-        return Answer(self.addresses, self.sent, wait_ms, workload)
+        return ClientRequest(self.addresses, self.sent, wait_ms, workload)
 
 
 class Discovery(SteppedCase):
-    """Drains are learned in real time, whatever the wall clock does."""
+    """Drains are noticed in time, whatever the wall clock does."""
 
-    def drained_after(self, step: float) -> None:
-        """A drain is announced right after a step: half a second later nothing goes there any more."""
+    def check_drain_after_step(self, step: float) -> None:
+        """Announces a drain right after a step; no request is sent there DISCOVERY_TIME later."""
         self.dispatcher()
-        self.assertEqual([self.ask().result() for _ in range(4)], [200] * 4)
+        self.assertEqual([self.send_request().result() for _ in range(4)], [200] * 4)
         self.clock.step_to(step)
         time.sleep(0.3)
         self.names.drain("s-0")
-        told = time.monotonic()
-        time.sleep(LEARNED_WITHIN)
-        answers = [self.ask() for _ in range(30)]
+        announced_at = time.monotonic()
+        time.sleep(DISCOVERY_TIME)
+        answers = [self.send_request() for _ in range(30)]
         self.assertEqual([answer.result() for answer in answers], [200] * 30)
-        self.assertEqual(self.servers[0].since(told + LEARNED_WITHIN), [])
-        self.assertGreaterEqual(len([at for at in self.names.asked if at > told]), 2)
+        self.assertEqual(self.servers[0].since(announced_at + DISCOVERY_TIME), [])
+        self.assertGreaterEqual(len([at for at in self.names.query_times if at > announced_at]), 2)
 
     def test_a_drain_after_a_step_back(self) -> None:
-        self.drained_after(-HOUR)
+        self.check_drain_after_step(-HOUR)
 
     def test_a_drain_after_a_step_back_by_seconds(self) -> None:
-        self.drained_after(-3.0)
+        self.check_drain_after_step(-3.0)
 
     def test_a_drain_after_a_step_forward(self) -> None:
-        self.drained_after(HOUR)
+        self.check_drain_after_step(HOUR)
 
     def test_the_step_is_told_in_the_log(self) -> None:
         child = self.dispatcher()
         self.clock.step_to(-HOUR)
         time.sleep(0.8)
         child.send_signal(signal.SIGTERM)
-        said = child.communicate(timeout=30)[1]
-        self.assertEqual(said.count("event=wall_clock_stepped ms=-3600000."), 1, said)
-        self.assertEqual(counters_at_exit(said)["wall_clock_steps"], 1)
+        log = child.communicate(timeout=30)[1]
+        self.assertEqual(log.count("event=wall_clock_stepped ms=-3600000."), 1, log)
+        self.assertEqual(counters_at_exit(log)["wall_clock_steps"], 1)
 
 
 class Deadlines(SteppedCase):
-    """A request has the time that its client gave it, whatever the wall clock does meanwhile."""
+    """Deadlines are kept, whatever the wall clock does."""
 
     def test_a_step_forward_cuts_no_request_short(self) -> None:
         for server in self.servers:
             server.takes = 1.0
         self.dispatcher()
-        answers = [self.ask(4000), self.ask(15000, "load")]
+        answers = [self.send_request(4000), self.send_request(15000, "load")]
         time.sleep(0.4)
         self.clock.step_to(HOUR)
         time.sleep(0.1)
-        answers += [self.ask(4000), self.ask(15000, "load")]
+        answers += [self.send_request(4000), self.send_request(15000, "load")]
         self.assertEqual([answer.result() for answer in answers], [200] * 4)
         waits = {arrival.ident: wait_of(arrival) for server in self.servers for arrival in server.arrivals}
         for number, asked in ((1, 4000), (2, 15000), (3, 4000), (4, 15000)):
@@ -147,18 +147,18 @@
         for server in self.servers:
             server.takes = None
         self.dispatcher()
-        answers = [self.ask(1200), self.ask(1200, "load")]
+        answers = [self.send_request(1200), self.send_request(1200, "load")]
         time.sleep(0.3)
         self.clock.step_to(-HOUR)
         time.sleep(0.1)
-        answers += [self.ask(1200), self.ask(1200, "load")]
+        answers += [self.send_request(1200), self.send_request(1200, "load")]
         self.assertEqual([answer.result() for answer in answers], [503, 500, 503, 500])
         for answer in answers:
             self.assertTrue(0.9 < answer.took < 1.7, answer.took)
 
 
 class Connections(SteppedCase):
-    """Idle connections rest for their time, whatever the wall clock does."""
+    """Idle timeouts of connections are kept, whatever the wall clock does."""
 
     def test_a_step_forward_ends_no_idle_connection(self) -> None:
         self.dispatcher()
@@ -177,15 +177,15 @@
         with socket.create_connection((self.addresses.dispatcher, self.addresses.port), 10) as silent:
             self.clock.step_to(-HOUR)
             began = time.monotonic()
-            self.assertEqual(silent.recv(1), b"")  # one who never says a word is let go after 2 s
+            self.assertEqual(silent.recv(1), b"")  # a client that sends nothing is disconnected after 2 s
             self.assertTrue(1.5 < time.monotonic() - began < 4.0)
 
 
 class Restart(SteppedCase):
-    """A dispatcher that starts with a wall clock that is off keeps the slow start of servers."""
+    """Slow start is kept by a dispatcher that starts with a wrong wall clock."""
 
     def configure_started(self, ident: str, unix_ms: int) -> None:
-        """The lists of the start and of the name service: one server was started then, the other long ago."""
+        """Sets the startup list and that of the name server: one server started then, the other long ago."""
         self.names.change(
             lambda endpoint: endpoint._replace(started=unix_ms if endpoint.ident == ident else 0)
         )
@@ -203,21 +203,21 @@
                 self.configure_started("s-0", int(time.time() * 1000) - 1000)
                 child = self.dispatcher()
                 began = time.monotonic()
-                self.assertEqual([self.ask().result() for _ in range(40)], [200] * 40)
-                self.assertLess(time.monotonic() - began, WINDOW)  # the first counts as spent before
+                self.assertEqual([self.send_request().result() for _ in range(40)], [200] * 40)
+                self.assertLess(time.monotonic() - began, WINDOW)  # the budget counts as spent at startup
                 self.assertEqual(self.servers[0].since(began), [])
                 child.kill()
                 child.wait()
 
 
 class Shutdown(SteppedCase):
-    """What is open at SIGTERM is answered, whatever the wall clock does."""
+    """Requests open at SIGTERM are answered, whatever the wall clock does."""
 
     def test_a_step_forward_while_it_shuts_down(self) -> None:
         for server in self.servers:
             server.takes = 1.0
         child = self.dispatcher()
-        answer = self.ask()
+        answer = self.send_request()
         while not any(server.arrivals for server in self.servers):
             time.sleep(0.01)
         child.send_signal(signal.SIGTERM)
@@ -228,7 +228,7 @@
 
     def test_a_step_back_while_it_shuts_down(self) -> None:
         child = self.dispatcher()
-        self.assertEqual(self.ask().result(), 200)
+        self.assertEqual(self.send_request().result(), 200)
         child.send_signal(signal.SIGTERM)
         time.sleep(0.2)
         self.clock.step_to(-HOUR)
@@ -238,26 +238,26 @@
 
 
 def wait_of(arrival: Arrival) -> int:
-    """The time that a server was given, in ms."""
+    """Returns the time that the server was given, in ms."""
     fields = dict(pair.split("=") for pair in arrival.fields.split(","))
     return int(fields["wait"])
 
 
 class LeftBehind(unittest.TestCase):
-    """A request that the link has answered for the decisions must not disturb the others of the queue."""
+    """A request that the adapter answered in place of the rules does not affect others in the queue."""
 
     def test_a_request_answered_late_sends_no_other_twice(self) -> None:
         world = World(self, engines=4)
         adapter, missed = world.service.adapter, list[str]()
         rules: Any = adapter.rules
 
-        def must(holds: object, what: str) -> bool:  # as in a release build
+        def must(holds: object, what: str) -> bool:  # does not raise, as in a release build
             missed.extend([] if holds else [what])
             return bool(holds)
 
         adapter.counters.must = must  # type: ignore[method-assign]
-        rules.choose = lambda *_, **__: None  # all wait in the queue
-        rules.watch_held = lambda: None  # the decisions miss a deadline, and the link answers for them
+        rules.choose = lambda *_, **__: None  # all requests are queued
+        rules.watch_held = lambda: None  # the rules miss a deadline, and the adapter answers in their place
         callers = [Caller(world) for _ in range(3)]
         for number, caller in enumerate(callers):
             caller.post(number, "load", wait=400 if number == 1 else 15000)
@@ -267,7 +267,7 @@
         del rules.choose, rules.watch_held
         world.go(300)
         peers = [world.peer(place).up() for place in range(len(world.reactor.tcpClients))]
-        served = [said[1] for peer in peers for said in peer.heard() if said[0] == "serve"]
+        served = [sent[1] for peer in peers for sent in peer.heard() if sent[0] == "serve"]
         self.assertEqual(sorted(served), [f"{0:016x}", f"{2:016x}"])
 
 
--- a/tests/test_clock_use.py
+++ b/tests/test_clock_use.py
@@ -1,4 +1,4 @@
-"""No span of time may go by the wall clock: who reads it, and which event loop is used, is a short list."""
+"""No duration may be measured with the wall clock: only a few listed modules may read it."""
 
 import ast
 import unittest
@@ -7,7 +7,7 @@
 SOURCE = Path(__file__).parent.parent / "spurdeal"
 WALL_CLOCK = {"time", "time_ns", "gmtime", "localtime", "ctime", "clock_gettime", "clock_gettime_ns"}
 DATES = {"now", "utcnow", "today"}
-READERS = {  # and what for
+READERS = {  # and their purpose
     "clocks.py",  # the origin of SteadyClock
     "cli/structured_logs.py",  # the time of a log line that has none
 }
@@ -20,21 +20,22 @@
 
 
 def modules() -> list[Path]:
-    """All modules of the dispatcher; those of the laboratory are stand-ins of others."""
+    """Lists the modules of the dispatcher; those in lab/ simulate other components."""
     return [path for path in sorted(SOURCE.rglob("*.py")) if "lab" not in path.relative_to(SOURCE).parts]
 
 
 def named(path: Path) -> str:
+    """Returns the path of a module within the package."""
     return path.relative_to(SOURCE).as_posix()
 
 
 def names_of(node: ast.ImportFrom) -> list[str]:
-    """What it imports."""
+    """Returns the names that a statement imports."""
     return [alias.name for alias in node.names]
 
 
 def reads_wall_clock(tree: ast.AST) -> bool:
-    """Whether it names a function that tells the date, or the wall clock."""
+    """Whether a module uses a function that reads the wall clock or the date."""
     for node in ast.walk(tree):
         if isinstance(node, ast.Attribute):
             owner = ast.unparse(node.value).rpartition(".")[2]
@@ -48,11 +49,13 @@
 
 
 def imports(tree: ast.AST, name: str) -> bool:
-    """Whether it imports that name from any module."""
+    """Whether a module imports that name from any other."""
     return any(isinstance(node, ast.ImportFrom) and name in names_of(node) for node in ast.walk(tree))
 
 
 class Clocks(unittest.TestCase):
+    """Static checks of all modules."""
+
     def test_who_reads_the_wall_clock(self) -> None:
         found = {named(path) for path in modules() if reads_wall_clock(ast.parse(path.read_text("utf-8")))}
         self.assertEqual(found, READERS)
@@ -63,7 +66,7 @@
         self.assertEqual(found | {"clocks.py"}, USERS_OF_UNIX_MS)
 
     def test_nobody_uses_twisteds_own_reactor(self) -> None:
-        """Its timers go by the wall clock."""
+        """The timers of that reactor use the wall clock."""
         for path in modules():
             tree = ast.parse(path.read_text("utf-8"))
             for node in ast.walk(tree):
--- a/tests/test_discovery_faults.py
+++ b/tests/test_discovery_faults.py
@@ -1,4 +1,4 @@
-"""System calls of a real process fail: drains are learned, or nothing is sent meanwhile."""
+"""System calls of a real process fail: drains are still noticed, or no request is sent meanwhile."""
 
 import errno
 import json
@@ -14,16 +14,16 @@
 from tests.fault_table import FAULTS_FILE, FOREVER, FaultTable
 from tests.processes import NAMES_PORT, ROOT, Addresses, counters_at_exit
 from tests.stepped_clock import NameService
-from tests.test_clock_steps import Answer, SteppedCase
+from tests.test_clock_steps import ClientRequest, SteppedCase
 
-TOLD_WITHIN = 1.5  # seconds after a drain at which it counts as told at the latest
+PROPAGATION_LIMIT = 1.5  # seconds after which a drain counts as announced at the latest
 GRACE = 0.25  # seconds, as the settings of `SteppedCase` have it
-LATE = TOLD_WITHIN + GRACE
+LATE = PROPAGATION_LIMIT + GRACE
 MOVED_PORT = NAMES_PORT + 1
 
 
 class FaultyCase(SteppedCase):
-    """A dispatcher whose system calls the test lets fail, two servers and the name service."""
+    """A dispatcher whose system calls can be made to fail, two servers and the name server."""
 
     addresses = Addresses.in_subnet(68)
 
@@ -36,12 +36,12 @@
         environment = {FAULTS_FILE: str(self.configured.parent / "faults"), "PYTHONPATH": str(ROOT)}
         child = self.start(sys.executable, "-O", "tests/faulty_process.py", environment=environment)
         self.await_ready(child)
-        self.assertEqual([self.ask().result() for _ in range(4)], [200] * 4)
+        self.assertEqual([self.send_request().result() for _ in range(4)], [200] * 4)
         return child
 
     @contextmanager
     def dispatcher_with(self, *faults: tuple[str, int, int]) -> Iterator[subprocess.Popen[str]]:
-        """A dispatcher of a subtest of its own, in which these calls fail from now on."""
+        """Starts a dispatcher in a subtest and makes these system calls fail from now on."""
         with self.subTest(faults[0][0], error=errno.errorcode[faults[0][1]]):
             self.names.change(lambda endpoint: endpoint._replace(draining=False))
             self.faults.heal()
@@ -55,59 +55,61 @@
                 child.communicate()
 
     def drain(self) -> None:
-        """One of the two servers drains from now on."""
+        """Announces a drain of the first server."""
         self.names.drain("s-0")
         self.drained_at = time.monotonic()
 
-    def ask_for(self, seconds: float, wait_ms: int = 5000) -> list[Answer]:
-        """Requests one after another, for so long."""
+    def send_requests_for(self, seconds: float, wait_ms: int = 5000) -> list[ClientRequest]:
+        """Sends a request every 20 ms for so many seconds."""
         answers = []
         until = time.monotonic() + seconds
         while time.monotonic() < until:
-            answers.append(self.ask(wait_ms))
+            answers.append(self.send_request(wait_ms))
             time.sleep(0.02)
         return answers
 
-    def sent_late(self) -> list[float]:
-        """When requests came to the draining server after the grace, in seconds after its drain."""
+    def late_arrivals(self) -> list[float]:
+        """Returns when requests reached the draining server too late, in seconds after the drain."""
         late = self.servers[0].since(self.drained_at + LATE)
         return [round(arrival.at - self.drained_at, 3) for arrival in late]
 
-    def ended(self, child: subprocess.Popen[str]) -> str:
-        """What the dispatcher has logged until its planned end."""
+    def log_after_shutdown(self, child: subprocess.Popen[str]) -> str:
+        """Shuts the dispatcher down and returns its log."""
         child.send_signal(signal.SIGTERM)
-        said = child.communicate(timeout=30)[1]
-        self.assertEqual(child.returncode, 0, said)
-        return said
+        log = child.communicate(timeout=30)[1]
+        self.assertEqual(child.returncode, 0, log)
+        return log
 
 
 class ShortFaults(FaultyCase):
-    """Calls fail for a moment: discovery goes on."""
+    """System calls fail briefly: discovery continues."""
 
-    def drain_after(self, *faults: tuple[str, int, int]) -> None:
-        """A drain right behind these faults is learned."""
+    def check_drain_after_fault(self, *faults: tuple[str, int, int]) -> None:
+        """Checks that a drain right after these faults is noticed."""
         with self.dispatcher_with(*faults) as child:
             time.sleep(1.2)
             self.assertTrue(all(self.faults.failed(call) for call, _, _ in faults))
             self.faults.heal()
             self.drain()
             time.sleep(LATE - 0.1)
-            answers = self.ask_for(0.6)
+            answers = self.send_requests_for(0.6)
             self.assertEqual([answer.result() for answer in answers], [200] * len(answers))
-            self.assertEqual(self.sent_late(), [])
-            said = self.ended(child)
-            self.assertIn("server=s-0 before=ready after=draining", said)
+            self.assertEqual(self.late_arrivals(), [])
+            log = self.log_after_shutdown(child)
+            self.assertIn("server=s-0 before=ready after=draining", log)
 
     def test_one_failed_call_does_not_end_discovery(self) -> None:
-        """Each ended it for good: nothing was heard any more, and requests went by the old list."""
-        self.drain_after(("udp.epoll_add", errno.ENOMEM, 1), ("udp.recvfrom", errno.ENOMEM, 1))
-        self.drain_after(("udp.epoll_add", errno.ENOSPC, 1), ("udp.recvfrom", errno.ENOMEM, 40))
-        self.drain_after(("udp.getsockname", errno.ENOBUFS, 1), ("udp.recvfrom", errno.ENOMEM, 40))
-        self.drain_after(("udp.epoll_del", errno.ENOMEM, 1), ("udp.recvfrom", errno.ENOMEM, 1))
+        """Each of them stopped discovery for good, so that requests were sent by a stale list."""
+        self.check_drain_after_fault(("udp.epoll_add", errno.ENOMEM, 1), ("udp.recvfrom", errno.ENOMEM, 1))
+        self.check_drain_after_fault(("udp.epoll_add", errno.ENOSPC, 1), ("udp.recvfrom", errno.ENOMEM, 40))
+        self.check_drain_after_fault(
+            ("udp.getsockname", errno.ENOBUFS, 1), ("udp.recvfrom", errno.ENOMEM, 40)
+        )
+        self.check_drain_after_fault(("udp.epoll_del", errno.ENOMEM, 1), ("udp.recvfrom", errno.ENOMEM, 1))
 
 
 class Registrations(FaultyCase):
-    """epoll_ctl fails for a moment, at the start and for a connection that was just accepted."""
+    """epoll_ctl or open fails briefly, at startup and for connections that were just accepted."""
 
     def test_a_start(self) -> None:
         for call in ("udp.epoll_add", "tcp.epoll_add"):
@@ -119,7 +121,7 @@
                 while self.faults.failed(call) - before < 3 and time.monotonic() < until:
                     time.sleep(0.01)
                 self.assertEqual(self.faults.failed(call) - before, 3)
-                self.ended(child)
+                self.log_after_shutdown(child)
 
     def test_a_start_whose_configuration_cannot_be_opened_for_a_moment(self) -> None:
         for error in (errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.EIO, errno.EINTR):
@@ -128,47 +130,47 @@
                 self.faults.fail("open", error, 3)
                 child = self.dispatcher()
                 self.assertEqual(self.faults.failed("open") - before, 3)
-                self.ended(child)
+                self.log_after_shutdown(child)
 
     def test_connections_just_accepted(self) -> None:
         child = self.dispatcher()
         self.faults.fail("tcp.epoll_add", errno.ENOMEM, 3)
-        self.assertEqual([self.ask().result() for _ in range(6)], [200] * 6)
-        said = self.ended(child)
-        self.assertIn("event=poller_call_failed call=epoll_add", said)
+        self.assertEqual([self.send_request().result() for _ in range(6)], [200] * 6)
+        log = self.log_after_shutdown(child)
+        self.assertIn("event=poller_call_failed call=epoll_add", log)
 
 
 class LongFaults(FaultyCase):
-    """The list cannot be refreshed for longer than the grace: nothing is sent by it meanwhile."""
+    """The list cannot be refreshed for longer than the grace: no request is sent meanwhile."""
 
-    def fails_while_draining(self, call: str, error: int) -> None:
-        """A server drains while discovery's calls fail; what waits meanwhile is served afterwards."""
+    def check_drain_during_fault(self, call: str, error: int) -> None:
+        """Drains a server while a system call of discovery fails; queued requests are served afterwards."""
         with self.dispatcher_with((call, error, FOREVER)) as child:
             self.drain()
             time.sleep(LATE)
-            waiting = self.ask_for(0.5)
+            waiting = self.send_requests_for(0.5)
             self.faults.heal()
-            answers = waiting + self.ask_for(0.3)
+            answers = waiting + self.send_requests_for(0.3)
             results = [answer.result() for answer in answers]
             self.assertTrue(set(results) <= {200, 503}, results)
             self.assertGreater(results.count(200), len(results) // 2)
-            self.assertEqual(self.sent_late(), [])
-            counters = counters_at_exit(self.ended(child))
+            self.assertEqual(self.late_arrivals(), [])
+            counters = counters_at_exit(self.log_after_shutdown(child))
             self.assertGreater(counters["taken"], 10)
 
     def test_nothing_is_sent_by_a_list_that_cannot_be_refreshed(self) -> None:
-        self.fails_while_draining("udp.sendto", errno.ENETUNREACH)
-        self.fails_while_draining("udp.recvfrom", errno.ENOMEM)
+        self.check_drain_during_fault("udp.sendto", errno.ENETUNREACH)
+        self.check_drain_during_fault("udp.recvfrom", errno.ENOMEM)
 
     def test_a_configuration_that_could_not_be_read_for_long(self) -> None:
-        """A SIGHUP moves discovery, and the file cannot be opened for 7 s: the new address holds then."""
+        """SIGHUP switches the name server, but the file cannot be opened for 7 s; the switch follows then."""
         child = self.dispatcher()
         before = self.names
         self.names = NameService(self.addresses.names, MOVED_PORT, list(before.endpoints))
         self.addCleanup(self.names.close)
-        told = json.loads(self.configured.read_text())
-        told["nameserver"] = f"{self.addresses.names}:{MOVED_PORT}"
-        self.configured.write_text(json.dumps(told))
+        configuration = json.loads(self.configured.read_text())
+        configuration["nameserver"] = f"{self.addresses.names}:{MOVED_PORT}"
+        self.configured.write_text(json.dumps(configuration))
         self.faults.fail("open", errno.EMFILE)
         child.send_signal(signal.SIGHUP)
         time.sleep(7.0)
@@ -176,10 +178,10 @@
         time.sleep(3.5)
         self.drain()
         time.sleep(LATE)
-        answers = self.ask_for(0.5)
+        answers = self.send_requests_for(0.5)
         self.assertEqual([answer.result() for answer in answers], [200] * len(answers))
-        self.assertEqual(self.sent_late(), [])
-        self.ended(child)
+        self.assertEqual(self.late_arrivals(), [])
+        self.log_after_shutdown(child)
 
 
 if __name__ == "__main__":
--- a/tests/test_discovery_log.py
+++ b/tests/test_discovery_log.py
@@ -1,4 +1,4 @@
-"""What the log and the counters tell of questions to the name service that had no answer."""
+"""Log lines and counters about unanswered queries to the name server."""
 
 import logging
 import unittest
@@ -9,6 +9,8 @@
 
 
 class Missed(unittest.TestCase):
+    """One or more queries stay unanswered before a response."""
+
     def test_the_next_answer_tells_how_many_questions_had_none_and_for_how_long(self) -> None:
         world = World(self)
         world.list(2, ENDPOINT)
@@ -16,12 +18,12 @@
         with self.assertLogs(world.service.log, logging.INFO) as logs:
             world.go(1000)
             world.list(3, ENDPOINT)
-        told = {record.getMessage(): record.figures for record in logs.records}  # type: ignore[attr-defined]
-        self.assertGreaterEqual(told["discovery_answers_missed"]["questions"], 4)
-        self.assertGreaterEqual(told["discovery_answers_missed"]["for_ms"], 1000.0)
-        self.assertEqual((told["list_answered"]["number"], told["list_answered"]["before"]), (3, 2))
+        logged = {record.getMessage(): record.figures for record in logs.records}  # type: ignore[attr-defined]
+        self.assertGreaterEqual(logged["discovery_answers_missed"]["questions"], 4)
+        self.assertGreaterEqual(logged["discovery_answers_missed"]["for_ms"], 1000.0)
+        self.assertEqual((logged["list_answered"]["number"], logged["list_answered"]["before"]), (3, 2))
         missed = world.count("names_unanswered") - before
-        self.assertEqual(missed, told["discovery_answers_missed"]["questions"])
+        self.assertEqual(missed, logged["discovery_answers_missed"]["questions"])
 
     def test_one_that_was_not_answered_is_counted_and_not_logged(self) -> None:
         world = World(self)
--- a/tests/test_list_agreement.py
+++ b/tests/test_list_agreement.py
@@ -1,4 +1,4 @@
-"""Which list of engines is in force, by the numbers and the contents of the answers."""
+"""Which list of engines is in force, by the serial numbers and contents of the responses."""
 
 import unittest
 
@@ -8,12 +8,12 @@
 
 
 def endpoint(ident: str, life: Life = Life.READY, started: float = 0.0, weight: float = 1.0) -> Endpoint:
-    """One engine."""
+    """Builds the entry of one engine."""
     return Endpoint(ident, "127.0.9.1", 7001, "east", "std", 0, life, weight, started)
 
 
 def listed(*endpoints: Endpoint) -> dict[str, Endpoint]:
-    """A list of these."""
+    """Builds a list of these entries."""
     return {each.ident: each for each in endpoints}
 
 
@@ -22,12 +22,14 @@
 
 
 class Agreeing(unittest.TestCase):
+    """Responses with higher, equal and lower numbers than the list in force."""
+
     def setUp(self) -> None:
         self.agreement = Agreement.of(5, listed(A, B))
         self.now = 0.0
 
     def answer(self, number: int, *endpoints: Endpoint, asked_at: float | None = None) -> Verdict:
-        """One answer, 200 ms behind the last, to a question that has just left."""
+        """Assesses a response, 200 ms after the last one, to a query sent 1 ms ago by default."""
         self.now += 200.0
         asked_at = self.now - 1.0 if asked_at is None else asked_at
         found = assess(self.agreement, number, listed(*endpoints), asked_at, self.now)
@@ -36,7 +38,7 @@
         return found.verdict
 
     def in_force(self) -> dict[str, str]:
-        """The state of each engine in force."""
+        """Returns the state of each engine in the list in force."""
         return {ident: each.life.name for ident, each in self.agreement.in_force.items()}
 
     def test_the_list_in_force_is_confirmed_whatever_its_weights(self) -> None:
@@ -118,7 +120,7 @@
         self.assertEqual(self.agreement.contradictions, 0)
 
     def renumber(self, *endpoints: Endpoint) -> None:
-        """Answers in a row tell a list of number 2."""
+        """Passes consecutive responses with a list of number 2, until it is adopted."""
         for _ in range(RENUMBERED_AFTER - 1):
             self.answer(2, *endpoints)
         self.assertEqual(self.answer(2, *endpoints), Verdict.NEWER)
--- a/tests/test_list_freshness.py
+++ b/tests/test_list_freshness.py
@@ -1,4 +1,4 @@
-"""Whether the list may be followed: questions that do not leave, answers that cannot be read, silence."""
+"""The lease on the list: queries that cannot be sent, lost and unusable responses, silence."""
 
 import unittest
 from unittest.mock import patch
@@ -20,20 +20,22 @@
 from tests.helpers import AGREED, SETTLED, Caller, World
 
 GRACE = 250.0
-MEAN = 0.5  # of chance: neither shorter nor longer
+MEAN = 0.5  # no jitter
 
 
 class Lease(unittest.TestCase):
+    """The lease, by the send times of queries and the responses to them."""
+
     def setUp(self) -> None:
         self.list = ListFreshness(GRACE)
 
     def confirm(self, at: float) -> None:
-        """A question that is answered at once with the list in force."""
+        """Sends a query; its response confirms the list at once."""
         self.list.asked(at)
         self.list.answered(at, at, Verdict.CONFIRMED)
 
-    def ask_until(self, end: float) -> None:
-        """A question each 200 ms, none answered."""
+    def query_until(self, end: float) -> None:
+        """Sends a query every 200 ms, all unanswered."""
         for at in range(0, int(end) + 1, 200):
             self.list.asked(float(at))
 
@@ -42,7 +44,7 @@
 
     def test_a_name_service_that_stays_silent_ends_the_lease_for_good(self) -> None:
         self.confirm(0.0)
-        self.ask_until(20_000)
+        self.query_until(20_000)
         self.assertTrue(self.list.may_be_followed(GRACE / 2))
         for now in (GRACE / 2 + 1.0, 1001.0 + GRACE / 2, 6000.0, MAX_PROPAGATION_DELAY + GRACE / 2, 20_100.0):
             self.assertEqual(self.list.stale_reason(now), StaleReason.UNANSWERED, now)
@@ -66,7 +68,7 @@
         for at in range(3000, 20_000, 100):
             self.list.asked(float(at))
             self.assertEqual(self.list.stale_reason(at + 1.0), StaleReason.UNASKED)
-        self.answer_in_a_row(20_000.0, SETTLING_RESPONSES)
+        self.answer_consecutively(20_000.0, SETTLING_RESPONSES)
         self.assertTrue(self.list.may_be_followed(20_000.0 + SETTLING_RESPONSES * 40.0))
 
     def test_a_question_without_an_answer_may_have_been_answered_with_news(self) -> None:
@@ -83,8 +85,8 @@
         for now in (1300.0, 1301.0, 2000.0):
             self.assertEqual(self.list.stale_reason(now), StaleReason.UNANSWERED)
 
-    def answer_in_a_row(self, first: float, count: int) -> None:
-        """So many questions, 40 ms apart, answered at once with the list in force."""
+    def answer_consecutively(self, first: float, count: int) -> None:
+        """Sends so many queries, 40 ms apart; each response confirms the list 1 ms later."""
         for number in range(count):
             self.list.asked(first + 40.0 * number)
             self.list.answered(first + 40.0 * number + 1.0, first + 40.0 * number, Verdict.CONFIRMED)
@@ -92,38 +94,38 @@
     def test_a_question_without_an_answer_is_settled_by_answers_in_a_row(self) -> None:
         self.confirm(0.0)
         self.list.asked(200.0)
-        self.answer_in_a_row(240.0, SETTLING_RESPONSES - 1)
+        self.answer_consecutively(240.0, SETTLING_RESPONSES - 1)
         self.assertEqual(self.list.stale_reason(500.0), StaleReason.UNANSWERED)
         self.assertTrue(self.list.has_unsettled_query())
-        self.answer_in_a_row(460.0, 1)
+        self.answer_consecutively(460.0, 1)
         self.assertIsNone(self.list.stale_reason(500.0))
         self.assertFalse(self.list.has_unsettled_query())
 
     def test_a_newer_list_begins_the_row_anew(self) -> None:
         self.confirm(0.0)
         self.list.asked(200.0)
-        self.answer_in_a_row(240.0, SETTLING_RESPONSES - 1)
+        self.answer_consecutively(240.0, SETTLING_RESPONSES - 1)
         self.list.asked(450.0)
         self.list.answered(451.0, 450.0, Verdict.NEWER)
-        self.answer_in_a_row(460.0, SETTLING_RESPONSES - 2)
+        self.answer_consecutively(460.0, SETTLING_RESPONSES - 2)
         self.assertEqual(self.list.stale_reason(700.0), StaleReason.UNANSWERED)
-        self.answer_in_a_row(700.0, 1)
+        self.answer_consecutively(700.0, 1)
         self.assertIsNone(self.list.stale_reason(710.0))
 
     def test_another_question_without_an_answer_begins_the_row_anew(self) -> None:
         self.confirm(0.0)
         self.list.asked(200.0)
-        self.answer_in_a_row(240.0, SETTLING_RESPONSES - 1)
+        self.answer_consecutively(240.0, SETTLING_RESPONSES - 1)
         self.list.asked(450.0)
-        self.answer_in_a_row(460.0, SETTLING_RESPONSES - 1)
+        self.answer_consecutively(460.0, SETTLING_RESPONSES - 1)
         self.assertEqual(self.list.stale_reason(700.0), StaleReason.UNANSWERED)
-        self.answer_in_a_row(700.0, 1)
+        self.answer_consecutively(700.0, 1)
         self.assertIsNone(self.list.stale_reason(710.0))
 
     def test_its_own_late_answer_settles_a_question(self) -> None:
         self.confirm(0.0)
         self.list.asked(200.0)
-        self.answer_in_a_row(240.0, 1)
+        self.answer_consecutively(240.0, 1)
         self.assertEqual(self.list.stale_reason(400.0), StaleReason.UNANSWERED)
         self.list.answered(401.0, 200.0, Verdict.CONFIRMED)
         self.assertIsNone(self.list.stale_reason(401.0))
@@ -132,9 +134,9 @@
         self.confirm(0.0)
         self.list.asked(200.0)
         self.list.moved()
-        self.answer_in_a_row(210.0, 30)
+        self.answer_consecutively(210.0, 30)
         self.assertEqual(self.list.stale_reason(1500.0), StaleReason.UNANSWERED)
-        self.answer_in_a_row(200.0 + PROPAGATION_LIMIT, 1)
+        self.answer_consecutively(200.0 + PROPAGATION_LIMIT, 1)
         self.assertIsNone(self.list.stale_reason(201.0 + PROPAGATION_LIMIT))
 
     def test_many_questions_without_an_answer_may_all_be_lost(self) -> None:
@@ -199,7 +201,7 @@
         self.assertEqual(self.list.stale_reason(3401.0 + GRACE / 2), StaleReason.UNANSWERED)
 
     def test_the_times_of_many_questions_are_bounded_and_the_oldest_and_the_latest_are_kept(self) -> None:
-        self.ask_until(100_000)
+        self.query_until(100_000)
         self.assertEqual(len(self.list.unanswered_since), MAX_OPEN_QUERIES)
         self.assertEqual((self.list.unanswered_since[0], self.list.unanswered_since[-1]), (0.0, 100_000.0))
 
@@ -233,25 +235,25 @@
     def test_an_older_list_settles_its_own_question_and_ends_the_row(self) -> None:
         self.confirm(0.0)
         self.list.asked(200.0)
-        self.answer_in_a_row(240.0, SETTLING_RESPONSES - 1)
+        self.answer_consecutively(240.0, SETTLING_RESPONSES - 1)
         self.list.asked(450.0)
         self.list.answered(451.0, 450.0, Verdict.OLDER)
         self.assertEqual(list(self.list.unanswered_since), [200.0])
-        self.answer_in_a_row(460.0, SETTLING_RESPONSES - 1)
+        self.answer_consecutively(460.0, SETTLING_RESPONSES - 1)
         self.assertEqual(self.list.stale_reason(700.0), StaleReason.UNANSWERED)
-        self.answer_in_a_row(700.0, 1)
+        self.answer_consecutively(700.0, 1)
         self.assertIsNone(self.list.stale_reason(710.0))
 
     def test_a_question_on_its_way_is_not_one_that_was_missed(self) -> None:
         self.confirm(0.0)
         self.list.asked(200.0)
         self.assertFalse(self.list.has_unsettled_query())
-        self.answer_in_a_row(240.0, 1)
+        self.answer_consecutively(240.0, 1)
         self.assertTrue(self.list.has_unsettled_query())
 
 
 class OfADispatcher(unittest.TestCase):
-    """What its answers and questions make of it."""
+    """The lease of a dispatcher with a simulated name server."""
 
     def test_an_answer_with_a_bad_record_confirms_nothing(self) -> None:
         world = World(self, engines=2)
--- a/tests/test_list_numbers.py
+++ b/tests/test_list_numbers.py
@@ -1,4 +1,4 @@
-"""Answers whose number does not fit the list in force: a real process goes on learning of drains."""
+"""Drains are noticed by a real process after responses with a wrong serial number."""
 
 import time
 import unittest
@@ -8,46 +8,46 @@
 from tests.processes import Addresses
 from tests.test_unheard_drains import UnheardCase
 
-PREDECESSOR_NUMBER = 5  # of the last list that a process before the restart was told; a start begins from 1
+PREDECESSOR_NUMBER = 5  # of the last list before the restart; a dispatcher starts from 1
 LARGEST_NUMBER = 0xFFFF_FFFF  # of a SOA record, RFC 1035
 STALE_ANSWERS = 4
 
 
 class NumberedNameService(FaultyNameService):
-    """Answers the next questions with another number, and with the list as it stood then."""
+    """Answers the next queries with another serial number and the list as it was at that time."""
 
     def __init__(self, host: str, port: int, endpoints: list[names.Endpoint]) -> None:
         self.renumbered = list[tuple[int, list[names.Endpoint]]]()
         super().__init__(host, port, endpoints)
 
     def renumber(self, number: int, times: int = 1) -> None:
-        """The next answers hold the list of now under this number."""
+        """Makes the next responses hold the current list under this number."""
         self.renumbered = [(number, list(self.endpoints))] * times
 
-    def answer(self, question: bytes, asker: tuple[str, int]) -> None:
-        """One question."""
+    def answer(self, query: bytes, client_address: tuple[str, int]) -> None:
+        """Answers one query."""
         if not self.renumbered:
-            super().answer(question, asker)
+            super().answer(query, client_address)
             return
         number, endpoints = self.renumbered.pop()
-        told = names.answer(question, number, *(endpoint.record() for endpoint in endpoints), flags=0x8400)
-        self.socket.sendto(told, asker)
+        response = names.answer(query, number, *(endpoint.record() for endpoint in endpoints), flags=0x8400)
+        self.socket.sendto(response, client_address)
 
 
 class Renumbered(UnheardCase):
-    """Two servers, one of which drains, and requests all the while."""
+    """Two servers, one of which drains, under continuous requests."""
 
     addresses = Addresses.in_subnet(72)
     name_service = NumberedNameService
     names: NumberedNameService
 
     def check_drain_behind(self, number: int, times: int = 1) -> None:
-        """A server drains behind answers of that number: nothing comes there later than the grace allows."""
+        """Checks that a drain announced after responses with that number is followed within the grace."""
         self.dispatcher()
         self.names.renumber(number, times)
-        self.ask_until(time.monotonic() + 1.0)
+        self.send_requests_until(time.monotonic() + 1.0)
         self.assertEqual(self.names.renumbered, [])
-        self.check_drain_told(2.0)
+        self.check_announced_drain(2.0)
 
     def test_a_drain_is_learned_behind_an_answer_with_the_numbers_of_the_process_before_a_restart(
         self,
--- a/tests/test_port_renewal.py
+++ b/tests/test_port_renewal.py
@@ -1,4 +1,4 @@
-"""Nothing comes back to the port that the name service is asked from: another one is asked from."""
+"""No response reaches the source port of queries to the name server: another port is used."""
 
 import errno
 import socket
@@ -19,55 +19,56 @@
 )
 from tests.helpers import Caller, World
 from tests.processes import Addresses, counters_at_exit
-from tests.scripted_names import Answering, ScriptedNameService, Step
-from tests.test_answer_orders import AT_REST, DRAIN, GRACE, SLACK, ScriptedCase, silence
+from tests.scripted_names import Delivery, ScriptedNameService, Step
+from tests.test_answer_orders import DRAIN, GRACE, SETTLE_TIME, SLACK, ScriptedCase, silence
 from tests.test_discovery_faults import FaultyCase
 
-FLOWS_AGAIN = 1.0  # seconds after the first port is lost
-OUTAGE = 9.0  # seconds: longer than an earlier port is read
+RECOVERY_TIME = 1.0  # seconds after the loss of the first port until requests are served again
+OUTAGE = 9.0  # seconds; longer than an earlier port is read
 EARLIER_READ = 7.0  # seconds
-PORTS_MOST = 4  # open at a time
-OPENED_MOST = 6  # in such an outage, with the one of the start
-LOOK_EACH = 0.1  # seconds
+MAX_PORTS = 4  # open at a time
+MAX_OPENED = 6  # in such an outage, including the one at startup
+SAMPLE_INTERVAL = 0.1  # seconds
 FOREVER = 60.0  # seconds
 
 
 class PortNameService(ScriptedNameService):
-    """One whose script holds for the first port that asked it only; what others get is set apart.
+    """A scripted name server whose script applies only to the first source port.
 
     Attributes:
-        ports: The source ports that have asked, in their order.
-        others: What happens to answers to ports but the first.
+        ports: The source ports of queries, in order of their first use.
+        others: What happens to responses to the other ports.
     """
 
     def __init__(self, host: str, port: int, endpoints: list[names.Endpoint]) -> None:
         self.ports = list[int]()
-        self.others = Step(Answering.SENT)
+        self.others = Step(Delivery.SENT)
         super().__init__(host, port, endpoints)
 
-    def carry_out(self, step: Step, question: bytes, asker: tuple[str, int]) -> None:
-        """One answer."""
-        if asker[1] not in self.ports:
-            self.ports.append(asker[1])
-        super().carry_out(step if asker[1] == self.ports[0] else self.others, question, asker)
+    def respond(self, step: Step, query: bytes, client_address: tuple[str, int]) -> None:
+        """Handles one response, by the script or as for other ports."""
+        if client_address[1] not in self.ports:
+            self.ports.append(client_address[1])
+        super().respond(step if client_address[1] == self.ports[0] else self.others, query, client_address)
 
 
 class Silence:
-    """A name service that has answered last at that time."""
+    """A name server that stays silent since a given time."""
 
     def __init__(self) -> None:
         self.now = self.silent_since = 0.0
         self.missed = 0
 
     def silent_for(self) -> float:
+        """See net.port_renewal.Silence."""
         return self.now - self.silent_since
 
 
 class Distances(unittest.TestCase):
-    """When another port is due."""
+    """The intervals between two renewals."""
 
     def renewals(self, seconds: float, silence: Silence) -> list[float]:
-        """When ports are renewed, where a question is asked each 0.1 s, to the tenth of a second."""
+        """Returns the times of renewals with one query every 0.1 s."""
         renewal, found = PortRenewal(silence), list[float]()
         for tenth in range(round(seconds * 10)):
             silence.now = tenth / 10
@@ -109,10 +110,10 @@
 
 
 class FailedRenewals(unittest.TestCase):
-    """Another port cannot be opened: the same is asked from, and another is tried later."""
+    """No other port can be opened: the current one stays in use, and opening is retried later."""
 
     def check(self, behind: bool) -> None:
-        """The system fails before the socket is the protocol's, or behind that."""
+        """Makes opening fail before the protocol has the socket, or `behind` that."""
         world, failures = World(self), list[object]()
         real, asked = world.reactor.listenUDP, world.count("names_asked")
         world.names_silent = True
@@ -148,96 +149,96 @@
 
 
 class LostPorts(ScriptedCase):
-    """The first port gets no answers from some time on; the process, its sides and sockets are real."""
+    """The first port of a real process gets no responses from some time on."""
 
     addresses = Addresses.in_subnet(71)
     name_service = PortNameService
     names: PortNameService
 
-    def ended(self, child: subprocess.Popen[str]) -> str:
-        """What the dispatcher has logged until its planned end."""
-        return FaultyCase.ended(self, child)  # type: ignore[arg-type]
+    def log_after_shutdown(self, child: subprocess.Popen[str]) -> str:
+        """Shuts the dispatcher down and returns its log."""
+        return FaultyCase.log_after_shutdown(self, child)  # type: ignore[arg-type]
 
-    def at_rest(self) -> subprocess.Popen[str]:
-        """A dispatcher whose first port gets its answers."""
+    def settled_dispatcher(self) -> subprocess.Popen[str]:
+        """Starts a dispatcher and waits until its first port works."""
         child = self.dispatcher()
-        time.sleep(AT_REST)
+        time.sleep(SETTLE_TIME)
         self.assertEqual(len(self.names.ports), 1)
         return child
 
     def arrived(self, since: float) -> int:
-        """How many requests have come to the servers."""
+        """Returns the number of requests that reached the servers since then."""
         return sum(len(server.since(since)) for server in self.servers)
 
     def sockets(self, child: subprocess.Popen[str]) -> int:
-        """How many datagram sockets the dispatcher has open."""
+        """Returns the number of open UDP sockets of the dispatcher."""
         (address,) = struct.unpack("=I", socket.inet_aton(self.addresses.dispatcher))
         rows = Path(f"/proc/{child.pid}/net/udp").read_text().splitlines()[1:]
         return sum(row.split()[1].startswith(f"{address:08X}:") for row in rows)
 
     def test_requests_flow_again_from_another_port(self) -> None:
-        child = self.at_rest()
+        child = self.settled_dispatcher()
         lost_at = time.monotonic()
         self.names.play(silence(FOREVER))
-        self.ask_for(FLOWS_AGAIN)
+        self.send_requests_for(RECOVERY_TIME)
         flowing_from = time.monotonic()
-        answers = [self.ask() for _ in range(20)]
-        self.ask_for(0.3)
+        answers = [self.send_request() for _ in range(20)]
+        self.send_requests_for(0.3)
         self.assertGreaterEqual(self.arrived(flowing_from), len(answers), f"{flowing_from - lost_at:.2f} s")
         self.assertEqual([answer.result() for answer in answers], [200] * len(answers))
-        counters = counters_at_exit(self.ended(child))
+        counters = counters_at_exit(self.log_after_shutdown(child))
         self.assertEqual(counters["names_ports_renewed"], 1)
 
     def check_drain(self, *script: Step) -> None:
-        """A drain is told while the first port gets no answers: nothing is late, and requests flow again."""
-        self.at_rest()
+        """Checks a drain announced while the port is lost: none is late, and requests are served again."""
+        self.settled_dispatcher()
         self.names.play(*script, silence(FOREVER))
-        told = self.told(self.names)
-        self.ask_for(told + FLOWS_AGAIN - time.monotonic())
+        announced_at = self.announced_at(self.names)
+        self.send_requests_for(announced_at + RECOVERY_TIME - time.monotonic())
         flowing_from = time.monotonic()
-        self.ask_for(1.0)
-        self.assert_none_late(told)
+        self.send_requests_for(1.0)
+        self.assert_none_late(announced_at)
         self.assertGreater(len(self.servers[1].since(flowing_from)), 20)
 
     def test_a_drain_told_to_the_lost_port(self) -> None:
-        self.check_drain(DRAIN, Step(Answering.LOST))
+        self.check_drain(DRAIN, Step(Delivery.LOST))
 
     def test_a_drain_told_to_the_lost_port_again_and_again(self) -> None:
-        self.check_drain(DRAIN, Step(Answering.LOST, times=20))
+        self.check_drain(DRAIN, Step(Delivery.LOST, times=20))
 
     def test_a_drain_told_some_time_after_the_port_was_lost(self) -> None:
         self.check_drain(silence(0.2), DRAIN)
 
     def test_an_answer_to_an_earlier_port_is_taken(self) -> None:
-        child = self.at_rest()
+        child = self.settled_dispatcher()
         self.names.others = silence(FOREVER)
-        self.names.play(DRAIN, Step(Answering.SENT, delay=1.5), silence(FOREVER))
-        told = self.told(self.names)
-        self.ask_for(told + 2.0 - time.monotonic())
+        self.names.play(DRAIN, Step(Delivery.SENT, delay=1.5), silence(FOREVER))
+        announced_at = self.announced_at(self.names)
+        self.send_requests_for(announced_at + 2.0 - time.monotonic())
         self.assertGreaterEqual(len(self.names.ports), 3)
-        self.assert_none_late(told)
-        said = self.ended(child)
-        self.assertIn("server=s-0 before=ready after=draining", said)
+        self.assert_none_late(announced_at)
+        log = self.log_after_shutdown(child)
+        self.assertIn("server=s-0 before=ready after=draining", log)
 
     def test_sockets_in_a_long_outage(self) -> None:
-        child = self.at_rest()
+        child = self.settled_dispatcher()
         self.names.others = silence(FOREVER)
         self.names.play(silence(FOREVER))
         open_sockets = list[int]()
         until = time.monotonic() + OUTAGE
         while time.monotonic() < until:
             open_sockets.append(self.sockets(child))
-            time.sleep(LOOK_EACH)
-        self.assertEqual(max(open_sockets), PORTS_MOST)
-        self.names.others = Step(Answering.SENT)
-        self.ask_for(FLOWS_AGAIN)
+            time.sleep(SAMPLE_INTERVAL)
+        self.assertEqual(max(open_sockets), MAX_PORTS)
+        self.names.others = Step(Delivery.SENT)
+        self.send_requests_for(RECOVERY_TIME)
         flowing_from = time.monotonic()
-        self.ask_for(0.5)
+        self.send_requests_for(0.5)
         self.assertGreater(self.arrived(flowing_from), 20)
         time.sleep(EARLIER_READ + GRACE + SLACK)
         self.assertEqual(self.sockets(child), 1)
-        counters = counters_at_exit(self.ended(child))
-        self.assertLessEqual(counters["names_sockets_opened"], OPENED_MOST)
+        counters = counters_at_exit(self.log_after_shutdown(child))
+        self.assertLessEqual(counters["names_sockets_opened"], MAX_OPENED)
         self.assertNotIn("names_socket_ended", counters)
 
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -1,4 +1,4 @@
-"""Starts of engines as a list tells them, where clocks differ: slow start is kept, and ends in time."""
+"""Start times in a list of another clock: slow start is applied, and ends in time."""
 
 import unittest
 from typing import Any
@@ -11,22 +11,22 @@
 
 
 class Began(unittest.TestCase):
-    """Since when a start counts."""
+    """Start times on the dispatcher's clock."""
 
     def test_the_bounds_of_a_start(self) -> None:
         cases = (
             ("long ago", 0.0, 0.0),
-            ("as told", 995.0, 995.0),
-            ("told before the last list without it", 910.0, 990.0),
-            ("told far in the past, as our clock is ahead", 1000.0 - HOUR, 990.0),
-            ("told in the future, as our clock is behind", 1000.0 + HOUR, 1000.0),
+            ("as reported", 995.0, 995.0),
+            ("before the last list without it", 910.0, 990.0),
+            ("far in the past, as our clock is ahead", 1000.0 - HOUR, 990.0),
+            ("in the future, as our clock is behind", 1000.0 + HOUR, 1000.0),
         )
-        for name, told, expected in cases:
+        for name, reported, expected in cases:
             with self.subTest(name):
                 starts = StartTimes()
                 starts.listed(950.0, {"a": 950.0})  # which proves that our clock is not ahead
                 starts.confirm(990.0)
-                self.assertEqual(starts.listed(1000.0, {"a": 950.0, "b": told})["b"], expected)
+                self.assertEqual(starts.listed(1000.0, {"a": 950.0, "b": reported})["b"], expected)
 
     def test_the_latest_start_bounds_by_how_much_our_clock_is_ahead(self) -> None:
         for off in (0.0, 20_000.0, HOUR):
@@ -62,7 +62,7 @@
 
 
 class Budgets(unittest.TestCase):
-    """What the decisions make of a start, with a dispatcher whose clock is off by an hour."""
+    """Slow start in a dispatcher whose clock differs by up to an hour."""
 
     def known(self, started: float) -> dict[str, Any]:
         instances = [instance(0, startedAtMs=started), instance(1)]
@@ -70,7 +70,7 @@
         return {"known": {"no": 1, "items": [{"no": 1, "roster": roster}]}}
 
     def cold_for(self, world: World, ident: str) -> float:
-        """Ms for which slow start still limits an engine."""
+        """Returns for how many ms slow start still limits an engine."""
         rules = world.service.adapter.rules
         return float(rules.engines[world.service.adapter.index.places[ident]].warm_at - world.now())
 
@@ -87,9 +87,9 @@
                 world = World(self)
                 world.list(1)  # the list in force is confirmed
                 joined = world.now()
-                told = f"kind=std cell=0 started={joined - off:.0f}"
+                text = f"kind=std cell=0 started={joined - off:.0f}"
                 rows = [("s-0.east.hosts", "127.0.9.0:7001", 0, "kind=std cell=0 started=0")]
-                world.list(2, *rows, ("s-9.east.hosts", "127.0.9.9:7001", 0, told))
+                world.list(2, *rows, ("s-9.east.hosts", "127.0.9.9:7001", 0, text))
                 world.go(AGREED)
                 self.assertTrue(
                     COLD - 250 <= self.cold_for(world, "s-9") <= COLD, self.cold_for(world, "s-9")
@@ -98,7 +98,7 @@
                 self.assertLessEqual(self.cold_for(world, "s-9"), 0.0)
 
     def test_a_restart_with_a_clock_ahead_sends_no_more_than_slow_start_allows(self) -> None:
-        """Right after a restart of ours nothing goes to an engine that may have just started."""
+        """Right after a restart of the dispatcher, an engine that may have just started gets no requests."""
         world = World(self, **self.known(BASE - HOUR))
         for number in range(12):
             Caller(world).post(number)
@@ -110,8 +110,8 @@
         caller = Caller(world)
         caller.post(1, "load")
         peer = world.peer().up()
-        told = f"kind=std cell=0 started={world.now() + HOUR:.0f}"
-        world.list(2, ("s-0.east.hosts", "127.0.9.0:7001", 0, told))
+        text = f"kind=std cell=0 started={world.now() + HOUR:.0f}"
+        world.list(2, ("s-0.east.hosts", "127.0.9.0:7001", 0, text))
         self.assertFalse(peer.pipe.aborted)  # it may lead to the new process: its attempt is not cut
         peer.say(1, "200", "parts=1", b"a\t1\tx\n")
         self.assertEqual([status for status, _, _ in caller.answers()], [200])
--- a/tests/test_unheard_drains.py
+++ b/tests/test_unheard_drains.py
@@ -1,4 +1,4 @@
-"""A drain that the name service has told, and that a real process has not heard: nothing goes there."""
+"""A drain is announced, but a real process does not receive it: no request reaches the engine late."""
 
 import json
 import signal
@@ -10,59 +10,61 @@
 from tests.processes import NAMES_PORT, Addresses
 from tests.test_discovery_faults import FaultyCase
 
-GRACE, SLACK = 0.25, 0.05  # seconds, as the settings and the protocol page have them
-NEWS_WITHIN = 7.0  # seconds after which a change counts as told, whether or not an answer arrived
+GRACE, SLACK = 0.25, 0.05  # seconds, from the settings and the protocol page
+MAX_PROPAGATION_DELAY = (
+    7.0  # seconds after which a change counts as announced, whether or not a response arrived
+)
 MOVED_PORT = NAMES_PORT + 1
-ASK_EACH = 0.01  # seconds
+REQUEST_INTERVAL = 0.01  # seconds
 
 
 class UnheardCase(FaultyCase):
-    """Two servers, one of which drains, and requests all the while."""
+    """Two servers, one of which drains, under continuous requests."""
 
     addresses = Addresses.in_subnet(69)
     name_service = FaultyNameService
     names: FaultyNameService
 
-    def ask_until(self, end: float) -> None:
-        """Requests side by side, one each 10 ms."""
+    def send_requests_until(self, end: float) -> None:
+        """Sends a request every 10 ms, without waiting for responses."""
         while time.monotonic() < end:
-            self.ask()
-            time.sleep(ASK_EACH)
+            self.send_request()
+            time.sleep(REQUEST_INTERVAL)
 
-    def told(self) -> float:
-        """When the first answer with the list in force at the name service was sent."""
+    def announced_at(self) -> float:
+        """Waits for the first response with the current list; returns when it was sent."""
         until = time.monotonic() + 5.0
         while self.names.serial not in self.names.sent:
-            self.assertLess(time.monotonic(), until, "no question came")
-            self.ask()
-            time.sleep(ASK_EACH)
+            self.assertLess(time.monotonic(), until, "no query arrived")
+            self.send_request()
+            time.sleep(REQUEST_INTERVAL)
         return self.names.sent[self.names.serial]
 
-    def late(self, told: float) -> list[float]:
-        """When requests came to the draining server after the grace, in seconds after it was told."""
-        arrivals = self.servers[0].since(told + GRACE + SLACK)
-        return [round(arrival.at - told, 3) for arrival in arrivals]
+    def late(self, announced_at: float) -> list[float]:
+        """Returns when requests reached the draining server too late, in seconds after the announcement."""
+        arrivals = self.servers[0].since(announced_at + GRACE + SLACK)
+        return [round(arrival.at - announced_at, 3) for arrival in arrivals]
 
     def serve_again(self) -> None:
-        """Both servers are ready, and the dispatcher knows."""
+        """Ends the drain, and waits until the dispatcher has noticed."""
         self.names.change(lambda endpoint: endpoint._replace(draining=False))
         time.sleep(0.5)
 
     def check_drain(self, fault: Fault, times: int, seconds: float, then: Fault | None = None) -> None:
-        """A server drains as the next answers fail: nothing comes there later than the grace allows."""
+        """Checks a drain whose first responses fail: no request arrives after the grace."""
         self.names.fail(fault, times, then)
-        self.check_drain_told(seconds)
+        self.check_announced_drain(seconds)
 
-    def check_drain_told(self, seconds: float) -> None:
-        """A server drains: nothing comes there later than the grace allows, for so many seconds."""
+    def check_announced_drain(self, seconds: float) -> None:
+        """Checks a drain for so many seconds: no request arrives after the grace."""
         self.names.drain("s-0")
-        told = self.told()
-        self.ask_until(told + seconds)
-        self.assertEqual(self.late(told), [])
+        announced_at = self.announced_at()
+        self.send_requests_until(announced_at + seconds)
+        self.assertEqual(self.late(announced_at), [])
 
 
 class UnheardDrains(UnheardCase):
-    """A drain that was told in answers which did not arrive."""
+    """A drain announced in responses that did not arrive or were unusable."""
 
     def test_nothing_goes_to_a_server_whose_drain_was_told_in_lost_answers(self) -> None:
         self.dispatcher()
@@ -82,7 +84,7 @@
     def test_nothing_goes_to_a_server_whose_drain_was_told_in_lost_answers_behind_a_silence(self) -> None:
         self.dispatcher()
         self.names.fail(Fault.SILENT, sys.maxsize)
-        self.ask_until(time.monotonic() + 2.0)
+        self.send_requests_until(time.monotonic() + 2.0)
         self.check_drain(Fault.LOST, 2, 1.5)
 
     def test_nothing_goes_by_a_list_that_is_older_than_news_may_take(self) -> None:
@@ -90,13 +92,13 @@
         self.names.fail(Fault.SILENT, sys.maxsize)
         time.sleep(0.3)
         self.names.drain("s-0")
-        told = time.monotonic() + NEWS_WITHIN
-        time.sleep(NEWS_WITHIN - 0.5)
-        self.ask_until(told + 1.5)
+        announced_at = time.monotonic() + MAX_PROPAGATION_DELAY
+        time.sleep(MAX_PROPAGATION_DELAY - 0.5)
+        self.send_requests_until(announced_at + 1.5)
         self.names.fail(Fault.SILENT, 0)
-        self.assertEqual(self.late(told), [])
-        self.ask_until(time.monotonic() + 0.5)
-        answers = [self.ask() for _ in range(10)]
+        self.assertEqual(self.late(announced_at), [])
+        self.send_requests_until(time.monotonic() + 0.5)
+        answers = [self.send_request() for _ in range(10)]
         self.assertEqual([answer.result() for answer in answers], [200] * 10)
 
     def test_nothing_goes_to_a_server_whose_drain_was_told_by_the_address_before_a_move(self) -> None:
@@ -104,15 +106,15 @@
         moved = FaultyNameService(self.addresses.names, MOVED_PORT, list(self.names.endpoints))
         moved.fail(Fault.SILENT, sys.maxsize)
         self.addCleanup(moved.close)
-        told = json.loads(self.configured.read_text())
-        told["nameserver"] = f"{self.addresses.names}:{MOVED_PORT}"
-        self.configured.write_text(json.dumps(told))
+        configuration = json.loads(self.configured.read_text())
+        configuration["nameserver"] = f"{self.addresses.names}:{MOVED_PORT}"
+        self.configured.write_text(json.dumps(configuration))
         self.names.delay = 0.1
         time.sleep(0.3)
         self.names.drain("s-0")
-        sent = self.told()
+        sent = self.announced_at()
         child.send_signal(signal.SIGHUP)
-        self.ask_until(sent + 2.0)
+        self.send_requests_until(sent + 2.0)
         self.assertEqual(self.late(sent), [])
 
 
