--- a/spurdeal/lab/capacity/engine_list.py
+++ b/spurdeal/lab/capacity/engine_list.py
@@ -28,12 +28,12 @@
         Endpoint(f"s-{number}", f"127.9.{number // 250}.{number % 250 + 1}", 7001)
         for number in range(engines)
     ]
-    return answer(dns.question(IDENT, SERVICE, dns.SRV), 1, *(endpoint.record() for endpoint in listed))
+    return answer(dns.encode_query(IDENT, SERVICE, dns.SRV), 1, *(endpoint.record() for endpoint in listed))
 
 
 def read(message: bytes) -> int:
     """How many engines the dispatcher's reader finds; raises dns.BadDatagram as the reader does."""
-    found = dns.read_answer(message, IDENT, SERVICE, dns.SRV)
+    found = dns.decode_response(message, IDENT, SERVICE, dns.SRV)
     assert found is not None
     return len(answered_endpoints(*found[1:]))
 
@@ -62,14 +62,14 @@
 
     def read_some() -> None:
         for _ in range(READS_PER_TRY):
-            dns.read_answer(message, IDENT, SERVICE, dns.SRV)
+            dns.decode_response(message, IDENT, SERVICE, dns.SRV)
 
     return sample([cpu_us(read_some) / READS_PER_TRY * ASKED_PER_S for _ in range(TRIES)])
 
 
 def bytes_per_s(engines: int) -> Sample:
     """Bytes of questions and answers a second."""
-    exchanged = len(datagram(engines)) + len(dns.question(IDENT, SERVICE, dns.SRV))
+    exchanged = len(datagram(engines)) + len(dns.encode_query(IDENT, SERVICE, dns.SRV))
     return Sample(exchanged * ASKED_PER_S)
 
 
--- a/spurdeal/net/dns.py
+++ b/spurdeal/net/dns.py
@@ -22,7 +22,7 @@
     return b"".join(bytes([len(label)]) + label for label in labels) + b"\0"
 
 
-def question(ident: int, name: str, kind: int) -> bytes:
+def encode_query(ident: int, name: str, kind: int) -> bytes:
     """Encodes a query for the records of one type."""
     return HEADER.pack(ident, 0, 1, 0, 0, 0) + encode_name(name) + struct.pack("!HH", kind, IN)
 
@@ -75,7 +75,7 @@
     return strings
 
 
-def read_answer(
+def decode_response(
     datagram: bytes, ident: int, name: str, kind: int
 ) -> tuple[int | None, list[tuple[int, int, int, str]], dict[str, str], dict[str, list[str]]] | None:
     """Decodes a response: serial number, SRV records, addresses and texts by name; None if foreign."""
--- a/spurdeal/net/names.py
+++ b/spurdeal/net/names.py
@@ -144,7 +144,7 @@
         self.before_query()
         try:
             # Not with the transport's write, which ignores some errors.
-            message = dns.question(self.query_id, SERVICE, dns.SRV)
+            message = dns.encode_query(self.query_id, SERVICE, dns.SRV)
             sent_at = self.reactor.seconds()
             self.transport.getHandle().sendto(message, self.address)
         except OSError as fault:
@@ -308,7 +308,7 @@
         """
         body = datagram[QUERY_ID_SIZE:]
         if self.last_parsed is None or body != self.last_parsed.body:
-            parsed = dns.read_answer(datagram, ident, SERVICE, dns.SRV)
+            parsed = dns.decode_response(datagram, ident, SERVICE, dns.SRV)
             if parsed is None:
                 return None
             del self.open_queries[ident]
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -112,14 +112,14 @@
 
 
 class Dns(unittest.TestCase):
-    ASKED = dns.question(7, "_api._tcp.svc.local", dns.SRV)
+    ASKED = dns.encode_query(7, "_api._tcp.svc.local", dns.SRV)
     ENDPOINTS = (
         ("s-1.east.hosts", "10.1.0.9:7001", 0, "kind=std cell=2 started=0"),
         ("s-2.east.hosts", "10.1.0.8:7002", 1, "kind=std cell=3 started=9"),
     )
 
     def read(self, datagram: bytes, ident: int = 7) -> object:
-        return dns.read_answer(datagram, ident, "_api._tcp.svc.local", dns.SRV)
+        return dns.decode_response(datagram, ident, "_api._tcp.svc.local", dns.SRV)
 
     def test_compressed_or_not(self) -> None:
         wanted = (
@@ -168,7 +168,7 @@
         datagram = name_answer(self.ASKED, 41, *self.ENDPOINTS)
         self.assertIsNone(self.read(datagram, 8))
         self.assertIsNone(self.read(self.ASKED))
-        other = dns.question(7, "_api._tcp.svc.locas", dns.SRV)
+        other = dns.encode_query(7, "_api._tcp.svc.locas", dns.SRV)
         self.assertIsNone(self.read(name_answer(self.ASKED, 1).replace(self.ASKED[12:-4], other[12:-4])))
         for flags in (0x8403, 0x8600):  # no such name; cut short
             with self.assertRaises(dns.BadDatagram):
--- a/tests/test_soak_names.py
+++ b/tests/test_soak_names.py
@@ -40,7 +40,7 @@
     def ask(self, dispatcher: int = 0) -> list[bytes]:
         """A question; what was sent as its answer at once."""
         self.transport.sent.clear()
-        question = dns.question(IDENT, SERVICE, dns.SRV)
+        question = dns.encode_query(IDENT, SERVICE, dns.SRV)
         self.names.asked(question, (HOSTS[dispatcher], 1), self.transport)
         return self.transport.sent
 
@@ -49,7 +49,7 @@
         return sorted(self.records.changes[0].told)
 
     def serial(self, answer: bytes) -> int | None:
-        read = dns.read_answer(answer, int.from_bytes(answer[:2], "big"), SERVICE, dns.SRV)
+        read = dns.decode_response(answer, int.from_bytes(answer[:2], "big"), SERVICE, dns.SRV)
         assert read is not None
         return read[0]
 
