--- a/tests/test_answer_orders.py
+++ b/tests/test_answer_orders.py
@@ -89,10 +89,10 @@
     def test_a_drain_lost_in_the_middle_of_a_silence(self) -> None:
         self.check(silence(1.5), DRAIN, LOST, silence(1.5))
 
-    def test_a_drain_in_four_lost_answers_at_the_end_of_an_outage(self) -> None:
+    def test_a_drain_in_four_lost_responses_at_the_end_of_an_outage(self) -> None:
         self.check(silence(OUTAGE), DRAIN, LOST._replace(times=4))
 
-    def test_a_drain_in_a_lost_answer_and_then_server_failures_at_the_end_of_an_outage(self) -> None:
+    def test_a_drain_in_a_lost_response_and_then_server_failures_at_the_end_of_an_outage(self) -> None:
         self.check(silence(OUTAGE), DRAIN, LOST, SERVER_FAILURE._replace(times=3))
 
     def test_a_drain_lost_among_server_failures(self) -> None:
@@ -102,39 +102,39 @@
     def test_a_drain_lost_in_one_second_of_server_failures_and_silence(self) -> None:
         self.check(for_seconds(Delivery.SERVER_FAILURE, 0.5), DRAIN, LOST, silence(0.6))
 
-    def test_a_drain_in_lost_answers_behind_an_outage_in_which_more_questions_were_asked_than_kept(
+    def test_a_drain_in_lost_responses_after_an_outage_with_more_queries_than_are_kept(
         self,
     ) -> None:
         self.check(silence(13.5), Step(Delivery.SENT, delay=0.5), DRAIN, LOST._replace(times=8))
 
-    def test_a_drain_in_answers_that_are_all_lost(self) -> None:
+    def test_a_drain_in_responses_that_are_all_lost(self) -> None:
         self.check(DRAIN, for_seconds(Delivery.LOST, 2.0), seconds=2.5)
 
-    def test_a_drain_in_answers_that_are_all_cut_short(self) -> None:
+    def test_a_drain_in_responses_that_are_all_truncated(self) -> None:
         self.check(DRAIN, for_seconds(Delivery.TRUNCATED, 2.0), seconds=2.5)
 
-    def test_a_drain_in_answers_that_all_have_a_wrong_id(self) -> None:
+    def test_a_drain_in_responses_that_all_have_a_wrong_id(self) -> None:
         self.check(DRAIN, for_seconds(Delivery.WRONG_ID, 2.0), seconds=2.5)
 
 
 class OldAnswers(ScriptedCase):
     """Responses to queries after the announcement hold the list from before the drain."""
 
-    def test_two_old_answers_behind_a_lost_one(self) -> None:
+    def test_two_old_responses_after_a_lost_one(self) -> None:
         self.check(DRAIN, LOST, OLD._replace(times=2))
 
-    def test_five_old_answers_behind_a_lost_one(self) -> None:
+    def test_five_old_responses_after_a_lost_one(self) -> None:
         self.check(DRAIN, LOST, OLD._replace(times=5))
 
-    def test_answers_with_a_lower_number_than_the_list_in_force_behind_a_lost_one(self) -> None:
+    def test_responses_with_a_lower_number_than_the_list_in_force_after_a_lost_one(self) -> None:
         self.names.change(lambda endpoint: endpoint)
         self.names.lists[2] = list(self.names.endpoints)
         self.check(DRAIN, LOST, Step(Delivery.FIRST, times=5))
 
-    def test_lost_and_old_answers_by_turns(self) -> None:
+    def test_alternating_lost_and_old_responses(self) -> None:
         self.check(DRAIN, *(LOST, OLD) * 3)
 
-    def test_an_old_answer_behind_a_lost_one_at_the_end_of_an_outage(self) -> None:
+    def test_an_old_response_after_a_lost_one_at_the_end_of_an_outage(self) -> None:
         self.check(silence(OUTAGE), DRAIN, LOST, OLD, LOST)
 
 
@@ -146,13 +146,13 @@
         slow = for_seconds(Delivery.SENT, 2 * delay + 1.0, delay)
         self.check(slow, DRAIN, slow, seconds=delay + 1.0)
 
-    def test_answers_that_take_0_4_seconds(self) -> None:
+    def test_responses_that_take_0_4_seconds(self) -> None:
         self.check_delay(0.4)
 
-    def test_answers_that_take_0_8_seconds(self) -> None:
+    def test_responses_that_take_0_8_seconds(self) -> None:
         self.check_delay(0.8)
 
-    def test_answers_that_take_1_5_seconds(self) -> None:
+    def test_responses_that_take_1_5_seconds(self) -> None:
         self.check_delay(1.5)
 
     def check_begin(self, first: float) -> None:
@@ -160,17 +160,17 @@
         slower = for_seconds(Delivery.SENT, 2.0, delay=1.2)
         self.check(Step(Delivery.SENT, delay=first), DRAIN, slower)
 
-    def test_answers_that_begin_to_slow_down_by_one_of_0_47_seconds(self) -> None:
+    def test_responses_that_begin_to_slow_down_by_one_of_0_47_seconds(self) -> None:
         self.check_begin(0.47)
 
-    def test_answers_that_begin_to_slow_down_by_one_of_0_8_seconds(self) -> None:
+    def test_responses_that_begin_to_slow_down_by_one_of_0_8_seconds(self) -> None:
         self.check_begin(0.8)
 
-    def test_lost_answers_while_slow_ones_are_on_their_way(self) -> None:
+    def test_lost_responses_while_slow_ones_are_pending(self) -> None:
         slow = Step(Delivery.SENT, times=3, delay=0.47)
         self.check(slow, DRAIN, for_seconds(Delivery.LOST, 0.9))
 
-    def test_lost_answers_behind_two_slow_ones(self) -> None:
+    def test_lost_responses_after_two_slow_ones(self) -> None:
         slow = Step(Delivery.SENT, times=2, delay=0.8)
         self.check(slow, silence(0.85), DRAIN, for_seconds(Delivery.LOST, 1.5))
 
@@ -194,10 +194,10 @@
     def test_lost_answers_behind_a_wrong_id(self) -> None:
         self.check_behind_wrong_id(LOST._replace(times=8))
 
-    def test_a_lost_answer_and_a_silence_behind_a_wrong_id(self) -> None:
+    def test_a_lost_response_and_a_silence_after_a_wrong_id(self) -> None:
         self.check_behind_wrong_id(LOST, silence(2.0))
 
-    def test_an_old_answer_between_lost_ones_behind_a_wrong_id(self) -> None:
+    def test_an_old_response_between_lost_ones_after_a_wrong_id(self) -> None:
         self.check_behind_wrong_id(LOST, OLD, LOST._replace(times=3))
 
 
@@ -246,10 +246,10 @@
     def test_a_new_address_that_is_silent(self) -> None:
         self.check_move(silence(2.0), DRAIN)
 
-    def test_a_move_in_an_outage_and_lost_answers_of_the_new_address(self) -> None:
+    def test_a_move_in_an_outage_and_lost_responses_of_the_new_address(self) -> None:
         self.check_move_in_outage(DRAIN, LOST._replace(times=3))
 
-    def test_a_move_in_an_outage_and_an_old_answer_of_the_new_address(self) -> None:
+    def test_a_move_in_an_outage_and_an_old_response_of_the_new_address(self) -> None:
         self.check_move_in_outage(DRAIN, LOST, OLD, LOST)
 
     def test_a_newer_list_without_the_drain(self) -> None:
@@ -282,7 +282,7 @@
         self.send_requests_for(announced_at + 3.0 - time.monotonic())
         self.assert_none_late(announced_at)
 
-    def test_a_first_answer_lost_before_a_silence(self) -> None:
+    def test_a_first_response_lost_before_a_silence(self) -> None:
         self.check_restart(DRAIN, LOST, silence(2.0))
 
 
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -116,7 +116,7 @@
     def test_a_drain_after_a_step_forward(self) -> None:
         self.check_drain_after_step(HOUR)
 
-    def test_the_step_is_told_in_the_log(self) -> None:
+    def test_a_step_is_logged(self) -> None:
         child = self.dispatcher()
         self.clock.step_to(-HOUR)
         time.sleep(0.8)
@@ -143,7 +143,7 @@
         for number, asked in ((1, 4000), (2, 15000), (3, 4000), (4, 15000)):
             self.assertTrue(asked - 400 < waits[f"{number:016x}"] <= asked, waits)
 
-    def test_a_step_back_keeps_no_request_past_its_time(self) -> None:
+    def test_a_step_back_keeps_no_request_past_its_deadline(self) -> None:
         for server in self.servers:
             server.takes = None
         self.dispatcher()
@@ -172,7 +172,7 @@
             answer = client.getresponse()
             self.assertEqual((answer.status, answer.read()[:8]), (200, b'{"result'))
 
-    def test_a_step_back_does_not_keep_one_that_is_over_its_time(self) -> None:
+    def test_a_step_back_does_not_keep_an_expired_connection(self) -> None:
         self.dispatcher()
         with socket.create_connection((self.addresses.dispatcher, self.addresses.port), 10) as silent:
             self.clock.step_to(-HOUR)
@@ -196,7 +196,7 @@
         more = {"known": known, "settings": SETTINGS | {"rules": rules}}
         self.configured.write_text(json.dumps(self.addresses.configuration() | more))
 
-    def test_a_server_that_has_just_started_gets_no_more_than_its_part(self) -> None:
+    def test_a_server_that_has_just_started_gets_no_more_than_its_share(self) -> None:
         for step in (HOUR, 20.0, -HOUR):
             with self.subTest(step):
                 self.clock.step_to(step)
--- a/tests/test_discovery_log.py
+++ b/tests/test_discovery_log.py
@@ -11,7 +11,7 @@
 class Missed(unittest.TestCase):
     """One or more queries stay unanswered before a response."""
 
-    def test_the_next_answer_tells_how_many_questions_had_none_and_for_how_long(self) -> None:
+    def test_the_next_response_logs_the_number_and_duration_of_unanswered_queries(self) -> None:
         world = World(self)
         world.list(2, ENDPOINT)
         before, world.names_silent = world.count("names_unanswered"), True
@@ -25,7 +25,7 @@
         missed = world.count("names_unanswered") - before
         self.assertEqual(missed, logged["discovery_answers_missed"]["questions"])
 
-    def test_one_that_was_not_answered_is_counted_and_not_logged(self) -> None:
+    def test_a_single_unanswered_query_is_counted_and_not_logged(self) -> None:
         world = World(self)
         world.list(2, ENDPOINT)
         before, world.names_silent = world.count("names_unanswered"), True
--- a/tests/test_list_agreement.py
+++ b/tests/test_list_agreement.py
@@ -50,20 +50,20 @@
         self.assertEqual(self.in_force(), {"a": "DRAINING"})
         self.assertFalse(self.query_soon)
 
-    def test_an_engine_that_joins_gets_requests_once_it_was_told_again(self) -> None:
+    def test_an_engine_that_joins_gets_requests_after_a_second_response(self) -> None:
         self.assertEqual(self.answer(6, A_DRAINS, B, C), Verdict.NEWER)
         self.assertEqual(self.in_force(), {"a": "DRAINING", "b": "READY"})
         self.assertTrue(self.query_soon)
         self.assertEqual(self.answer(6, A_DRAINS, B, C), Verdict.CONFIRMED)
         self.assertEqual(self.in_force(), {"a": "DRAINING", "b": "READY", "c": "READY"})
 
-    def test_an_engine_that_was_told_twice_gets_requests_while_others_join(self) -> None:
+    def test_an_engine_reported_twice_gets_requests_while_others_join(self) -> None:
         joined = [endpoint(f"n{number}") for number in range(5)]
         for number in range(1, 6):
             self.answer(5 + number, A, B, *joined[:number])
             self.assertEqual(list(self.in_force()), ["a", "b", *(f"n{old}" for old in range(number - 1))])
 
-    def test_an_engine_that_has_drained_gets_requests_once_no_replica_can_lag_behind_that(self) -> None:
+    def test_an_engine_that_has_drained_gets_requests_after_the_hold(self) -> None:
         self.answer(6, A_DRAINS, B)
         self.answer(7, A, B)
         held_until = self.now + RETURN_HOLD
@@ -74,7 +74,7 @@
         self.answer(7, A, B)
         self.assertEqual(self.in_force(), {"a": "READY", "b": "READY"})
 
-    def test_a_number_that_is_too_high_does_not_take_back_a_drain(self) -> None:
+    def test_a_number_that_is_too_high_does_not_revert_a_drain(self) -> None:
         self.answer(6, A_DRAINS, B)
         for _ in range(2):
             self.answer(41, A, B)
@@ -82,7 +82,7 @@
             self.answer(6, A_DRAINS, B)
         self.assertEqual((self.agreement.number, self.in_force()), (6, {"a": "DRAINING", "b": "READY"}))
 
-    def test_a_late_answer_to_an_earlier_question_tells_nothing_again(self) -> None:
+    def test_a_late_response_to_an_earlier_query_does_not_count_as_a_second_one(self) -> None:
         self.answer(6, A, B, C, asked_at=150.0)
         self.assertEqual(self.answer(6, A, B, C, asked_at=100.0), Verdict.CONFIRMED)
         self.assertEqual(self.in_force(), {"a": "READY", "b": "READY"})
@@ -98,7 +98,7 @@
         self.answer(5, A, B)
         self.assertEqual(self.in_force(), {"a": "DRAINING", "b": "READY"})
 
-    def test_an_older_list_that_lacks_an_engine_says_nothing_of_it(self) -> None:
+    def test_an_older_list_without_an_engine_changes_nothing_for_it(self) -> None:
         for _ in range(10):
             for _ in range(RENUMBERED_AFTER - 1):
                 self.assertEqual(self.answer(4, A), Verdict.OLDER)
@@ -106,13 +106,13 @@
             self.assertEqual(self.in_force(), {"a": "READY", "b": "READY"})
             self.assertEqual(self.answer(5, A, B), Verdict.CONFIRMED)
 
-    def test_an_older_list_that_tells_all_engines_settles_its_question(self) -> None:
+    def test_an_older_list_with_all_engines_settles_its_query(self) -> None:
         self.answer(5, A, B)
         self.assertEqual(self.answer(1000, A, B), Verdict.NEWER)
         self.assertEqual(self.answer(5, A, B), Verdict.OLDER)
         self.assertTrue(self.covers_serving)
 
-    def test_an_older_list_to_a_question_that_was_overtaken_is_no_contradiction(self) -> None:
+    def test_an_older_list_in_response_to_an_overtaken_query_is_no_contradiction(self) -> None:
         self.answer(5, A, B)
         for _ in range(RENUMBERED_AFTER):
             self.assertEqual(self.answer(4, A_DRAINS, asked_at=10.0), Verdict.OLDER)
@@ -131,7 +131,7 @@
         self.assertEqual(self.in_force(), {"a": "DRAINING", "b": "READY"})
         self.assertEqual(self.answer(3, A_DRAINS, B_DRAINS), Verdict.NEWER)
 
-    def test_what_an_older_list_adds_waits_for_as_long_as_a_replica_may_lag(self) -> None:
+    def test_additions_of_an_adopted_older_list_take_effect_after_the_hold(self) -> None:
         self.answer(6, A_DRAINS, B)
         self.renumber(A, B, C)
         held_until = self.now + RETURN_HOLD
@@ -143,14 +143,14 @@
         self.answer(3, A, B, C, endpoint("d"))
         self.assertEqual(self.in_force(), dict.fromkeys("abcd", "READY"))
 
-    def test_what_an_older_list_lacks_drains_and_is_not_forgotten_yet(self) -> None:
+    def test_engines_missing_in_an_adopted_older_list_drain_during_the_hold(self) -> None:
         self.renumber(A)
         self.assertEqual(self.in_force(), {"a": "READY", "b": "DRAINING"})
         self.now += RETURN_HOLD
         self.answer(2, A)
         self.assertEqual(self.in_force(), {"a": "READY"})
 
-    def test_an_engine_that_was_started_anew_stays_in_force(self) -> None:
+    def test_a_restarted_engine_stays_in_force(self) -> None:
         self.assertEqual(self.answer(6, A, endpoint("b", started=9.0)), Verdict.NEWER)
         self.assertEqual(self.in_force(), {"a": "READY", "b": "READY"})
 
--- a/tests/test_list_freshness.py
+++ b/tests/test_list_freshness.py
@@ -39,30 +39,30 @@
         for at in range(0, int(end) + 1, 200):
             self.list.asked(float(at))
 
-    def test_a_list_that_does_not_come_by_questions_is_always_followed(self) -> None:
+    def test_a_list_without_a_name_server_may_always_be_followed(self) -> None:
         self.assertTrue(self.list.may_be_followed(1e9))
 
-    def test_a_name_service_that_stays_silent_ends_the_lease_for_good(self) -> None:
+    def test_lasting_silence_ends_the_lease(self) -> None:
         self.confirm(0.0)
         self.query_until(20_000)
         self.assertTrue(self.list.may_be_followed(GRACE / 2))
         for now in (GRACE / 2 + 1.0, 1001.0 + GRACE / 2, 6000.0, MAX_PROPAGATION_DELAY + GRACE / 2, 20_100.0):
             self.assertEqual(self.list.stale_reason(now), StaleReason.UNANSWERED, now)
 
-    def test_the_lease_counts_from_when_the_answered_question_left(self) -> None:
+    def test_the_lease_starts_when_the_answered_query_was_sent(self) -> None:
         self.confirm(0.0)
         self.list.asked(100.0)
         self.list.answered(5000.0, 100.0, Verdict.CONFIRMED)
         self.assertTrue(self.list.may_be_followed(100.0 + MAX_QUERY_GAP))
         self.assertEqual(self.list.stale_reason(101.0 + MAX_QUERY_GAP), StaleReason.UNASKED)
 
-    def test_questions_that_do_not_leave(self) -> None:
+    def test_the_lease_ends_while_no_query_can_be_sent(self) -> None:
         self.list.asked(0.0)
         self.list.answered(1.0, 0.0, Verdict.CONFIRMED)
         self.assertTrue(self.list.may_be_followed(MAX_QUERY_GAP))
         self.assertFalse(self.list.may_be_followed(MAX_QUERY_GAP + 1))
 
-    def test_after_that_an_answer_alone_lets_it_be_followed(self) -> None:
+    def test_after_that_only_responses_restore_the_lease(self) -> None:
         self.list.asked(0.0)
         self.list.answered(1.0, 0.0, Verdict.CONFIRMED)
         for at in range(3000, 20_000, 100):
@@ -71,7 +71,7 @@
         self.answer_consecutively(20_000.0, SETTLING_RESPONSES)
         self.assertTrue(self.list.may_be_followed(20_000.0 + SETTLING_RESPONSES * 40.0))
 
-    def test_a_question_without_an_answer_may_have_been_answered_with_news(self) -> None:
+    def test_an_unanswered_query_ends_the_lease_as_its_response_may_hold_a_change(self) -> None:
         self.list.asked(0.0)
         self.list.answered(2.0, 0.0, Verdict.CONFIRMED)
         for at in (200.0, 280.0, 300.0):
@@ -91,7 +91,7 @@
             self.list.asked(first + 40.0 * number)
             self.list.answered(first + 40.0 * number + 1.0, first + 40.0 * number, Verdict.CONFIRMED)
 
-    def test_a_question_without_an_answer_is_settled_by_answers_in_a_row(self) -> None:
+    def test_consecutive_responses_settle_an_unanswered_query(self) -> None:
         self.confirm(0.0)
         self.list.asked(200.0)
         self.answer_consecutively(240.0, SETTLING_RESPONSES - 1)
@@ -101,7 +101,7 @@
         self.assertIsNone(self.list.stale_reason(500.0))
         self.assertFalse(self.list.has_unsettled_query())
 
-    def test_a_newer_list_begins_the_row_anew(self) -> None:
+    def test_a_newer_list_starts_a_new_run(self) -> None:
         self.confirm(0.0)
         self.list.asked(200.0)
         self.answer_consecutively(240.0, SETTLING_RESPONSES - 1)
@@ -112,7 +112,7 @@
         self.answer_consecutively(700.0, 1)
         self.assertIsNone(self.list.stale_reason(710.0))
 
-    def test_another_question_without_an_answer_begins_the_row_anew(self) -> None:
+    def test_another_unanswered_query_starts_a_new_run(self) -> None:
         self.confirm(0.0)
         self.list.asked(200.0)
         self.answer_consecutively(240.0, SETTLING_RESPONSES - 1)
@@ -122,7 +122,7 @@
         self.answer_consecutively(700.0, 1)
         self.assertIsNone(self.list.stale_reason(710.0))
 
-    def test_its_own_late_answer_settles_a_question(self) -> None:
+    def test_a_late_response_settles_its_query(self) -> None:
         self.confirm(0.0)
         self.list.asked(200.0)
         self.answer_consecutively(240.0, 1)
@@ -130,7 +130,7 @@
         self.list.answered(401.0, 200.0, Verdict.CONFIRMED)
         self.assertIsNone(self.list.stale_reason(401.0))
 
-    def test_answers_of_another_name_service_settle_nothing_for_as_long_as_it_may_lag(self) -> None:
+    def test_responses_of_a_new_name_server_settle_nothing_while_it_may_lag(self) -> None:
         self.confirm(0.0)
         self.list.asked(200.0)
         self.list.moved()
@@ -139,14 +139,14 @@
         self.answer_consecutively(200.0 + PROPAGATION_LIMIT, 1)
         self.assertIsNone(self.list.stale_reason(201.0 + PROPAGATION_LIMIT))
 
-    def test_many_questions_without_an_answer_may_all_be_lost(self) -> None:
+    def test_many_unanswered_queries_end_the_lease(self) -> None:
         for number in range(40):
             self.assertEqual(
                 number >= 2, self.list.stale_reason(100.0 * number) is StaleReason.UNANSWERED, number
             )
             self.list.asked(100.0 * number)
 
-    def test_the_answer_to_an_earlier_question_does_not_speak_for_a_later_one(self) -> None:
+    def test_the_response_to_one_query_does_not_settle_another(self) -> None:
         self.list.asked(0.0)
         self.list.asked(50.0)
         self.list.answered(60.0, 50.0, Verdict.CONFIRMED)
@@ -155,14 +155,14 @@
         self.list.asked(400.0)
         self.assertEqual(list(self.list.unanswered_since), [400.0])
 
-    def test_a_late_answer_to_a_question_that_was_overtaken_does_not_count_as_a_usual_one(self) -> None:
+    def test_a_late_response_to_an_overtaken_query_does_not_count_as_a_response_time(self) -> None:
         self.list.asked(0.0)
         self.list.asked(10_000.0)
         self.list.answered(10_002.0, 10_000.0, Verdict.CONFIRMED)
         self.list.answered(10_003.0, 0.0, Verdict.CONFIRMED)
         self.assertEqual(self.list.retransmit_after(MEAN), MIN_RETRANSMIT)
 
-    def test_questions_are_repeated_at_growing_distances_until_one_is_answered(self) -> None:
+    def test_retransmission_backs_off_until_a_response(self) -> None:
         self.list.asked(0.0)
         self.assertEqual(self.list.retransmit_after(MEAN), INITIAL_RETRANSMIT)
         self.list.answered(2.0, 0.0, Verdict.CONFIRMED)
@@ -176,12 +176,12 @@
         self.list.asked(302.0)
         self.assertEqual(self.list.retransmit_after(MEAN), MIN_RETRANSMIT)
 
-    def test_repetitions_of_many_dispatchers_are_spread(self) -> None:
+    def test_retransmission_has_jitter(self) -> None:
         self.list.asked(0.0)
         shortest, longest = self.list.retransmit_after(0.0), self.list.retransmit_after(1.0)
         self.assertEqual((shortest, longest), (0.75 * INITIAL_RETRANSMIT, 1.25 * INITIAL_RETRANSMIT))
 
-    def test_a_slow_name_service_is_followed_between_an_answer_and_the_next_question(self) -> None:
+    def test_with_a_slow_name_server_the_lease_holds_between_a_response_and_the_next_query(self) -> None:
         for asked in range(0, 5000, 500):
             self.list.asked(float(asked))
             self.assertEqual(self.list.stale_reason(asked + 1.0 + GRACE / 2), StaleReason.UNANSWERED)
@@ -189,7 +189,7 @@
             self.assertIsNone(self.list.stale_reason(asked + 500.0))
         self.assertEqual(self.list.retransmit_after(MEAN), MAX_RETRANSMIT)
 
-    def test_a_name_service_that_is_quick_again_is_expected_to_be_quick(self) -> None:
+    def test_retransmission_adapts_to_a_name_server_that_is_fast_again(self) -> None:
         for number in range(10):
             self.list.asked(200.0 * number)
             self.list.answered(200.0 * number + 400.0, 200.0 * number, Verdict.CONFIRMED)
@@ -200,30 +200,30 @@
         self.assertEqual(self.list.retransmit_after(MEAN), MIN_RETRANSMIT)
         self.assertEqual(self.list.stale_reason(3401.0 + GRACE / 2), StaleReason.UNANSWERED)
 
-    def test_the_times_of_many_questions_are_bounded_and_the_oldest_and_the_latest_are_kept(self) -> None:
+    def test_send_times_are_bounded_and_the_oldest_and_latest_are_kept(self) -> None:
         self.query_until(100_000)
         self.assertEqual(len(self.list.unanswered_since), MAX_OPEN_QUERIES)
         self.assertEqual((self.list.unanswered_since[0], self.list.unanswered_since[-1]), (0.0, 100_000.0))
 
-    def test_sockets_that_were_not_looked_at(self) -> None:
+    def test_the_lease_ends_while_sockets_are_not_polled(self) -> None:
         self.list.polled_at = lambda: 1000.0
         self.list.asked(1000.0)
         self.assertTrue(self.list.may_be_followed(1000.0 + GRACE / 2))
         self.assertFalse(self.list.may_be_followed(1001.0 + GRACE / 2))
 
-    def test_without_a_grace_in_the_settings_there_is_no_rule(self) -> None:
+    def test_without_a_drain_grace_the_list_may_always_be_followed(self) -> None:
         free = ListFreshness(0.0)
         free.polled_at = lambda: 0.0
         free.asked(0.0)
         self.assertTrue(free.may_be_followed(60_000.0))
 
-    def test_a_process_that_stood_still_before_its_first_question(self) -> None:
+    def test_a_process_suspended_before_its_first_query(self) -> None:
         self.list.known(0.0)
         self.assertFalse(self.list.may_be_followed(60_000.0))
         self.list.asked(60_000.0)
         self.assertFalse(self.list.may_be_followed(60_000.0))
 
-    def test_the_list_of_a_start_may_be_some_time_old_when_it_is_read(self) -> None:
+    def test_the_initial_lease_allows_for_the_age_of_the_configuration(self) -> None:
         self.list.known(0.0)
         self.assertTrue(self.list.may_be_followed(INITIAL_LEASE))
         self.assertEqual(self.list.stale_reason(INITIAL_LEASE + 1.0), StaleReason.UNASKED)
@@ -232,7 +232,7 @@
         self.list.answered(INITIAL_LEASE + 4.0, INITIAL_LEASE + 2.0, Verdict.CONFIRMED)
         self.assertTrue(self.list.may_be_followed(INITIAL_LEASE + 4.0))
 
-    def test_an_older_list_settles_its_own_question_and_ends_the_row(self) -> None:
+    def test_an_older_list_settles_its_query_and_ends_the_run(self) -> None:
         self.confirm(0.0)
         self.list.asked(200.0)
         self.answer_consecutively(240.0, SETTLING_RESPONSES - 1)
@@ -244,7 +244,7 @@
         self.answer_consecutively(700.0, 1)
         self.assertIsNone(self.list.stale_reason(710.0))
 
-    def test_a_question_on_its_way_is_not_one_that_was_missed(self) -> None:
+    def test_a_pending_query_is_not_an_unsettled_one(self) -> None:
         self.confirm(0.0)
         self.list.asked(200.0)
         self.assertFalse(self.list.has_unsettled_query())
@@ -255,7 +255,7 @@
 class OfADispatcher(unittest.TestCase):
     """The lease of a dispatcher with a simulated name server."""
 
-    def test_an_answer_with_a_bad_record_confirms_nothing(self) -> None:
+    def test_a_response_with_a_bad_record_confirms_nothing(self) -> None:
         world = World(self, engines=2)
         world.names_silent = True
         world.go(210)
@@ -265,7 +265,7 @@
         freshness = world.service.adapter.rules.freshness
         self.assertEqual(freshness.stale_reason(world.now()), StaleReason.UNANSWERED)
 
-    def test_a_list_that_was_old_when_the_dispatcher_could_start_waits_for_the_first_answer(self) -> None:
+    def test_a_list_that_is_stale_at_startup_is_used_after_the_first_responses(self) -> None:
         def wait(service: Service, world: World) -> None:
             world.names_silent = True
             world.reactor.advance(4.0)
@@ -285,13 +285,13 @@
         world.go(SETTLED)
         self.assertEqual([client[0] for client in world.reactor.tcpClients], ["127.0.9.1"])
 
-    def test_an_answer_to_a_question_of_a_predecessor_is_foreign(self) -> None:
+    def test_a_response_to_a_query_of_a_predecessor_is_foreign(self) -> None:
         with patch("spurdeal.net.names.secrets.randbelow", side_effect=(7, 4000)):
             before, world = World(self), World(self)
         world.service.names.datagramReceived(names.answer(before.names[-1], 9), ("127.0.8.9", 5300))
         self.assertEqual((world.count("names_foreign"), world.service.names.number), (1, 1))
 
-    def test_an_answered_question_is_followed_by_the_next_at_the_usual_time(self) -> None:
+    def test_after_a_response_the_next_query_follows_at_the_usual_interval(self) -> None:
         world = World(self)
         before = world.count("names_asked")
         world.go(2000)
--- a/tests/test_list_numbers.py
+++ b/tests/test_list_numbers.py
@@ -49,12 +49,12 @@
         self.assertEqual(self.names.renumbered, [])
         self.check_announced_drain(2.0)
 
-    def test_a_drain_is_learned_behind_an_answer_with_the_numbers_of_the_process_before_a_restart(
+    def test_a_drain_is_noticed_after_a_response_with_a_number_from_before_a_restart(
         self,
     ) -> None:
         self.check_drain_behind(PREDECESSOR_NUMBER)
 
-    def test_a_drain_is_learned_behind_an_answer_with_the_largest_number(self) -> None:
+    def test_a_drain_is_noticed_after_a_response_with_the_largest_number(self) -> None:
         self.check_drain_behind(LARGEST_NUMBER)
 
 
--- a/tests/test_port_renewal.py
+++ b/tests/test_port_renewal.py
@@ -78,7 +78,7 @@
                 found.append(silence.now)
         return found
 
-    def test_distances_double_up_to_a_limit(self) -> None:
+    def test_intervals_double_up_to_a_limit(self) -> None:
         renewals = self.renewals(60.0, Silence())
         distances = [after - before for before, after in pairwise(renewals)]
         self.assertAlmostEqual(renewals[0], INITIAL_RENEWAL_INTERVAL)
@@ -87,7 +87,7 @@
         ):
             self.assertAlmostEqual(distance, expected, delta=0.11)
 
-    def test_an_answer_begins_anew(self) -> None:
+    def test_a_response_resets_the_backoff(self) -> None:
         silence = Silence()
         renewal = PortRenewal(silence)
         for now in (0.4, 1.1, 2.5):
@@ -100,7 +100,7 @@
         silence.now = 3.0 + INITIAL_RENEWAL_INTERVAL + 0.01
         self.assertTrue(renewal.is_due())
 
-    def test_a_process_that_stood_still_keeps_its_port(self) -> None:
+    def test_a_process_that_was_suspended_keeps_its_port(self) -> None:
         silence = Silence()
         renewal = PortRenewal(silence)
         silence.now, silence.missed = 5.0, MIN_UNANSWERED - 1
@@ -144,7 +144,7 @@
     def test_before_the_protocol_has_started(self) -> None:
         self.check(behind=False)
 
-    def test_behind_that(self) -> None:
+    def test_after_the_protocol_has_started(self) -> None:
         self.check(behind=True)
 
 
@@ -176,7 +176,7 @@
         rows = Path(f"/proc/{child.pid}/net/udp").read_text().splitlines()[1:]
         return sum(row.split()[1].startswith(f"{address:08X}:") for row in rows)
 
-    def test_requests_flow_again_from_another_port(self) -> None:
+    def test_requests_are_served_again_with_another_port(self) -> None:
         child = self.settled_dispatcher()
         lost_at = time.monotonic()
         self.names.play(silence(FOREVER))
@@ -200,16 +200,16 @@
         self.assert_none_late(announced_at)
         self.assertGreater(len(self.servers[1].since(flowing_from)), 20)
 
-    def test_a_drain_told_to_the_lost_port(self) -> None:
+    def test_a_drain_announced_to_the_lost_port(self) -> None:
         self.check_drain(DRAIN, Step(Delivery.LOST))
 
-    def test_a_drain_told_to_the_lost_port_again_and_again(self) -> None:
+    def test_a_drain_announced_to_the_lost_port_repeatedly(self) -> None:
         self.check_drain(DRAIN, Step(Delivery.LOST, times=20))
 
-    def test_a_drain_told_some_time_after_the_port_was_lost(self) -> None:
+    def test_a_drain_announced_some_time_after_the_port_was_lost(self) -> None:
         self.check_drain(silence(0.2), DRAIN)
 
-    def test_an_answer_to_an_earlier_port_is_taken(self) -> None:
+    def test_a_response_to_an_earlier_port_is_accepted(self) -> None:
         child = self.settled_dispatcher()
         self.names.others = silence(FOREVER)
         self.names.play(DRAIN, Step(Delivery.SENT, delay=1.5), silence(FOREVER))
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -43,7 +43,7 @@
         began = starts.listed(1e9, {"a": 1e9 + HOUR, "b": 1e9 - 3000.0})
         self.assertEqual(began, {"a": 1e9, "b": 1e9 - 3000.0})
 
-    def test_a_start_keeps_its_time_while_it_is_told_the_same(self) -> None:
+    def test_a_start_keeps_its_time_while_its_reported_time_is_the_same(self) -> None:
         starts = StartTimes()
         starts.listed(100.0, {"a": 0.0})
         starts.confirm(200.0)
@@ -105,7 +105,7 @@
         cold = [client for client in world.reactor.tcpClients if client[0] == "127.0.9.0"]
         self.assertEqual(cold, [])
 
-    def test_a_connection_to_an_engine_that_started_anew_while_our_clock_is_behind(self) -> None:
+    def test_a_connection_to_a_restarted_engine_while_our_clock_is_behind(self) -> None:
         world = World(self)
         caller = Caller(world)
         caller.post(1, "load")
--- a/tests/test_unheard_drains.py
+++ b/tests/test_unheard_drains.py
@@ -66,28 +66,28 @@
 class UnheardDrains(UnheardCase):
     """A drain announced in responses that did not arrive or were unusable."""
 
-    def test_nothing_goes_to_a_server_whose_drain_was_told_in_lost_answers(self) -> None:
+    def test_a_drain_announced_in_lost_responses(self) -> None:
         self.dispatcher()
         for lost in (1, 2, 3, 5):
             with self.subTest(lost=lost):
                 self.serve_again()
                 self.check_drain(Fault.LOST, lost, 1.5)
 
-    def test_nothing_goes_to_a_server_whose_drain_was_told_in_unusable_answers(self) -> None:
+    def test_a_drain_announced_in_unusable_responses(self) -> None:
         self.dispatcher()
         self.check_drain(Fault.UNUSABLE, 3, 1.5)
 
-    def test_nothing_goes_to_a_server_whose_drain_was_told_in_a_lost_answer_before_a_silence(self) -> None:
+    def test_a_drain_announced_in_a_lost_response_before_a_silence(self) -> None:
         self.dispatcher()
         self.check_drain(Fault.LOST, 1, 3.0, then=Fault.SILENT)
 
-    def test_nothing_goes_to_a_server_whose_drain_was_told_in_lost_answers_behind_a_silence(self) -> None:
+    def test_a_drain_announced_in_lost_responses_after_a_silence(self) -> None:
         self.dispatcher()
         self.names.fail(Fault.SILENT, sys.maxsize)
         self.send_requests_until(time.monotonic() + 2.0)
         self.check_drain(Fault.LOST, 2, 1.5)
 
-    def test_nothing_goes_by_a_list_that_is_older_than_news_may_take(self) -> None:
+    def test_no_request_is_sent_by_a_list_older_than_the_propagation_delay(self) -> None:
         self.dispatcher()
         self.names.fail(Fault.SILENT, sys.maxsize)
         time.sleep(0.3)
@@ -101,7 +101,7 @@
         answers = [self.send_request() for _ in range(10)]
         self.assertEqual([answer.result() for answer in answers], [200] * 10)
 
-    def test_nothing_goes_to_a_server_whose_drain_was_told_by_the_address_before_a_move(self) -> None:
+    def test_a_drain_announced_by_the_old_address_before_a_move(self) -> None:
         child = self.dispatcher()
         moved = FaultyNameService(self.addresses.names, MOVED_PORT, list(self.names.endpoints))
         moved.fail(Fault.SILENT, sys.maxsize)
