--- a/spurdeal/list_agreement.py
+++ b/spurdeal/list_agreement.py
@@ -5,7 +5,7 @@
 An engine that it lists as draining gets no more requests at once, whatever the number. An engine that is to
 get requests for the first time gets them once the response to a later query agrees, and one that has drained
 only after RETURN_HOLD as well. A list with a lower number than the one in force confirms that one only as far
-as it contains the engines that get requests; RENUMBERED_AFTER such responses in a row show that the number in
+as it contains the engines that get requests; RENUMBERED_AFTER consecutive ones show that the number in
 force was wrong, and the lower one is adopted.
 """
 
--- a/spurdeal/net/engine_list.py
+++ b/spurdeal/net/engine_list.py
@@ -101,7 +101,7 @@
         labels = dns.labels_of(target)
         owner = target.lower()
         if len(labels) < 2 or owner not in addresses:
-            raise dns.BadDatagram(f"no address for {target}")
+            raise dns.BadDatagram(f"no A record for {target}")
         attributes = dict(text.partition("=")[::2] for text in texts.get(owner, ()))
         try:
             endpoints[labels[0]] = Endpoint(
@@ -116,5 +116,5 @@
                 float(attributes.get("started", 0.0)),
             )
         except (KeyError, ValueError):
-            raise dns.BadDatagram(f"no usable text for {target}") from None
+            raise dns.BadDatagram(f"no usable TXT record for {target}") from None
     return endpoints
