--- a/spurdeal/cli/demo.py
+++ b/spurdeal/cli/demo.py
@@ -11,20 +11,20 @@
 from ..lab.demo_cluster import DispatcherError
 from ..lab.demo_report import render, summarise
 
-LARGEST_SEED = 2**32 - 1
+MAX_SEED = 2**32 - 1
 EXIT_FAILED, EXIT_INTERRUPTED = 1, 130
 
 
 def demo(as_json: bool, seconds: float, seed: int | None) -> int:
     """One run; without a seed one is drawn, and printed with the result. Returns the exit code."""
-    chosen = random.SystemRandom().randint(0, LARGEST_SEED) if seed is None else seed
+    chosen = random.SystemRandom().randint(0, MAX_SEED) if seed is None else seed
     try:
         run = run_demo(seconds, chosen, lambda text: click.echo(text, err=True))
     except DemoInterruptedError:
         click.echo("spurdeal: the demo was interrupted", err=True)
         return EXIT_INTERRUPTED
-    except (DemoError, DispatcherError, OSError) as fault:
-        click.echo(f"spurdeal: the demo could not run: {fault}", err=True)
+    except (DemoError, DispatcherError, OSError) as error:
+        click.echo(f"spurdeal: the demo could not run: {error}", err=True)
         return EXIT_FAILED
     summary = summarise(run)
     click.echo(json.dumps(summary.as_json()) if as_json else render(summary))
--- a/spurdeal/cli/main.py
+++ b/spurdeal/cli/main.py
@@ -20,20 +20,20 @@
     """The group; without a sub-command `python -m spurdeal` runs a dispatcher and never comes here."""
 
 
-def refuse(why: object) -> NoReturn:
+def exit_with_error(why: object) -> NoReturn:
     """What cannot be used: its text on standard error, exit code 2."""
     click.echo(f"spurdeal: {why}", err=True)
     sys.exit(2)
 
 
-def installation(path: str) -> Installation:
+def load_installation(path: str) -> Installation:
     """The operator's file; what cannot be used is told, and ends the process."""
     from ..settings.reading import SettingsError, read
 
     try:
         return read(path)
-    except SettingsError as fault:
-        refuse(fault)
+    except SettingsError as error:
+        exit_with_error(error)
 
 
 @spurdeal.command(help="One dispatcher from ROUTER_CONFIG, with an operator's file where one is named.")
@@ -53,7 +53,7 @@
 @click.argument("file", type=click.Path())
 def check(file: str) -> None:
     """Checks an operator's file."""
-    found = installation(file)
+    found = load_installation(file)
     parts = [
         part
         for part in ("vrrp", "handover", "fleet", "extproc", "ledger")
@@ -84,11 +84,11 @@
     """Prints an advertisement."""
     from ..vrrp import advert as adverts
 
-    found = installation(file)
+    found = load_installation(file)
     groups = found.vrrp.groups if found.vrrp is not None else []
     group = next((group for group in groups if group.group == number), None)
     if found.vrrp is None or group is None:
-        refuse(f"{file}: no group {number}")
+        exit_with_error(f"{file}: no group {number}")
     for peer in found.peers[:1] if as_hex else found.peers:
         source, target = found.vrrp.listen[0], peer.adverts[0]
         told = adverts.Advert(number, group.priority, group.interval, tuple(group.addresses))
@@ -109,8 +109,8 @@
 
     try:
         found = fields(bytes.fromhex(digits), ip_address(source), ip_address(target))
-    except ValueError as fault:
-        refuse(fault)
+    except ValueError as error:
+        exit_with_error(error)
     if as_json:
         click.echo(json.dumps(found))
     else:
@@ -127,8 +127,8 @@
 @click.option("--settings", type=click.Path(), required=True, help="an operator's YAML file")
 def serve(settings: str) -> None:
     """Runs the external processor."""
-    if installation(settings).extproc is None:
-        refuse(f"{settings}: extproc: this key is missing")
+    if load_installation(settings).extproc is None:
+        exit_with_error(f"{settings}: extproc: this key is missing")
     from .running import run_with
 
     sys.exit(run_with(os.environ, settings))
@@ -150,8 +150,8 @@
     try:
         with urlopen(f"http://{at}/fleet", timeout=5) as answer:
             found = json.load(answer)
-    except (URLError, OSError, ValueError) as fault:
-        refuse(f"{at}: {fault}")
+    except (URLError, OSError, ValueError) as error:
+        exit_with_error(f"{at}: {error}")
     if as_json:
         click.echo(json.dumps(found))
         return
@@ -160,7 +160,7 @@
     click.echo("\n".join(status_words(found)))
 
 
-def logs_of(folders: tuple[str, ...], strict: bool) -> list[Any]:
+def read_logs(folders: tuple[str, ...], strict: bool) -> list[Any]:
     """Reads audit logs; one that cannot be read is told, and ends the process."""
     from pathlib import Path
 
@@ -168,8 +168,8 @@
 
     try:
         return [read_log(Path(folder), strict) for folder in folders]
-    except (UnreadableLogError, OSError) as fault:
-        refuse(fault)
+    except (UnreadableLogError, OSError) as error:
+        exit_with_error(error)
 
 
 @fleet.command(help="What the audit logs of these folders hold, in one true order.")
@@ -194,7 +194,7 @@
 
     since, until = between or (0.0, float("inf"))
     asked = Asked(submission, engine, dispatcher, version, since, until)
-    for entry in chosen(merged(logs_of(folders, True)), asked):
+    for entry in chosen(merged(read_logs(folders, True)), asked):
         click.echo(json.dumps(entry.told()) if as_json else entry.words())
 
 
@@ -209,9 +209,9 @@
 
     try:
         allowed = milliseconds(grace)
-    except ValueError as fault:
-        refuse(f"--grace: {fault}")
-    findings = check_all(logs_of(folders, False), allowed)
+    except ValueError as error:
+        exit_with_error(f"--grace: {error}")
+    findings = check_all(read_logs(folders, False), allowed)
     for found in findings:
         at = str(found.entry.record.stamp) if found.entry is not None else None
         click.echo(
@@ -251,7 +251,7 @@
     source: str | None
 
 
-def capacity(options: CapacityOptions, as_json: bool, quick: bool) -> None:
+def run_capacity(options: CapacityOptions, as_json: bool, quick: bool) -> None:
     """Measures, or writes a page from what was measured."""
     from pathlib import Path
 
@@ -259,15 +259,15 @@
     from ..lab.capacity.report import UnusablePage, write_page
 
     if (options.page is None) != (options.source is None):
-        refuse("lab capacity: --page and --from go together")
+        exit_with_error("lab capacity: --page and --from go together")
     try:
         if options.page is not None and options.source is not None:
             write_page(Path(options.page), json.loads(Path(options.source).read_text()))
             return
         sizes = [int(size) for size in options.sizes.split(",")] if options.sizes else []
         found = proofs("capacity")(quick, lambda line: click.echo(line, err=True), options.sections, sizes)
-    except (Refused, UnusablePage, OSError, ValueError) as fault:
-        refuse(f"lab capacity: {fault}")
+    except (Refused, UnusablePage, OSError, ValueError) as error:
+        exit_with_error(f"lab capacity: {error}")
     click.echo(json.dumps(found) if as_json else json.dumps(found, indent=2))
 
 
@@ -303,14 +303,14 @@
 
         sys.exit(demo(as_json, seconds if seconds is not None else 5.0 if quick else 20.0, seed))
     if seconds is not None:
-        refuse(f"lab {name}: it takes no seconds")
+        exit_with_error(f"lab {name}: it takes no seconds")
     options = CapacityOptions(sections, sizes, page, source)
     if name != "capacity" and any(options):
-        refuse(f"lab {name}: it takes no section, sizes or page")
+        exit_with_error(f"lab {name}: it takes no section, sizes or page")
     if seed is not None and name not in ("audit", "cold"):
-        refuse(f"lab {name}: it takes no seed")
+        exit_with_error(f"lab {name}: it takes no seed")
     if name == "capacity":
-        capacity(options, as_json, quick)
+        run_capacity(options, as_json, quick)
         return
     more = {} if seed is None else {"seed": seed}
     found = proofs(name)(quick, lambda line: click.echo(line, err=True), **more)
--- a/spurdeal/cli/running.py
+++ b/spurdeal/cli/running.py
@@ -25,7 +25,7 @@
     from twisted.internet.epollreactor import EPollReactor
 
     from ..extproc.server import Server
-    from ..extproc.tls import Context
+    from ..extproc.tls import ReloadableContext
     from ..fleet.station import FleetStation
     from ..settings.installation import ExtprocPart, FleetPart, HandoverPart, Installation, LedgerPart
     from ..store.ledger import Ledger
@@ -39,16 +39,16 @@
 
     try:
         return keys_of(part)
-    except (OSError, ValueError) as fault:
-        raise SettingsError(f"{path}: {name}.keys: {fault}") from None
+    except (OSError, ValueError) as error:
+        raise SettingsError(f"{path}: {name}.keys: {error}") from None
 
 
 def run_with(environment: Mapping[str, str], path: str) -> int:
     """Runs until it is stopped; 2 where configuration or file cannot be used."""
     try:
         serve(environment.get("ROUTER_CONFIG", ""), path)
-    except (SettingsError, start.Unusable) as fault:
-        print(f"spurdeal: {fault}", file=sys.stderr)
+    except (SettingsError, start.Unusable) as error:
+        print(f"spurdeal: {error}", file=sys.stderr)
         return 2
     return 0
 
@@ -79,7 +79,7 @@
         self.ledger: Ledger | None = None
         self.fleet: FleetStation | None = None
         self.server: Server | None = None
-        self.context: Context | None = None
+        self.context: ReloadableContext | None = None
         if plan.vrrp is not None:
             from ..vrrp.station import Runtime, Station
 
@@ -112,9 +112,9 @@
                 Clocks(monotonic_ms, self.service.clock, self.unix),
                 self.log,
             )
-        except OSError as fault:
+        except OSError as error:
             where = audit.path if audit is not None else self.configuration
-            raise SettingsError(f"{self.path}: fleet.audit.path: {fault.strerror}: {where}") from None
+            raise SettingsError(f"{self.path}: fleet.audit.path: {error.strerror}: {where}") from None
 
     def open_ledger(self, part: LedgerPart) -> Ledger:
         """The durable record, recovered from its disk."""
@@ -124,13 +124,13 @@
         settings = LedgerSettings(part.flush, part.ids, part.bytes, longest)
         try:
             return Ledger(Path(part.path), self.service.clock, settings)
-        except OSError as fault:
-            raise SettingsError(f"{self.path}: ledger.path: {fault.strerror}: {part.path}") from None
+        except OSError as error:
+            raise SettingsError(f"{self.path}: ledger.path: {error.strerror}: {part.path}") from None
 
     def make_server(self, part: ExtprocPart) -> Server:
         """The external processor."""
         from ..extproc.bounds import Bounds
-        from ..extproc.calls import Terms
+        from ..extproc.calls import CallerSettings
         from ..extproc.server import Runtime, Server, ServerSettings
 
         site, configured = self.service.configuration.site, self.service.configuration
@@ -140,13 +140,13 @@
                 f"drain rule's grace of {site.drain_grace:.0f} ms"
             )
         if part.tls is not None:
-            from ..extproc.tls import Context
+            from ..extproc.tls import ReloadableContext
 
             try:
-                self.context = Context(part.tls.certificate, part.tls.key)
-            except (OSError, ValueError) as fault:
-                raise SettingsError(f"{self.path}: extproc.tls: {fault}") from None
-        terms = Terms(
+                self.context = ReloadableContext(part.tls.certificate, part.tls.key)
+            except (OSError, ValueError) as error:
+                raise SettingsError(f"{self.path}: extproc.tls: {error}") from None
+        caller_settings = CallerSettings(
             part.message_timeout,
             part.most_timeout,
             part.margin,
@@ -165,7 +165,7 @@
         return Server(
             self.adapter,
             self.service.engines,
-            ServerSettings(configured.workloads, terms, bounds, longest, site.max_retry_after),
+            ServerSettings(configured.workloads, caller_settings, bounds, longest, site.max_retry_after),
             Runtime(self.loop, self.service.clock, self.counters, self.log),
         )
 
@@ -227,9 +227,9 @@
                 self.fleet.read_again(
                     Path(self.configuration).read_bytes(), plan, read_keys(self.path, "fleet", plan.fleet)
                 )
-        except (SettingsError, OSError, ValueError) as fault:
+        except (SettingsError, OSError, ValueError) as error:
             self.counters.add("installations_unusable")
-            self.log.error("installation_kept", extra={"figures": {"why": str(fault)}})
+            self.log.error("installation_kept", extra={"figures": {"why": str(error)}})
             return
         if self.station is not None:
             self.station.read_again(plan)
@@ -280,9 +280,9 @@
     try:
         installed.start()
         service.start()
-    except CannotListenError as fault:
-        where = f"{fault.interface}:{fault.port}"
-        raise start.Unusable(f"cannot listen on {where}: {fault.socketError}") from None
+    except CannotListenError as error:
+        where = f"{error.interface}:{error.port}"
+        raise start.Unusable(f"cannot listen on {where}: {error.socketError}") from None
     gc.collect()
     gc.freeze()
     loop.run(installSignalHandlers=False)
--- a/spurdeal/extproc/__init__.py
+++ b/spurdeal/extproc/__init__.py
@@ -1,1 +1,1 @@
-"""An external processor: other proxies ask per request, and the same decisions answer with a place."""
+"""The external processor (Envoy's ext_proc): proxies ask where and when to send each request."""
--- a/spurdeal/extproc/answers.py
+++ b/spurdeal/extproc/answers.py
@@ -1,4 +1,4 @@
-"""Messages of the external processing service, written and read: bytes in, plain values out."""
+"""Encodes and decodes the protobuf messages of the external processing service."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
 OVERWRITE = 2  # HeaderValueOption.HeaderAppendAction.OVERWRITE_IF_EXISTS_OR_ADD
 
 
-def read(data: bytes) -> tuple[str, Any]:
-    """The phase and its message; unknown fields are passed over.
+def parse_request(data: bytes) -> tuple[str, Any]:
+    """Decode a ProcessingRequest; return its phase and that phase's message. Unknown fields are ignored.
 
     Raises:
-        BadCallError: The bytes are no message, or one of no phase that is known.
+        BadCallError: The bytes cannot be decoded, or hold no phase from PHASES.
     """
     try:
         request = pb.ProcessingRequest.FromString(data)
@@ -37,24 +37,24 @@
     raise BadCallError(400, "a message has no phase that is known")
 
 
-def pairs(message: pb.HttpHeaders) -> Iterable[tuple[str, str, bytes]]:
-    """The headers of a message: name, text, and bytes where the caller sent those instead."""
+def header_pairs(message: pb.HttpHeaders) -> Iterable[tuple[str, str, bytes]]:
+    """Yield each header as key, value and raw_value; a caller fills one of the last two."""
     return ((header.key, header.value, header.raw_value) for header in message.headers.headers)
 
 
-def granted(headers: Iterable[tuple[str, bytes]]) -> bytes:
-    """Request headers are mutated: where to send it, and on which terms."""
+def grant_response(headers: Iterable[tuple[str, bytes]]) -> bytes:
+    """Encode a request_headers response that sets these headers: the destination and the grant's terms."""
     response = pb.ProcessingResponse()
     common = response.request_headers.response
-    common.clear_route_cache = True  # the destination has changed
+    common.clear_route_cache = True  # the headers set below change the destination
     for key, value in headers:
         option = common.header_mutation.set_headers.add()
         option.header.key, option.header.raw_value, option.append_action = key, value, OVERWRITE
     return bytes(response.SerializeToString())
 
 
-def immediate(status: int, body: bytes, headers: Iterable[tuple[str, bytes]], details: str) -> bytes:
-    """The caller answers its client at once, with this."""
+def immediate_response(status: int, body: bytes, headers: Iterable[tuple[str, bytes]], details: str) -> bytes:
+    """Encode an ImmediateResponse, which the caller sends to its client instead of forwarding the request."""
     response = pb.ProcessingResponse()
     answer = response.immediate_response
     answer.status.code, answer.body, answer.details = status, body, details
@@ -64,19 +64,19 @@
     return bytes(response.SerializeToString())
 
 
-def wait_longer(ms: float) -> bytes:
-    """Asks the caller for more time for this one message."""
+def request_more_time(ms: float) -> bytes:
+    """Encode override_message_timeout: extends the caller's timeout for the current message to `ms`."""
     response = pb.ProcessingResponse()
     response.override_message_timeout.seconds = int(ms // 1000)
     response.override_message_timeout.nanos = int(ms % 1000 * 1_000_000)
     return bytes(response.SerializeToString())
 
 
-def go_on(phase: str) -> bytes:
-    """Nothing is changed: the caller goes on with this phase."""
+def continue_response(phase: str) -> bytes:
+    """Encode an empty response to `phase`: the caller continues without a change."""
     response = pb.ProcessingResponse()
     getattr(response, phase).SetInParent()
     return bytes(response.SerializeToString())
 
 
-GO_ON = {phase: go_on(phase) for phase in PHASES}
+CONTINUE_RESPONSES = {phase: continue_response(phase) for phase in PHASES}
--- a/spurdeal/extproc/bounds.py
+++ b/spurdeal/extproc/bounds.py
@@ -1,4 +1,4 @@
-"""How much callers may hold and send: decisions alone, free of I/O and clocks. Times are ms."""
+"""Limits on callers' connections, calls and frame rates; no I/O and no clock. Times are ms."""
 
 from __future__ import annotations
 
@@ -7,25 +7,26 @@
 
 
 class Bounds(NamedTuple):
-    """What the operator allows, for each connection and for all together."""
+    """Limits for each connection and for all connections together."""
 
     connections: int = 64
-    calls: int = 2048  # in hand, over all connections
-    calls_each: int = 512
-    bytes_each: int = 1_048_576  # unread or unfinished, on one connection
-    message: int = 65_536  # the largest message
-    resets: int = 1000  # in SPAN on one connection: a caller whose time is up resets all that it has in hand
-    controls: int = 400  # SETTINGS, PING and the like in it
-    idle: float = 60_000.0  # a connection with no call
-    silent: float = 2000.0  # a stream that says nothing
-    unread: float = 5000.0  # what we have written and nobody reads
+    calls: int = 2048  # open calls, over all connections
+    calls_each: int = 512  # open calls on one connection
+    bytes_each: int = 1_048_576  # received and not yet processed, on one connection
+    message: int = 65_536  # bytes of the largest message
+    # Stream resets per RATE_WINDOW on one connection; a caller that times out resets all its open streams.
+    resets: int = 1000
+    controls: int = 400  # SETTINGS, PING and PRIORITY_UPDATE frames per RATE_WINDOW on one connection
+    idle: float = 60_000.0  # ms after which a connection without a call is closed
+    silent: float = 2000.0  # ms after which a stream without request_headers is ended
+    unread: float = 5000.0  # ms after which a connection that does not read its responses is aborted
 
 
-SPAN = 1000.0  # ms in which resets and controls are counted
+RATE_WINDOW = 1000.0  # ms in which resets and controls are counted
 
 
-class Meter:
-    """One connection: what it has in hand, and how fast it wears us out."""
+class ConnectionUsage:
+    """One connection's open calls, and the times of its recent resets and control frames."""
 
     def __init__(self, bounds: Bounds) -> None:
         self.bounds = bounds
@@ -33,55 +34,55 @@
         self.resets: deque[float] = deque()
         self.controls: deque[float] = deque()
 
-    def too_many(self, now: float, times: deque[float], most: int) -> bool:
-        """Note that it happened once more; whether it has happened more than `most` times within SPAN."""
+    def exceeds_rate(self, now: float, times: deque[float], limit: int) -> bool:
+        """Record an event at `now`; return whether more than `limit` events lie within RATE_WINDOW."""
         times.append(now)
-        while times and times[0] <= now - SPAN:
+        while times and times[0] <= now - RATE_WINDOW:
             times.popleft()
-        if len(times) > most + 1:
-            times.popleft()  # as many as are needed to tell, and no more
-        return len(times) > most
+        if len(times) > limit + 1:
+            times.popleft()  # limit + 1 entries suffice to detect an excess
+        return len(times) > limit
 
-    def reset(self, now: float) -> bool:
-        """A stream was reset by its caller; True where the connection is to end (rapid resets)."""
-        return self.too_many(now, self.resets, self.bounds.resets)
+    def count_reset(self, now: float) -> bool:
+        """Count a stream reset by the caller; True if the connection must be closed (rapid reset attack)."""
+        return self.exceeds_rate(now, self.resets, self.bounds.resets)
 
-    def control(self, now: float) -> bool:
-        """SETTINGS, PING or the like; True where the connection is to end (floods of them)."""
-        return self.too_many(now, self.controls, self.bounds.controls)
+    def count_control(self, now: float) -> bool:
+        """Count a control frame; True if the connection must be closed (control frame flood)."""
+        return self.exceeds_rate(now, self.controls, self.bounds.controls)
 
 
-class Door:
-    """All connections together."""
+class Admission:
+    """Admits connections and calls within the limits for all connections together."""
 
     def __init__(self, bounds: Bounds) -> None:
         self.bounds, self.connections, self.calls = bounds, 0, 0
         self.refused: Counter[str] = Counter()
 
-    def connect(self) -> bool:
-        """Another connection; False where it is refused."""
+    def admit_connection(self) -> bool:
+        """Count a new connection; False if the limit is reached and it is refused."""
         if self.connections >= self.bounds.connections:
             self.refused["connections"] += 1
             return False
         self.connections += 1
         return True
 
-    def left(self, meter: Meter) -> None:
-        """A connection is over, and with it all that it had in hand."""
+    def connection_closed(self, usage: ConnectionUsage) -> None:
+        """Release a closed connection and all its open calls."""
         self.connections -= 1
-        self.calls -= meter.calls
-        meter.calls = 0
+        self.calls -= usage.calls
+        usage.calls = 0
 
-    def call(self, meter: Meter) -> bool:
-        """Another call; False where it is refused, with a time to come back."""
-        if meter.calls >= self.bounds.calls_each or self.calls >= self.bounds.calls:
+    def admit_call(self, usage: ConnectionUsage) -> bool:
+        """Count a new call; False if a limit is reached and the call is refused."""
+        if usage.calls >= self.bounds.calls_each or self.calls >= self.bounds.calls:
             self.refused["calls"] += 1
             return False
-        meter.calls += 1
+        usage.calls += 1
         self.calls += 1
         return True
 
-    def ended(self, meter: Meter) -> None:
-        """A call is over."""
-        meter.calls -= 1
+    def call_ended(self, usage: ConnectionUsage) -> None:
+        """Release a finished call."""
+        usage.calls -= 1
         self.calls -= 1
--- a/spurdeal/extproc/calls.py
+++ b/spurdeal/extproc/calls.py
@@ -1,6 +1,6 @@
-"""What a caller's messages mean: a call read from headers, its times, and its outcome.
+"""Interprets headers from callers: the call's parameters, its timeouts and its outcome.
 
-Free of I/O and clocks. Times are ms. Header names are lower case, as HTTP/2 has them.
+No I/O and no clock. Times are ms. Header names are lower case, as in HTTP/2.
 """
 
 from __future__ import annotations
@@ -13,71 +13,72 @@
 
 IDENT = re.compile(rb"[0-9a-fA-F]{16}")
 NUMBER = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,12})?")
-GRPC_TIMEOUT = re.compile(rb"([0-9]{1,8})([HMSmun])")  # the gRPC protocol over HTTP/2, "Timeout"
+GRPC_TIMEOUT = re.compile(rb"([0-9]{1,8})([HMSmun])")  # "Timeout" of the gRPC over HTTP/2 specification
 UNITS = {b"H": 3_600_000.0, b"M": 60_000.0, b"S": 1000.0, b"m": 1.0, b"u": 0.001, b"n": 0.000001}
 STATUS = re.compile(rb"[1-5][0-9][0-9]")
-MOST_HEADERS, LARGEST_HEADERS = 128, 16_384
+MAX_HEADERS, MAX_HEADER_BYTES = 128, 16_384
 
 
 class BadCallError(Exception):
-    """A call that cannot be used; it is answered with this status, and nothing of it is sent."""
+    """An invalid call: it is rejected with this HTTP status and never reaches an engine."""
 
     def __init__(self, status: int, why: str) -> None:
         super().__init__(why)
         self.status = status
 
 
-class Terms(NamedTuple):
-    """What the operator tells of the callers."""
+class CallerSettings(NamedTuple):
+    """How callers are configured, as the operator's settings say. Times are ms."""
 
-    message_timeout: float = 200.0  # a caller waits so long for each answer
-    most_timeout: float = 0.0  # it may be asked to wait so long, by override_message_timeout; 0: it may not
-    margin: float = 20.0  # an answer is given so long before the caller's time is up
-    use_within: float = 150.0  # a grant that is not used within is void: less than the drain rule's grace
+    message_timeout: float = 200.0  # the callers' timeout for each message
+    most_timeout: float = 0.0  # their max_message_timeout, the limit of override_message_timeout; 0: none
+    margin: float = 20.0  # a response is sent this long before the caller's timeout
+    # A grant that is not used within this time is void; must be below the drain rule's grace period.
+    use_within: float = 150.0
     id_header: bytes = b"req-id"
-    proof_header: bytes = b"x-never-ran"  # on a response: whoever wrote it knows that nothing ran
+    proof_header: bytes = b"x-never-ran"  # on a response: its sender asserts that nothing ran
 
 
-class Ask(NamedTuple):
-    """One call as the decisions need it."""
+class CallRequest(NamedTuple):
+    """The parameters of a call. Times are ms, memory is MB."""
 
     ident: bytes
     workload: bytes
-    wait: float  # how long the client waits
-    cost: float
-    memory: float
-    group: int
-    patience: float | None  # how long the caller itself waits for this answer, where it says so
+    wait: float  # the client's timeout
+    cost: float  # estimated; 0: not given
+    memory: float  # estimated; 0: not given
+    group: int  # of tables; -1: none
+    caller_timeout: float | None  # the caller's own timeout for this call; None: not given
 
 
 def header_map(pairs: Iterable[tuple[str, str, bytes]]) -> dict[bytes, bytes]:
-    """Headers by lower-case name, as text.
+    """Collect headers by lower-case name.
 
-    A pseudo-header that comes again overwrites; others are joined by commas, so that two different numbers
-    are no number.
+    A repeated pseudo-header overwrites the first. Other repeated headers are joined by commas if their values
+    differ, so that two conflicting numbers fail to parse as one.
 
     Raises:
-        BadCallError: They are more than MOST_HEADERS, or longer than LARGEST_HEADERS bytes.
+        BadCallError: There are more than MAX_HEADERS headers, or more than MAX_HEADER_BYTES bytes.
     """
     found: dict[bytes, bytes] = {}
     size = 0
     for count, (key, value, raw) in enumerate(pairs, 1):
         text = raw or value.encode()
         size += len(key) + len(text)
-        if count > MOST_HEADERS or size > LARGEST_HEADERS:
+        if count > MAX_HEADERS or size > MAX_HEADER_BYTES:
             raise BadCallError(431, "the headers are too many or too long")
         name = key.lower().encode()
         if name in found and found[name] != text and not name.startswith(b":"):
-            text = b", ".join((found[name], text))  # one number twice is then no number
+            text = b", ".join((found[name], text))  # conflicting numbers then fail to parse
         found[name] = text
     return found
 
 
-def number(headers: Mapping[bytes, bytes], name: bytes, default: float | None = None) -> float:
-    """The number in a header.
+def number_header(headers: Mapping[bytes, bytes], name: bytes, default: float | None = None) -> float:
+    """Parse a header as a non-negative decimal number.
 
     Raises:
-        BadCallError: It is missing, and has no default, or it is no number.
+        BadCallError: It is missing without a default, or not a number.
     """
     text = headers.get(name)
     if text is None and default is not None:
@@ -87,86 +88,88 @@
     return float(text)
 
 
-def read_ask(headers: Mapping[bytes, bytes], terms: Terms, longest: float) -> Ask:
-    """The call that request headers bring.
+def parse_call(
+    headers: Mapping[bytes, bytes], caller_settings: CallerSettings, longest: float
+) -> CallRequest:
+    """Parse a call from its request headers.
 
-    A group of tables comes by a header, as there is no body.
+    The group of tables is a header too, since the body is not read.
 
     Args:
-        headers: As `header_map` gives them.
-        terms: Names of headers.
-        longest: Most that a client may say that it waits, in ms.
+        headers: As returned by `header_map`.
+        caller_settings: Names the header that holds the id.
+        longest: Upper limit of the client's timeout, in ms; a longer one is clamped.
 
     Raises:
-        BadCallError: They cannot be used.
+        BadCallError: The method, the path, the id or a number is invalid.
     """
     path = headers.get(b":path", b"")
     if headers.get(b":method", b"") != b"POST" or not path.startswith(b"/"):
         raise BadCallError(405, "calls are POSTs to a path")
-    ident = headers.get(terms.id_header, b"")
+    ident = headers.get(caller_settings.id_header, b"")
     if not IDENT.fullmatch(ident):
-        raise BadCallError(400, f"{terms.id_header.decode()} is missing or no id")
-    wait = number(headers, b"req-wait-ms")
+        raise BadCallError(400, f"{caller_settings.id_header.decode()} is missing or no id")
+    wait = number_header(headers, b"req-wait-ms")
     if wait <= 0:
         raise BadCallError(400, "req-wait-ms cannot be used")
-    return Ask(
+    return CallRequest(
         ident,
         path.partition(b"?")[0].rpartition(b"/")[2],
         min(wait, longest),
-        number(headers, b"req-cost", 0.0),
-        number(headers, b"x-est-mb", 0.0),
-        int(number(headers, b"x-tables-group", -1.0)) if b"x-tables-group" in headers else -1,
-        patience(headers),
+        number_header(headers, b"req-cost", 0.0),
+        number_header(headers, b"x-est-mb", 0.0),
+        int(number_header(headers, b"x-tables-group", -1.0)) if b"x-tables-group" in headers else -1,
+        caller_timeout(headers),
     )
 
 
-def patience(headers: Mapping[bytes, bytes]) -> float | None:
-    """The shortest of what the caller's own headers say; None where they say nothing that can be read."""
-    found = []
+def caller_timeout(headers: Mapping[bytes, bytes]) -> float | None:
+    """Return the shortest timeout in the caller's headers, in ms; None if no valid one is given."""
+    timeouts = []
     timeout = GRPC_TIMEOUT.fullmatch(headers.get(b"grpc-timeout", b""))
     if timeout:
-        found.append(int(timeout[1]) * UNITS[timeout[2]])
+        timeouts.append(int(timeout[1]) * UNITS[timeout[2]])
     expected = headers.get(b"x-envoy-expected-rq-timeout-ms", b"")
     if NUMBER.fullmatch(expected) and float(expected) > 0:
-        found.append(float(expected))
-    return min(found, default=None)
+        timeouts.append(float(expected))
+    return min(timeouts, default=None)
 
 
-class Times(NamedTuple):
-    """When, from the call's first message on, an answer must have left, and what the caller is asked for."""
+class AnswerTimes(NamedTuple):
+    """Limits for the response, in ms from the call's first message."""
 
-    answer_by: float
-    ask_for: float  # 0: the caller is not asked to wait longer
+    answer_by: float  # the response must have been sent by then
+    extended_timeout: float  # requested by override_message_timeout; 0: not requested
 
 
-def times(terms: Terms, wait: float, told: float | None) -> Times:
-    """When an answer must have left.
+def answer_times(caller_settings: CallerSettings, wait: float, stream_timeout: float | None) -> AnswerTimes:
+    """Compute when the response must have been sent. Times are ms.
 
     Args:
-        terms: How long the caller waits for a message.
-        wait: How long the client waits.
-        told: The stream's own timeout, which bounds all; None where it has none. Within it the caller's
-            message timeout holds, or what it grants more.
+        caller_settings: The caller's message timeout, its maximum and the margin.
+        wait: The client's timeout.
+        stream_timeout: The stream's own timeout, an upper limit for the message timeout and its
+            extension; None if it has none.
     """
-    bound = wait if told is None else min(wait, told)
-    plain = min(bound, terms.message_timeout)
-    most = min(bound, terms.most_timeout)
-    if most > plain:
-        return Times(max(1.0, most - terms.margin), most)
-    return Times(max(1.0, plain - terms.margin), 0.0)
+    bound = wait if stream_timeout is None else min(wait, stream_timeout)
+    usual = min(bound, caller_settings.message_timeout)
+    extended = min(bound, caller_settings.most_timeout)
+    if extended > usual:
+        return AnswerTimes(max(1.0, extended - caller_settings.margin), extended)
+    return AnswerTimes(max(1.0, usual - caller_settings.margin), 0.0)
 
 
-def outcome(headers: Mapping[bytes, bytes], terms: Terms) -> Ending:
-    """What response headers tell of a granted attempt.
+def parse_outcome(headers: Mapping[bytes, bytes], caller_settings: CallerSettings) -> Ending:
+    """Derive a granted attempt's ending from its response headers.
 
-    Proxies word refusals of their own with 503 and 504, also after a connection was lost half way: only with
-    the proof header do these prove that nothing ran. Anything that cannot be read may have run.
+    Proxies generate 503 and 504 themselves, also after a connection was lost in mid-request. Only with the
+    proof header do these statuses prove that nothing ran. With an invalid status the request may have run.
     """
     status = headers.get(b":status", b"")
     if not STATUS.fullmatch(status):
         return Ending.RESET
     if status.startswith(b"2"):
         return Ending.DELIVERED
-    if terms.proof_header in headers:
+    if caller_settings.proof_header in headers:
         return {b"503": Ending.FULL, b"504": Ending.MOOT}.get(status, Ending.UNREACHED)
     return Ending.TIME_OUT if status == b"504" else Ending.ERROR
--- a/spurdeal/extproc/connection.py
+++ b/spurdeal/extproc/connection.py
@@ -17,9 +17,9 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from .bounds import Meter
+from .bounds import ConnectionUsage
 from .framing import RESPONSE_HEADERS, Status, status_headers
-from .grants import Seen
+from .grants import GrantEvent
 from .stream import Call
 
 if TYPE_CHECKING:
@@ -28,18 +28,18 @@
 METHOD = b"/envoy.service.ext_proc.v3.ExternalProcessor/Process"
 CONTENT_TYPE = b"application/grpc"
 MAX_HEADER_LIST = 16_384  # bytes
-ABORT_AFTER = 1.0  # seconds that a connection which is cut has to take our last bytes
+ABORT_AFTER = 1.0  # seconds that a closing connection has to read the last bytes before it is aborted
 
 
 @implementer(IPushProducer)
-class Processor(Protocol):
-    """One caller's connection."""
+class ProcessorConnection(Protocol):
+    """One caller's HTTP/2 connection: its streams, flow control and limits."""
 
     transport: Any
 
     def __init__(self, server: Server) -> None:
-        self.server, self.meter = server, Meter(server.bounds)
-        # Headers come in as they are and are checked by `calls`; ours are written as they should be.
+        self.server, self.usage = server, ConnectionUsage(server.bounds)
+        # Inbound headers are validated in `calls`; outbound headers are constants in the right form.
         self.h2 = H2Connection(
             H2Configuration(
                 client_side=False,
@@ -50,19 +50,19 @@
             )
         )
         self.calls: dict[int, Call] = {}
-        self.since = self.now()
-        self.admitted = self.closing = self.clogged = self.producing = False
-        self.highest = 0
+        self.last_activity = self.now()
+        self.admitted = self.closing = self.write_blocked = self.producing = False
+        self.highest_stream_id = 0
 
     def now(self) -> float:
-        """Tell the link's clock, in ms."""
+        """Return the adapter's clock, in ms."""
         return self.server.clock()
 
-    # Twisted's calls.
+    # Callbacks of Twisted.
 
     def connectionMade(self) -> None:
-        """Say our settings, unless there are too many connections."""
-        self.admitted = self.server.came(self)
+        """Send the HTTP/2 settings, or abort if there are too many connections."""
+        self.admitted = self.server.connection_opened(self)
         if not self.admitted:
             self.transport.abortConnection()
             return
@@ -75,59 +75,59 @@
             },
         )
         self.h2.initiate_connection()
-        self.push()
+        self.write_pending()
 
     def dataReceived(self, data: bytes) -> None:
-        """Bytes of HTTP/2; a caller that breaks the protocol is cut."""
+        """Process received bytes; a protocol error closes the connection."""
         if self.closing:
             return
-        self.since = self.now()
+        self.last_activity = self.now()
         if not self.producing:
-            # Not before: with TLS what we have said waits for the handshake, and pausing would stop that.
+            # Not earlier: with TLS the settings wait for the handshake, and pausing reads would block it.
             self.producing = True
             self.transport.registerProducer(self, True)
         try:
             found = self.h2.receive_data(data)
-        except (ProtocolError, ValueError, KeyError) as fault:
-            self.cut(str(fault))
+        except (ProtocolError, ValueError, KeyError) as error:
+            self.disconnect(str(error))
             return
         for event in found:
-            self.happened(event)
+            self.handle_event(event)
             if self.closing:
                 return
-        self.push()
+        self.write_pending()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Every call in hand ends as cut."""
+        """End every open call with GrantEvent.CUT."""
         self.closing = True
         for call in list(self.calls.values()):
-            call.gone(Seen.CUT)
+            call.stream_closed(GrantEvent.CUT)
         self.calls.clear()
         if self.admitted:
-            self.server.went(self)
+            self.server.connection_closed(self)
 
     def pauseProducing(self) -> None:
-        """Our answers go unread: nothing more is taken from it until they are."""
-        self.clogged, self.since = True, self.now()
+        """The write buffer is full: stop reading until the caller reads its responses."""
+        self.write_blocked, self.last_activity = True, self.now()
         self.transport.pauseProducing()
 
     def resumeProducing(self) -> None:
-        """Our answers are read again."""
-        self.clogged = False
+        """The write buffer has drained: read again."""
+        self.write_blocked = False
         self.transport.resumeProducing()
 
     def stopProducing(self) -> None:
-        """Twisted gives the connection up."""
+        """Twisted has given up the connection: write nothing more."""
         self.closing = True
 
     # HTTP/2.
 
-    def happened(self, event: events.Event) -> None:
-        """One event of HTTP/2; those that need nothing of us are passed over."""
+    def handle_event(self, event: events.Event) -> None:
+        """Dispatch an h2 event; events without a case need no action."""
         call = self.calls.get(getattr(event, "stream_id", 0) or 0)
         match event:
             case events.RequestReceived():
-                self.request(event.stream_id, event.headers)
+                self.open_stream(event.stream_id, event.headers)
             case events.DataReceived():
                 self.data_received(event, call)
             case events.StreamEnded():
@@ -137,94 +137,94 @@
             case events.WindowUpdated():
                 self.window_updated(call)
             case events.RemoteSettingsChanged() | events.PingReceived() | events.PriorityUpdated():
-                if self.meter.control(self.now()):
-                    self.cut("too many control frames")
+                if self.usage.count_control(self.now()):
+                    self.disconnect("too many control frames")
 
     def data_received(self, event: events.DataReceived, call: Call | None) -> None:
-        """Bytes of a stream; the window is opened again also where nobody wants them."""
+        """Pass data to its call, and acknowledge it for flow control even if the call is over."""
         if event.flow_controlled_length:
             self.h2.acknowledge_received_data(event.flow_controlled_length, event.stream_id)
         if call is not None:
             call.feed(event.data)
 
     def stream_ended(self, call: Call | None) -> None:
-        """The caller says no more on a stream."""
+        """The caller half-closed a stream: end its call."""
         if call is None:
             return
-        call.ended = True
-        torn = bool(call.reader.unread) and not call.over
-        call.gone(Seen.CANCELLED)
-        if torn:
-            self.trailers(call, Status.INVALID_ARGUMENT, "a message is cut short")
+        call.remote_closed = True
+        truncated = bool(call.reader.buffer) and not call.finished
+        call.stream_closed(GrantEvent.CANCELLED)
+        if truncated:
+            self.end_with_status(call, Status.INVALID_ARGUMENT, "a message is cut short")
         else:
-            self.trailers(call, Status.OK, "")
+            self.end_with_status(call, Status.OK, "")
 
     def stream_reset(self, call: Call | None) -> None:
-        """The caller has cancelled a stream."""
+        """The caller reset a stream: end its call as cancelled."""
         if call is not None:
-            call.gone(Seen.CANCELLED)
-            self.drop(call)
-        if self.meter.reset(self.now()):
-            self.cut("too many resets")
+            call.stream_closed(GrantEvent.CANCELLED)
+            self.release(call)
+        if self.usage.count_reset(self.now()):
+            self.disconnect("too many resets")
 
     def window_updated(self, call: Call | None) -> None:
-        """The caller takes more, on one stream or on all."""
+        """The flow control window of one stream, or of the connection, has grown: send queued data."""
         for each in [call] if call is not None else list(self.calls.values()):
             if each.unsent:
                 self.flush(each)
 
-    def request(self, stream: int, headers: Iterable[tuple[bytes, bytes]]) -> None:
-        """A new stream: a call, or an answer of headers alone that says why not."""
-        self.highest = max(self.highest, stream)
-        told: Mapping[bytes, bytes] = dict(headers)
-        call = Call(self, stream, told.get(b"grpc-timeout"))
+    def open_stream(self, stream: int, headers: Iterable[tuple[bytes, bytes]]) -> None:
+        """Open a call on a new stream, or refuse it with a trailers-only response."""
+        self.highest_stream_id = max(self.highest_stream_id, stream)
+        request_headers: Mapping[bytes, bytes] = dict(headers)
+        call = Call(self, stream, request_headers.get(b"grpc-timeout"))
         if self.server.stopping:
-            self.reset(stream, ErrorCodes.REFUSED_STREAM)  # by the standard: nothing of it was looked at
-        elif told.get(b":path") != METHOD or not told.get(b"content-type", b"").startswith(
-            b"application/grpc"
-        ):
-            self.whole(stream, Status.UNIMPLEMENTED, "no such method")
-        elif not self.server.door.call(self.meter):
+            self.reset(stream, ErrorCodes.REFUSED_STREAM)  # RFC 9113: nothing was processed, safe to retry
+        elif request_headers.get(b":path") != METHOD or not request_headers.get(
+            b"content-type", b""
+        ).startswith(b"application/grpc"):
+            self.send_headers_only(stream, Status.UNIMPLEMENTED, "no such method")
+        elif not self.server.admission.admit_call(self.usage):
             self.server.counters.add("extproc_refused")
             pushback = (b"grpc-retry-pushback-ms", b"%d" % round(self.server.retry_after))
-            self.whole(stream, Status.RESOURCE_EXHAUSTED, "too many calls", (pushback,))
+            self.send_headers_only(stream, Status.RESOURCE_EXHAUSTED, "too many calls", (pushback,))
         else:
             self.calls[stream] = call
             self.server.counters.add("extproc_calls")
 
-    def whole(
+    def send_headers_only(
         self, stream: int, status: Status, why: str, more: tuple[tuple[bytes, bytes], ...] = ()
     ) -> None:
-        """An answer of headers alone."""
+        """Send a trailers-only response, which ends the stream."""
         fields = (*RESPONSE_HEADERS, *status_headers(status, why), *more)
         self.h2.send_headers(stream, fields, end_stream=True)
 
-    def trailers(self, call: Call, status: Status, why: str) -> None:
-        """End a call with a status."""
+    def end_with_status(self, call: Call, status: Status, why: str) -> None:
+        """End a call with trailers; data that waits for flow control window is discarded."""
         if call.stream not in self.calls:
             return
         if call.unsent:
-            call.unsent = b""  # what the caller had no window for is not waited for any more
+            call.unsent = b""  # the flow control window for it may never come
         fields = status_headers(status, why)
-        if not call.begun:
+        if not call.headers_sent:
             fields = [*RESPONSE_HEADERS, *fields]
-        self.guarded(lambda: self.h2.send_headers(call.stream, fields, end_stream=True))
-        self.drop(call)
-        if not call.ended:
+        self.ignore_closed_stream(lambda: self.h2.send_headers(call.stream, fields, end_stream=True))
+        self.release(call)
+        if not call.remote_closed:
             self.reset(call.stream, ErrorCodes.NO_ERROR)
-        self.push()
+        self.write_pending()
 
     def finish(self, call: Call) -> None:
-        """The last message and the end of the stream in one write.
+        """Send the last message and the trailers in one write.
 
-        Where the caller's window does not let it through, the message waits for that.
+        If the flow control window is too small, the message is queued until it grows.
         """
         try:
-            if not call.ended and len(call.unsent) <= self.h2.local_flow_control_window(call.stream):
+            if not call.remote_closed and len(call.unsent) <= self.h2.local_flow_control_window(call.stream):
                 self.h2.send_data(call.stream, call.unsent)
                 call.unsent = b""
                 self.h2.send_headers(call.stream, status_headers(Status.OK), end_stream=True)
-                self.drop(call)
+                self.release(call)
                 return
         except H2Error:
             call.unsent = b""
@@ -232,23 +232,23 @@
         self.flush(call)
 
     def reset(self, stream: int, code: ErrorCodes) -> None:
-        """Reset a stream, where it is not over yet."""
-        self.guarded(lambda: self.h2.reset_stream(stream, code))
+        """Reset a stream, unless it is closed already."""
+        self.ignore_closed_stream(lambda: self.h2.reset_stream(stream, code))
 
-    def guarded(self, act: Callable[[], None]) -> None:
-        """The stream may be over by now: what is said on it then is nobody's loss."""
+    def ignore_closed_stream(self, send: Callable[[], None]) -> None:
+        """Call `send`; count and ignore the error if the stream is closed by now."""
         try:
-            act()
+            send()
         except H2Error:
             self.server.counters.add("extproc_said_too_late")
 
     def flush(self, call: Call) -> None:
-        """As much as the caller's window lets through; the rest waits for it."""
+        """Send as much as the flow control window allows; the rest stays queued."""
         if self.closing or call.stream not in self.calls:
             return
         try:
-            if not call.begun:
-                call.begun = True
+            if not call.headers_sent:
+                call.headers_sent = True
                 self.h2.send_headers(call.stream, RESPONSE_HEADERS)
             window = min(self.h2.local_flow_control_window(call.stream), self.h2.max_outbound_frame_size)
             while call.unsent and window > 0:
@@ -259,48 +259,48 @@
             call.unsent = b""
             self.server.counters.add("extproc_said_too_late")
         if len(call.unsent) > self.server.bounds.message:
-            self.cut("answers go unread")
+            self.disconnect("answers go unread")
             return
-        self.push()
+        self.write_pending()
 
-    def push(self) -> None:
-        """Write what h2 has to send."""
+    def write_pending(self) -> None:
+        """Write the bytes that h2 has queued to the transport."""
         data = self.h2.data_to_send()
         if data and not self.closing:
             self.transport.write(data)
 
-    def drop(self, call: Call) -> None:
-        """The stream needs nothing more of us."""
+    def release(self, call: Call) -> None:
+        """Forget a call whose stream is closed, and release its slot."""
         if self.calls.pop(call.stream, None) is not None:
-            self.server.door.ended(self.meter)
+            self.server.admission.call_ended(self.usage)
 
-    # Ends.
+    # Closing.
 
-    def cut(self, why: str) -> None:
-        """End the connection, as its caller costs others too much; what is written may still leave."""
+    def disconnect(self, why: str) -> None:
+        """Close a connection that violates the protocol or its limits; written data may still be sent."""
         self.server.counters.add("extproc_cut")
         self.server.log.warning("extproc_cut", extra={"figures": {"why": why, "calls": len(self.calls)}})
-        self.push()
+        self.write_pending()
         self.closing = True
         self.transport.loseConnection()
         self.server.reactor.callLater(ABORT_AFTER, self.transport.abortConnection)
 
-    def go_away(self) -> None:
-        """No further calls; those in hand are answered. h2 itself would end them with its own frame."""
+    def send_goaway(self) -> None:
+        """Send GOAWAY: open calls are finished; h2's own close_connection would end them."""
         frame = GoAwayFrame(0)
-        frame.last_stream_id = self.highest
+        frame.last_stream_id = self.highest_stream_id
         self.transport.write(frame.serialize())
 
-    def overstays(self, now: float) -> None:
-        """End calls and connections that have been quiet, or unread, for too long. now: ms."""
+    def enforce_timeouts(self, now: float) -> None:
+        """End calls and connections that exceed a timeout of Bounds. now: ms."""
         bounds = self.server.bounds
-        if self.clogged:
-            if now - self.since > bounds.unread:
+        if self.write_blocked:
+            if now - self.last_activity > bounds.unread:
                 self.server.counters.add("extproc_unread")
                 self.transport.abortConnection()
             return
         for call in list(self.calls.values()):
-            if not call.asked and now - call.since > bounds.silent:
+            if not call.request_received and now - call.opened_at > bounds.silent:
                 call.fail(Status.DEADLINE_EXCEEDED, "nothing was said")
-        if not self.calls and now - self.since > bounds.idle:
+        if not self.calls and now - self.last_activity > bounds.idle:
             self.transport.loseConnection()
--- a/spurdeal/extproc/framing.py
+++ b/spurdeal/extproc/framing.py
@@ -1,16 +1,16 @@
-"""gRPC over HTTP/2: its framed messages, its headers and its status codes. Free of I/O."""
+"""gRPC over HTTP/2: length-prefixed messages, headers and status codes. No I/O."""
 
 from __future__ import annotations
 
 import struct
 from enum import IntEnum
 
-PREFIX = struct.Struct("!BI")  # whether it is compressed, and the message's length
+MESSAGE_PREFIX = struct.Struct("!BI")  # compressed flag, message length in bytes
 RESPONSE_HEADERS = ((b":status", b"200"), (b"content-type", b"application/grpc"))
 
 
 class Status(IntEnum):
-    """Status codes of gRPC that are used here."""
+    """The gRPC status codes in use."""
 
     OK = 0
     INVALID_ARGUMENT = 3
@@ -21,49 +21,49 @@
 
 
 class BadFrameError(Exception):
-    """Bytes that cannot be taken as a message; the call ends with this status."""
+    """A message that cannot be decoded; the call ends with this status."""
 
     def __init__(self, status: Status, why: str) -> None:
         super().__init__(why)
         self.status = status
 
 
-def framed(message: bytes) -> bytes:
-    """A message as it goes over the stream."""
-    return PREFIX.pack(0, len(message)) + message
+def frame_message(message: bytes) -> bytes:
+    """Prefix a message with its length, uncompressed."""
+    return MESSAGE_PREFIX.pack(0, len(message)) + message
 
 
 def status_headers(status: Status, why: str = "") -> list[tuple[bytes, bytes]]:
-    """The headers or trailers that end a call."""
+    """Return the trailers that end a call."""
     fields = [(b"grpc-status", b"%d" % status)]
     return [*fields, (b"grpc-message", why.encode())] if why else fields
 
 
 class MessageReader:
-    """Takes a stream's bytes apart into messages of at most `most` bytes."""
+    """Splits a stream's bytes into messages of at most `max_bytes` bytes."""
 
-    def __init__(self, most: int) -> None:
-        self.most, self.unread = most, b""
+    def __init__(self, max_bytes: int) -> None:
+        self.max_bytes, self.buffer = max_bytes, b""
 
     def feed(self, data: bytes) -> None:
-        """More bytes have come."""
-        self.unread += data
+        """Append received bytes."""
+        self.buffer += data
 
     def take(self) -> bytes | None:
-        """The next whole message; None until more bytes have come.
+        """Return the next complete message; None if more bytes are needed.
 
         Raises:
-            BadFrameError: It is compressed, or longer than `most`.
+            BadFrameError: The message is compressed, or longer than `max_bytes`.
         """
-        if len(self.unread) < PREFIX.size:
+        if len(self.buffer) < MESSAGE_PREFIX.size:
             return None
-        packed, size = PREFIX.unpack_from(self.unread)
-        if packed:
+        compressed, size = MESSAGE_PREFIX.unpack_from(self.buffer)
+        if compressed:
             raise BadFrameError(Status.UNIMPLEMENTED, "messages are not compressed here")
-        if size > self.most:
+        if size > self.max_bytes:
             raise BadFrameError(Status.RESOURCE_EXHAUSTED, "a message is too large")
-        end = PREFIX.size + size
-        if len(self.unread) < end:
+        end = MESSAGE_PREFIX.size + size
+        if len(self.buffer) < end:
             return None
-        message, self.unread = self.unread[PREFIX.size : end], self.unread[end:]
+        message, self.buffer = self.buffer[MESSAGE_PREFIX.size : end], self.buffer[end:]
         return message
--- a/spurdeal/extproc/granter.py
+++ b/spurdeal/extproc/granter.py
@@ -1,4 +1,4 @@
-"""The link's sender for calls: a send grants a place to the caller."""
+"""The adapter's sender for external calls: grants engines to callers, which send the requests."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 from ..interface import Ending
 from ..net.counters import Counters
 from ..net.engines import Engines, Outcome, SendTerms
-from .calls import Terms
-from .grants import Grants, Seen
+from .calls import CallerSettings
+from .grants import GrantEvent, Grants
 
 if TYPE_CHECKING:
     from .stream import Call
 
 
 class Lease:
-    """One attempt in a caller's hands: as engines.Attempt is to the link."""
+    """An attempt that a caller carries out; `done` fires with its outcome."""
 
     __slots__ = ("call", "done", "number")
 
@@ -28,18 +28,28 @@
 
 
 class Granter:
-    """The link's sender for calls: a send grants a place to the caller."""
+    """Grants engines to callers; implements net.requests.Sender."""
 
     def __init__(
-        self, engines: Engines, clock: Callable[[], float], terms: Terms, most: int, counters: Counters
+        self,
+        engines: Engines,
+        clock: Callable[[], float],
+        caller_settings: CallerSettings,
+        max_grants: int,
+        counters: Counters,
     ) -> None:
-        self.engines, self.clock, self.terms, self.counters = engines, clock, terms, counters
-        self.grants = Grants(most)
+        self.engines, self.clock, self.caller_settings, self.counters = (
+            engines,
+            clock,
+            caller_settings,
+            counters,
+        )
+        self.grants = Grants(max_grants)
         self.calls: dict[bytes, Call] = {}
         self.leases: dict[int, Lease] = {}
 
     def ready(self, engine: int) -> bool:
-        """Whether that engine can be granted at all."""
+        """Return whether the engine can be granted."""
         return self.engines.ready(engine)
 
     def send(
@@ -52,39 +62,39 @@
         at_most_once: bool,
         at_send: Callable[[], SendTerms | None],
     ) -> Lease:
-        """Grant the place to the caller; it counts as never sent where caller or engine has left."""
+        """Grant the engine to the caller; ends as MOOT (never sent) if caller or engine is gone."""
         lease = Lease(self.calls.get(ident.lower()))
-        if not self.granted(lease, engine, at_send):
+        if not self.send_grant(lease, engine, at_send):
             self.counters.add("grants_not_said")
             lease.done.callback(Outcome(Ending.MOOT))
         return lease
 
-    def granted(self, lease: Lease, engine: int, at_send: Callable[[], SendTerms | None]) -> bool:
-        """Tell the caller the place; False where it, its engine or what is to be told is gone by now."""
+    def send_grant(self, lease: Lease, engine: int, at_send: Callable[[], SendTerms | None]) -> bool:
+        """Send the grant to the caller; False if the call, the engine or the terms are gone by now."""
         call = lease.call
         endpoint = self.engines.engines[engine].endpoint if engine in self.engines.engines else None
         if call is None or endpoint is None:
             return False
-        now, told = self.clock(), at_send()
-        if told is None or not self.grants.say(now, call.number, engine, now + told.wait):
+        now, send_terms = self.clock(), at_send()
+        if send_terms is None or not self.grants.mark_sent(now, call.number, engine, now + send_terms.wait):
             return False
         self.leases[lease.number] = lease
         self.counters.add("grants")
-        call.say(endpoint.host, endpoint.port, told.wait, told.rank)
+        call.send_grant(endpoint.host, endpoint.port, send_terms.wait, send_terms.rank)
         return True
 
     def weigh(self, attempt: Lease, rank: int) -> None:
-        """A caller is told a rank once, with its grant."""
+        """Do nothing: a caller gets its rank once, with the grant."""
 
     def give_up(self, attempt: Lease, ending: Ending) -> None:
-        """The link waits no more for that attempt's outcome."""
-        seen = Seen.SILENT if ending == Ending.TIME_OUT else Seen.CALLED_OFF
+        """Stop waiting for an attempt's outcome: it timed out, or the rules cancelled it."""
+        event = GrantEvent.SILENT if ending == Ending.TIME_OUT else GrantEvent.CALLED_OFF
         if attempt.call is not None:
-            attempt.call.forget()
-        self.end(attempt.number, self.grants.happens(attempt.number, seen))
+            attempt.call.release_id()
+        self.finish(attempt.number, self.grants.record_event(attempt.number, event))
 
-    def end(self, number: int, ending: Ending | None) -> None:
-        """An attempt is over with this ending; None where it was over already."""
+    def finish(self, number: int, ending: Ending | None) -> None:
+        """Fire `done` of an attempt with this ending; None if the attempt was over already."""
         lease = self.leases.pop(number, None)
         if lease is not None and ending is not None:
             lease.done.callback(Outcome(ending))
--- a/spurdeal/extproc/grants.py
+++ b/spurdeal/extproc/grants.py
@@ -1,7 +1,7 @@
-"""Grants as leases, free of I/O and clocks: what is known of an attempt that somebody else carries.
+"""Grants as leases: the state of attempts that callers carry out. No I/O and no clock; times are ms.
 
-A grant is HELD from the call on, SAID once its answer has left for the caller, and over with exactly one
-ending. What each end proves stands in `ENDS`, and in docs/extproc.md as a table. Times are ms.
+A grant is QUEUED when its call arrives, SENT once the response is written to the caller, and over with
+exactly one ending. `ENDINGS` says what each event proves; docs/extproc.md has it as a table.
 """
 
 from __future__ import annotations
@@ -12,86 +12,95 @@
 from ..interface import Ending
 
 
-class Stage(Enum):
-    """How far a grant has come."""
+class GrantStage(Enum):
+    """The state of a grant."""
 
-    HELD = "held"
-    SAID = "said"
+    QUEUED = "held"
+    SENT = "said"
     OVER = "over"
 
 
-class Seen(Enum):
-    """What can happen to a grant from the caller's side, or from ours."""
+class GrantEvent(Enum):
+    """An event that ends a grant without an outcome."""
 
     CANCELLED = "the stream was cancelled, or ended, with no outcome"
     CUT = "the connection was lost"
-    SILENT = "its time is over and no outcome came"
-    UNUSED = "the caller says that it did not use it"
-    CALLED_OFF = "the rules call it off"
-    GONE = "its engine drains or has left"
-
-
-ENDS: dict[tuple[Stage, Seen], Ending] = {
-    # Before the answer has left, nobody was told where to send it: nothing ran, whatever happens.
-    **{(Stage.HELD, seen): Ending.MOOT for seen in Seen},
-    (Stage.SAID, Seen.CANCELLED): Ending.RESET,
-    (Stage.SAID, Seen.CUT): Ending.RESET,
-    (Stage.SAID, Seen.SILENT): Ending.TIME_OUT,
-    (Stage.SAID, Seen.UNUSED): Ending.MOOT,
-    (Stage.SAID, Seen.CALLED_OFF): Ending.CALLED_OFF,
-    (Stage.SAID, Seen.GONE): Ending.RESET,
+    SILENT = "the deadline passed without an outcome"
+    UNUSED = "the caller reports that it did not use the grant"
+    CALLED_OFF = "the rules cancelled the attempt"
+    GONE = "the engine drains or has left the list"
+
+
+ENDINGS: dict[tuple[GrantStage, GrantEvent], Ending] = {
+    # Before the response is sent, no caller knows the engine: nothing ran, whatever happens.
+    **{(GrantStage.QUEUED, event): Ending.MOOT for event in GrantEvent},
+    (GrantStage.SENT, GrantEvent.CANCELLED): Ending.RESET,
+    (GrantStage.SENT, GrantEvent.CUT): Ending.RESET,
+    (GrantStage.SENT, GrantEvent.SILENT): Ending.TIME_OUT,
+    (GrantStage.SENT, GrantEvent.UNUSED): Ending.MOOT,
+    (GrantStage.SENT, GrantEvent.CALLED_OFF): Ending.CALLED_OFF,
+    (GrantStage.SENT, GrantEvent.GONE): Ending.RESET,
 }
 
 
 class Grant(NamedTuple):
-    """One attempt in a caller's hands."""
+    """One grant. Times are ms; engine is -1 until the grant is sent."""
 
     number: int
     ident: bytes
     engine: int
-    said_at: float
-    until: float
-    stage: Stage
+    sent_at: float
+    expires_at: float
+    stage: GrantStage
 
 
 class Grants:
-    """All grants by number, at most so many. None outlives its end, its caller or its engine's leaving."""
+    """All open grants by number, at most `max_grants`.
 
-    def __init__(self, most: int) -> None:
-        self.most = most
+    A grant is removed when it ends, its caller disconnects or its engine leaves.
+
+    Attributes:
+        late: Outcomes for grants that were over already.
+        premature: Outcomes for grants that were not sent yet.
+    """
+
+    def __init__(self, max_grants: int) -> None:
+        self.max_grants = max_grants
         self.open: dict[int, Grant] = {}
-        self.late = self.crossed = 0
+        self.late = self.premature = 0
 
-    def room(self) -> bool:
-        """Whether another grant can be held."""
-        return len(self.open) < self.most
+    def has_room(self) -> bool:
+        """Return whether another grant can be added."""
+        return len(self.open) < self.max_grants
 
-    def hold(self, number: int, ident: bytes) -> None:
-        """A call is taken; there is room(), or it was refused."""
-        assert self.room() and number not in self.open
-        self.open[number] = Grant(number, ident, -1, 0.0, 0.0, Stage.HELD)
+    def add(self, number: int, ident: bytes) -> None:
+        """Add a queued grant for a new call. The caller checks has_room() first."""
+        assert self.has_room() and number not in self.open
+        self.open[number] = Grant(number, ident, -1, 0.0, 0.0, GrantStage.QUEUED)
 
-    def say(self, now: float, number: int, engine: int, until: float) -> bool:
-        """Its answer is written now. False where the caller left first: then it counts as never sent."""
+    def mark_sent(self, now: float, number: int, engine: int, expires_at: float) -> bool:
+        """Mark a grant as sent; False if its caller left first, so that the attempt was never sent."""
         grant = self.open.get(number)
-        if grant is None or grant.stage is not Stage.HELD:
+        if grant is None or grant.stage is not GrantStage.QUEUED:
             return False
-        self.open[number] = grant._replace(engine=engine, said_at=now, until=until, stage=Stage.SAID)
+        self.open[number] = grant._replace(
+            engine=engine, sent_at=now, expires_at=expires_at, stage=GrantStage.SENT
+        )
         return True
 
-    def heard(self, number: int, ending: Ending) -> Ending | None:
-        """An outcome; None where it comes late, twice, or for what was never said."""
+    def record_outcome(self, number: int, ending: Ending) -> Ending | None:
+        """End a grant with its outcome; None if that is late, repeated, or the grant was never sent."""
         grant = self.open.get(number)
         if grant is None:
             self.late += 1
             return None
-        if grant.stage is Stage.HELD:
-            self.crossed += 1  # a response to a request that nobody was told where to send
+        if grant.stage is GrantStage.QUEUED:
+            self.premature += 1  # a response to a request whose engine the caller does not know yet
             return None
         del self.open[number]
         return ending
 
-    def happens(self, number: int, seen: Seen) -> Ending | None:
-        """How the grant ends by this; None where it is over already."""
+    def record_event(self, number: int, event: GrantEvent) -> Ending | None:
+        """End a grant by an event and return its ending; None if it was over already."""
         grant = self.open.pop(number, None)
-        return None if grant is None else ENDS[grant.stage, seen]
+        return None if grant is None else ENDINGS[grant.stage, event]
--- a/spurdeal/extproc/server.py
+++ b/spurdeal/extproc/server.py
@@ -1,4 +1,4 @@
-"""The external processing service: all callers' connections, beside the other fronts in one process."""
+"""The external processing service: all callers' connections, next to the HTTP server for clients."""
 
 from __future__ import annotations
 
@@ -12,31 +12,31 @@
 from ..net.counters import Counters
 from ..net.engines import Engines
 from ..net.link import SocketAdapter
-from .bounds import Bounds, Door
-from .calls import Terms
-from .connection import METHOD, Processor
+from .bounds import Admission, Bounds
+from .calls import CallerSettings
+from .connection import METHOD, ProcessorConnection
 from .granter import Granter
 from .stream import Call
 
 __all__ = ["METHOD", "Runtime", "Server", "ServerSettings"]
 
-LOOK = 0.005  # seconds between two looks at what is held
+QUEUE_CHECK_INTERVAL = 0.005  # seconds between two checks of queued calls' timeouts
 
 
 @dataclass(frozen=True)
 class ServerSettings:
-    """What callers may ask for, and within which bounds. Times in ms.
+    """Settings of the service. Times are ms.
 
     Attributes:
-        workloads: The number of each workload, by name.
-        terms: What the operator tells of the callers.
-        bounds: How much they may hold and send.
-        longest: Most that a client may say that it waits.
-        come_back: When a call that is refused may come back.
+        workloads: The index of each workload, by name.
+        caller_settings: The callers' timeouts and header names.
+        bounds: Limits on connections, calls and frame rates.
+        longest: Upper limit of a client's timeout.
+        retry_after: After how long a refused call may be retried.
     """
 
     workloads: Mapping[bytes, int]
-    terms: Terms
+    caller_settings: CallerSettings
     bounds: Bounds
     longest: float
     retry_after: float
@@ -44,7 +44,7 @@
 
 @dataclass(frozen=True)
 class Runtime:
-    """The parts of the process that the service uses. clock gives the link's ms."""
+    """The parts of the process that the service uses. `clock` returns the adapter's time in ms."""
 
     reactor: Scheduler
     clock: Callable[[], float]
@@ -53,7 +53,7 @@
 
 
 class Server(ServerFactory):
-    """All callers' connections, within their bounds."""
+    """Accepts callers' connections and checks the timeouts of queued calls."""
 
     noisy = False
 
@@ -64,66 +64,70 @@
         settings: ServerSettings,
         runtime: Runtime,
     ) -> None:
-        self.adapter, self.workloads, self.terms = adapter, settings.workloads, settings.terms
+        self.adapter, self.workloads, self.caller_settings = (
+            adapter,
+            settings.workloads,
+            settings.caller_settings,
+        )
         self.bounds, self.longest, self.retry_after = settings.bounds, settings.longest, settings.retry_after
         self.reactor, self.clock = runtime.reactor, runtime.clock
         self.counters, self.log = runtime.counters, runtime.log
-        self.granter = Granter(engines, self.clock, self.terms, self.bounds.calls, self.counters)
-        self.door = Door(self.bounds)
-        self.connections: dict[Processor, None] = {}
-        self.held: dict[Call, None] = {}
-        self.numbers = 0
-        self.stopping = self.looking = False
+        self.granter = Granter(engines, self.clock, self.caller_settings, self.bounds.calls, self.counters)
+        self.admission = Admission(self.bounds)
+        self.connections: dict[ProcessorConnection, None] = {}
+        self.queued: dict[Call, None] = {}
+        self.last_number = 0
+        self.stopping = self.check_scheduled = False
 
     def next_number(self) -> int:
-        """The number of a new call."""
-        self.numbers += 1
-        return self.numbers
-
-    def holds(self, call: Call) -> None:
-        """One timer for all that are held, and none while none is."""
-        self.held[call] = None
-        if not self.looking:
-            self.looking = True
-            self.reactor.callLater(LOOK, self.look)
-
-    def look(self) -> None:
-        """Look at all calls that are held."""
-        self.looking = False
+        """Return a number for a new call, unique in this process."""
+        self.last_number += 1
+        return self.last_number
+
+    def add_queued(self, call: Call) -> None:
+        """Queue a call; a single timer checks all queued calls and runs only while there are any."""
+        self.queued[call] = None
+        if not self.check_scheduled:
+            self.check_scheduled = True
+            self.reactor.callLater(QUEUE_CHECK_INTERVAL, self.check_queued)
+
+    def check_queued(self) -> None:
+        """Check the timeouts of all queued calls."""
+        self.check_scheduled = False
         now = self.clock()
-        for call in list(self.held):
-            call.waits(now)
-        if self.held:
-            self.looking = True
-            self.reactor.callLater(LOOK, self.look)
-
-    def buildProtocol(self, addr: object) -> Processor:
-        """A caller's connection, for Twisted."""
-        return Processor(self)
-
-    def came(self, processor: Processor) -> bool:
-        """Whether another connection may stay."""
-        if not self.door.connect():
+        for call in list(self.queued):
+            call.check_timeouts(now)
+        if self.queued:
+            self.check_scheduled = True
+            self.reactor.callLater(QUEUE_CHECK_INTERVAL, self.check_queued)
+
+    def buildProtocol(self, addr: object) -> ProcessorConnection:
+        """Create the protocol of a connection; called by Twisted."""
+        return ProcessorConnection(self)
+
+    def connection_opened(self, connection: ProcessorConnection) -> bool:
+        """Register a connection; False if there are too many and it must be aborted."""
+        if not self.admission.admit_connection():
             self.counters.add("extproc_connections_refused")
             return False
-        self.connections[processor] = None
+        self.connections[connection] = None
         self.counters.add("extproc_connections")
         return True
 
-    def went(self, processor: Processor) -> None:
-        """A connection is over."""
-        self.connections.pop(processor, None)
-        self.door.left(processor.meter)
+    def connection_closed(self, connection: ProcessorConnection) -> None:
+        """Unregister a closed connection."""
+        self.connections.pop(connection, None)
+        self.admission.connection_closed(connection.usage)
 
     def stop(self) -> None:
-        """A planned stop: callers are told to go elsewhere, and what is in hand is answered."""
+        """Begin the graceful shutdown: send GOAWAY on all connections and finish open calls."""
         self.stopping = True
-        for processor in list(self.connections):
-            processor.go_away()
+        for connection in list(self.connections):
+            connection.send_goaway()
 
     def sweep(self) -> None:
-        """End what has been quiet for too long; to be called from time to time."""
+        """End idle calls and connections; to be called periodically."""
         now = self.clock()
-        for processor in list(self.connections):
-            processor.overstays(now)
-            processor.push()
+        for connection in list(self.connections):
+            connection.enforce_timeouts(now)
+            connection.write_pending()
--- a/spurdeal/extproc/stream.py
+++ b/spurdeal/extproc/stream.py
@@ -1,4 +1,4 @@
-"""One stream of the external processing service: one call, from its request headers to its outcome."""
+"""A gRPC stream of the external processing service, which carries one call."""
 
 from __future__ import annotations
 
@@ -11,252 +11,271 @@
 from ..net.link import Answer, Failed, Granted, Shed
 from . import answers
 from . import processor_pb2 as pb
-from .calls import Ask, BadCallError, header_map, outcome, read_ask, times
-from .framing import BadFrameError, MessageReader, Status, framed
-from .grants import Seen
+from .calls import BadCallError, CallRequest, answer_times, header_map, parse_call, parse_outcome
+from .framing import BadFrameError, MessageReader, Status, frame_message
+from .grants import GrantEvent
 
 if TYPE_CHECKING:
-    from .connection import Processor
+    from .connection import ProcessorConnection
 
-FRAMED = {phase: framed(message) for phase, message in answers.GO_ON.items()}
-ASK_AFTER = 0.5  # of the caller's message timeout: then it is asked for more
+FRAMED_CONTINUE_RESPONSES = {
+    phase: frame_message(message) for phase, message in answers.CONTINUE_RESPONSES.items()
+}
+EXTEND_AFTER = 0.5  # fraction of the caller's message timeout after which an extension is requested
 
 
 class Call:
-    """One stream: one call, from its request headers to its outcome."""
+    """One call on one gRPC stream, from its request headers to its outcome."""
 
-    def __init__(self, processor: Processor, stream: int, patience: bytes | None) -> None:
-        self.processor, self.stream, self.since = processor, stream, processor.now()
-        self.server = processor.server
+    def __init__(self, connection: ProcessorConnection, stream: int, caller_timeout: bytes | None) -> None:
+        self.connection, self.stream, self.opened_at = connection, stream, connection.now()
+        self.server = connection.server
         self.number = self.server.next_number()
-        self.patience = patience
+        self.caller_timeout = caller_timeout
         self.reader, self.unsent = MessageReader(self.server.bounds.message), b""
-        self.asked = self.said = self.told = self.over = self.ended = self.begun = False
+        self.request_received = self.granted = self.outcome_received = self.finished = self.remote_closed = (
+            self.headers_sent
+        ) = False
         self.ident = b""
         self.answer: Deferred[Answer] | None = None
-        self.answer_by, self.ask_at, self.ask_ms = 0.0, float("inf"), 0.0
+        self.answer_by, self.extend_at, self.extended_timeout = 0.0, float("inf"), 0.0
 
-    # What the caller says.
+    # Messages from the caller.
 
     def feed(self, data: bytes) -> None:
-        """Bytes of the stream have come."""
+        """Process received bytes of the stream."""
         self.reader.feed(data)
         try:
-            while not self.over and (message := self.reader.take()) is not None:
-                self.message(message)
-        except BadFrameError as fault:
-            self.fail(fault.status, str(fault))
+            while not self.finished and (message := self.reader.take()) is not None:
+                self.handle_message(message)
+        except BadFrameError as error:
+            self.fail(error.status, str(error))
 
-    def message(self, data: bytes) -> None:
-        """One message; where it cannot be used, it is answered or the call ends."""
+    def handle_message(self, data: bytes) -> None:
+        """Process one message; an invalid one is rejected or ends the call."""
         try:
-            self.phase(*answers.read(data))
-        except BadCallError as fault:
+            self.handle_phase(*answers.parse_request(data))
+        except BadCallError as error:
             self.server.counters.add("extproc_bad_calls")
-            if self.asked:
-                self.fail(Status.INVALID_ARGUMENT, str(fault))
+            if self.request_received:
+                self.fail(Status.INVALID_ARGUMENT, str(error))
             else:
-                self.asked = True
-                self.immediate(fault.status, str(fault), 0.0)
+                self.request_received = True
+                self.reject(error.status, str(error), 0.0)
 
-    def phase(self, phase: str, message: pb.HttpHeaders) -> None:
-        """A message of a phase.
+    def handle_phase(self, phase: str, message: pb.HttpHeaders) -> None:
+        """Process a message of this phase.
 
         Raises:
-            BadCallError: It cannot be used.
+            BadCallError: The message is invalid.
         """
         if phase == "request_headers":
-            if self.asked:
+            if self.request_received:
                 raise BadCallError(400, "request_headers come once")
             self.begin(message)
             return
-        if not self.asked:
+        if not self.request_received:
             self.fail(Status.FAILED_PRECONDITION, f"{phase} before request_headers")
             return
         if phase == "response_headers":
-            self.outcome(message)
-        if self.over:
+            self.handle_outcome(message)
+        if self.finished:
             return
-        if phase == "response_headers" and self.told:
-            # Nothing more is wanted of this call: its end goes out with the answer.
-            self.unsent += FRAMED[phase]
-            self.over = True
-            self.processor.finish(self)
+        if phase == "response_headers" and self.outcome_received:
+            # The call needs nothing more: the response and the trailers are sent together.
+            self.unsent += FRAMED_CONTINUE_RESPONSES[phase]
+            self.finished = True
+            self.connection.finish(self)
         else:
-            self.write(answers.GO_ON[phase])
+            self.write(answers.CONTINUE_RESPONSES[phase])
 
     def begin(self, message: pb.HttpHeaders) -> None:
-        """The call itself; one that cannot be used is answered at once."""
-        self.asked = True
+        """Process request_headers; an invalid call is rejected at once."""
+        self.request_received = True
         try:
-            self.ask(message)
-        except BadCallError as fault:
+            self.admit(message)
+        except BadCallError as error:
             self.server.counters.add("extproc_bad_calls")
-            self.immediate(fault.status, str(fault), 0.0)
-
-    def ask(self, message: pb.HttpHeaders) -> None:
-        """Read the call and take it, or refuse it. Raises BadCallError for one that cannot be used."""
-        server, terms = self.server, self.server.terms
-        headers = header_map(answers.pairs(message))
-        if self.patience is not None:
-            headers.setdefault(b"grpc-timeout", self.patience)
-        ask = read_ask(headers, terms, server.longest)
-        kind = server.workloads.get(ask.workload)
-        if kind is None:
+            self.reject(error.status, str(error), 0.0)
+
+    def admit(self, message: pb.HttpHeaders) -> None:
+        """Parse the call and pass it on, or reject it with 503.
+
+        Raises:
+            BadCallError: The call is invalid, or a call with its id is queued.
+        """
+        server, caller_settings = self.server, self.server.caller_settings
+        headers = header_map(answers.header_pairs(message))
+        if self.caller_timeout is not None:
+            headers.setdefault(b"grpc-timeout", self.caller_timeout)
+        request = parse_call(headers, caller_settings, server.longest)
+        workload = server.workloads.get(request.workload)
+        if workload is None:
             raise BadCallError(404, "the workload is not known")
-        self.ident = ask.ident.lower()
-        if server.stopping or not server.granter.grants.room():
+        self.ident = request.ident.lower()
+        if server.stopping or not server.granter.grants.has_room():
             server.counters.add("extproc_refused")
-            self.immediate(503, "TryLater", server.retry_after)
+            self.reject(503, "TryLater", server.retry_after)
             return
-        open_now = server.granter.calls.get(self.ident)
-        if open_now is not None and not open_now.said:  # a granted one is for the door to judge
+        open_call = server.granter.calls.get(self.ident)
+        if open_call is not None and not open_call.granted:  # a granted one is left to the guard
             raise BadCallError(409, "a submission with this id is open")
         server.granter.calls[self.ident] = self
-        server.granter.grants.hold(self.number, self.ident)
-        self.take(ask, kind)
+        server.granter.grants.add(self.number, self.ident)
+        self.dispatch(request, workload)
 
-    def take(self, ask: Ask, kind: int) -> None:
-        """Hand the request to the link, and await what becomes of it.
+    def dispatch(self, request: CallRequest, workload: int) -> None:
+        """Pass the request to the adapter and queue the call until it is answered.
 
         Raises:
-            BadCallError: One with its id is open.
+            BadCallError: A request with this id is open.
         """
-        server, terms = self.server, self.server.terms
+        server, caller_settings = self.server, self.server.caller_settings
         answer = server.adapter.take(
-            ask.ident, ask.workload, kind, ask.wait, ask.cost, ask.memory, ask.group, b"", server.granter
+            request.ident,
+            request.workload,
+            workload,
+            request.wait,
+            request.cost,
+            request.memory,
+            request.group,
+            b"",
+            server.granter,
         )
         if answer is None:
-            self.let_go(Seen.CANCELLED)
+            self.end_grant(GrantEvent.CANCELLED)
             raise BadCallError(409, "a submission with this id is open")
         self.answer = answer
-        until = times(terms, ask.wait, ask.patience)
+        limits = answer_times(caller_settings, request.wait, request.caller_timeout)
         now = server.clock()
-        self.answer_by = now + until.answer_by
-        if until.ask_for:
-            self.ask_at, self.ask_ms = now + ASK_AFTER * terms.message_timeout, until.ask_for
-        server.holds(self)
-        answer.addCallbacks(self.concluded, self.withdrawn)
+        self.answer_by = now + limits.answer_by
+        if limits.extended_timeout:
+            self.extend_at, self.extended_timeout = (
+                now + EXTEND_AFTER * caller_settings.message_timeout,
+                limits.extended_timeout,
+            )
+        server.add_queued(self)
+        answer.addCallbacks(self.adapter_answered, self.adapter_cancelled)
 
-    # Answers.
+    # Responses to the caller.
 
-    def concluded(self, answer: Answer) -> None:
-        """The link's last word; a grant was written when it was given."""
-        self.server.held.pop(self, None)
+    def adapter_answered(self, answer: Answer) -> None:
+        """The adapter's final answer: end and reject the call, unless it was granted."""
+        self.server.queued.pop(self, None)
         match answer:
             case Granted():
-                return  # written by say()
+                return  # sent by send_grant()
             case Shed(retry_after):
-                self.let_go(Seen.CANCELLED)
-                self.immediate(503, "TryLater", retry_after)
+                self.end_grant(GrantEvent.CANCELLED)
+                self.reject(503, "TryLater", retry_after)
             case Failed():
-                self.let_go(Seen.CANCELLED)
-                self.immediate(500, "Aborted", 0.0)
+                self.end_grant(GrantEvent.CANCELLED)
+                self.reject(500, "Aborted", 0.0)
 
-    def withdrawn(self, failure: Failure) -> None:
-        """The link's answer was cancelled by us; anything else is a fault."""
+    def adapter_cancelled(self, failure: Failure) -> None:
+        """Ignore the cancellation of the adapter's answer; raise any other failure."""
         if not isinstance(failure.value, CancelledError):
             failure.raiseException()
 
-    def say(self, host: str, port: int, wait: float, rank: int | None) -> None:
-        """The grant leaves: from here on the request may run."""
-        terms, place = self.server.terms, f"{host}:{port}".encode()
-        self.said = True
-        self.server.held.pop(self, None)
+    def send_grant(self, host: str, port: int, wait: float, rank: int | None) -> None:
+        """Send the grant: from now on the request may run. wait: ms."""
+        caller_settings, address = self.server.caller_settings, f"{host}:{port}".encode()
+        self.granted = True
+        self.server.queued.pop(self, None)
         self.write(
-            answers.granted(
+            answers.grant_response(
                 (
-                    ("x-envoy-original-dst-host", place),
-                    ("x-spurdeal-to", place),
+                    ("x-envoy-original-dst-host", address),
+                    ("x-spurdeal-to", address),
                     ("x-spurdeal-id", self.ident),
                     ("x-spurdeal-rank", b"%d" % (1 if rank is None else rank)),
                     ("x-spurdeal-wait-ms", b"%d" % max(1, int(wait))),
-                    ("x-spurdeal-use-within-ms", b"%d" % int(terms.use_within)),
+                    ("x-spurdeal-use-within-ms", b"%d" % int(caller_settings.use_within)),
                 )
             )
         )
 
-    def immediate(self, status: int, why: str, retry_after: float) -> None:
-        """Answer the client at once with this status. come_back: ms, told with 503."""
-        self.over = True
+    def reject(self, status: int, why: str, retry_after: float) -> None:
+        """Send an immediate response with this HTTP status. retry_after: ms, sent with 503 only."""
+        self.finished = True
         headers = [("content-type", b"application/json")]
         if status == HTTPStatus.SERVICE_UNAVAILABLE and retry_after > 0:
             headers.append(("srv-wait-ms", b"%d" % round(retry_after)))
         self.server.counters.add(f"extproc_answers_{status}")
         self.write(
-            answers.immediate(
+            answers.immediate_response(
                 status, b'{"fault":"%b"}' % why.encode().replace(b'"', b"'"), headers, why.replace(" ", "_")
             )
         )
 
-    def waits(self, now: float) -> None:
-        """It is held: the caller is asked for more time, or refused while that can still be heard."""
+    def check_timeouts(self, now: float) -> None:
+        """Request more time for a queued call, or reject it before the caller's timeout. now: ms."""
         if now >= self.answer_by:
-            self.too_late()
-        elif now >= self.ask_at:
-            self.ask_at = float("inf")
+            self.reject_late()
+        elif now >= self.extend_at:
+            self.extend_at = float("inf")
             self.server.counters.add("extproc_asked_for_time")
-            self.write(answers.wait_longer(self.ask_ms))
+            self.write(answers.request_more_time(self.extended_timeout))
 
-    def too_late(self) -> None:
-        """The caller's own time is nearly up while it is held: refused while that can still be heard."""
-        if self.answer is not None and not self.said and not self.over:
+    def reject_late(self) -> None:
+        """Reject a queued call just before the caller's timeout, so that the response still arrives."""
+        if self.answer is not None and not self.granted and not self.finished:
             self.server.counters.add("extproc_caller_out_of_time")
-            self.over = True
-            self.server.held.pop(self, None)
-            self.let_go(Seen.CANCELLED)
+            self.finished = True
+            self.server.queued.pop(self, None)
+            self.end_grant(GrantEvent.CANCELLED)
             self.answer.cancel()
-            self.immediate(503, "TryLater", self.server.retry_after)
+            self.reject(503, "TryLater", self.server.retry_after)
 
-    # Ends.
+    # End of the call.
 
-    def outcome(self, message: pb.HttpHeaders) -> None:
-        """What the caller tells of a granted attempt; one that comes late changes nothing."""
-        if not self.said:
-            if self.answer is not None and not self.over:
+    def handle_outcome(self, message: pb.HttpHeaders) -> None:
+        """Record the outcome of a granted attempt; a late one is only counted."""
+        if not self.granted:
+            if self.answer is not None and not self.finished:
                 self.fail(Status.FAILED_PRECONDITION, "a response to what was not granted")
             return
-        self.told = True
-        ending = outcome(header_map(answers.pairs(message)), self.server.terms)
+        self.outcome_received = True
+        ending = parse_outcome(header_map(answers.header_pairs(message)), self.server.caller_settings)
         granter = self.server.granter
-        heard = granter.grants.heard(self.number, ending)
-        if heard is None:
+        recorded = granter.grants.record_outcome(self.number, ending)
+        if recorded is None:
             self.server.counters.add("extproc_outcomes_late")
             return
-        self.server.counters.add("extproc_outcomes_" + heard.name.lower())
-        self.forget()
-        granter.end(self.number, heard)
-
-    def gone(self, seen: Seen) -> None:
-        """The stream is over, from either side."""
-        self.over = True
-        self.server.held.pop(self, None)
-        held = self.answer is not None and not self.said
-        self.let_go(seen)
-        if held and self.answer is not None:
+        self.server.counters.add("extproc_outcomes_" + recorded.name.lower())
+        self.release_id()
+        granter.finish(self.number, recorded)
+
+    def stream_closed(self, event: GrantEvent) -> None:
+        """End the call, whichever side closed the stream."""
+        self.finished = True
+        self.server.queued.pop(self, None)
+        queued = self.answer is not None and not self.granted
+        self.end_grant(event)
+        if queued and self.answer is not None:
             self.answer.cancel()
 
-    def let_go(self, seen: Seen) -> None:
-        """The grant ends by this, and the link is told how."""
+    def end_grant(self, event: GrantEvent) -> None:
+        """End the grant by this event and report its ending to the adapter."""
         granter = self.server.granter
-        self.forget()
-        ending = granter.grants.happens(self.number, seen)
-        if ending is not None and self.said:
+        self.release_id()
+        ending = granter.grants.record_event(self.number, event)
+        if ending is not None and self.granted:
             self.server.counters.add("extproc_ended_" + ending.name.lower())
-        granter.end(self.number, ending)
+        granter.finish(self.number, ending)
 
-    def forget(self) -> None:
-        """Its id is free for another call."""
+    def release_id(self) -> None:
+        """Free the call's id for another call."""
         if self.server.granter.calls.get(self.ident) is self:
             del self.server.granter.calls[self.ident]
 
     def fail(self, status: Status, why: str) -> None:
         """End the call with a gRPC status."""
         self.server.counters.add("extproc_failed_calls")
-        self.gone(Seen.CANCELLED)
-        self.processor.trailers(self, status, why)
+        self.stream_closed(GrantEvent.CANCELLED)
+        self.connection.end_with_status(self, status, why)
 
     def write(self, message: bytes) -> None:
-        """Queue a message; it leaves as the caller's window allows."""
-        self.unsent += framed(message)
-        self.processor.flush(self)
+        """Queue a message; it is sent as the flow control window allows."""
+        self.unsent += frame_message(message)
+        self.connection.flush(self)
--- a/spurdeal/extproc/tls.py
+++ b/spurdeal/extproc/tls.py
@@ -1,4 +1,4 @@
-"""TLS for callers, with certificate and key that change in service: new connections get the new ones."""
+"""TLS for callers, with certificate reload: new connections use the new certificate and key."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from twisted.internet import ssl
 
 
-class Context(ssl.ContextFactory):
-    """What listenSSL asks for each new connection.
+class ReloadableContext(ssl.ContextFactory):
+    """A context factory whose certificate and key can be reloaded.
 
     Raises:
         OSError: A file cannot be read.
-        ValueError: A file cannot be used.
+        ValueError: A file is invalid, or key and certificate don't match.
     """
 
     def __init__(self, certificate: str, key: str) -> None:
@@ -19,11 +19,11 @@
         self.load()
 
     def load(self) -> None:
-        """Read both files again; one that cannot be used leaves the old pair in force.
+        """Reload both files; if one is invalid, the old pair stays in use.
 
         Raises:
             OSError: A file cannot be read.
-            ValueError: A file cannot be used.
+            ValueError: A file is invalid, or key and certificate don't match.
         """
         try:
             with open(self.certificate, "rb") as source:
@@ -44,10 +44,10 @@
             context = options.getContext()
             context.use_certificate(certificates[0])
             context.check_privatekey()
-        except (SSL.Error, crypto.Error) as fault:
-            raise ValueError(f"certificate or key cannot be used: {fault}") from None
+        except (SSL.Error, crypto.Error) as error:
+            raise ValueError(f"certificate or key cannot be used: {error}") from None
         self.current: SSL.Context = context
 
     def getContext(self) -> SSL.Context:
-        """See ssl.ContextFactory."""
+        """Return the current context; called by Twisted for each new connection."""
         return self.current
--- a/spurdeal/settings/installation.py
+++ b/spurdeal/settings/installation.py
@@ -12,7 +12,7 @@
 
 from .units import Duration
 
-LARGEST_PORT = 65_535
+MAX_PORT = 65_535
 
 Name = Annotated[str, Field(pattern=r"^[A-Za-z0-9._-]{1,32}$")]
 Address = IPv4Address | IPv6Address
@@ -21,7 +21,7 @@
 def socket_address(text: object) -> tuple[Address, int]:
     """An IP address and a port as 127.0.0.1:7112 or [::1]:7112."""
     host, colon, port = str(text).rpartition(":")
-    if not colon or not port.isdigit() or not 0 < int(port) <= LARGEST_PORT:
+    if not colon or not port.isdigit() or not 0 < int(port) <= MAX_PORT:
         raise ValueError(f"{text!r} is no address with a port, as 127.0.0.1:7112")
     return ip_address(host.strip("[]")), int(port)
 
--- a/spurdeal/settings/reading.py
+++ b/spurdeal/settings/reading.py
@@ -15,7 +15,7 @@
 
 from .installation import Installation
 
-LARGEST = 1_048_576  # bytes
+MAX_FILE_BYTES = 1_048_576  # bytes
 
 
 class SettingsError(Exception):
@@ -26,10 +26,10 @@
     """The file's contents, checked; SettingsError tells file, line and key of each fault."""
     try:
         data = Path(path).read_bytes()
-    except OSError as fault:
-        raise SettingsError(f"{path}: {fault.strerror}") from None
-    if len(data) > LARGEST:
-        raise SettingsError(f"{path}: larger than {LARGEST} bytes")
+    except OSError as error:
+        raise SettingsError(f"{path}: {error.strerror}") from None
+    if len(data) > MAX_FILE_BYTES:
+        raise SettingsError(f"{path}: larger than {MAX_FILE_BYTES} bytes")
     return read_text(path, data)
 
 
@@ -41,44 +41,46 @@
         with warnings.catch_warnings():
             warnings.simplefilter("error")
             given = yaml.load(data.decode("utf-8"))
-    except MarkedYAMLError as fault:
-        mark = fault.problem_mark or fault.context_mark
+    except MarkedYAMLError as error:
+        mark = error.problem_mark or error.context_mark
         line = mark.line + 1 if mark is not None else 1
-        raise SettingsError(f"{path}:{line}: {str(fault.problem).splitlines()[0]}") from None
-    except (YAMLError, UnicodeDecodeError, RecursionError, ValueError, Warning) as fault:
-        raise SettingsError(f"{path}:1: {str(fault).splitlines()[0]}") from None
+        raise SettingsError(f"{path}:{line}: {str(error.problem).splitlines()[0]}") from None
+    except (YAMLError, UnicodeDecodeError, RecursionError, ValueError, Warning) as error:
+        raise SettingsError(f"{path}:1: {str(error).splitlines()[0]}") from None
     if not isinstance(given, CommentedMap):
         raise SettingsError(f"{path}:1: it is not a mapping of keys")
     try:
-        return Installation.model_validate(plain(given))
-    except ValidationError as faults:
-        raise SettingsError("\n".join(told(path, given, fault) for fault in faults.errors())) from None
+        return Installation.model_validate(to_builtins(given))
+    except ValidationError as errors:
+        raise SettingsError(
+            "\n".join(format_error(path, given, error) for error in errors.errors())
+        ) from None
 
 
-def plain(node: object) -> object:
+def to_builtins(node: object) -> object:
     """The same values without the marks of where they stood."""
     if isinstance(node, CommentedMap):
-        return {str(key): plain(value) for key, value in node.items()}
+        return {str(key): to_builtins(value) for key, value in node.items()}
     if isinstance(node, CommentedSeq):
-        return [plain(value) for value in node]
+        return [to_builtins(value) for value in node]
     return node
 
 
-def told(path: str, given: CommentedMap, fault: ErrorDetails) -> str:
+def format_error(path: str, given: CommentedMap, error: ErrorDetails) -> str:
     """One fault in one line."""
-    where, line = place(given, fault["loc"])
-    why = fault["msg"].removeprefix("Value error, ")
-    if fault["type"] == "extra_forbidden":
+    where, line = locate(given, error["loc"])
+    why = error["msg"].removeprefix("Value error, ")
+    if error["type"] == "extra_forbidden":
         why = "this key is not known"
-    elif fault["type"] == "missing":
+    elif error["type"] == "missing":
         why = "this key is missing"
     return f"{path}:{line}: {where or 'the file'}: {why}"
 
 
-def place(given: CommentedMap, location: tuple[int | str, ...]) -> tuple[str, int]:
+def locate(given: CommentedMap, location: tuple[int | str, ...]) -> tuple[str, int]:
     """The key as people write it, and its line: that of the nearest part which stands in the file."""
     node: Any = given
-    line, words = given.lc.line + 1, ""
+    line, dotted_path = given.lc.line + 1, ""
     for step in location:
         inner = None
         if isinstance(node, CommentedMap) and step in node:
@@ -89,9 +91,9 @@
             continue  # the name of a kind, which pydantic puts in between
         elif not isinstance(node, (CommentedMap, CommentedSeq)):
             continue  # which of several types was tried
-        words += f"[{step}]" if isinstance(step, int) else f".{step}" if words else str(step)
+        dotted_path += f"[{step}]" if isinstance(step, int) else f".{step}" if dotted_path else str(step)
         node = inner
-    return words, line
+    return dotted_path, line
 
 
 def keys(part: type[BaseModel] = Installation, before: str = "") -> Iterator[tuple[str, str, str]]:
@@ -106,14 +108,14 @@
             else str(field.default)
         )
         yield path, default, field.description or ""
-        for inner in parts_of(field.annotation):
-            many = "[]" if "list" in str(field.annotation) else ""
-            yield from keys(inner, f"{path}{many}.")
+        for inner in nested_models(field.annotation):
+            suffix = "[]" if "list" in str(field.annotation) else ""
+            yield from keys(inner, f"{path}{suffix}.")
 
 
-def parts_of(annotation: object) -> Iterator[type[BaseModel]]:
+def nested_models(annotation: object) -> Iterator[type[BaseModel]]:
     """The parts that a key of this type holds."""
     if isinstance(annotation, type) and issubclass(annotation, BaseModel):
         yield annotation
     for inner in getattr(annotation, "__args__", ()):
-        yield from parts_of(inner)
+        yield from nested_models(inner)
--- a/spurdeal/settings/units.py
+++ b/spurdeal/settings/units.py
@@ -6,15 +6,15 @@
 from pydantic import BeforeValidator
 
 UNITS = {"ms": 1.0, "s": 1000.0, "min": 60_000.0, "h": 3_600_000.0}
-WRITTEN = re.compile(r"([0-9]+(?:\.[0-9]+)?) ?(ms|s|min|h)")
+DURATION = re.compile(r"([0-9]+(?:\.[0-9]+)?) ?(ms|s|min|h)")
 
 
 def milliseconds(text: object) -> float:
     """Ms of "250ms", "1.5s", "2 min" or "1h"; ValueError for anything else."""
-    found = WRITTEN.fullmatch(text) if isinstance(text, str) else None
-    if found is None:
+    match = DURATION.fullmatch(text) if isinstance(text, str) else None
+    if match is None:
         raise ValueError(f"{text!r} is no duration: a number and one of {', '.join(UNITS)}, as 250ms")
-    return float(found[1]) * UNITS[found[2]]
+    return float(match[1]) * UNITS[match[2]]
 
 
 Duration = Annotated[float, BeforeValidator(milliseconds)]
--- a/tests/test_extproc.py
+++ b/tests/test_extproc.py
@@ -24,10 +24,18 @@
 from spurdeal.cli.main import serve
 from spurdeal.early import SIGNALS
 from spurdeal.extproc import processor_pb2
-from spurdeal.extproc.answers import wait_longer
-from spurdeal.extproc.bounds import Bounds, Door, Meter
-from spurdeal.extproc.calls import BadCallError, Terms, header_map, outcome, patience, read_ask, times
-from spurdeal.extproc.grants import ENDS, Grants, Seen, Stage
+from spurdeal.extproc.answers import request_more_time
+from spurdeal.extproc.bounds import Admission, Bounds, ConnectionUsage
+from spurdeal.extproc.calls import (
+    BadCallError,
+    CallerSettings,
+    answer_times,
+    caller_timeout,
+    header_map,
+    parse_call,
+    parse_outcome,
+)
+from spurdeal.extproc.grants import ENDINGS, GrantEvent, Grants, GrantStage
 from spurdeal.extproc.server import METHOD, Runtime, Server, ServerSettings
 from spurdeal.interface import NEVER_RAN, Ending, Life
 from spurdeal.lab.proxy import Asked, request, response
@@ -56,7 +64,7 @@
     }
 
     def test_a_call_is_read_or_refused_with_a_status(self) -> None:
-        ask = read_ask(self.GOOD, Terms(), 1000.0)
+        ask = parse_call(self.GOOD, CallerSettings(), 1000.0)
         self.assertEqual((ask.workload, ask.wait, ask.cost, ask.group), (b"lookup", 1000.0, 20.5, -1))
         for name, value in (
             (b":method", b"GET"),
@@ -68,21 +76,23 @@
             (b"req-wait-ms", b"0"),
         ):
             with self.subTest(name=name, value=value), self.assertRaises(BadCallError):
-                read_ask(self.GOOD | {name: value}, Terms(), 1000.0)
+                parse_call(self.GOOD | {name: value}, CallerSettings(), 1000.0)
         with self.assertRaises(BadCallError):
             header_map((f"h{number}", "x", b"") for number in range(500))
         self.assertEqual(header_map([("A", "", b"1"), ("a", "2", b"")]), {b"a": b"1, 2"})
 
     def test_times_are_the_shortest_that_bind(self) -> None:
-        terms = Terms(message_timeout=200, most_timeout=0, margin=20)
-        self.assertEqual(times(terms, 1500, None), (180, 0))
-        self.assertEqual(times(terms, 100, None), (80, 0))
-        self.assertEqual(times(terms, 1500, 50), (30, 0))
-        self.assertEqual(times(terms._replace(most_timeout=1000), 1500, None), (980, 1000))
-        self.assertEqual(times(terms._replace(most_timeout=1000), 1500, 150), (130, 0))
-        self.assertEqual(patience({b"grpc-timeout": b"2S", b"x-envoy-expected-rq-timeout-ms": b"900"}), 900)
+        caller_settings = CallerSettings(message_timeout=200, most_timeout=0, margin=20)
+        self.assertEqual(answer_times(caller_settings, 1500, None), (180, 0))
+        self.assertEqual(answer_times(caller_settings, 100, None), (80, 0))
+        self.assertEqual(answer_times(caller_settings, 1500, 50), (30, 0))
+        self.assertEqual(answer_times(caller_settings._replace(most_timeout=1000), 1500, None), (980, 1000))
+        self.assertEqual(answer_times(caller_settings._replace(most_timeout=1000), 1500, 150), (130, 0))
         self.assertEqual(
-            [patience({b"grpc-timeout": text}) for text in (b"100m", b"1u", b"x", b"")],
+            caller_timeout({b"grpc-timeout": b"2S", b"x-envoy-expected-rq-timeout-ms": b"900"}), 900
+        )
+        self.assertEqual(
+            [caller_timeout({b"grpc-timeout": text}) for text in (b"100m", b"1u", b"x", b"")],
             [100, 0.001, None, None],
         )
 
@@ -98,37 +108,42 @@
             (b"x", True, Ending.RESET),
         ):
             headers = {b":status": status} | ({b"x-never-ran": b"1"} if proof else {})
-            self.assertEqual(outcome(headers, Terms()), ending)
+            self.assertEqual(parse_outcome(headers, CallerSettings()), ending)
 
     def test_what_is_held_proves_that_nothing_ran_and_what_is_said_does_not(self) -> None:
-        for seen in Seen:
-            self.assertIn(ENDS[Stage.HELD, seen], NEVER_RAN)
-            self.assertEqual(ENDS[Stage.SAID, seen] in NEVER_RAN, seen is Seen.UNUSED)
+        for event in GrantEvent:
+            self.assertIn(ENDINGS[GrantStage.QUEUED, event], NEVER_RAN)
+            self.assertEqual(ENDINGS[GrantStage.SENT, event] in NEVER_RAN, event is GrantEvent.UNUSED)
 
     def test_a_grant_ends_once(self) -> None:
         grants = Grants(2)
-        grants.hold(1, b"a")
-        grants.hold(2, b"b")
-        self.assertFalse(grants.room())
-        self.assertIsNone(grants.heard(1, Ending.DELIVERED))  # nobody was told where to send it
-        self.assertTrue(grants.say(10, 1, 7, 500))
-        self.assertFalse(grants.say(10, 1, 7, 500))
-        self.assertEqual(grants.heard(1, Ending.DELIVERED), Ending.DELIVERED)
-        self.assertEqual((grants.heard(1, Ending.ERROR), grants.happens(1, Seen.CUT)), (None, None))
-        self.assertEqual(grants.happens(2, Seen.CUT), Ending.MOOT)
-        self.assertFalse(grants.say(20, 2, 7, 500))
-        self.assertEqual((grants.open, grants.late, grants.crossed), ({}, 1, 1))
+        grants.add(1, b"a")
+        grants.add(2, b"b")
+        self.assertFalse(grants.has_room())
+        self.assertIsNone(grants.record_outcome(1, Ending.DELIVERED))  # nobody was told where to send it
+        self.assertTrue(grants.mark_sent(10, 1, 7, 500))
+        self.assertFalse(grants.mark_sent(10, 1, 7, 500))
+        self.assertEqual(grants.record_outcome(1, Ending.DELIVERED), Ending.DELIVERED)
+        self.assertEqual(
+            (grants.record_outcome(1, Ending.ERROR), grants.record_event(1, GrantEvent.CUT)), (None, None)
+        )
+        self.assertEqual(grants.record_event(2, GrantEvent.CUT), Ending.MOOT)
+        self.assertFalse(grants.mark_sent(20, 2, 7, 500))
+        self.assertEqual((grants.open, grants.late, grants.premature), ({}, 1, 1))
 
     def test_bounds_are_kept_by_number_and_by_rate(self) -> None:
-        door = Door(Bounds(connections=1, calls=3, calls_each=2, resets=5))
-        self.assertEqual([door.connect(), door.connect()], [True, False])
-        meter, other = Meter(door.bounds), Meter(door.bounds)
-        self.assertEqual([door.call(meter), door.call(meter), door.call(meter)], [True, True, False])
-        self.assertEqual([door.call(other), door.call(other)], [True, False])
-        self.assertEqual([meter.reset(float(ms)) for ms in range(7)], [False] * 5 + [True] * 2)
-        self.assertFalse(meter.reset(5000.0))
-        door.left(meter)
-        self.assertEqual((door.connections, door.calls), (0, 1))
+        admission = Admission(Bounds(connections=1, calls=3, calls_each=2, resets=5))
+        self.assertEqual([admission.admit_connection(), admission.admit_connection()], [True, False])
+        usage, other = ConnectionUsage(admission.bounds), ConnectionUsage(admission.bounds)
+        self.assertEqual(
+            [admission.admit_call(usage), admission.admit_call(usage), admission.admit_call(usage)],
+            [True, True, False],
+        )
+        self.assertEqual([admission.admit_call(other), admission.admit_call(other)], [True, False])
+        self.assertEqual([usage.count_reset(float(ms)) for ms in range(7)], [False] * 5 + [True] * 2)
+        self.assertFalse(usage.count_reset(5000.0))
+        admission.connection_closed(usage)
+        self.assertEqual((admission.connections, admission.calls), (0, 1))
 
 
 class Numbers(unittest.TestCase):
@@ -234,18 +249,18 @@
     def setUp(self) -> None:
         self.world = World(self, engines=2)
         self.bounds = Bounds(silent=2000, resets=20, controls=40, calls_each=50)
-        self.make(Terms(message_timeout=200, most_timeout=0, use_within=150))
+        self.make(CallerSettings(message_timeout=200, most_timeout=0, use_within=150))
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.path = Path(folder.name)
         self.ledger()
 
-    def make(self, terms: Terms) -> None:
+    def make(self, caller_settings: CallerSettings) -> None:
         service = self.world.service
         self.server = Server(
             service.adapter,
             service.engines,
-            ServerSettings(service.configuration.workloads, terms, self.bounds, 20_000, 500.0),
+            ServerSettings(service.configuration.workloads, caller_settings, self.bounds, 20_000, 500.0),
             Runtime(self.world.reactor, self.world.now, service.counters, service.log),
         )
 
@@ -288,7 +303,7 @@
             (
                 self.server.granter.calls,
                 self.server.granter.leases,
-                self.server.door.calls,
+                self.server.admission.calls,
                 self.world.service.adapter.open_requests,
             ),
             ({}, {}, 0, {}),
@@ -365,7 +380,7 @@
         proxy = Proxy(self)
         proxy.ask(1, "load")
         self.world = World(self, engines=2)
-        self.make(Terms())
+        self.make(CallerSettings())
         self.ledger()
         again = Proxy(self)
         self.assertEqual(again.answer(again.ask(1, "load")), 500)
@@ -395,7 +410,7 @@
             for option in proxy.got[stream][0].immediate_response.headers.set_headers
         }
         self.assertEqual(headers["srv-wait-ms"], b"500")
-        self.make(Terms(message_timeout=200, most_timeout=1000))
+        self.make(CallerSettings(message_timeout=200, most_timeout=1000))
         patient = Proxy(self)
         stream = patient.ask(2)
         self.world.go(500)
@@ -406,7 +421,8 @@
         patient.read()
         self.assertEqual(patient.answer(stream), 503)
         self.assertEqual(
-            pb.ProcessingResponse.FromString(wait_longer(250)).override_message_timeout.nanos, 250_000_000
+            pb.ProcessingResponse.FromString(request_more_time(250)).override_message_timeout.nanos,
+            250_000_000,
         )
 
     def test_the_streams_own_timeout_binds(self) -> None:
@@ -472,7 +488,7 @@
         proxy.h2.send_headers(stream, [(name, b"/x" if name == b":path" else value) for name, value in HEAD])
         proxy.push()
         self.assertEqual(proxy.status[stream], "12")
-        self.server.door.calls = self.bounds.calls
+        self.server.admission.calls = self.bounds.calls
         late = proxy.open()
         proxy.push()
         self.assertEqual(proxy.status[late], "8")
@@ -519,7 +535,7 @@
             proxy.protocol.dataReceived(bytes(text))
             proxy.protocol.connectionLost()
         self.assertIsInstance(kept.answer(kept.ask(5)), str)
-        self.assertEqual(self.server.door.connections, 1)
+        self.assertEqual(self.server.admission.connections, 1)
 
     def test_a_planned_stop_refuses_new_calls_and_ends_those_in_hand(self) -> None:
         proxy = Proxy(self)
@@ -529,7 +545,7 @@
         late = proxy.h2.get_next_available_stream_id()
         proxy.protocol.dataReceived(b"")
         self.assertGreater(late, stream)
-        proxy.protocol.request(late, HEAD)
+        proxy.protocol.open_stream(late, HEAD)
         proxy.protocol.dataReceived(self.frame(stream, response(200, False).SerializeToString()))
         self.world.go()
         self.assertEqual(self.world.count("trips_delivered"), 1)
@@ -553,7 +569,7 @@
     def test_from_the_first_line_until_the_settings_are_read(self) -> None:
         def sub_command(prog_name: str) -> None:
             signal.raise_signal(signal.SIGHUP)
-            read = mock.patch("spurdeal.cli.main.installation", side_effect=LookupError)
+            read = mock.patch("spurdeal.cli.main.load_installation", side_effect=LookupError)
             with read, self.assertRaises(LookupError):
                 assert serve.callback is not None
                 serve.callback("processor.yaml")
