--- a/spurdeal/settings/reading.py
+++ b/spurdeal/settings/reading.py
@@ -1,4 +1,4 @@
-"""Reads an operator's file. What cannot be used is told in one line: file, line, key, why."""
+"""Reads and validates the settings file. Each error is reported in one line: file, line, key, reason."""
 
 from __future__ import annotations
 
@@ -19,11 +19,15 @@
 
 
 class SettingsError(Exception):
-    """A file that cannot be used; the text says why, a line for each fault."""
+    """An invalid settings file; the message has one line for each error."""
 
 
 def read(path: str) -> Installation:
-    """The file's contents, checked; SettingsError tells file, line and key of each fault."""
+    """Read and validate a settings file.
+
+    Raises:
+        SettingsError: The file cannot be read, is longer than MAX_FILE_BYTES or is invalid.
+    """
     try:
         data = Path(path).read_bytes()
     except OSError as error:
@@ -34,31 +38,35 @@
 
 
 def read_text(path: str, data: bytes) -> Installation:
-    """As `read`, for contents that are already there; the path is for messages."""
+    """Validate the contents of a settings file; `path` is used in error messages only.
+
+    Raises:
+        SettingsError: The contents are invalid.
+    """
     yaml = YAML(typ="rt", pure=True)
     yaml.allow_duplicate_keys = False
     try:
         with warnings.catch_warnings():
             warnings.simplefilter("error")
-            given = yaml.load(data.decode("utf-8"))
+            document = yaml.load(data.decode("utf-8"))
     except MarkedYAMLError as error:
-        mark = error.problem_mark or error.context_mark
-        line = mark.line + 1 if mark is not None else 1
+        position = error.problem_mark or error.context_mark
+        line = position.line + 1 if position is not None else 1
         raise SettingsError(f"{path}:{line}: {str(error.problem).splitlines()[0]}") from None
     except (YAMLError, UnicodeDecodeError, RecursionError, ValueError, Warning) as error:
         raise SettingsError(f"{path}:1: {str(error).splitlines()[0]}") from None
-    if not isinstance(given, CommentedMap):
-        raise SettingsError(f"{path}:1: it is not a mapping of keys")
+    if not isinstance(document, CommentedMap):
+        raise SettingsError(f"{path}:1: the file is not a mapping of keys")
     try:
-        return Installation.model_validate(to_builtins(given))
+        return Installation.model_validate(to_builtins(document))
     except ValidationError as errors:
         raise SettingsError(
-            "\n".join(format_error(path, given, error) for error in errors.errors())
+            "\n".join(format_error(path, document, error) for error in errors.errors())
         ) from None
 
 
 def to_builtins(node: object) -> object:
-    """The same values without the marks of where they stood."""
+    """Convert ruamel.yaml's nodes to dicts and lists without line numbers."""
     if isinstance(node, CommentedMap):
         return {str(key): to_builtins(value) for key, value in node.items()}
     if isinstance(node, CommentedSeq):
@@ -66,56 +74,56 @@
     return node
 
 
-def format_error(path: str, given: CommentedMap, error: ErrorDetails) -> str:
-    """One fault in one line."""
-    where, line = locate(given, error["loc"])
-    why = error["msg"].removeprefix("Value error, ")
+def format_error(path: str, document: CommentedMap, error: ErrorDetails) -> str:
+    """Format a validation error as `file:line: key: reason`."""
+    key, line = locate(document, error["loc"])
+    reason = error["msg"].removeprefix("Value error, ")
     if error["type"] == "extra_forbidden":
-        why = "this key is not known"
+        reason = "this key is not known"
     elif error["type"] == "missing":
-        why = "this key is missing"
-    return f"{path}:{line}: {where or 'the file'}: {why}"
-
-
-def locate(given: CommentedMap, location: tuple[int | str, ...]) -> tuple[str, int]:
-    """The key as people write it, and its line: that of the nearest part which stands in the file."""
-    node: Any = given
-    line, dotted_path = given.lc.line + 1, ""
-    for step in location:
-        inner = None
-        if isinstance(node, CommentedMap) and step in node:
-            line, inner = node.lc.key(step)[0] + 1, node[step]
-        elif isinstance(node, CommentedSeq) and isinstance(step, int) and step < len(node):
-            line, inner = node.lc.item(step)[0] + 1, node[step]
-        elif isinstance(node, CommentedMap) and step == node.get("kind"):
-            continue  # the name of a kind, which pydantic puts in between
+        reason = "this key is missing"
+    return f"{path}:{line}: {key or 'the file'}: {reason}"
+
+
+def locate(document: CommentedMap, location: tuple[int | str, ...]) -> tuple[str, int]:
+    """Return the dotted key of a pydantic location, and the line of its nearest ancestor in the file."""
+    node: Any = document
+    line, dotted_path = document.lc.line + 1, ""
+    for part in location:
+        child = None
+        if isinstance(node, CommentedMap) and part in node:
+            line, child = node.lc.key(part)[0] + 1, node[part]
+        elif isinstance(node, CommentedSeq) and isinstance(part, int) and part < len(node):
+            line, child = node.lc.item(part)[0] + 1, node[part]
+        elif isinstance(node, CommentedMap) and part == node.get("kind"):
+            continue  # the discriminator's value, which pydantic adds to the location
         elif not isinstance(node, (CommentedMap, CommentedSeq)):
-            continue  # which of several types was tried
-        dotted_path += f"[{step}]" if isinstance(step, int) else f".{step}" if dotted_path else str(step)
-        node = inner
+            continue  # the member of a union that pydantic tried
+        dotted_path += f"[{part}]" if isinstance(part, int) else f".{part}" if dotted_path else str(part)
+        node = child
     return dotted_path, line
 
 
 def keys(part: type[BaseModel] = Installation, before: str = "") -> Iterator[tuple[str, str, str]]:
-    """Every key with its default and meaning, from the types that check the file."""
+    """Yield every key with its default and description, from the models that validate the file."""
     for name, field in part.model_fields.items():
         path = f"{before}{name}"
         default = (
-            "must be told"
+            "required"
             if field.is_required()
             else ""
             if field.default is PydanticUndefined
             else str(field.default)
         )
         yield path, default, field.description or ""
-        for inner in nested_models(field.annotation):
+        for child in nested_models(field.annotation):
             suffix = "[]" if "list" in str(field.annotation) else ""
-            yield from keys(inner, f"{path}{suffix}.")
+            yield from keys(child, f"{path}{suffix}.")
 
 
 def nested_models(annotation: object) -> Iterator[type[BaseModel]]:
-    """The parts that a key of this type holds."""
+    """Yield the models that a key of this type contains."""
     if isinstance(annotation, type) and issubclass(annotation, BaseModel):
         yield annotation
-    for inner in getattr(annotation, "__args__", ()):
-        yield from nested_models(inner)
+    for child in getattr(annotation, "__args__", ()):
+        yield from nested_models(child)
--- a/spurdeal/settings/units.py
+++ b/spurdeal/settings/units.py
@@ -1,4 +1,4 @@
-"""Durations as operators write them, with a unit: a bare number is an error, since nobody knows its unit."""
+"""Durations in the settings file. A number without a unit would be ambiguous, hence it is an error."""
 
 import re
 from typing import Annotated
@@ -10,7 +10,11 @@
 
 
 def milliseconds(text: object) -> float:
-    """Ms of "250ms", "1.5s", "2 min" or "1h"; ValueError for anything else."""
+    """Convert a duration such as "250ms", "1.5s", "2 min" or "1h" to ms.
+
+    Raises:
+        ValueError: The text is not a number with one of these units.
+    """
     match = DURATION.fullmatch(text) if isinstance(text, str) else None
     if match is None:
         raise ValueError(f"{text!r} is no duration: a number and one of {', '.join(UNITS)}, as 250ms")
