--- a/spurdeal/cli/__init__.py
+++ b/spurdeal/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line. `run` without a sub-command needs nothing of this."""
+"""The command line. A dispatcher that runs without a sub-command imports nothing from here."""
--- a/spurdeal/cli/clocks.py
+++ b/spurdeal/cli/clocks.py
@@ -1,4 +1,4 @@
-"""Unix time that tests can shift."""
+"""A Unix clock that tests can shift."""
 
 from __future__ import annotations
 
@@ -7,17 +7,20 @@
 
 from ..clocks import monotonic_ms, unix_ms
 
-CLOCK_FILE_EVERY = 50.0  # ms between two looks at a file that shifts the clock
+CLOCK_FILE_INTERVAL = 50.0  # ms between two reads of the file that shifts the clock
 
 
 def shifted_unix_ms(path: str) -> Callable[[], float]:
-    """For tests: Unix time with the ms added that a file holds; it is looked at every 50 ms."""
-    looked, shift = float("-inf"), 0.0
+    """For tests: return a Unix clock in ms, shifted by the ms in a file that is read every 50 ms.
+
+    The shift is 0 while the file cannot be read or holds no number.
+    """
+    last_read, shift = float("-inf"), 0.0
 
     def unix() -> float:
-        nonlocal looked, shift
-        if monotonic_ms() - looked >= CLOCK_FILE_EVERY:
-            looked = monotonic_ms()
+        nonlocal last_read, shift
+        if monotonic_ms() - last_read >= CLOCK_FILE_INTERVAL:
+            last_read = monotonic_ms()
             try:
                 shift = float(Path(path).read_text("ascii"))
             except (OSError, ValueError):
--- a/spurdeal/cli/demo.py
+++ b/spurdeal/cli/demo.py
@@ -1,4 +1,4 @@
-"""The demo's sub-command: runs it, and prints its table or one JSON object."""
+"""`spurdeal lab demo`: runs the demo and prints a table or one JSON object."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 def demo(as_json: bool, seconds: float, seed: int | None) -> int:
-    """One run; without a seed one is drawn, and printed with the result. Returns the exit code."""
-    chosen = random.SystemRandom().randint(0, MAX_SEED) if seed is None else seed
+    """Run the demo and return the exit code; without a seed a random one is used and printed."""
+    run_seed = random.SystemRandom().randint(0, MAX_SEED) if seed is None else seed
     try:
-        run = run_demo(seconds, chosen, lambda text: click.echo(text, err=True))
+        run = run_demo(seconds, run_seed, lambda text: click.echo(text, err=True))
     except DemoInterruptedError:
         click.echo("spurdeal: the demo was interrupted", err=True)
         return EXIT_INTERRUPTED
--- a/spurdeal/cli/main.py
+++ b/spurdeal/cli/main.py
@@ -1,4 +1,4 @@
-"""Sub-commands. Each imports what it needs when it runs."""
+"""The sub-commands. Each imports its dependencies when it runs, so that none needs the extras of another."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
     from ..settings.installation import Installation
 
 
-@click.group(help="A query gateway: what runs, on which engine, when, and with how much memory.")
+@click.group(help="A query gateway: decides what runs, on which engine, when, and with how much memory.")
 def spurdeal() -> None:
-    """The group; without a sub-command `python -m spurdeal` runs a dispatcher and never comes here."""
+    """The top-level group. Without a sub-command `python -m spurdeal` runs a dispatcher and skips it."""
 
 
-def exit_with_error(why: object) -> NoReturn:
-    """What cannot be used: its text on standard error, exit code 2."""
-    click.echo(f"spurdeal: {why}", err=True)
+def exit_with_error(message: object) -> NoReturn:
+    """Print the error to standard error and exit with code 2."""
+    click.echo(f"spurdeal: {message}", err=True)
     sys.exit(2)
 
 
 def load_installation(path: str) -> Installation:
-    """The operator's file; what cannot be used is told, and ends the process."""
+    """Read the settings file; if it is invalid, print the errors and exit with code 2."""
     from ..settings.reading import SettingsError, read
 
     try:
@@ -36,10 +36,12 @@
         exit_with_error(error)
 
 
-@spurdeal.command(help="One dispatcher from ROUTER_CONFIG, with an operator's file where one is named.")
-@click.option("--settings", type=click.Path(), help="an operator's YAML file")
+@spurdeal.command(
+    help="Runs a dispatcher with the configuration ROUTER_CONFIG, and with a settings file if one is given."
+)
+@click.option("--settings", type=click.Path(), help="a YAML settings file")
 def run(settings: str | None) -> None:
-    """One dispatcher from ROUTER_CONFIG."""
+    """Run a dispatcher."""
     from ..net.start import main
 
     if settings is None:
@@ -49,39 +51,41 @@
     sys.exit(run_with(os.environ, settings))
 
 
-@spurdeal.command(help="Checks an operator's file: file, line and key of each fault, exit code 2.")
+@spurdeal.command(
+    help="Checks a settings file: prints file, line and key of each error; then the exit code is 2."
+)
 @click.argument("file", type=click.Path())
 def check(file: str) -> None:
-    """Checks an operator's file."""
+    """Check a settings file."""
     found = load_installation(file)
     parts = [
         part
         for part in ("vrrp", "handover", "fleet", "extproc", "ledger")
         if getattr(found, part) is not None
     ]
-    click.echo(f"{file}: can be used; {found.name} with {len(found.peers)} peers and {', '.join(parts)}")
+    click.echo(f"{file}: is valid; {found.name} with {len(found.peers)} peers and {', '.join(parts)}")
 
 
-@spurdeal.command(help="Every key of an operator's file, its default and its meaning.")
+@spurdeal.command(help="Lists every key of a settings file, with its default and meaning.")
 def keys() -> None:
-    """Prints every key."""
+    """Print every key."""
     from ..settings.reading import keys as all_keys
 
     for key, default, meaning in all_keys():
         click.echo(f"{key}  ({default})\n    {meaning}" if default else f"{key}\n    {meaning}")
 
 
-@spurdeal.group(help="Advertisements: what would be sent, and what a datagram says.")
+@spurdeal.group(help="VRRP advertisements: encodes and decodes them.")
 def vrrp() -> None:
-    """The group of VRRP's commands."""
+    """The group of the VRRP commands."""
 
 
-@vrrp.command(help="The advertisement that a configured group would send now.")
+@vrrp.command(help="Prints the advertisement that a configured group would send now.")
 @click.argument("file", type=click.Path())
 @click.option("--group", "number", type=int, required=True, help="the VRID")
 @click.option("--hex", "as_hex", is_flag=True, help="as hex digits only")
 def advert(file: str, number: int, as_hex: bool) -> None:
-    """Prints an advertisement."""
+    """Print an advertisement."""
     from ..vrrp import advert as adverts
 
     found = load_installation(file)
@@ -96,13 +100,13 @@
         click.echo(text if as_hex else f"{source} to {target}: {text}")
 
 
-@vrrp.command(help="A datagram field by field.")
+@vrrp.command(help="Prints the fields of a datagram.")
 @click.argument("digits")
 @click.option("--json", "as_json", is_flag=True)
 @click.option("--source", default="127.0.0.1", help="the datagram's sender, for the checksum")
-@click.option("--target", default="127.0.0.1", help="where it was sent, for the checksum")
+@click.option("--target", default="127.0.0.1", help="the datagram's destination, for the checksum")
 def dump(digits: str, as_json: bool, source: str, target: str) -> None:
-    """Prints the fields of a datagram."""
+    """Print the fields of a datagram."""
     from ipaddress import ip_address
 
     from ..vrrp.advert import fields
@@ -120,13 +124,13 @@
 
 @spurdeal.group(help="The external processor.")
 def extproc() -> None:
-    """The group of the external processor's commands."""
+    """The group of the external processor commands."""
 
 
-@extproc.command(help="A dispatcher that other proxies ask, as the file's `extproc` says.")
-@click.option("--settings", type=click.Path(), required=True, help="an operator's YAML file")
+@extproc.command(help="Runs a dispatcher with the external processor from the file's `extproc` section.")
+@click.option("--settings", type=click.Path(), required=True, help="a YAML settings file")
 def serve(settings: str) -> None:
-    """Runs the external processor."""
+    """Run the external processor."""
     if load_installation(settings).extproc is None:
         exit_with_error(f"{settings}: extproc: this key is missing")
     from .running import run_with
@@ -134,16 +138,18 @@
     sys.exit(run_with(os.environ, settings))
 
 
-@spurdeal.group(help="The fleet: who is in it, and what its logs say.")
+@spurdeal.group(help="The fleet: its members and its audit logs.")
 def fleet() -> None:
-    """The group of the fleet's commands."""
+    """The group of the fleet commands."""
 
 
-@fleet.command(help="Who is in the fleet, on which versions, who is out and why, as one dispatcher sees it.")
-@click.option("--at", required=True, help="a dispatcher's address for clients, as 127.0.0.1:7001")
+@fleet.command(
+    help="Prints members, their versions, and who is shut out and why, as one dispatcher sees the fleet."
+)
+@click.option("--at", required=True, help="a dispatcher's address for clients, such as 127.0.0.1:7001")
 @click.option("--json", "as_json", is_flag=True)
 def status(at: str, as_json: bool) -> None:
-    """Prints one dispatcher's view of the fleet."""
+    """Print one dispatcher's view of the fleet."""
     from urllib.error import URLError
     from urllib.request import urlopen
 
@@ -161,7 +167,7 @@
 
 
 def read_logs(folders: tuple[str, ...], strict: bool) -> list[Any]:
-    """Reads audit logs; one that cannot be read is told, and ends the process."""
+    """Read audit logs; if one is unreadable, print the error and exit with code 2."""
     from pathlib import Path
 
     from ..fleet.asking import UnreadableLogError, read_log
@@ -172,14 +178,14 @@
         exit_with_error(error)
 
 
-@fleet.command(help="What the audit logs of these folders hold, in one true order.")
+@fleet.command(help="Prints the entries of the audit logs in these directories, merged in causal order.")
 @click.argument("folders", nargs=-1, required=True, type=click.Path())
-@click.option("--submission", default="", help="only what was done with this id")
-@click.option("--engine", default="", help="only what was sent to this engine, or says its name")
-@click.option("--dispatcher", default="", help="only what this one did, or was told of it")
-@click.option("--version", default="", help="only what was done under this version, as 0.57")
-@click.option("--between", nargs=2, type=float, default=None, help="Unix ms, from and until")
-@click.option("--json", "as_json", is_flag=True, help="a JSON object a line")
+@click.option("--submission", default="", help="only entries about this request id")
+@click.option("--engine", default="", help="only entries about this engine")
+@click.option("--dispatcher", default="", help="only entries by or about this dispatcher")
+@click.option("--version", default="", help="only entries under this version, such as 0.57")
+@click.option("--between", nargs=2, type=float, default=None, help="start and end, in Unix ms")
+@click.option("--json", "as_json", is_flag=True, help="one JSON object per line")
 def audit(
     folders: tuple[str, ...],
     submission: str,
@@ -189,7 +195,7 @@
     between: tuple[float, float] | None,
     as_json: bool,
 ) -> None:
-    """Prints entries of audit logs."""
+    """Print entries of audit logs."""
     from ..fleet.asking import Asked, chosen, merged
 
     since, until = between or (0.0, float("inf"))
@@ -198,12 +204,14 @@
         click.echo(json.dumps(entry.told()) if as_json else entry.words())
 
 
-@fleet.command("check", help="What went against the versions, in words; exit code 1 where anything did.")
+@fleet.command(
+    "check", help="Prints violations of the versions in force; the exit code is 1 if there are any."
+)
 @click.argument("folders", nargs=-1, required=True, type=click.Path())
-@click.option("--grace", default="250ms", help="after a version is told, until it must be kept")
-@click.option("--json", "as_json", is_flag=True, help="a JSON object a line")
+@click.option("--grace", default="250ms", help="time from a version's announcement until it must be followed")
+@click.option("--json", "as_json", is_flag=True, help="one JSON object per line")
 def check_logs(folders: tuple[str, ...], grace: str, as_json: bool) -> None:
-    """Prints what went against the versions."""
+    """Print violations of the versions in force."""
     from ..fleet.asking import check as check_all
     from ..settings.units import milliseconds
 
@@ -224,7 +232,7 @@
     sys.exit(1 if findings else 0)
 
 
-PROOFS = {
+LAB_MODULES = {
     "audit": "audited",
     "capacity": "capacity",
     "cold": "cold_ramp",
@@ -232,18 +240,18 @@
     "extproc": "asking",
     "model": "model",
     "vrrp": "takeover",
-}  # names of `spurdeal lab`, and the modules of spurdeal.lab that hold their figures()
+}  # arguments of `spurdeal lab`, and the modules of spurdeal.lab whose figures() they run
 
 
-def proofs(name: str) -> Callable[..., dict[str, Any]]:
-    """The function that returns the figures of a proof, imported when it is asked for."""
-    module = importlib.import_module(f"spurdeal.lab.{PROOFS[name]}")
+def import_figures(name: str) -> Callable[..., dict[str, Any]]:
+    """Import the module of a lab run and return its figures() function."""
+    module = importlib.import_module(f"spurdeal.lab.{LAB_MODULES[name]}")
     figures: Callable[..., dict[str, Any]] = module.figures
     return figures
 
 
 class CapacityOptions(NamedTuple):
-    """What only `lab capacity` takes."""
+    """The options that only `lab capacity` accepts."""
 
     sections: tuple[str, ...]
     sizes: str | None
@@ -252,7 +260,7 @@
 
 
 def run_capacity(options: CapacityOptions, as_json: bool, quick: bool) -> None:
-    """Measures, or writes a page from what was measured."""
+    """Measure the capacity, or write a page's tables from measured figures."""
     from pathlib import Path
 
     from ..lab.capacity.measure import Refused
@@ -265,27 +273,36 @@
             write_page(Path(options.page), json.loads(Path(options.source).read_text()))
             return
         sizes = [int(size) for size in options.sizes.split(",")] if options.sizes else []
-        found = proofs("capacity")(quick, lambda line: click.echo(line, err=True), options.sections, sizes)
+        found = import_figures("capacity")(
+            quick, lambda line: click.echo(line, err=True), options.sections, sizes
+        )
     except (Refused, UnusablePage, OSError, ValueError) as error:
         exit_with_error(f"lab capacity: {error}")
     click.echo(json.dumps(found) if as_json else json.dumps(found, indent=2))
 
 
-@spurdeal.command(help="A proof of the project's own, with real processes on loopback.")
+@spurdeal.command(help="Runs one of the project's experiments, with real processes on loopback.")
 @click.argument(
     "name",
-    type=click.Choice([*PROOFS, "demo"]),
+    type=click.Choice([*LAB_MODULES, "demo"]),
 )
 @click.option("--json", "as_json", is_flag=True, help="one JSON object as the last line")
-@click.option("--quick", is_flag=True, help="a part of it, under a minute")
+@click.option("--quick", is_flag=True, help="a shorter run, under a minute")
 @click.option(
-    "--seed", type=int, default=None, help="of audit's faults, cold's runs or demo's load, as a run prints it"
+    "--seed",
+    type=int,
+    default=None,
+    help="seed of audit's faults, cold's runs or demo's load, as printed by a run",
 )
 @click.option("--seconds", type=click.FloatRange(2, 120), default=None, help="how long demo's load lasts")
-@click.option("--section", "sections", multiple=True, help="of capacity: only this one; may be repeated")
-@click.option("--sizes", default=None, help="of one section of capacity: as 36,150,500,1000,2000")
-@click.option("--page", type=click.Path(), default=None, help="of capacity: write this page's tables")
-@click.option("--from", "source", type=click.Path(), default=None, help="the JSON to write the page from")
+@click.option("--section", "sections", multiple=True, help="capacity: only this section; may be repeated")
+@click.option(
+    "--sizes", default=None, help="capacity: the sizes of one section, such as 36,150,500,1000,2000"
+)
+@click.option("--page", type=click.Path(), default=None, help="capacity: write the tables of this page")
+@click.option(
+    "--from", "source", type=click.Path(), default=None, help="capacity: the JSON file to write the page from"
+)
 def lab(
     name: str,
     as_json: bool,
@@ -297,7 +314,7 @@
     page: str | None,
     source: str | None,
 ) -> None:
-    """Runs a proof, or the demo."""
+    """Run an experiment or the demo."""
     if name == "demo":
         from .demo import demo
 
@@ -313,5 +330,5 @@
         run_capacity(options, as_json, quick)
         return
     more = {} if seed is None else {"seed": seed}
-    found = proofs(name)(quick, lambda line: click.echo(line, err=True), **more)
+    found = import_figures(name)(quick, lambda line: click.echo(line, err=True), **more)
     click.echo(json.dumps(found) if as_json else json.dumps(found, indent=2))
--- a/spurdeal/cli/running.py
+++ b/spurdeal/cli/running.py
@@ -1,4 +1,4 @@
-"""`run --settings`: a dispatcher with an operator's file beside its configuration."""
+"""`run --settings`: a dispatcher with a settings file in addition to its configuration."""
 
 from __future__ import annotations
 
@@ -34,7 +34,11 @@
 
 
 def read_keys(path: str, name: str, part: FleetPart | HandoverPart) -> Keys:
-    """Keys from the file or the files that it names; SettingsError where there are none."""
+    """Read a section's keys from the settings file, or from the files that it names.
+
+    Raises:
+        SettingsError: A key file cannot be read or is invalid.
+    """
     from ..vrrp.station import keys_of
 
     try:
@@ -44,7 +48,7 @@
 
 
 def run_with(environment: Mapping[str, str], path: str) -> int:
-    """Runs until it is stopped; 2 where configuration or file cannot be used."""
+    """Run until stopped and return the exit code: 2 if the configuration or the settings are invalid."""
     try:
         serve(environment.get("ROUTER_CONFIG", ""), path)
     except (SettingsError, start.Unusable) as error:
@@ -54,24 +58,24 @@
 
 
 class Files(NamedTuple):
-    """Paths of the operator's file and of the dispatcher's configuration."""
+    """Paths of the settings file and of the dispatcher's configuration."""
 
     settings: str
     configuration: str
 
 
-class Installed:
-    """A dispatcher with all that an operator's file adds, started and stopped together."""
+class InstalledDispatcher:
+    """A dispatcher with the parts that its settings file adds; they start and stop together."""
 
     def __init__(
         self,
         service: start.Service,
-        plan: Installation,
+        installation: Installation,
         loop: EPollReactor,
         files: Files,
         unix: Callable[[], float],
     ) -> None:
-        self.service, self.plan, self.unix = service, plan, unix
+        self.service, self.installation, self.unix = service, installation, unix
         self.loop: Any = loop  # Twisted's reactor has no types of its own
         self.path, self.configuration = files
         self.adapter, self.log, self.counters = service.adapter, service.log, service.counters
@@ -80,34 +84,38 @@
         self.fleet: FleetStation | None = None
         self.server: Server | None = None
         self.context: ReloadableContext | None = None
-        if plan.vrrp is not None:
+        if installation.vrrp is not None:
             from ..vrrp.station import Runtime, Station
 
             self.station = Station(
                 service,
-                plan,
+                installation,
                 secrets.randbits(63) | 1,
                 Runtime(loop, monotonic_ms, service.counters, self.log),
             )
-        if plan.ledger is not None:
-            self.ledger = self.open_ledger(plan.ledger)
-        if plan.fleet is not None:
+        if installation.ledger is not None:
+            self.ledger = self.open_ledger(installation.ledger)
+        if installation.fleet is not None:
             self.fleet = self.make_fleet()
-        if plan.extproc is not None:
-            self.server = self.make_server(plan.extproc)
+        if installation.extproc is not None:
+            self.server = self.make_server(installation.extproc)
 
     def make_fleet(self) -> FleetStation:
-        """The part that takes part in the fleet."""
+        """Create the fleet station.
+
+        Raises:
+            SettingsError: A key, the configuration or the audit log's directory cannot be used.
+        """
         from ..fleet.station import Clocks, FleetStation, StationSettings
 
-        assert self.plan.fleet is not None
-        keys = read_keys(self.path, "fleet", self.plan.fleet)
-        audit = self.plan.fleet.audit
+        assert self.installation.fleet is not None
+        keys = read_keys(self.path, "fleet", self.installation.fleet)
+        audit = self.installation.fleet.audit
         try:
             configuration = Path(self.configuration).read_bytes()
             return FleetStation(
                 self.service,
-                StationSettings(self.plan, keys, configuration),
+                StationSettings(self.installation, keys, configuration),
                 self.loop,
                 Clocks(monotonic_ms, self.service.clock, self.unix),
                 self.log,
@@ -117,7 +125,11 @@
             raise SettingsError(f"{self.path}: fleet.audit.path: {error.strerror}: {where}") from None
 
     def open_ledger(self, part: LedgerPart) -> Ledger:
-        """The durable record, recovered from its disk."""
+        """Open the ledger and recover its contents.
+
+        Raises:
+            SettingsError: The ledger's directory cannot be used.
+        """
         from ..store.ledger import Ledger, LedgerSettings
 
         longest = part.keep + max(workload.deadline for workload in self.service.configuration.site.workloads)
@@ -128,7 +140,11 @@
             raise SettingsError(f"{self.path}: ledger.path: {error.strerror}: {part.path}") from None
 
     def make_server(self, part: ExtprocPart) -> Server:
-        """The external processor."""
+        """Create the external processor.
+
+        Raises:
+            SettingsError: use_within is not below the drain grace period, or TLS files are invalid.
+        """
         from ..extproc.bounds import Bounds
         from ..extproc.calls import CallerSettings
         from ..extproc.server import Runtime, Server, ServerSettings
@@ -136,8 +152,8 @@
         site, configured = self.service.configuration.site, self.service.configuration
         if site.drain_grace and part.use_within >= site.drain_grace:
             raise SettingsError(
-                f"{self.path}: extproc.use_within: {part.use_within:.0f} ms is not under the "
-                f"drain rule's grace of {site.drain_grace:.0f} ms"
+                f"{self.path}: extproc.use_within: {part.use_within:.0f} ms must be below the "
+                f"drain grace period of {site.drain_grace:.0f} ms"
             )
         if part.tls is not None:
             from ..extproc.tls import ReloadableContext
@@ -170,20 +186,20 @@
         )
 
     def start(self) -> None:
-        """Before the service: its first list and its first request are seen through all of this."""
+        """Start all parts, before the service starts, so that they see its first list and first request."""
         if self.station is not None:
             self.station.start()
-        if self.ledger is not None and self.plan.ledger is not None:
-            self.guard_with_ledger(self.ledger, self.plan.ledger)
+        if self.ledger is not None and self.installation.ledger is not None:
+            self.guard_with_ledger(self.ledger, self.installation.ledger)
         if self.fleet is not None:
             self.fleet.start()
             if self.station is not None:
                 self.station.shut_out = self.fleet.lowers
-        if self.server is not None and self.plan.extproc is not None:
-            self.listen_for_callers(self.server, self.plan.extproc)
+        if self.server is not None and self.installation.extproc is not None:
+            self.listen_for_callers(self.server, self.installation.extproc)
 
     def guard_with_ledger(self, ledger: Ledger, part: LedgerPart) -> None:
-        """What must not run twice is on the disk before it is sent."""
+        """Install the guard that records non-idempotent requests on disk before they are sent."""
         from ..net.link import at_most_once
         from ..store.guard import GuardRuntime, GuardSettings, LedgerGuard
 
@@ -200,7 +216,7 @@
         self.log.info("ledger", extra={"figures": figures})
 
     def listen_for_callers(self, server: Server, part: ExtprocPart) -> None:
-        """The external processor accepts connections, with TLS where the file says so."""
+        """Accept callers' connections, with TLS if configured."""
         host, port = part.listen
         if self.context is not None:
             self.loop.listenSSL(port, server, self.context, interface=str(host))
@@ -209,7 +225,7 @@
         self.sweep()
 
     def sweep(self) -> None:
-        """Bounds of the external processor, and the ledger's figures, again and again."""
+        """Periodically enforce the external processor's timeouts and export the ledger's counters."""
         self.loop.callLater(start.SWEEP_EVERY, self.sweep)
         if self.server is not None:
             self.server.sweep()
@@ -218,25 +234,27 @@
                 self.counters.sums["ledger_" + name] = getattr(self.ledger, name)
 
     def read_again(self) -> None:
-        """SIGHUP: keys and certificates are in force at once, the rest at a start."""
+        """Handle SIGHUP: reload keys and certificates; other settings take effect at the next start."""
         try:
-            plan = read(self.path)
+            installation = read(self.path)
             if self.context is not None:
                 self.context.load()
-            if self.fleet is not None and plan.fleet is not None:
+            if self.fleet is not None and installation.fleet is not None:
                 self.fleet.read_again(
-                    Path(self.configuration).read_bytes(), plan, read_keys(self.path, "fleet", plan.fleet)
+                    Path(self.configuration).read_bytes(),
+                    installation,
+                    read_keys(self.path, "fleet", installation.fleet),
                 )
         except (SettingsError, OSError, ValueError) as error:
             self.counters.add("installations_unusable")
             self.log.error("installation_kept", extra={"figures": {"why": str(error)}})
             return
         if self.station is not None:
-            self.station.read_again(plan)
+            self.station.read_again(installation)
         self.counters.add("installations_read")
 
     def stop(self) -> None:
-        """SIGTERM: all parts begin their graceful shutdown."""
+        """Handle SIGTERM: begin the graceful shutdown of all parts."""
         if self.fleet is not None:
             self.fleet.stop()
         if self.station is not None:
@@ -246,7 +264,7 @@
         self.service.stop()
 
     def done(self) -> None:
-        """All is answered: files are closed, the loop ends."""
+        """Finish the shutdown when all requests are answered: close files and stop the loop."""
         if self.fleet is not None:
             self.fleet.close()
         if self.ledger is not None:
@@ -255,27 +273,32 @@
 
 
 def serve(configuration: str, path: str) -> None:
-    """Runs until it is stopped."""
-    plan = read(path)
-    if plan.handover is not None:
-        read_keys(path, "handover", plan.handover)
+    """Run until stopped.
+
+    Raises:
+        SettingsError: The settings file is invalid.
+        start.Unusable: The configuration is invalid, or an address cannot be listened on.
+    """
+    installation = read(path)
+    if installation.handover is not None:
+        read_keys(path, "handover", installation.handover)
     if not configuration:
         raise start.Unusable("ROUTER_CONFIG is not set")
     configured = start.load_within(start.START_WITHIN, configuration, SIGNALS.end_asked)
     loop = install_monotonic_reactor()
-    file = plan.fleet.clock_file if plan.fleet is not None else None
+    file = installation.fleet.clock_file if installation.fleet is not None else None
     unix = shifted_unix_ms(file) if file is not None else unix_ms
     clock = SteadyClock(unix)
     log = logger(configured.name or "spurdeal", sys.stderr)
     process = ProcessDescriptors.of_this_process()
     service = start.Service(configured, loop, clock.now, log, lambda: installed.done(), process, unix)  # noqa: PLW0108 - not bound yet
-    installed = Installed(service, plan, loop, Files(path, configuration), unix)
+    installed = InstalledDispatcher(service, installation, loop, Files(path, configuration), unix)
 
-    def again() -> None:
+    def reload() -> None:
         service.read_again(lambda: start.load_configuration(configuration))
         installed.read_again()
 
-    start.on_signals(loop, again, installed.stop)
+    start.on_signals(loop, reload, installed.stop)
     globalLogBeginner.beginLoggingTo([cast(Any, service.unhandled)], redirectStandardIO=False)
     try:
         installed.start()
--- a/spurdeal/cli/structured_logs.py
+++ b/spurdeal/cli/structured_logs.py
@@ -1,4 +1,4 @@
-"""Log lines through structlog, alike to those of plain `run`."""
+"""Log lines through structlog, in the same format as those of `net.logs`."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def key_value(_: object, __: str, event: EventDict) -> str:
-    """One line of pairs, as `net.logs` writes them: what on-call staff look for stays."""
+    """Render an event as one line of pairs like `net.logs`, so that searches in logs work for both."""
     record = event.pop("_record", None)
     for inner in ("_from_structlog", "exc_info"):
         event.pop(inner, None)
@@ -28,7 +28,7 @@
 
 
 def figures(_: object, __: str, event: EventDict) -> EventDict:
-    """What stdlib callers hand over under `figures`, and the trace of an exception."""
+    """Add the fields that stdlib callers pass under `figures`, and the traceback of an exception."""
     record = event.get("_record")
     event.update(getattr(record, "figures", {}))
     if record is not None and record.exc_info:
@@ -37,7 +37,7 @@
 
 
 def logger(name: str, stream: TextIO) -> logging.Logger:
-    """A logger of its own that renders through structlog, over the logging module."""
+    """Return a stdlib logger, outside the logger hierarchy, whose handler renders through structlog."""
     handler = logging.StreamHandler(stream)
     handler.setFormatter(
         structlog.stdlib.ProcessorFormatter(
