--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -1,5 +1,4 @@
-"""The external processor as a real process: a small run of its proof, and TLS with a certificate that
-changes."""
+"""The external processor as a real process: a short lab run, and TLS certificate reload."""
 
 import datetime
 import json
@@ -27,7 +26,7 @@
 
 NETWORK = Network.of_this_process()
 HOST, NAMES_HOST = NETWORK.host(63, 1), NETWORK.host(63, 9)
-PLAN = """
+SETTINGS = """
 name: n1
 extproc:
   listen: {host}:7443
@@ -36,11 +35,11 @@
 
 
 def certificate(folder: Path, name: str) -> bytes:
-    """A self-signed one, written with its key."""
+    """Create a self-signed certificate, write it with its key and return it as PEM."""
     key = ec.generate_private_key(ec.SECP256R1())
     subject = x509.Name([x509.NameAttribute(x509.NameOID.COMMON_NAME, name)])
     now = datetime.datetime.now(datetime.UTC)
-    made = (
+    signed = (
         x509.CertificateBuilder()
         .subject_name(subject)
         .issuer_name(subject)
@@ -51,7 +50,7 @@
         .add_extension(x509.SubjectAlternativeName([x509.DNSName("spurdeal")]), critical=False)
         .sign(key, hashes.SHA256())
     )
-    pem: bytes = made.public_bytes(serialization.Encoding.PEM)
+    pem: bytes = signed.public_bytes(serialization.Encoding.PEM)
     (folder / "cert.pem").write_bytes(pem)
     (folder / "key.pem").write_bytes(
         key.private_bytes(
@@ -62,7 +61,7 @@
 
 
 class Processes(unittest.TestCase):
-    def test_a_small_run_of_the_proof(self) -> None:
+    def test_a_short_lab_run(self) -> None:
         done = subprocess.run(
             [sys.executable, "-m", "spurdeal.lab.asking", "tiny"], capture_output=True, text=True, timeout=120
         )
@@ -75,12 +74,12 @@
         self.assertGreater(found["second_paths"], 5)
         self.assertGreater(found["ledger"]["recovered"], 10)
 
-    def test_tls_with_a_certificate_that_changes_in_service(self) -> None:
-        folder_made = tempfile.TemporaryDirectory()
-        self.addCleanup(folder_made.cleanup)
-        folder = Path(folder_made.name)
+    def test_certificates_are_reloaded_in_service(self) -> None:
+        temporary_folder = tempfile.TemporaryDirectory()
+        self.addCleanup(temporary_folder.cleanup)
+        folder = Path(temporary_folder.name)
         first = certificate(folder, "first")
-        (folder / "n1.yaml").write_text(PLAN.format(host=HOST, folder=folder))
+        (folder / "n1.yaml").write_text(SETTINGS.format(host=HOST, folder=folder))
         (folder / "n1.json").write_text(
             json.dumps(configuration(0, listen=f"{HOST}:7302", nameserver=f"{NAMES_HOST}:5300"))
         )
@@ -100,7 +99,7 @@
             env=os.environ | {"ROUTER_CONFIG": str(folder / "n1.json")},
         )
         self.addCleanup(child.kill)
-        self.assertEqual(self.ask(first, 1, 15), 503)  # no engine: refused in time
+        self.assertEqual(self.ask(first, 1, 15), 503)  # no engine: rejected before the caller's timeout
         second = certificate(folder, "second")
         child.send_signal(signal.SIGHUP)
         self.assertEqual(self.ask(second, 2, 10), 503)
@@ -109,13 +108,13 @@
         time.sleep(0.3)
         self.assertEqual(self.ask(second, 3, 5), 503)
         child.send_signal(signal.SIGTERM)
-        said = child.communicate(timeout=15)[1]
-        self.assertEqual(child.returncode, 0, said)
-        self.assertIn("event=installation_kept", said)
+        log = child.communicate(timeout=15)[1]
+        self.assertEqual(child.returncode, 0, log)
+        self.assertIn("event=installation_kept", log)
 
     def ask(self, roots: bytes, number: int, within: float) -> Any:
-        """The immediate answer's status, once somebody answers with this certificate."""
-        until = time.monotonic() + within
+        """The immediate response's status, once the server presents this certificate."""
+        give_up_at = time.monotonic() + within
         while True:
             options = [("grpc.ssl_target_name_override", "spurdeal"), ("grpc.use_local_subchannel_pool", 1)]
             with grpc.secure_channel(f"{HOST}:7443", grpc.ssl_channel_credentials(roots), options) as channel:
@@ -124,13 +123,13 @@
 
                     def messages(answered: threading.Event = answered) -> Iterator[Any]:
                         yield request(Asked(f"{number:016x}", False, 10.0), 1000)
-                        answered.wait(5)  # the stream stays open while it is held
+                        answered.wait(5)  # the stream stays open while the call is queued
 
                     answers = service.ExternalProcessorStub(channel).Process(messages(), timeout=2)
                     status = next(iter(answers)).immediate_response.status.code
                     answered.set()
                     return status
                 except (grpc.RpcError, StopIteration):
-                    if time.monotonic() > until:
+                    if time.monotonic() > give_up_at:
                         raise
                     time.sleep(0.05)
--- a/tests/test_extproc.py
+++ b/tests/test_extproc.py
@@ -1,4 +1,4 @@
-"""The external processor: what calls mean, what ends of grants prove, and the service on HTTP/2 in memory."""
+"""The external processor: parsing of calls, endings of grants, and the service over HTTP/2 in memory."""
 
 import random
 import signal
@@ -44,7 +44,7 @@
 from spurdeal.store.ledger import Ledger, LedgerSettings
 from tests.helpers import Caller, Pipe, World
 
-HEAD = [
+REQUEST_HEADERS = [
     (b":method", b"POST"),
     (b":scheme", b"http"),
     (b":path", METHOD),
@@ -54,8 +54,8 @@
 ]
 
 
-class Meanings(unittest.TestCase):
-    GOOD = {
+class Parsing(unittest.TestCase):
+    VALID = {
         b":method": b"POST",
         b":path": b"/ops/lookup?a=b",
         b"req-id": b"00000000000000aa",
@@ -63,9 +63,9 @@
         b"req-cost": b"20.5",
     }
 
-    def test_a_call_is_read_or_refused_with_a_status(self) -> None:
-        ask = parse_call(self.GOOD, CallerSettings(), 1000.0)
-        self.assertEqual((ask.workload, ask.wait, ask.cost, ask.group), (b"lookup", 1000.0, 20.5, -1))
+    def test_invalid_calls_are_rejected(self) -> None:
+        call = parse_call(self.VALID, CallerSettings(), 1000.0)
+        self.assertEqual((call.workload, call.wait, call.cost, call.group), (b"lookup", 1000.0, 20.5, -1))
         for name, value in (
             (b":method", b"GET"),
             (b"req-id", b"xyz"),
@@ -76,12 +76,12 @@
             (b"req-wait-ms", b"0"),
         ):
             with self.subTest(name=name, value=value), self.assertRaises(BadCallError):
-                parse_call(self.GOOD | {name: value}, CallerSettings(), 1000.0)
+                parse_call(self.VALID | {name: value}, CallerSettings(), 1000.0)
         with self.assertRaises(BadCallError):
             header_map((f"h{number}", "x", b"") for number in range(500))
         self.assertEqual(header_map([("A", "", b"1"), ("a", "2", b"")]), {b"a": b"1, 2"})
 
-    def test_times_are_the_shortest_that_bind(self) -> None:
+    def test_the_shortest_timeout_applies(self) -> None:
         caller_settings = CallerSettings(message_timeout=200, most_timeout=0, margin=20)
         self.assertEqual(answer_times(caller_settings, 1500, None), (180, 0))
         self.assertEqual(answer_times(caller_settings, 100, None), (80, 0))
@@ -96,7 +96,7 @@
             [100, 0.001, None, None],
         )
 
-    def test_only_the_proof_header_makes_a_refusal_prove(self) -> None:
+    def test_only_the_proof_header_proves_that_nothing_ran(self) -> None:
         for status, proof, ending in (
             (b"200", False, Ending.DELIVERED),
             (b"503", False, Ending.ERROR),
@@ -110,7 +110,7 @@
             headers = {b":status": status} | ({b"x-never-ran": b"1"} if proof else {})
             self.assertEqual(parse_outcome(headers, CallerSettings()), ending)
 
-    def test_what_is_held_proves_that_nothing_ran_and_what_is_said_does_not(self) -> None:
+    def test_a_queued_grant_never_ran_and_a_sent_one_may_have_run(self) -> None:
         for event in GrantEvent:
             self.assertIn(ENDINGS[GrantStage.QUEUED, event], NEVER_RAN)
             self.assertEqual(ENDINGS[GrantStage.SENT, event] in NEVER_RAN, event is GrantEvent.UNUSED)
@@ -120,7 +120,7 @@
         grants.add(1, b"a")
         grants.add(2, b"b")
         self.assertFalse(grants.has_room())
-        self.assertIsNone(grants.record_outcome(1, Ending.DELIVERED))  # nobody was told where to send it
+        self.assertIsNone(grants.record_outcome(1, Ending.DELIVERED))  # not sent yet
         self.assertTrue(grants.mark_sent(10, 1, 7, 500))
         self.assertFalse(grants.mark_sent(10, 1, 7, 500))
         self.assertEqual(grants.record_outcome(1, Ending.DELIVERED), Ending.DELIVERED)
@@ -131,7 +131,7 @@
         self.assertFalse(grants.mark_sent(20, 2, 7, 500))
         self.assertEqual((grants.open, grants.late, grants.premature), ({}, 1, 1))
 
-    def test_bounds_are_kept_by_number_and_by_rate(self) -> None:
+    def test_counts_and_rates_are_limited(self) -> None:
         admission = Admission(Bounds(connections=1, calls=3, calls_each=2, resets=5))
         self.assertEqual([admission.admit_connection(), admission.admit_connection()], [True, False])
         usage, other = ConnectionUsage(admission.bounds), ConnectionUsage(admission.bounds)
@@ -146,8 +146,8 @@
         self.assertEqual((admission.connections, admission.calls), (0, 1))
 
 
-class Numbers(unittest.TestCase):
-    def test_every_field_of_ours_has_the_published_number_and_kind(self) -> None:
+class FieldNumbers(unittest.TestCase):
+    def test_every_field_has_the_published_number_and_type(self) -> None:
         published = {
             message.name: message
             for module in (pb, base_pb2, http_status_pb2, duration_pb2)
@@ -156,17 +156,20 @@
         checked = 0
         for name, message in processor_pb2.DESCRIPTOR.message_types_by_name.items():
             for field in message.fields:
-                theirs = published[name].fields_by_name[field.name]
-                wire = {field.type, theirs.type}
+                published_field = published[name].fields_by_name[field.name]
+                types = {field.type, published_field.type}
                 with self.subTest(field.full_name):
-                    self.assertEqual((field.number, field.is_repeated), (theirs.number, theirs.is_repeated))
-                    self.assertTrue(len(wire) == 1 or wire == {field.TYPE_INT32, field.TYPE_ENUM})
+                    self.assertEqual(
+                        (field.number, field.is_repeated),
+                        (published_field.number, published_field.is_repeated),
+                    )
+                    self.assertTrue(len(types) == 1 or types == {field.TYPE_INT32, field.TYPE_ENUM})
                 checked += 1
         self.assertGreater(checked, 40)
 
 
 class Proxy:
-    """A caller's side of one connection, by h2 and published messages."""
+    """A caller's side of one connection, with h2 and Envoy's published messages."""
 
     def __init__(self, case: "Service") -> None:
         self.case, self.pipe = case, Pipe()
@@ -174,12 +177,12 @@
         self.protocol: Any = case.server.buildProtocol(None)
         self.protocol.makeConnection(self.pipe)
         self.h2.initiate_connection()
-        self.got: dict[int, list[Any]] = {}
+        self.responses: dict[int, list[Any]] = {}
         self.status: dict[int, str] = {}
         self.text: dict[int, bytes] = {}
-        self.push()
+        self.flush()
 
-    def push(self) -> None:
+    def flush(self) -> None:
         self.protocol.dataReceived(self.h2.data_to_send())
         self.case.world.go()
         self.read()
@@ -188,14 +191,14 @@
         for event in self.h2.receive_data(self.pipe.taken()):
             stream = getattr(event, "stream_id", 0)
             if isinstance(event, (h2.events.ResponseReceived, h2.events.TrailersReceived)):
-                told = dict(event.headers)
-                if b"grpc-status" in told:
-                    self.status[stream] = told[b"grpc-status"].decode()
+                headers = dict(event.headers)
+                if b"grpc-status" in headers:
+                    self.status[stream] = headers[b"grpc-status"].decode()
             elif isinstance(event, h2.events.DataReceived):
                 text = self.text.get(stream, b"") + event.data
                 while len(text) >= 5 and len(text) >= 5 + struct.unpack("!I", text[1:5])[0]:
                     size = struct.unpack("!I", text[1:5])[0]
-                    self.got.setdefault(stream, []).append(
+                    self.responses.setdefault(stream, []).append(
                         pb.ProcessingResponse.FromString(text[5 : 5 + size])
                     )
                     text = text[5 + size :]
@@ -203,10 +206,10 @@
 
     def open(self, more: tuple[tuple[bytes, bytes], ...] = ()) -> int:
         stream = self.h2.get_next_available_stream_id()
-        self.h2.send_headers(stream, [*HEAD, *more])
+        self.h2.send_headers(stream, [*REQUEST_HEADERS, *more])
         return stream
 
-    def say(self, stream: int, message: bytes, end: bool = False, prefix: bytes | None = None) -> None:
+    def send(self, stream: int, message: bytes, end: bool = False, prefix: bytes | None = None) -> None:
         self.h2.send_data(stream, (prefix or struct.pack("!BI", 0, len(message))) + message, end_stream=end)
 
     def ask(
@@ -217,34 +220,36 @@
         more: tuple[tuple[bytes, bytes], ...] = (),
     ) -> int:
         stream = self.open(more)
-        self.say(stream, request(Asked(f"{number:016x}", workload == "load", 20.0), wait).SerializeToString())
-        self.push()
+        self.send(
+            stream, request(Asked(f"{number:016x}", workload == "load", 20.0), wait).SerializeToString()
+        )
+        self.flush()
         return stream
 
     def answer(self, stream: int) -> Any:
-        """The status of an immediate answer, or where the grant leads; None while it is held."""
-        for message in self.got.get(stream, []):
+        """The status of an immediate response, or the granted address; None while the call is queued."""
+        for message in self.responses.get(stream, []):
             if message.HasField("immediate_response"):
                 return message.immediate_response.status.code
             if message.HasField("request_headers"):
-                told = {
+                headers = {
                     option.header.key: option.header.raw_value
                     for option in message.request_headers.response.header_mutation.set_headers
                 }
-                return told["x-spurdeal-to"].decode()
+                return headers["x-spurdeal-to"].decode()
         return None
 
     def outcome(self, stream: int, status: int, proof: bool = False) -> None:
-        self.say(stream, response(status, proof).SerializeToString())
-        self.push()
+        self.send(stream, response(status, proof).SerializeToString())
+        self.flush()
 
     def reset(self, stream: int) -> None:
         self.h2.reset_stream(stream, ErrorCodes.CANCEL)
-        self.push()
+        self.flush()
 
 
 class Service(unittest.TestCase):
-    """One process with both fronts, a ledger, and callers in memory."""
+    """The service next to the HTTP server for clients, with a ledger; callers connect in memory."""
 
     def setUp(self) -> None:
         self.world = World(self, engines=2)
@@ -277,27 +282,27 @@
     def engines(self) -> Any:
         return self.world.service.adapter.rules.engines
 
-    def out(self) -> int:
+    def attempts_out(self) -> int:
         return sum(len(engine.out) for engine in self.engines().values())
 
-    def hold(self) -> None:
-        """All engines rest, so that what comes is held."""
+    def eject_engines(self) -> None:
+        """Eject all engines, so that new calls are queued."""
         for engine in self.engines().values():
             engine.aside_until = self.world.now() + 60_000
 
-    def test_small_writes_are_not_held_back(self) -> None:
+    def test_tcp_no_delay_is_set(self) -> None:
         self.assertTrue(Proxy(self).pipe.no_delay)
 
-    def test_a_call_is_granted_and_its_outcome_told(self) -> None:
+    def test_a_call_is_granted_and_its_outcome_recorded(self) -> None:
         proxy = Proxy(self)
         stream = proxy.ask(1)
         self.assertTrue(str(proxy.answer(stream)).startswith("127.0.9."))
-        self.assertEqual((self.out(), len(self.world.reactor.tcpClients)), (1, 0))
+        self.assertEqual((self.attempts_out(), len(self.world.reactor.tcpClients)), (1, 0))
         proxy.outcome(stream, 200)
-        self.assertEqual((self.out(), self.world.count("trips_delivered")), (0, 1))
-        self.assertTrue(proxy.got[stream][-1].HasField("response_headers"))
+        self.assertEqual((self.attempts_out(), self.world.count("trips_delivered")), (0, 1))
+        self.assertTrue(proxy.responses[stream][-1].HasField("response_headers"))
         proxy.h2.end_stream(stream)
-        proxy.push()
+        proxy.flush()
         self.assertEqual(proxy.status[stream], "0")
         self.assertEqual(
             (
@@ -309,16 +314,16 @@
             ({}, {}, 0, {}),
         )
 
-    def test_both_fronts_share_n_star(self) -> None:
+    def test_external_calls_and_http_requests_share_the_concurrency_limit(self) -> None:
         proxy, caller = Proxy(self), Caller(self.world)
         proxy.ask(1)
         proxy.ask(2)
         caller.post(3)
         self.assertEqual(sum(engine.threads for engine in self.engines().values()), 3)
 
-    def test_cancelled_while_it_is_held_nothing_ran(self) -> None:
+    def test_a_call_cancelled_while_queued_never_ran(self) -> None:
         proxy = Proxy(self)
-        self.hold()
+        self.eject_engines()
         stream = proxy.ask(1, "load")
         self.assertIsNone(proxy.answer(stream))
         proxy.reset(stream)
@@ -327,7 +332,7 @@
         again = proxy.ask(1, "load")
         self.assertIsInstance(proxy.answer(again), str)
 
-    def test_each_end_of_an_irreversible_grant_and_the_same_id_by_another_path(self) -> None:
+    def test_a_repeated_id_after_each_end_of_a_non_idempotent_grant(self) -> None:
         for how, second in (
             ("reset", 500),
             ("cut", 500),
@@ -350,7 +355,7 @@
                         proxy.protocol.connectionLost()
                     elif how == "end":
                         proxy.h2.end_stream(stream)
-                        proxy.push()
+                        proxy.flush()
                     elif how == "silent":
                         self.world.go(2200)
                     elif how != "running":
@@ -366,17 +371,17 @@
                         found = answers[0][0] if answers else "granted"
                     self.assertEqual(found, second)
 
-    def test_two_streams_with_one_id_in_one_turn(self) -> None:
+    def test_two_streams_with_one_id_in_one_batch(self) -> None:
         proxy = Proxy(self)
         streams = [proxy.open(), proxy.open()]
         for stream in streams:
-            proxy.say(stream, request(Asked("00000000000000aa", True, 20.0), 2000).SerializeToString())
-        proxy.push()
+            proxy.send(stream, request(Asked("00000000000000aa", True, 20.0), 2000).SerializeToString())
+        proxy.flush()
         answers = [proxy.answer(stream) for stream in streams]
         self.assertEqual(sum(isinstance(answer, str) for answer in answers), 1)
         self.assertIn(answers[1], (409, 500))
 
-    def test_known_after_a_kill_by_the_ledger(self) -> None:
+    def test_the_ledger_remembers_a_grant_after_a_kill(self) -> None:
         proxy = Proxy(self)
         proxy.ask(1, "load")
         self.world = World(self, engines=2)
@@ -386,7 +391,7 @@
         self.assertEqual(again.answer(again.ask(1, "load")), 500)
         self.assertIsInstance(again.answer(again.ask(1, "lookup")), str)
 
-    def test_a_full_disk_sheds_what_at_most_once_and_reads_go_on(self) -> None:
+    def test_a_full_ledger_sheds_non_idempotent_calls_only(self) -> None:
         guard: Any = self.world.service.adapter.guard
         guard.ledger.settings = replace(guard.ledger.settings, max_bytes=guard.ledger.bytes + 3)
         proxy = Proxy(self)
@@ -396,9 +401,9 @@
         self.assertEqual(proxy.answer(stream), 503)
         self.assertIsInstance(proxy.answer(read), str)
 
-    def test_held_past_the_callers_time_it_is_refused_in_time_or_asked_for_more(self) -> None:
+    def test_a_queued_call_is_rejected_or_extended_before_the_callers_timeout(self) -> None:
         proxy = Proxy(self)
-        self.hold()
+        self.eject_engines()
         stream = proxy.ask(1)
         self.world.go(170)
         self.assertIsNone(proxy.answer(stream))
@@ -407,7 +412,7 @@
         self.assertEqual(proxy.answer(stream), 503)
         headers = {
             option.header.key: option.header.raw_value
-            for option in proxy.got[stream][0].immediate_response.headers.set_headers
+            for option in proxy.responses[stream][0].immediate_response.headers.set_headers
         }
         self.assertEqual(headers["srv-wait-ms"], b"500")
         self.make(CallerSettings(message_timeout=200, most_timeout=1000))
@@ -415,7 +420,7 @@
         stream = patient.ask(2)
         self.world.go(500)
         patient.read()
-        self.assertEqual(patient.got[stream][0].override_message_timeout.seconds, 1)
+        self.assertEqual(patient.responses[stream][0].override_message_timeout.seconds, 1)
         self.assertIsNone(patient.answer(stream))
         self.world.go(500)
         patient.read()
@@ -425,15 +430,15 @@
             250_000_000,
         )
 
-    def test_the_streams_own_timeout_binds(self) -> None:
+    def test_the_timeout_of_the_stream_applies(self) -> None:
         proxy = Proxy(self)
-        self.hold()
+        self.eject_engines()
         stream = proxy.ask(1, more=((b"grpc-timeout", b"60m"),))
         self.world.go(45)
         proxy.read()
         self.assertEqual(proxy.answer(stream), 503)
 
-    def test_an_engine_that_drains_before_the_grant_leaves_gets_nothing(self) -> None:
+    def test_a_draining_engine_is_not_granted(self) -> None:
         proxy = Proxy(self)
         engines = self.world.service.engines.engines
         for engine in engines.values():
@@ -442,17 +447,17 @@
         self.assertNotIsInstance(proxy.answer(stream), str)
         self.assertGreater(self.world.count("grants_not_said"), 0)
 
-    def test_an_outcome_that_comes_late_changes_nothing(self) -> None:
+    def test_a_late_outcome_changes_nothing(self) -> None:
         proxy = Proxy(self)
         stream = proxy.ask(1)
         self.world.go(2200)
-        self.assertEqual((self.out(), self.world.count("trips_time_out")), (0, 1))
+        self.assertEqual((self.attempts_out(), self.world.count("trips_time_out")), (0, 1))
         proxy.outcome(stream, 200)
-        self.assertEqual(proxy.status[stream], "0")  # nothing more is wanted of it
+        self.assertEqual(proxy.status[stream], "0")  # the call is complete
         self.assertEqual(self.world.count("extproc_outcomes_late"), 1)
         self.assertEqual(self.world.count("trips_delivered"), 0)
 
-    def test_bad_messages_end_their_call_only(self) -> None:
+    def test_an_invalid_message_ends_only_its_call(self) -> None:
         proxy = Proxy(self)
         good = proxy.ask(1)
         for prefix, message, status in (
@@ -462,41 +467,43 @@
             (None, b"", None),
         ):
             stream = proxy.open()
-            proxy.say(stream, message, prefix=prefix)
-            proxy.push()
+            proxy.send(stream, message, prefix=prefix)
+            proxy.flush()
             found = proxy.answer(stream) if status is None else proxy.status.get(stream)
             self.assertEqual(found, status or 400)
         early = proxy.open()
-        proxy.say(early, response(200, False).SerializeToString())
-        proxy.push()
+        proxy.send(early, response(200, False).SerializeToString())
+        proxy.flush()
         self.assertEqual(proxy.status[early], "9")
-        torn = proxy.open()
-        proxy.say(torn, b"ab", end=True, prefix=struct.pack("!BI", 0, 9))
-        proxy.push()
-        self.assertEqual(proxy.status[torn], "3")
+        truncated = proxy.open()
+        proxy.send(truncated, b"ab", end=True, prefix=struct.pack("!BI", 0, 9))
+        proxy.flush()
+        self.assertEqual(proxy.status[truncated], "3")
         unknown = proxy.open()
         extra = request(Asked(f"{9:016x}", False, 20.0), 2000).SerializeToString() + b"\xa2\x06\x03abc"
-        proxy.say(unknown, extra)
-        proxy.push()
+        proxy.send(unknown, extra)
+        proxy.flush()
         self.assertIsInstance(proxy.answer(unknown), str)
         proxy.outcome(good, 200)
         self.assertEqual(self.world.count("trips_delivered"), 1)
 
-    def test_other_methods_and_too_many_calls_are_refused(self) -> None:
+    def test_unknown_methods_and_excess_calls_are_refused(self) -> None:
         proxy = Proxy(self)
         stream = proxy.h2.get_next_available_stream_id()
-        proxy.h2.send_headers(stream, [(name, b"/x" if name == b":path" else value) for name, value in HEAD])
-        proxy.push()
+        proxy.h2.send_headers(
+            stream, [(name, b"/x" if name == b":path" else value) for name, value in REQUEST_HEADERS]
+        )
+        proxy.flush()
         self.assertEqual(proxy.status[stream], "12")
         self.server.admission.calls = self.bounds.calls
         late = proxy.open()
-        proxy.push()
+        proxy.flush()
         self.assertEqual(proxy.status[late], "8")
 
-    def test_silent_streams_reset_floods_and_control_floods_end(self) -> None:
+    def test_silent_streams_and_floods_of_resets_or_control_frames_are_ended(self) -> None:
         proxy = Proxy(self)
         stream = proxy.open()
-        proxy.push()
+        proxy.flush()
         self.world.go(2100)
         self.server.sweep()
         proxy.read()
@@ -509,35 +516,35 @@
         for number in range(60):
             if not pinger.pipe.disconnecting:
                 pinger.h2.ping(struct.pack("!Q", number))
-                pinger.push()
+                pinger.flush()
         self.assertTrue(pinger.pipe.disconnecting)
-        self.assertEqual(self.out(), 0)
+        self.assertEqual(self.attempts_out(), 0)
 
-    def test_a_tiny_window_gets_its_answer_piece_by_piece(self) -> None:
+    def test_a_response_is_split_by_a_small_flow_control_window(self) -> None:
         proxy = Proxy(self)
         proxy.h2.update_settings({4: 20})
-        proxy.push()
+        proxy.flush()
         stream = proxy.ask(1)
         self.assertIsNone(proxy.answer(stream))
         for _ in range(60):
             proxy.h2.increment_flow_control_window(20, stream)
-            proxy.push()
+            proxy.flush()
         self.assertIsInstance(proxy.answer(stream), str)
 
-    def test_garbage_and_noise_end_their_connection_only(self) -> None:
-        chance = random.Random(3)
+    def test_corrupt_bytes_end_only_their_connection(self) -> None:
+        rng = random.Random(3)
         kept = Proxy(self)
         for _ in range(150):
             proxy = Proxy(self)
             proxy.open()
-            text = bytearray(proxy.h2.data_to_send() + chance.randbytes(30))
-            text[chance.randrange(len(text))] ^= 0xFF
+            text = bytearray(proxy.h2.data_to_send() + rng.randbytes(30))
+            text[rng.randrange(len(text))] ^= 0xFF
             proxy.protocol.dataReceived(bytes(text))
             proxy.protocol.connectionLost()
         self.assertIsInstance(kept.answer(kept.ask(5)), str)
         self.assertEqual(self.server.admission.connections, 1)
 
-    def test_a_planned_stop_refuses_new_calls_and_ends_those_in_hand(self) -> None:
+    def test_graceful_shutdown_refuses_new_calls_and_finishes_open_ones(self) -> None:
         proxy = Proxy(self)
         stream = proxy.ask(1)
         self.server.stop()
@@ -545,7 +552,7 @@
         late = proxy.h2.get_next_available_stream_id()
         proxy.protocol.dataReceived(b"")
         self.assertGreater(late, stream)
-        proxy.protocol.open_stream(late, HEAD)
+        proxy.protocol.open_stream(late, REQUEST_HEADERS)
         proxy.protocol.dataReceived(self.frame(stream, response(200, False).SerializeToString()))
         self.world.go()
         self.assertEqual(self.world.count("trips_delivered"), 1)
@@ -557,7 +564,7 @@
 
 
 class EarlySignals(unittest.TestCase):
-    """A signal that comes before the loop is kept, as where a dispatcher serves clients itself."""
+    """Signals that arrive before the event loop runs are kept, also for `extproc serve`."""
 
     def setUp(self) -> None:
         for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT):
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""The operator's file and the command line: what is wrong is told with file, line and key, exit code 2."""
+"""The settings file and the command line: errors name file, line and key; the exit code is 2."""
 
 import io
 import json
@@ -27,15 +27,15 @@
 
 
 class Files(unittest.TestCase):
-    def test_the_example_can_be_used(self) -> None:
+    def test_the_example_is_valid(self) -> None:
         found = read(str(EXAMPLE))
         assert found.vrrp is not None
         self.assertEqual((found.vrrp.groups[0].interval, found.vrrp.groups[0].preempt_delay), (100.0, 1000.0))
         self.assertEqual(found.tenure.lease, 1000.0)
 
-    def test_each_fault_names_its_line_and_key(self) -> None:
+    def test_each_error_names_its_line_and_key(self) -> None:
         line = {text.strip(): number for number, text in enumerate(TEXT.split("\n"), 1)}
-        for old, new, at, said in (
+        for old, new, at, message in (
             ("priority: 200", "rank: 200", "priority: 200", "groups[0].rank: this key is not known"),
             ("priority: 200", "priority: 300", "priority: 200", "vrrp.groups[0].priority: "),
             ("interval: 100ms", "interval: 100", "interval: 100ms", "is no duration"),
@@ -51,11 +51,11 @@
             with self.subTest(new), self.assertRaises(SettingsError) as caught:
                 read_text("f.yaml", TEXT.replace(old, new, 1).encode())
             first = str(caught.exception).splitlines()[0]
-            self.assertIn(said, str(caught.exception))
+            self.assertIn(message, str(caught.exception))
             number = int(first.split(":")[1])
             self.assertLessEqual(abs(number - line[at]), 1, first)
 
-    def test_what_is_no_file_of_ours(self) -> None:
+    def test_unusable_files_are_rejected(self) -> None:
         for text in (b"", b"- a", b"\xff\xfe", b"a: *b", b"x" * 2_000_000, b"[" * 5000):
             with self.assertRaises(SettingsError):
                 read_text("f.yaml", text)
@@ -70,23 +70,23 @@
 
 
 class Commands(unittest.TestCase):
-    def test_check_says_where_and_exits_with_2(self) -> None:
+    def test_check_names_the_line_and_exits_with_2(self) -> None:
         good, bad = call("check", str(EXAMPLE)), call("check", "README.md")
         self.assertEqual((good.returncode, bad.returncode), (0, 2), good.stderr)
         self.assertIn("spurdeal: README.md:", bad.stderr)
         self.assertNotIn("Traceback", bad.stderr)
 
-    def test_an_advertisement_is_shown_and_read_back(self) -> None:
-        shown = call("vrrp", "advert", str(EXAMPLE), "--group", "1", "--hex")
-        told = json.loads(call("vrrp", "dump", shown.stdout.strip(), "--json").stdout)
+    def test_an_advertisement_is_printed_and_decoded(self) -> None:
+        printed = call("vrrp", "advert", str(EXAMPLE), "--group", "1", "--hex")
+        decoded = json.loads(call("vrrp", "dump", printed.stdout.strip(), "--json").stdout)
         self.assertEqual(
-            (told["group"], told["priority"], told["interval_ms"], told["addresses"]),
+            (decoded["group"], decoded["priority"], decoded["interval_ms"], decoded["addresses"]),
             (1, 200, 100.0, ["127.0.7.1"]),
         )
-        self.assertNotIn("dropped", told)
+        self.assertNotIn("dropped", decoded)
         self.assertIn(
             "checksum",
-            json.loads(call("vrrp", "dump", shown.stdout.strip()[:-1] + "0", "--json").stdout)["dropped"],
+            json.loads(call("vrrp", "dump", printed.stdout.strip()[:-1] + "0", "--json").stdout)["dropped"],
         )
         self.assertEqual(call("vrrp", "dump", "xyz").returncode, 2)
         self.assertEqual(call("vrrp", "advert", str(EXAMPLE), "--group", "9").returncode, 2)
@@ -101,7 +101,7 @@
             "[]\n",
         )
 
-    def test_lines_through_structlog_are_those_of_the_plain_logger(self) -> None:
+    def test_structlog_lines_equal_those_of_the_plain_logger(self) -> None:
         lines = []
         for make in (plain, structured):
             stream = io.StringIO()
@@ -117,7 +117,7 @@
 
 
 class Clocks(unittest.TestCase):
-    def test_a_step_is_not_followed_at_all(self) -> None:
+    def test_steps_of_the_wall_clock_are_ignored(self) -> None:
         unix, mono = [1e12], [0.0]
         steady = SteadyClock(lambda: unix[0], lambda: mono[0])
         self.assertEqual(steady.now(), 1e12)
