--- a/spurdeal/cli/running.py
+++ b/spurdeal/cli/running.py
@@ -27,13 +27,19 @@
     from ..extproc.server import Server
     from ..extproc.tls import ReloadableContext
     from ..fleet.station import FleetStation
-    from ..settings.installation import ExtprocPart, FleetPart, HandoverPart, Installation, LedgerPart
+    from ..settings.installation import (
+        ExtprocSection,
+        FleetSection,
+        HandoverSection,
+        Installation,
+        LedgerSection,
+    )
     from ..store.ledger import Ledger
     from ..vrrp.sealed import Keys
     from ..vrrp.station import Station
 
 
-def read_keys(path: str, name: str, part: FleetPart | HandoverPart) -> Keys:
+def read_keys(path: str, name: str, part: FleetSection | HandoverSection) -> Keys:
     """Read a section's keys from the settings file, or from the files that it names.
 
     Raises:
@@ -124,7 +130,7 @@
             where = audit.path if audit is not None else self.configuration
             raise SettingsError(f"{self.path}: fleet.audit.path: {error.strerror}: {where}") from None
 
-    def open_ledger(self, part: LedgerPart) -> Ledger:
+    def open_ledger(self, part: LedgerSection) -> Ledger:
         """Open the ledger and recover its contents.
 
         Raises:
@@ -139,7 +145,7 @@
         except OSError as error:
             raise SettingsError(f"{self.path}: ledger.path: {error.strerror}: {part.path}") from None
 
-    def make_server(self, part: ExtprocPart) -> Server:
+    def make_server(self, part: ExtprocSection) -> Server:
         """Create the external processor.
 
         Raises:
@@ -198,7 +204,7 @@
         if self.server is not None and self.installation.extproc is not None:
             self.listen_for_callers(self.server, self.installation.extproc)
 
-    def guard_with_ledger(self, ledger: Ledger, part: LedgerPart) -> None:
+    def guard_with_ledger(self, ledger: Ledger, part: LedgerSection) -> None:
         """Install the guard that records non-idempotent requests on disk before they are sent."""
         from ..net.link import at_most_once
         from ..store.guard import GuardRuntime, GuardSettings, LedgerGuard
@@ -215,7 +221,7 @@
         figures = {"recovered": ledger.recovered, "torn_tails": ledger.torn, "bytes": ledger.bytes}
         self.log.info("ledger", extra={"figures": figures})
 
-    def listen_for_callers(self, server: Server, part: ExtprocPart) -> None:
+    def listen_for_callers(self, server: Server, part: ExtprocSection) -> None:
         """Accept callers' connections, with TLS if configured."""
         host, port = part.listen
         if self.context is not None:
--- a/spurdeal/fleet/local_versions.py
+++ b/spurdeal/fleet/local_versions.py
@@ -11,7 +11,7 @@
 from .versions import Version, digest_of
 
 if TYPE_CHECKING:
-    from ..settings.installation import FleetPart, Installation
+    from ..settings.installation import FleetSection, Installation
 
 
 def program() -> Version:
@@ -47,7 +47,7 @@
     )
 
 
-def terms_of(part: FleetPart) -> Terms:
+def terms_of(part: FleetSection) -> Terms:
     """The settings that all members share."""
     return Terms(
         part.period,
--- a/spurdeal/fleet/station.py
+++ b/spurdeal/fleet/station.py
@@ -30,7 +30,7 @@
 from .versions import Line, Row, Version, list_digest, rows_of
 
 if TYPE_CHECKING:
-    from ..settings.installation import FleetPart, Installation
+    from ..settings.installation import FleetSection, Installation
 
 LARGEST = 65_535
 KINDS = {"standing": Kind.STANDING, "member": Kind.MEMBER, "page": Kind.WITNESS, "clash": Kind.CLASH}
@@ -107,7 +107,7 @@
         self.fleet.in_force(Line.PROGRAM, program())
         self.fleet.in_force(Line.KEYS, keyed(keys))
 
-    def make_fleet(self, name: str, part: FleetPart, keys: Keys) -> Fleet:
+    def make_fleet(self, name: str, part: FleetSection, keys: Keys) -> Fleet:
         """The member that the operator's file describes."""
         at = part.advertise or part.listen
         seeds = {seed.name: (str(seed.at[0]), seed.at[1]) for seed in part.seeds if seed.name != name}
@@ -116,7 +116,7 @@
         settings = FleetSettings(name, (str(at[0]), at[1]), seeds, terms_of(part), keys)
         return Fleet(settings, chance, self.bring, now, unix)
 
-    def make_journal(self, name: str, part: FleetPart) -> Journal | None:
+    def make_journal(self, name: str, part: FleetSection) -> Journal | None:
         """The audit log; None where the file has none."""
         if part.audit is None:
             return None
--- a/spurdeal/settings/installation.py
+++ b/spurdeal/settings/installation.py
@@ -145,7 +145,7 @@
         return self
 
 
-class HandoverPart(Part):
+class HandoverSection(Part):
     """Handover: the state that dispatchers share with their peers."""
 
     listen: SocketAddress = Field(description="address for the peers' handover datagrams, by UDP")
@@ -172,14 +172,14 @@
     keep: Duration = Field(60_000.0, description="how long an id is kept after its request's deadline")
 
 
-class TenurePart(Part):
+class TenureSection(Part):
     """Tenure: which share of cold engines' budgets each dispatcher uses."""
 
     on: bool = Field(True, description="off: each always uses 1/N, as without peers; for comparison")
     lease: Duration = Field(1000.0, ge=100, le=60_000, description="how long a lent share may be used")
 
 
-class LedgerPart(Part):
+class LedgerSection(Part):
     """The durable ledger of requests that must not run twice."""
 
     path: str = Field(min_length=1, description="a separate directory on persistent storage")
@@ -201,18 +201,18 @@
     )
 
 
-class TlsPart(Part):
+class TlsSection(Part):
     """TLS certificate and key, reloaded at SIGHUP."""
 
     certificate: str = Field(description="a PEM file with the certificate chain")
     key: str = Field(description="a PEM file with the private key")
 
 
-class ExtprocPart(Part):
+class ExtprocSection(Part):
     """The external processor: other proxies ask where and when to send each request."""
 
     listen: SocketAddress = Field(description="where callers connect, by gRPC over HTTP/2")
-    tls: TlsPart | None = Field(None, description="certificate and key; absent: plain text")
+    tls: TlsSection | None = Field(None, description="certificate and key; absent: plain text")
     message_timeout: Duration = Field(200.0, ge=5, description="the callers' message timeout")
     most_timeout: Duration = Field(0.0, description="the callers' max_message_timeout; 0: none")
     margin: Duration = Field(
@@ -234,7 +234,7 @@
     idle: Duration = Field(60_000.0, description="a connection without a call is closed after this time")
 
     @model_validator(mode="after")
-    def times_agree(self) -> ExtprocPart:
+    def times_agree(self) -> ExtprocSection:
         """Check that a response can be sent before the callers' timeout."""
         if self.margin >= self.message_timeout:
             raise ValueError("margin must be below message_timeout, or no response would be in time")
@@ -248,7 +248,7 @@
     at: SocketAddress = Field(description="its address for the fleet's datagrams")
 
 
-class AuditPart(Part):
+class AuditSection(Part):
     """The audit log: which decisions were made under which versions."""
 
     path: str = Field(min_length=1, description="a separate directory on persistent storage")
@@ -260,7 +260,7 @@
     )
 
 
-class FleetPart(Part):
+class FleetSection(Part):
     """The fleet: its membership, and what a member with outdated versions may do."""
 
     listen: SocketAddress = Field(description="address for the members' datagrams, by UDP")
@@ -298,11 +298,11 @@
     revision: int = Field(
         0, ge=0, le=1 << 48, description="the operator's version number of this file and the configuration"
     )
-    audit: AuditPart | None = Field(None, description="the audit log; absent: none")
+    audit: AuditSection | None = Field(None, description="the audit log; absent: none")
     clock_file: str | None = Field(None, description="for tests: a file with an offset to Unix time, in ms")
 
     @model_validator(mode="after")
-    def times_agree(self) -> FleetPart:
+    def times_agree(self) -> FleetSection:
         """Check that a lease outlasts probes, and that key ids and seed names are unique."""
         if self.lease < 3 * self.period:
             raise ValueError("lease must be at least three times period, or it would end between two probes")
@@ -319,11 +319,13 @@
     name: Name = Field(description="this dispatcher's name among its peers")
     peers: list[Peer] = Field(default_factory=list, max_length=8, description="the other dispatchers")
     vrrp: Vrrp | None = Field(None, description="virtual addresses; absent: none")
-    ledger: LedgerPart | None = Field(None, description="a durable ledger; absent: none")
-    extproc: ExtprocPart | None = Field(None, description="the external processor; absent: none")
-    fleet: FleetPart | None = Field(None, description="the fleet; absent: none")
-    handover: HandoverPart | None = Field(None, description="state shared with the peers; absent: none")
-    tenure: TenurePart = Field(TenurePart.model_construct(), description="shares of cold engines' budgets")
+    ledger: LedgerSection | None = Field(None, description="a durable ledger; absent: none")
+    extproc: ExtprocSection | None = Field(None, description="the external processor; absent: none")
+    fleet: FleetSection | None = Field(None, description="the fleet; absent: none")
+    handover: HandoverSection | None = Field(None, description="state shared with the peers; absent: none")
+    tenure: TenureSection = Field(
+        TenureSection.model_construct(), description="shares of cold engines' budgets"
+    )
 
     @model_validator(mode="after")
     def parts_agree(self) -> Installation:
--- a/spurdeal/vrrp/setup.py
+++ b/spurdeal/vrrp/setup.py
@@ -20,7 +20,7 @@
 from .tenure import Tenure
 
 if TYPE_CHECKING:
-    from ..settings.installation import FleetPart, HandoverPart, Installation, Vrrp
+    from ..settings.installation import FleetSection, HandoverSection, Installation, Vrrp
 
 Holder = Announcer | Listener | Commands
 
@@ -42,7 +42,7 @@
     log: logging.Logger
 
 
-def keys_of(part: HandoverPart | FleetPart) -> Keys:
+def keys_of(part: HandoverSection | FleetSection) -> Keys:
     """The keys of a part, read.
 
     Raises:
