--- a/spurdeal/cli/main.py
+++ b/spurdeal/cli/main.py
@@ -95,8 +95,8 @@
         exit_with_error(f"{file}: no group {number}")
     for peer in found.peers[:1] if as_hex else found.peers:
         source, target = found.vrrp.listen[0], peer.adverts[0]
-        told = adverts.Advert(number, group.priority, group.interval, tuple(group.addresses))
-        text = adverts.write(told, source, target).hex()
+        advertisement = adverts.Advert(number, group.priority, group.interval, tuple(group.addresses))
+        text = adverts.write(advertisement, source, target).hex()
         click.echo(text if as_hex else f"{source} to {target}: {text}")
 
 
@@ -216,10 +216,10 @@
     from ..settings.units import milliseconds
 
     try:
-        allowed = milliseconds(grace)
+        grace_ms = milliseconds(grace)
     except ValueError as error:
         exit_with_error(f"--grace: {error}")
-    findings = check_all(read_logs(folders, False), allowed)
+    findings = check_all(read_logs(folders, False), grace_ms)
     for found in findings:
         at = str(found.entry.record.stamp) if found.entry is not None else None
         click.echo(
--- a/spurdeal/cli/running.py
+++ b/spurdeal/cli/running.py
@@ -39,7 +39,7 @@
     from ..vrrp.station import Station
 
 
-def read_keys(path: str, name: str, part: FleetSection | HandoverSection) -> Keys:
+def read_keys(path: str, name: str, section: FleetSection | HandoverSection) -> Keys:
     """Read a section's keys from the settings file, or from the files that it names.
 
     Raises:
@@ -48,7 +48,7 @@
     from ..vrrp.station import keys_of
 
     try:
-        return keys_of(part)
+        return keys_of(section)
     except (OSError, ValueError) as error:
         raise SettingsError(f"{path}: {name}.keys: {error}") from None
 
@@ -130,7 +130,7 @@
             where = audit.path if audit is not None else self.configuration
             raise SettingsError(f"{self.path}: fleet.audit.path: {error.strerror}: {where}") from None
 
-    def open_ledger(self, part: LedgerSection) -> Ledger:
+    def open_ledger(self, section: LedgerSection) -> Ledger:
         """Open the ledger and recover its contents.
 
         Raises:
@@ -138,14 +138,16 @@
         """
         from ..store.ledger import Ledger, LedgerSettings
 
-        longest = part.keep + max(workload.deadline for workload in self.service.configuration.site.workloads)
-        settings = LedgerSettings(part.flush, part.ids, part.bytes, longest)
+        longest = section.keep + max(
+            workload.deadline for workload in self.service.configuration.site.workloads
+        )
+        settings = LedgerSettings(section.flush, section.ids, section.bytes, longest)
         try:
-            return Ledger(Path(part.path), self.service.clock, settings)
+            return Ledger(Path(section.path), self.service.clock, settings)
         except OSError as error:
-            raise SettingsError(f"{self.path}: ledger.path: {error.strerror}: {part.path}") from None
+            raise SettingsError(f"{self.path}: ledger.path: {error.strerror}: {section.path}") from None
 
-    def make_server(self, part: ExtprocSection) -> Server:
+    def make_server(self, section: ExtprocSection) -> Server:
         """Create the external processor.
 
         Raises:
@@ -156,32 +158,32 @@
         from ..extproc.server import Runtime, Server, ServerSettings
 
         site, configured = self.service.configuration.site, self.service.configuration
-        if site.drain_grace and part.use_within >= site.drain_grace:
+        if site.drain_grace and section.use_within >= site.drain_grace:
             raise SettingsError(
-                f"{self.path}: extproc.use_within: {part.use_within:.0f} ms must be below the "
+                f"{self.path}: extproc.use_within: {section.use_within:.0f} ms must be below the "
                 f"drain grace period of {site.drain_grace:.0f} ms"
             )
-        if part.tls is not None:
+        if section.tls is not None:
             from ..extproc.tls import ReloadableContext
 
             try:
-                self.context = ReloadableContext(part.tls.certificate, part.tls.key)
+                self.context = ReloadableContext(section.tls.certificate, section.tls.key)
             except (OSError, ValueError) as error:
                 raise SettingsError(f"{self.path}: extproc.tls: {error}") from None
         caller_settings = CallerSettings(
-            part.message_timeout,
-            part.most_timeout,
-            part.margin,
-            part.use_within,
-            part.id_header.encode(),
-            part.proof_header.encode(),
+            section.message_timeout,
+            section.most_timeout,
+            section.margin,
+            section.use_within,
+            section.id_header.encode(),
+            section.proof_header.encode(),
         )
         bounds = Bounds(
-            connections=part.connections,
-            calls=part.calls,
-            calls_each=part.calls_each,
-            message=part.message,
-            idle=part.idle,
+            connections=section.connections,
+            calls=section.calls,
+            calls_each=section.calls_each,
+            message=section.message,
+            idle=section.idle,
         )
         longest = max(workload.deadline for workload in site.workloads)
         return Server(
@@ -204,7 +206,7 @@
         if self.server is not None and self.installation.extproc is not None:
             self.listen_for_callers(self.server, self.installation.extproc)
 
-    def guard_with_ledger(self, ledger: Ledger, part: LedgerSection) -> None:
+    def guard_with_ledger(self, ledger: Ledger, section: LedgerSection) -> None:
         """Install the guard that records non-idempotent requests on disk before they are sent."""
         from ..net.link import at_most_once
         from ..store.guard import GuardRuntime, GuardSettings, LedgerGuard
@@ -212,7 +214,7 @@
         site = self.service.configuration.site
         self.adapter.guard = LedgerGuard(
             ledger,
-            GuardSettings(at_most_once(site), part.keep, site.max_retry_after),
+            GuardSettings(at_most_once(site), section.keep, site.max_retry_after),
             GuardRuntime(self.loop, self.counters, self.log),
             self.adapter.guard,
         )
@@ -221,9 +223,9 @@
         figures = {"recovered": ledger.recovered, "torn_tails": ledger.torn, "bytes": ledger.bytes}
         self.log.info("ledger", extra={"figures": figures})
 
-    def listen_for_callers(self, server: Server, part: ExtprocSection) -> None:
+    def listen_for_callers(self, server: Server, section: ExtprocSection) -> None:
         """Accept callers' connections, with TLS if configured."""
-        host, port = part.listen
+        host, port = section.listen
         if self.context is not None:
             self.loop.listenSSL(port, server, self.context, interface=str(host))
         else:
--- a/spurdeal/settings/__init__.py
+++ b/spurdeal/settings/__init__.py
@@ -1,1 +1,1 @@
-"""An operator's file: YAML, checked against types; what is wrong is told with file, line and key."""
+"""The settings file: YAML, validated by pydantic models; errors name file, line and key."""
--- a/spurdeal/settings/installation.py
+++ b/spurdeal/settings/installation.py
@@ -156,7 +156,7 @@
     )
     every: Duration = Field(100.0, ge=10, le=10_000, description="between two datagrams to each peer")
     ahead: bool = Field(
-        False, description="non-idempotent requests are told to the peers before they are sent"
+        False, description="non-idempotent requests are announced to the peers before they are sent"
     )
     ahead_wait: Duration = Field(50.0, ge=5, le=1000, description="the longest wait for the peers' answers")
     alone: Literal["refuse", "send"] = Field(
@@ -328,7 +328,7 @@
     )
 
     @model_validator(mode="after")
-    def parts_agree(self) -> Installation:
+    def sections_agree(self) -> Installation:
         """Check what the sections require of each other."""
         names = [peer.name for peer in self.peers] + [self.name]
         if len(set(names)) != len(names):
--- a/spurdeal/settings/reading.py
+++ b/spurdeal/settings/reading.py
@@ -104,10 +104,10 @@
     return dotted_path, line
 
 
-def keys(part: type[BaseModel] = Installation, before: str = "") -> Iterator[tuple[str, str, str]]:
+def keys(model: type[BaseModel] = Installation, prefix: str = "") -> Iterator[tuple[str, str, str]]:
     """Yield every key with its default and description, from the models that validate the file."""
-    for name, field in part.model_fields.items():
-        path = f"{before}{name}"
+    for name, field in model.model_fields.items():
+        path = f"{prefix}{name}"
         default = (
             "required"
             if field.is_required()
