--- a/spurdeal/cli/running.py
+++ b/spurdeal/cli/running.py
@@ -71,7 +71,11 @@
 
 
 class InstalledDispatcher:
-    """A dispatcher with the parts that its settings file adds; they start and stop together."""
+    """A dispatcher with the parts that its settings file adds; they start and stop together.
+
+    Raises:
+        SettingsError: A key, certificate, directory or value of the settings file cannot be used.
+    """
 
     def __init__(
         self,
--- a/spurdeal/extproc/connection.py
+++ b/spurdeal/extproc/connection.py
@@ -33,7 +33,17 @@
 
 @implementer(IPushProducer)
 class ProcessorConnection(Protocol):
-    """One caller's HTTP/2 connection: its streams, flow control and limits."""
+    """One caller's HTTP/2 connection: its streams, flow control and limits.
+
+    Attributes:
+        calls: Open calls by stream id.
+        last_activity: When data last arrived or the write buffer became full, in ms of the adapter's clock.
+        admitted: Whether the connection is within the limit and counted.
+        closing: Whether nothing more is read or written.
+        write_blocked: Whether reading is paused because the write buffer is full.
+        producing: Whether this is registered as the transport's producer.
+        highest_stream_id: The highest id of a stream that the caller has opened; sent with GOAWAY.
+    """
 
     transport: Any
 
--- a/spurdeal/extproc/granter.py
+++ b/spurdeal/extproc/granter.py
@@ -28,7 +28,13 @@
 
 
 class Granter:
-    """Grants engines to callers; implements net.requests.Sender."""
+    """Grants engines to callers; implements net.requests.Sender.
+
+    Attributes:
+        grants: The state of all open grants, at most `max_grants`.
+        calls: Calls by id, in lower case; used to find the call of an attempt.
+        leases: Attempts whose grant has been sent, by the call's number.
+    """
 
     def __init__(
         self,
--- a/spurdeal/extproc/server.py
+++ b/spurdeal/extproc/server.py
@@ -53,7 +53,13 @@
 
 
 class Server(ServerFactory):
-    """Accepts callers' connections and checks the timeouts of queued calls."""
+    """Accepts callers' connections and checks the timeouts of queued calls.
+
+    Attributes:
+        connections: All admitted connections.
+        queued: Calls that wait for the adapter's answer.
+        stopping: Whether the graceful shutdown has begun.
+    """
 
     noisy = False
 
--- a/spurdeal/extproc/stream.py
+++ b/spurdeal/extproc/stream.py
@@ -25,7 +25,24 @@
 
 
 class Call:
-    """One call on one gRPC stream, from its request headers to its outcome."""
+    """One call on one gRPC stream, from its request headers to its outcome.
+
+    Attributes:
+        number: The call's number, unique in this process; that of its grant.
+        opened_at: When the stream was opened, in ms of the adapter's clock.
+        caller_timeout: The stream's grpc-timeout header; None if it has none.
+        unsent: Framed messages that wait for flow control window.
+        request_received: Whether request_headers, or an invalid first message, has been received.
+        granted: Whether the grant has been sent, so that the request may run.
+        outcome_received: Whether response_headers have been received for the grant.
+        finished: Whether further messages from the caller are ignored.
+        remote_closed: Whether the caller has half-closed the stream.
+        headers_sent: Whether the response's HTTP/2 headers have been sent.
+        answer: The adapter's answer; None until the call has been passed to it.
+        answer_by: When a queued call is rejected, in ms of the adapter's clock.
+        extend_at: When more time is requested, in ms of the adapter's clock; inf: never, or done.
+        extended_timeout: The message timeout to request then, in ms.
+    """
 
     def __init__(self, connection: ProcessorConnection, stream: int, caller_timeout: bytes | None) -> None:
         self.connection, self.stream, self.opened_at = connection, stream, connection.now()
--- a/spurdeal/extproc/tls.py
+++ b/spurdeal/extproc/tls.py
@@ -9,6 +9,10 @@
 class ReloadableContext(ssl.ContextFactory):
     """A context factory whose certificate and key can be reloaded.
 
+    Args:
+        certificate: Path of a PEM file with the certificate chain, the server's own first.
+        key: Path of a PEM file with the private key.
+
     Raises:
         OSError: A file cannot be read.
         ValueError: A file is invalid, or key and certificate don't match.
--- a/tests/test_extproc.py
+++ b/tests/test_extproc.py
@@ -271,10 +271,10 @@
 
     def ledger(self) -> None:
         service = self.world.service
-        made = Ledger(self.path, self.world.now, LedgerSettings("never"))
-        self.addCleanup(made.close)
+        ledger = Ledger(self.path, self.world.now, LedgerSettings("never"))
+        self.addCleanup(ledger.close)
         service.adapter.guard = LedgerGuard(
-            made,
+            ledger,
             GuardSettings(at_most_once(service.configuration.site), 60_000, 500.0),
             GuardRuntime(self.world.reactor, service.counters, service.log),
         )
