--- a/spurdeal/settings/installation.py
+++ b/spurdeal/settings/installation.py
@@ -33,13 +33,13 @@
 SocketAddress = Annotated[tuple[Address, int], BeforeValidator(socket_address)]
 
 
-class Part(BaseModel):
+class Section(BaseModel):
     """Base of all sections of the file; unknown keys are errors."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, strict=False)
 
 
-class Track(Part):
+class Track(Section):
     """A condition that lowers a group's priority while it holds."""
 
     condition: Literal["list_stale", "no_engine", "shut_out", "stopping"] = Field(
@@ -49,21 +49,21 @@
     lowers: int = Field(ge=1, le=254, description="how much the priority is lowered, down to 1 at least")
 
 
-class Announce(Part):
+class Announce(Section):
     """Holds an address by announcing it to a switch, like a gratuitous ARP."""
 
     kind: Literal["announce"] = Field(description="announce the address to a switch")
     switch: SocketAddress = Field(description="the switch's address for announcements, by UDP")
 
 
-class Listen(Part):
+class Listen(Section):
     """Holds an address by listening on it in this process."""
 
     kind: Literal["listen"] = Field(description="this process listens on the address itself")
     port: int = Field(ge=1, le=65535, description="the port that clients connect to")
 
 
-class Command(Part):
+class Command(Section):
     """Holds an address by running a command, given as an argument list without a shell."""
 
     kind: Literal["command"] = Field(description="run a command to take and release the address")
@@ -72,7 +72,7 @@
     within: Duration = Field(2000.0, description="the command is killed after this time, and counted")
 
 
-class Group(Part):
+class Group(Section):
     """A virtual router (VRRP): addresses that one dispatcher holds at a time."""
 
     group: int = Field(ge=1, le=255, description="the VRID")
@@ -98,7 +98,7 @@
         return self
 
 
-class Peer(Part):
+class Peer(Section):
     """Another dispatcher of the installation."""
 
     name: Name = Field(description="its name, as its own file says")
@@ -106,7 +106,7 @@
     handover: SocketAddress = Field(description="where it listens for handover")
 
 
-class Vrrp(Part):
+class Vrrp(Section):
     """VRRP: which dispatcher holds which addresses."""
 
     listen: SocketAddress = Field(description="address for the peers' advertisements, by UDP")
@@ -130,7 +130,7 @@
         return self
 
 
-class Key(Part):
+class Key(Section):
     """A shared key that authenticates datagrams between dispatchers."""
 
     id: int = Field(ge=0, le=255, description="the same at all dispatchers")
@@ -145,7 +145,7 @@
         return self
 
 
-class HandoverSection(Part):
+class HandoverSection(Section):
     """Handover: the state that dispatchers share with their peers."""
 
     listen: SocketAddress = Field(description="address for the peers' handover datagrams, by UDP")
@@ -172,14 +172,14 @@
     keep: Duration = Field(60_000.0, description="how long an id is kept after its request's deadline")
 
 
-class TenureSection(Part):
+class TenureSection(Section):
     """Tenure: which share of cold engines' budgets each dispatcher uses."""
 
     on: bool = Field(True, description="off: each always uses 1/N, as without peers; for comparison")
     lease: Duration = Field(1000.0, ge=100, le=60_000, description="how long a lent share may be used")
 
 
-class LedgerSection(Part):
+class LedgerSection(Section):
     """The durable ledger of requests that must not run twice."""
 
     path: str = Field(min_length=1, description="a separate directory on persistent storage")
@@ -201,14 +201,14 @@
     )
 
 
-class TlsSection(Part):
+class TlsSection(Section):
     """TLS certificate and key, reloaded at SIGHUP."""
 
     certificate: str = Field(description="a PEM file with the certificate chain")
     key: str = Field(description="a PEM file with the private key")
 
 
-class ExtprocSection(Part):
+class ExtprocSection(Section):
     """The external processor: other proxies ask where and when to send each request."""
 
     listen: SocketAddress = Field(description="where callers connect, by gRPC over HTTP/2")
@@ -241,14 +241,14 @@
         return self
 
 
-class Seed(Part):
+class Seed(Section):
     """A member that a joining dispatcher contacts first."""
 
     name: Name = Field(description="its name, as its own file says")
     at: SocketAddress = Field(description="its address for the fleet's datagrams")
 
 
-class AuditSection(Part):
+class AuditSection(Section):
     """The audit log: which decisions were made under which versions."""
 
     path: str = Field(min_length=1, description="a separate directory on persistent storage")
@@ -260,7 +260,7 @@
     )
 
 
-class FleetSection(Part):
+class FleetSection(Section):
     """The fleet: its membership, and what a member with outdated versions may do."""
 
     listen: SocketAddress = Field(description="address for the members' datagrams, by UDP")
@@ -284,7 +284,7 @@
     part: float = Field(0.34, gt=0.0, le=1.0, description="fraction of the lease grantors that must answer")
     forget: Duration = Field(600_000.0, description="how long a member that is gone still counts")
     behind_for: Duration = Field(
-        2000.0, description="a member's lease lapses after being behind the newest list for this time"
+        2000.0, description="a member lapses after being behind the newest list for this time"
     )
     shut_after: Duration = Field(
         4000.0, description="a member is shut out after being lapsed for this time without recovery"
@@ -313,7 +313,7 @@
         return self
 
 
-class Installation(Part):
+class Installation(Section):
     """The settings file of one dispatcher."""
 
     name: Name = Field(description="this dispatcher's name among its peers")
