--- a/spurdeal/benchlink/records.py
+++ b/spurdeal/benchlink/records.py
@@ -1,4 +1,4 @@
-"""The layouts of the records in frames, little endian, and what two of them tell."""
+"""Layouts of the records in frames (little-endian), and two of them decoded."""
 
 import struct
 from typing import NamedTuple
@@ -19,20 +19,20 @@
 ENTRY = struct.Struct("<6sBHHBfd")
 
 
-class TripResult(NamedTuple):
-    """How a trip has ended, as a frame tells it.
+class AttemptResult(NamedTuple):
+    """How an attempt ended, from a SETTLED record.
 
     Attributes:
-        trip: Its number within the submission.
+        attempt: Its number within the request, from 0.
         engine: Our index of the engine.
-        ending: The value of an Ending.
-        took: How long it took, in ms.
-        final: Whether the submission is over with it.
-        bill: Work in the bits from BILL_SHIFT on, and below them memory in units of BILL_UNIT MB.
-        report: What the engine tells of itself.
+        ending: Value of an Ending.
+        took: Its duration in ms.
+        final: Whether the request is over with it; 0 or 1.
+        bill: Work in the bits from BILL_SHIFT up, and below them memory in units of BILL_UNIT MB.
+        report: Figures of the engine's state, in the order of the settings' report fields.
     """
 
-    trip: int
+    attempt: int
     engine: int
     ending: int
     took: float
@@ -41,10 +41,17 @@
     report: tuple[float, ...]
 
 
-class Notice(NamedTuple):
-    """What an engine says of a trip: its number, our index of the engine, the value of a Word, a level."""
+class ProgressReport(NamedTuple):
+    """An engine's report on a running attempt, from an UPDATE record.
 
-    trip: int
+    Attributes:
+        attempt: Its number within the request, from 0.
+        engine: Our index of the engine.
+        kind: Value of a ProgressKind.
+        level: For its meaning see ProgressKind.
+    """
+
+    attempt: int
     engine: int
-    word: int
+    kind: int
     level: float
--- a/spurdeal/deployment.py
+++ b/spurdeal/deployment.py
@@ -1,45 +1,58 @@
-"""Turns the settings that a link hands over into a Deployment: names to indices, absent keys to defaults."""
+"""Turns an adapter's settings into a Deployment: names become indices, absent keys become defaults."""
 
 from collections.abc import Sequence
 from typing import Any
 
 from .interface import Deployment, Effect, Reach, Workload
 
-EFFECTS = {"repeatable": Effect.REDOABLE, "by_key": Effect.LABELLED, "once": Effect.IRREVERSIBLE}
-REACHES = {"all": Reach.ALL, "zone": Reach.LOCATION, "cell": Reach.CELL}
+EFFECTS = {"repeatable": Effect.IDEMPOTENT, "by_key": Effect.IDEMPOTENT_BY_KEY, "once": Effect.NON_IDEMPOTENT}
+REACHES = {"all": Reach.ALL, "zone": Reach.ZONE, "cell": Reach.CELL}
 IN_HAND = "rif"
 
 
 def indices(names: Sequence[Any] | None, known: Sequence[str]) -> tuple[int, ...] | None:
-    """Places given by name or by number, in the terms of list entries. None given: all are open."""
+    """Indices of zones or kinds of machine that are given by name or by index. None: no restriction.
+
+    Raises:
+        ValueError: A name is not among the known ones.
+    """
     if not names:
         return None
     return tuple(name if isinstance(name, int) else known.index(name) for name in names)
 
 
 def optional(figure: Any) -> float | None:
+    """The figure as a float, or None where none is set."""
     return None if figure is None else float(figure)
 
 
 class BadSettings(ValueError):
-    """Settings that cannot be used; the text says why."""
+    """The settings cannot be used; the message says why."""
 
 
 def without_nulls(value: Any) -> Any:
-    """What is null counts as left out, at every depth; a place in a list stays one."""
+    """Drop the keys whose value is null, at every depth. Null entries of lists stay."""
     if isinstance(value, dict):
         return {name: without_nulls(inner) for name, inner in value.items() if inner is not None}
     return [without_nulls(inner) for inner in value] if isinstance(value, list) else value
 
 
 def reported(options: dict[str, Any]) -> list[str]:
-    """The names of the figures in the reports that come with answers; none where none come."""
+    """The names of the figures in the reports that come with answers; empty if none come."""
     report = options.get("report") or {}
     names = [str(name) for name in report.get("fields") or []]
     return names if report.get("how") == "piggyback" else []
 
 
 def deployment(options: object) -> Deployment:
+    """The Deployment that these settings describe.
+
+    Args:
+        options: The parsed JSON settings. Keys whose value is null count as absent.
+
+    Raises:
+        BadSettings: A key is missing, or a value has the wrong type or is unknown.
+    """
     if not isinstance(options, dict):
         raise BadSettings("settings are not a JSON object")
     try:
@@ -60,16 +73,16 @@
     fields = reported(options)
     workloads = tuple(
         Workload(
-            agreed=float(grade["aim"]),
+            objective=float(grade["aim"]),
             stretch=float(grade.get("aim_stretch", 0.0)),
-            expiry=float(grade["deadline"]),
-            utility=float(grade.get("worth", 1.0)),
-            late_utility=float(grade.get("late_worth", 0.0)),
+            deadline=float(grade["deadline"]),
+            value=float(grade.get("worth", 1.0)),
+            late_value=float(grade.get("late_worth", 0.0)),
             effect=EFFECTS[grade.get("effect", "repeatable")],
             reach=REACHES[grade.get("group", "all")],
-            known_for=float(grade.get("window", 0.0)),
+            key_retention=float(grade.get("window", 0.0)),
             in_order=bool(grade.get("serial_by_key", False)),
-            locations=indices(grade.get("zones_open"), zones),
+            zones=indices(grade.get("zones_open"), zones),
             kinds=indices(grade.get("models_allowed"), models),
             threads=max(1, int(threads[place] or 1)),
             holds_tables=bool(holds[place]),
@@ -82,32 +95,32 @@
     return Deployment(
         index=int(options.get("index", 0)),
         dispatchers=max(1, int(options.get("balancers", 1))),
-        location=int(options.get("zone", 0)),
+        zone=int(options.get("zone", 0)),
         workloads=workloads,
         quotas=tuple(float(tenant.get("quota_per_s", 0.0)) for tenant in options.get("tenants", [])),
-        over_share_utility=float(options.get("over_share_worth", 1.0)),
+        over_share_value=float(options.get("over_share_worth", 1.0)),
         cores=tuple(max(1, int(cores or 1)) for cores in extra.get("cpu_of_kind", [])),
         memory_mb=tuple(float(memory) for memory in extra.get("memory_by_kind_mb", [])),
-        in_hand=fields.index(IN_HAND) if IN_HAND in fields else None,
+        load_field=fields.index(IN_HAND) if IN_HAND in fields else None,
         list_pushed=options.get("membership_mode", "pushed") == "pushed",
-        may_call_off=bool(limits.get("cancelling", False)),
+        may_cancel=bool(limits.get("cancelling", False)),
         may_probe=bool(limits.get("may_probe", False)),
         may_tell=bool(limits.get("may_tell", False)),
         second_copies=bool(limits.get("second_copies", False)),
-        most_trips=max(1, int(limits.get("send_cap", 1))),
-        most_come_back=float(limits.get("max_retry_after", 0.0)) if limits.get("retry_after") else 0.0,
+        max_attempts=max(1, int(limits.get("send_cap", 1))),
+        max_retry_after=float(limits.get("max_retry_after", 0.0)) if limits.get("retry_after") else 0.0,
         grants=bool(extra.get("grants_count", False)),
         pages=extra.get("memory_short") == "swap",
         priorities=bool(extra.get("priorities", False)),
         largest_grant=float(extra.get("grant_cap", 1.0)),
-        notes_every=float(extra.get("note_period", 0.0)),
+        progress_interval=float(extra.get("note_period", 0.0)),
         drain_grace=float(rules.get("drain_grace", 0.0)),
         cold_for=float(rules.get("cold", 0.0)),
         cold_share=float(rules.get("cold_share", 1.0)),
         cold_multiple=float(rules.get("fall_multiple", 1.0)),
         cold_window=float(rules.get("tip_after", 0.0)),
-        order_rest=optional(rules.get("order_settle")),
-        further_free=optional(rules.get("extra_floor")),
-        further_share=optional(rules.get("repeat_ratio")),
-        further_window=optional(rules.get("counted_over")),
+        order_pause=optional(rules.get("order_settle")),
+        retry_floor=optional(rules.get("extra_floor")),
+        retry_ratio=optional(rules.get("repeat_ratio")),
+        retry_window=optional(rules.get("counted_over")),
     )
--- a/spurdeal/fleet/fleet.py
+++ b/spurdeal/fleet/fleet.py
@@ -1,9 +1,9 @@
-"""One dispatcher's side of the fleet: membership, versions, lease, standing and catching up together.
+"""One dispatcher's side of the fleet: membership, versions, lease, standing and list synchronization.
 
-Free of I/O. A link calls `tick` every TICK ms and `take` for each datagram, sends what is in `out`, and logs
-what is in `told`. Both clocks come with each call: ms of a monotonic clock that runs on while the process
-stands still, and Unix ms. Nothing that comes from outside raises; what cannot be used is counted by its
-reason and changes nothing.
+Free of I/O. The caller calls `tick` every TICK ms and `take` for each datagram, sends what is in `out` and
+logs what is in `events`. Both clocks are passed with each call: ms of a monotonic clock that keeps running
+while the process is suspended, and Unix ms. Nothing that comes from outside raises; what cannot be used is
+counted by its reason and changes nothing.
 """
 
 from __future__ import annotations
@@ -18,47 +18,47 @@
 from ..vrrp.sealed import Keys, Session
 from . import wire
 from .audit import SealedPage
-from .bringing import Rows, Shelf
-from .hybrid import Hybrid
+from .bringing import ListStore, Rows
+from .hybrid import HybridClock
 from .lease import GRANTORS, Grantor, Lease
 from .list_sync import READY, ListSync
 from .members import Address, Change, Life, Members, Record
 from .messenger import Messenger
 from .name_conflict import NameConflict
-from .receiver import Heard, Receiver
+from .receiver import PeerReport, Receiver
 from .renewal import LeaseRenewal
-from .standing import Allowed, Ladder, Limits, Seen, Standing
+from .standing import Allowed, Limits, Observations, Standing, StandingTracker
 from .status import fleet_status
 from .stop_inquiries import StopInquiries
 from .table_sync import TableSync
-from .terms import TICK, Terms, Told
-from .versions import Book, Clash, Line, Version
+from .terms import TICK, FleetEvent, SharedSettings
+from .versions import Artifact, Clash, Version, VersionRegistry
 
-__all__ = ["READY", "TICK", "Fleet", "FleetSettings", "Terms", "Told"]
+__all__ = ["READY", "TICK", "Fleet", "FleetEvent", "FleetSettings", "SharedSettings"]
 
-MIN_CLOCKS = 3  # so many others must tell theirs, before ours can be found off
+MIN_CLOCKS = 3  # other members whose clocks must be known before ours can be judged
 SHIFT_EVERY = 250.0  # ms
-CLOCK_AGE = 10_000.0  # ms that a member's word on its clock counts
+CLOCK_AGE = 10_000.0  # ms for which a member's reported clock is valid
 MAX_TOLD_ONCE = 1024
-MAX_STRANGERS = 256  # names that have shown a key and not yet their start
+MAX_STRANGERS = 256  # names with a valid key that are not members yet
 
 
 @dataclass(frozen=True)
 class FleetSettings:
-    """Who a member is.
+    """The identity of a member, and the settings of its fleet.
 
     Attributes:
         name: Its name, unique in the fleet.
-        address: Where the others reach it.
-        seeds: Members to ask at a start, by name; one without any acts alone.
-        terms: What all members share.
+        address: The address at which the others reach it.
+        seeds: Members to contact at a start, by name; a member without seeds acts alone.
+        shared: Settings that all members share.
         keys: Keys of the sealed datagrams.
     """
 
     name: str
     address: Address
     seeds: Mapping[str, Address]
-    terms: Terms
+    shared: SharedSettings
     keys: Keys
 
 
@@ -66,9 +66,9 @@
     """A member of the fleet.
 
     Args:
-        settings: Who it is, and what all members share.
+        settings: Its identity, and the settings that all members share.
         chance: Source of its random choices.
-        bring: Called with a list that was fetched from a peer and checked; it is to be put in force.
+        apply_list: Called with a list that was fetched from a peer and checked, to put it in force.
         now: Monotonic ms.
         unix: Unix ms.
     """
@@ -77,45 +77,45 @@
         self,
         settings: FleetSettings,
         chance: random.Random,
-        bring: Callable[[Version, Rows], None],
+        apply_list: Callable[[Version, Rows], None],
         now: float,
         unix: float,
     ) -> None:
         self.name, self.address, self.seeds = settings.name, settings.address, dict(settings.seeds)
-        self.terms, self.keys = settings.terms, settings.keys
-        self.chance, self.bring = chance, bring
+        self.shared, self.keys = settings.shared, settings.keys
+        self.chance, self.apply_list = chance, apply_list
         self.out: list[tuple[Address, bytes]] = []
-        self.told: list[Told] = []
-        self.told_once: set[str] = set()
+        self.events: list[FleetEvent] = []
+        self.reported_once: set[str] = set()
         self.counts: Counter[str] = Counter()
-        self.hybrid, self.book = Hybrid(unix), Book(self.name)
-        terms = self.terms
-        limits = Limits(terms.behind_for, terms.shut_after, terms.most_shut, terms.clock_off)
-        self.ladder = Ladder(self.name, limits, now)
+        self.hybrid, self.registry = HybridClock(unix), VersionRegistry(self.name)
+        shared = self.shared
+        limits = Limits(shared.behind_for, shared.shut_after, shared.most_shut, shared.clock_off)
+        self.tracker = StandingTracker(self.name, limits, now)
         self.rows: Rows = {}
-        self.page: SealedPage | None = None  # the newest of our own audit log
+        self.page: SealedPage | None = None  # the newest sealed page of our own audit log
         self.clock_shift, self.next_shift = 0.0, now
-        self.skew = 0.0  # of the system's Unix time before that which we are given, which does not step
+        self.skew = 0.0  # ms by which the system's Unix time is ahead of the non-stepping time passed to us
         self.leaving = False
         self.list_sync, self.receiver = ListSync(self, now), Receiver(self)
         self.name_conflict = NameConflict(self)
         self.begin(now)
 
     def begin(self, now: float) -> None:
-        """A start: nothing is known of the others."""
+        """Begin a start, without knowledge of the others."""
         self.boot = self.chance.getrandbits(62) | 1
         self.name_conflict.begin(self.boot)
         own = Record(self.name, *self.address, self.boot, 1, Life.ALIVE)
-        self.members = Members(own, self.terms.period, self.terms.forget, self.chance, now)
-        self.lease = Lease(self.terms.lease, self.terms.part)
-        self.lease.alone = not self.seeds
-        self.grantor = Grantor(self.terms.lease, now)
-        self.heard: dict[str, Heard] = {}
+        self.members = Members(own, self.shared.period, self.shared.forget, self.chance, now)
+        self.lease = Lease(self.shared.lease, self.shared.part)
+        self.lease.sole_member = not self.seeds
+        self.grantor = Grantor(self.shared.lease, now)
+        self.peer_reports: dict[str, PeerReport] = {}
         self.messenger, self.renewal = Messenger(self, now), LeaseRenewal(self, self.lease, now)
         self.table_sync, self.stops = TableSync(self, now), StopInquiries(self)
         self.ticked = now
 
-    # Parts of the member that others use.
+    # Accessors of its components.
 
     @property
     def sessions(self) -> dict[str, Session]:
@@ -123,92 +123,92 @@
         return self.messenger.sessions
 
     @property
-    def shelf(self) -> Shelf:
-        """Lists that are kept for those who are behind."""
-        return self.list_sync.shelf
+    def list_store(self) -> ListStore:
+        """Lists that are kept for members that are behind."""
+        return self.list_sync.list_store
 
     @property
     def twin(self) -> bool:
-        """Whether another process has our name, and we have given way."""
+        """Whether another process has our name and we have yielded it."""
         return self.name_conflict.yielded
 
     @property
     def synced(self) -> bool:
-        """Whether a whole member table was got since the start, or since we returned."""
+        """Whether a whole member table was pulled since the start, or since our return."""
         return self.table_sync.synced
 
     @synced.setter
     def synced(self, synced: bool) -> None:
         self.table_sync.synced = synced
 
-    # Queries, and what the dispatcher tells.
+    # Queries and notifications of the dispatcher.
 
     def allowed(self, now: float) -> Allowed:
-        """What may be sent at this moment.
+        """What may be sent now.
 
-        The lease is looked at anew, as the process may have stood still.
+        The lease is checked again, as the process may have been paused since the last tick.
         """
-        allowed = self.ladder.allowed
+        allowed = self.tracker.allowed
         return allowed if self.lease.holds(now) else allowed._replace(doubtful=False)
 
     def in_force(
-        self, line: Line, version: Version, rows: Rows | None = None, by_source: bool = True
+        self, artifact: Artifact, version: Version, rows: Rows | None = None, by_source: bool = True
     ) -> bool:
-        """Note what this dispatcher acts on from now on.
+        """Record the version that this dispatcher acts on from now on.
 
         Args:
-            line: Which of the versioned things it is: engine list, configuration, program, keys.
-            version: The one that is acted on now.
-            rows: The engine list itself, where `line` is LIST.
-            by_source: Whether our own source told it, and not a peer.
+            artifact: What is versioned: engine list, configuration, program or keys.
+            version: The version now in force.
+            rows: The engine list itself, if `artifact` is LIST.
+            by_source: Whether it comes from our own source rather than from a peer.
 
         Returns:
             Whether it is newer than what was in force.
         """
-        taken = self.book.take(line, version, by_source)
+        taken = self.registry.put_in_force(artifact, version, by_source)
         if taken and rows is not None:
             self.rows = rows
-            self.shelf.keep(version, rows)
-        for clash in self.book.clashes.values():
-            self.tell_clash(clash)
+            self.list_store.keep(version, rows)
+        for clash in self.registry.clashes.values():
+            self.report_clash(clash)
         return taken
 
-    def source_says(self, version: Version) -> None:
-        """What our source says that the version in force holds: other content than ours is a clash."""
-        own = self.book.force.get(Line.LIST)
+    def note_source_content(self, version: Version) -> None:
+        """Compare our source's content for the version in force with ours: a difference is a clash."""
+        own = self.registry.in_force.get(Artifact.LIST)
         if own is not None and own.order == version.order and own.digest != version.digest:
-            for clash in self.book.clash(Line.LIST, version, f"{self.name}'s source"):
-                self.tell_clash(clash)
+            for clash in self.registry.clash(Artifact.LIST, version, f"{self.name}'s source"):
+                self.report_clash(clash)
 
     def source_answered(self, now: float) -> None:
-        """The name service has answered, whether or not with news."""
-        self.list_sync.source_at = now
+        """The name service has answered, with a new list or not."""
+        self.list_sync.source_answered_at = now
 
     def stopped(self, now: float, name: str) -> bool:
-        """Whether that member, gone as we see it, is known to send nothing irreversible any more."""
+        """Whether that member, gone in our view, is known to send no non-idempotent request any more."""
         return self.stops.stopped(now, name)
 
     def leave(self, now: float, unix: float) -> None:
-        """A planned end is told to some at once; news carries it on."""
+        """Announce a graceful shutdown to some members at once; gossip spreads it."""
         self.leaving = True
         self.members.leave()
         for name in self.members.alive()[: 2 * GRANTORS]:
             self.messenger.ping(now, unix, name)
 
     def status(self, now: float) -> dict[str, Any]:
-        """All that is known here of the fleet, ready for JSON."""
+        """This member's view of the fleet, ready for JSON."""
         return fleet_status(self, now)
 
-    # Time.
+    # Timers.
 
     def tick(self, now: float, unix: float) -> None:
-        """Everything that is due by now."""
+        """Do everything that is due."""
         paused = self.note_pause(now)
         probe, helpers = self.members.tick(now)
         if probe is not None:
             self.messenger.ping(now, unix, probe)
         for helper in helpers:
-            self.messenger.ping_through(now, unix, helper)
+            self.messenger.ping_indirectly(now, unix, helper)
         self.renewal.tick(now, unix, paused)
         self.table_sync.tick(now, unix)
         self.table_sync.contact_seeds(now, unix)
@@ -216,36 +216,36 @@
         self.stops.tick(now, unix)
         self.take_changes()
         self.name_conflict.settle(now)
-        self.stand(now)
+        self.update_standing(now)
 
     def note_pause(self, now: float) -> bool:
-        """Whether the process has stood still; what did not come meanwhile proves nothing then."""
+        """Whether the process was paused; if so, shift the timers, as silence proves nothing then."""
         gap = now - self.ticked
         self.ticked = now
-        if gap <= 2 * self.terms.period:
+        if gap <= 2 * self.shared.period:
             return False
-        self.list_sync.source_at += gap
-        self.ladder.stood_still(gap)
+        self.list_sync.source_answered_at += gap
+        self.tracker.discount_pause(gap)
         return True
 
-    def stand(self, now: float) -> None:
-        """Judge our standing anew, and start anew where the lease is lost for good."""
+    def update_standing(self, now: float) -> None:
+        """Update our standing, and begin a new start if the lease is lost for good."""
         held = self.renewal.held(now)
         if now >= self.next_shift:
             self.next_shift, self.clock_shift = now + SHIFT_EVERY, self.shift(now)
-        if self.ladder.step(now, self.seen(now, held)):
-            self.tell_standing()
-            if self.ladder.standing is Standing.JOINING:
+        if self.tracker.step(now, self.observe(now, held)):
+            self.report_standing()
+            if self.tracker.standing is Standing.JOINING:
                 self.table_sync.restart(now)
         if self.renewal.lost_for_good(now):
             self.rejoin(now)
 
-    def seen(self, now: float, held: bool) -> Seen:
-        """What the standing is judged on."""
-        return Seen(
+    def observe(self, now: float, held: bool) -> Observations:
+        """The inputs of the standing."""
+        return Observations(
             held,
-            self.book.behind(),
-            now - self.list_sync.source_at,
+            self.registry.behind(),
+            now - self.list_sync.source_answered_at,
             self.others_behind,
             self.members.size(),
             self.synced,
@@ -254,64 +254,64 @@
         )
 
     def rejoin(self, now: float) -> None:
-        """Go on as a new start, which owes all that a new one owes.
+        """Continue as a new start, with all that a new start must do first.
 
-        Its grantors are lost for good, or refuse it.
+        Called when the grantors are lost for good, or refuse the present start.
         """
         incarnation, others = self.members.highest_incarnation, dict(self.members.others)
         before = self.boot
         self.begin(now)
         for record in others.values():
             if record.life <= Life.SUSPECT:
-                self.members.put(now, record, self.name)
+                self.members.set_record(now, record, self.name)
         self.members.raise_incarnation(incarnation)
-        self.lease.alone = self.lease.alone and not self.members.others
-        self.ladder.returned += 1
-        self.told.append(Told("rejoined", {"before": f"{before:016x}", "boot": f"{self.boot:016x}"}))
+        self.lease.sole_member = self.lease.sole_member and not self.members.others
+        self.tracker.returned += 1
+        self.events.append(FleetEvent("rejoined", {"before": f"{before:016x}", "boot": f"{self.boot:016x}"}))
 
     def others_behind(self) -> list[str]:
-        """Members that are on an older list than the newest, or shut out, by their last word."""
-        newest = self.book.newest(Line.LIST)
+        """Members with a list older than the newest, or shut out, by their last message."""
+        newest = self.registry.newest(Artifact.LIST)
         if newest is None:
             return []
         return [
             name
-            for name, claims in self.book.claims.items()
-            if (Line.LIST in claims and claims[Line.LIST].order < newest.order)
-            or (name in self.heard and self.heard[name].standing is Standing.SHUT)
+            for name, claims in self.registry.claims.items()
+            if (Artifact.LIST in claims and claims[Artifact.LIST].order < newest.order)
+            or (name in self.peer_reports and self.peer_reports[name].standing is Standing.SHUT)
         ]
 
     def shift(self, now: float) -> float:
-        """How far our Unix time lies before the median of the others', in ms.
+        """How far our Unix time is ahead of the median of the others', in ms.
 
-        0 while too few have told theirs.
+        0 while too few have reported theirs.
         """
-        told = [heard.clock for heard in self.heard.values() if now - heard.at <= CLOCK_AGE]
-        return -median(told) if len(told) >= MIN_CLOCKS else 0.0
+        clocks = [heard.clock for heard in self.peer_reports.values() if now - heard.at <= CLOCK_AGE]
+        return -median(clocks) if len(clocks) >= MIN_CLOCKS else 0.0
 
     # Changes of the members.
 
     def take_changes(self) -> None:
-        """Report what has changed among the members, and act on who is gone."""
+        """Report changes of members, and act on those that are gone or have left."""
         changes, self.members.changes = self.members.changes, []
         for change in changes:
-            self.tell_change(change)
+            self.report_change(change)
             if change.life is Life.GONE:
                 self.grantor.refuse(change.name, change.boot)
                 self.stops.begin(change.name, change.boot)
             if change.life >= Life.GONE:
-                self.book.forget(change.name)
-                self.heard.pop(change.name, None)
+                self.registry.forget(change.name)
+                self.peer_reports.pop(change.name, None)
         self.bound_tables()
 
     def bound_tables(self) -> None:
-        """Drop strangers from the tables that one with a key can fill with names."""
+        """Drop non-members from the tables, which a holder of a key could fill with invented names."""
         most = len(self.members.others) + len(self.seeds) + MAX_STRANGERS
         tables: tuple[dict[str, Any], ...] = (
             self.sessions,
             self.grantor.grants,
-            self.heard,
-            self.book.claims,
+            self.peer_reports,
+            self.registry.claims,
         )
         for table in tables:
             if len(table) > most:
@@ -320,48 +320,48 @@
 
     # Events.
 
-    def tell_change(self, change: Change) -> None:
-        """Report how a member is."""
+    def report_change(self, change: Change) -> None:
+        """Report a member's change of state."""
         figures = {
             "name": change.name,
             "life": change.life.name.lower(),
             "boot": f"{change.boot:016x}",
             "why": change.why,
         }
-        self.told.append(Told("member", figures))
+        self.events.append(FleetEvent("member", figures))
 
-    def tell_standing(self) -> None:
+    def report_standing(self) -> None:
         """Report our standing."""
         figures = {
-            "standing": self.ladder.standing.name.lower(),
-            "why": self.ladder.why,
-            "list": str(self.book.force.get(Line.LIST, "")),
+            "standing": self.tracker.standing.name.lower(),
+            "why": self.tracker.why,
+            "list": str(self.registry.in_force.get(Artifact.LIST, "")),
         }
-        self.told.append(Told("standing", figures))
+        self.events.append(FleetEvent("standing", figures))
 
-    def tell_clash(self, clash: Clash) -> None:
-        """Report, once, two contents of one version."""
-        self.tell_once(f"clash {clash}", "clash", {"says": str(clash)})
+    def report_clash(self, clash: Clash) -> None:
+        """Report a clash, once."""
+        self.report_once(f"clash {clash}", "clash", {"says": str(clash)})
 
-    def tell_once(self, key: str, what: str, figures: dict[str, Any]) -> None:
-        """Report once what lasts; `key` tells one such thing from another."""
-        if key not in self.told_once and len(self.told_once) < MAX_TOLD_ONCE:
-            self.told_once.add(key)
-            self.told.append(Told(what, figures))
+    def report_once(self, key: str, what: str, figures: dict[str, Any]) -> None:
+        """Report a lasting condition once; `key` identifies it."""
+        if key not in self.reported_once and len(self.reported_once) < MAX_TOLD_ONCE:
+            self.reported_once.add(key)
+            self.events.append(FleetEvent(what, figures))
 
     # Datagrams.
 
-    def take(self, now: float, unix: float, source: Address, datagram: bytes) -> None:
-        """A datagram has come. Raises nothing."""
-        self.receiver.take(now, unix, source, datagram)
+    def receive(self, now: float, unix: float, source: Address, datagram: bytes) -> None:
+        """Handle a datagram. Raises nothing."""
+        self.receiver.receive(now, unix, source, datagram)
         self.take_changes()
         self.name_conflict.settle(now)
 
     def body(self, unix: float, fields: Mapping[str, Any]) -> dict[str, Any]:
-        """A message's body: what each message says of its sender, and these fields."""
+        """A message's body: the fields that every message has, and these."""
         return {
             "h": list(self.hybrid.stamp(unix)),
             "u": int(unix + self.skew),
-            "v": wire.versions_written(self.book.force),
-            "s": int(self.ladder.standing),
+            "v": wire.versions_row(self.registry.in_force),
+            "s": int(self.tracker.standing),
         } | dict(fields)
--- a/spurdeal/fleet/handlers.py
+++ b/spurdeal/fleet/handlers.py
@@ -1,7 +1,7 @@
 """One handler for each kind of fleet message.
 
-A handler reads what its kind holds, and gives what is to be done once all of the message has been read. It
-raises Refused where a field has not its form; nothing has changed then but that an open request is closed.
+A handler reads the fields of its kind and returns the action to run once the whole message has been read. It
+raises RefusedError for a malformed field; then nothing has changed, except that an open request is closed.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 from . import wire
 from .bringing import ReceivedPiece
-from .lease import Term, Word
+from .lease import StopReport, Term
 from .members import Address, Life
 from .messenger import Relay, Request, RequestKind
 from .table_sync import TablePage
@@ -29,7 +29,7 @@
 
 
 class Message(NamedTuple):
-    """A message whose seal and number are right. now: monotonic ms; unix: Unix ms."""
+    """A message whose seal and number were verified. now: monotonic ms; unix: Unix ms."""
 
     now: float
     unix: float
@@ -44,10 +44,10 @@
 def on_ping(fleet: Fleet, message: Message) -> Act:
     """A probe; it may ask us to grant its sender's lease."""
     now, unix, source, name, body = message
-    sequence = wire.whole(body.get("q"))
+    sequence = wire.integer(body.get("q"))
     terms: tuple[Term, Term | None] | None = None
     if "l" in body:
-        row = wire.items(body["l"], 2, 2)
+        row = wire.array(body["l"], 2, 2)
         terms = wire.term(row[0]), wire.term(row[1]) if row[1] is not None else None
 
     def act() -> None:
@@ -59,23 +59,23 @@
     return act
 
 
-def grant(fleet: Fleet, now: float, name: str, term: Term, following: Term | None) -> list[int]:
-    """Our answer to one who asks for its lease: the newest of its terms heard of, and whether we grant."""
+def grant(fleet: Fleet, now: float, name: str, term: Term, proposed: Term | None) -> list[int]:
+    """Our answer to a lease request: the newest of the sender's terms that we know, and whether we grant."""
     boot = fleet.sessions[name].peer_boot
     record = fleet.members.others.get(name)
     if record is not None and record.boot == boot and record.life is Life.GONE:
         fleet.grantor.refuse(name, boot)
     if fleet.leaving or fleet.twin:
         return [0, int(False)]
-    heard_of, granted = fleet.grantor.ask(now, name, boot, term, following)
+    heard_of, granted = fleet.grantor.on_request(now, name, boot, term, proposed)
     return [heard_of, int(granted)]
 
 
 def on_ack(fleet: Fleet, message: Message) -> Act:
     """The answer to a ping of ours, perhaps with a grant of our lease."""
     now, unix, _, name, body = message
-    row = wire.items(body["g"], 2, 2) if "g" in body else None
-    granted = (wire.whole(row[0]), wire.whole(row[1], 1) == 1) if row is not None else None
+    row = wire.array(body["g"], 2, 2) if "g" in body else None
+    granted = (wire.integer(row[0]), wire.integer(row[1], 1) == 1) if row is not None else None
     answers = RequestKind.PING, RequestKind.RENEW, RequestKind.RELAY
     found = fleet.messenger.answered(body, name, *answers)
 
@@ -91,11 +91,11 @@
     return act
 
 
-def on_through(fleet: Fleet, message: Message) -> Act:
-    """The sender cannot reach a member: we ping it on its behalf."""
+def on_indirect_ping(fleet: Fleet, message: Message) -> Act:
+    """Indirect probe: ping a member that the sender cannot reach, on its behalf."""
     now, unix, source, name, body = message
-    sequence, row = wire.whole(body.get("q")), wire.items(body.get("on"), 3, 3)
-    target, address = wire.text(row[0]), (wire.host(row[1]), wire.whole(row[2], MAX_PORT))
+    sequence, row = wire.integer(body.get("q")), wire.array(body.get("on"), 3, 3)
+    target, address = wire.text(row[0]), (wire.host(row[1]), wire.integer(row[2], MAX_PORT))
 
     def act() -> None:
         messenger = fleet.messenger
@@ -103,14 +103,14 @@
             relay = Relay(name, source, sequence)
             own = messenger.opened(Request(target, now, RequestKind.RELAY, relay))
             messenger.send(now, unix, target, {"k": "p", "q": own}, address)
-        messenger.send_without_news(now, unix, name, {"k": "n", "q": sequence}, source)
+        messenger.send_without_gossip(now, unix, name, {"k": "n", "q": sequence}, source)
 
     return act
 
 
 def on_nack(fleet: Fleet, message: Message) -> Act:
-    """The helper hears us: if no more comes, it is not we who are deaf."""
-    sequence = wire.whole(message.body.get("q"))
+    """A helper has our request: if no more comes, the fault is not on our side."""
+    sequence = wire.integer(message.body.get("q"))
     found = fleet.messenger.open.get(sequence)
 
     def act() -> None:
@@ -121,7 +121,7 @@
 
 
 def on_relayed_ack(fleet: Fleet, message: Message) -> Act:
-    """A helper has had an answer from the member that we could not reach."""
+    """A helper got an answer from the member that did not answer us."""
     found = fleet.messenger.answered(message.body, message.name, RequestKind.THROUGH)
 
     def act() -> None:
@@ -133,30 +133,30 @@
 
 
 def on_table_request(fleet: Fleet, message: Message) -> Act:
-    """The sender pulls our member table from a place on."""
+    """The sender pulls our member table from an offset on."""
     now, unix, source, name, body = message
-    sequence, offset = wire.whole(body.get("q")), wire.whole(body.get("i"), MAX_OFFSET)
+    sequence, offset = wire.integer(body.get("q")), wire.integer(body.get("i"), MAX_OFFSET)
 
     def act() -> None:
         table = sorted(fleet.members.table())
         fields = {"k": "J", "q": sequence, "i": offset, "of": len(table)}
         left, rows = wire.room(fleet.name, fleet.body(unix, fields)) - PAGE_RESERVE, list[list[Any]]()
-        for record in table[offset : offset + wire.MOST_RECORDS]:
-            row = wire.written(fleet.members.as_told(record))
+        for record in table[offset : offset + wire.MAX_RECORDS]:
+            row = wire.record_row(fleet.members.as_gossip(record))
             left -= len(str(row)) + 1
             if left < 0:
                 break
             rows.append(row)
-        fleet.messenger.send_without_news(now, unix, name, fields | {"n": rows}, source)
+        fleet.messenger.send_without_gossip(now, unix, name, fields | {"n": rows}, source)
 
     return act
 
 
 def on_table_page(fleet: Fleet, message: Message) -> Act:
-    """A page of the member table that we pull. Its records are read as news."""
+    """A page of the member table that we pull. Its records are merged like gossip."""
     now, unix, _, name, body = message
-    offset, total = wire.whole(body.get("i"), MAX_OFFSET), wire.whole(body.get("of"), MAX_OFFSET)
-    count = len(wire.items(body.get("n"), 0, wire.MOST_RECORDS))
+    offset, total = wire.integer(body.get("i"), MAX_OFFSET), wire.integer(body.get("of"), MAX_OFFSET)
+    count = len(wire.array(body.get("n"), 0, wire.MAX_RECORDS))
     found = fleet.messenger.answered(body, name, RequestKind.PULL)
 
     def act() -> None:
@@ -166,17 +166,17 @@
     return act
 
 
-def on_word_request(fleet: Fleet, message: Message) -> Act:
-    """The sender wants to rely on a member's stop: what we know of its lease, as one of its grantors."""
+def on_stop_query(fleet: Fleet, message: Message) -> Act:
+    """The sender wants to rely on a member's stop: report on its lease, as one of its grantors."""
     now, unix, source, name, body = message
-    sequence, subject = wire.whole(body.get("q")), wire.text(body.get("who"))
-    boot = wire.whole(body.get("boot"))
+    sequence, subject = wire.integer(body.get("q")), wire.text(body.get("who"))
+    boot = wire.integer(body.get("boot"))
 
     def act() -> None:
-        word = fleet.grantor.word(now, subject, boot)
-        if word is None:
+        report = fleet.grantor.report_stop(now, subject, boot)
+        if report is None:
             return
-        term, following, refused, left = word
+        term, proposed, refused, left = report
         fields = {
             "k": "W",
             "q": sequence,
@@ -184,27 +184,27 @@
             "boot": boot,
             "r": int(refused),
             "left": left,
-            "t": wire.term_written(term),
-            "f": wire.term_written(following) if following is not None else None,
+            "t": wire.term_row(term),
+            "f": wire.term_row(proposed) if proposed is not None else None,
         }
-        fleet.messenger.send_without_news(now, unix, name, fields, source)
+        fleet.messenger.send_without_gossip(now, unix, name, fields, source)
 
     return act
 
 
-def on_word(fleet: Fleet, message: Message) -> Act:
-    """What a grantor knows of a member that is gone."""
+def on_stop_report(fleet: Fleet, message: Message) -> Act:
+    """A grantor's report on a member that is gone."""
     name, body = message.name, message.body
-    subject, boot = wire.text(body.get("who")), wire.whole(body.get("boot"))
-    refused, left = wire.whole(body.get("r"), 1), wire.figure(body.get("left"))
+    subject, boot = wire.text(body.get("who")), wire.integer(body.get("boot"))
+    refused, left = wire.integer(body.get("r"), 1), wire.finite_number(body.get("left"))
     term = wire.term(body.get("t"))
-    following = wire.term(body["f"]) if body.get("f") is not None else None
+    proposed = wire.term(body["f"]) if body.get("f") is not None else None
     found = fleet.messenger.answered(body, name, RequestKind.WORD)
 
     def act() -> None:
         inquiry = fleet.stops.inquiries.get(subject)
         if found is not None and inquiry is not None and inquiry.boot == boot:
-            inquiry.word(message.now, found.sent, name, Word(term, following, bool(refused), left))
+            inquiry.add_report(message.now, found.sent, name, StopReport(term, proposed, bool(refused), left))
 
     return act
 
@@ -212,11 +212,11 @@
 def on_piece_request(fleet: Fleet, message: Message) -> Act:
     """The sender asks for a piece of a list that we may hold."""
     now, unix, source, name, body = message
-    sequence, place = wire.whole(body.get("q")), wire.whole(body.get("i"), MAX_OFFSET)
+    sequence, place = wire.integer(body.get("q")), wire.integer(body.get("i"), MAX_OFFSET)
     have, want = wire.version(body.get("have")), wire.version(body.get("want"))
 
     def act() -> None:
-        piece = fleet.shelf.piece(now, have, want, place)
+        piece = fleet.list_store.piece(now, have, want, place)
         if piece is None:
             return
         fleet.counts["pieces_served"] += 1
@@ -228,16 +228,16 @@
             "of": piece.total,
             "b": base64.b64encode(piece.data).decode(),
         }
-        fleet.messenger.send_without_news(now, unix, name, fields, source)
+        fleet.messenger.send_without_gossip(now, unix, name, fields, source)
 
     return act
 
 
 def on_piece(fleet: Fleet, message: Message) -> Act:
-    """A piece of the list that we fetch."""
+    """A piece of the list that we are fetching."""
     now, unix, _, name, body = message
-    want, place = wire.version(body.get("want")), wire.whole(body.get("i"), MAX_OFFSET)
-    count = wire.whole(body.get("of"), MAX_OFFSET)
+    want, place = wire.version(body.get("want")), wire.integer(body.get("i"), MAX_OFFSET)
+    count = wire.integer(body.get("of"), MAX_OFFSET)
     data = wire.text(body["b"], MAX_PIECE_TEXT) if body.get("b") else ""
     found = fleet.messenger.answered(body, name, RequestKind.FETCH)
 
@@ -251,13 +251,13 @@
 HANDLERS: Mapping[str, Handler] = {
     "p": on_ping,
     "a": on_ack,
-    "r": on_through,
+    "r": on_indirect_ping,
     "n": on_nack,
     "y": on_relayed_ack,
     "j": on_table_request,
     "J": on_table_page,
-    "w": on_word_request,
-    "W": on_word,
+    "w": on_stop_query,
+    "W": on_stop_report,
     "f": on_piece_request,
     "F": on_piece,
 }
--- a/spurdeal/fleet/list_sync.py
+++ b/spurdeal/fleet/list_sync.py
@@ -1,4 +1,4 @@
-"""Catching up with a newer engine list that other members hold, and serving ours to those behind."""
+"""Synchronization of the engine list: fetches newer lists from peers, and serves ours to those behind."""
 
 from __future__ import annotations
 
@@ -6,43 +6,43 @@
 
 from ..interface import Life as EngineLife
 from .bringing import (
-    ONE_WITNESS_DROPS,
-    Ask,
+    MAX_SINGLE_WITNESS_DROP,
     Fetch,
+    ListStore,
+    PieceRequest,
     ReceivedPiece,
     Rows,
-    Shelf,
     UnusableListError,
-    applied,
-    drops,
+    apply_changes,
+    dropped_share,
     unpack,
 )
 from .messenger import RequestKind
-from .terms import Told
-from .versions import ROW, WITNESSES, Line, Offer, Version, list_digest
+from .terms import FleetEvent
+from .versions import ROW, WITNESSES, Artifact, Offer, Version, list_digest
 
 if TYPE_CHECKING:
     from .fleet import Fleet
 
 READY = int(EngineLife.READY)
-SOURCE_FIRST = 450.0  # ms that our own name service has, where it answers, before a peer is asked
-OFFERS_EVERY = 60.0  # ms between two looks at who has a newer list
-NAMED_HOLDERS = 3  # in the event
+SOURCE_FIRST = 450.0  # ms for which our own name service, if it answers, has precedence over peers
+OFFERS_EVERY = 60.0  # ms between two checks for newer lists
+NAMED_HOLDERS = 3  # holders named in the event
 
 
 class ListSync:
-    """Fetches newer engine lists from peers. It outlives the member's restarts. Times are ms."""
+    """Fetches newer engine lists from peers. It is kept across the member's starts. Times are ms."""
 
     def __init__(self, fleet: Fleet, now: float) -> None:
         self.fleet = fleet
-        self.shelf, self.fetch = Shelf(fleet.terms.period, now), Fetch(fleet.chance)
-        self.source_at, self.next_offers = now, now
-        self.max_single_drop = ONE_WITNESS_DROPS
-        self.offered: dict[Version, float] = {}  # since when a version beyond ours is claimed
+        self.list_store, self.fetch = ListStore(fleet.shared.period, now), Fetch(fleet.chance)
+        self.source_answered_at, self.next_offers = now, now
+        self.max_single_drop = MAX_SINGLE_WITNESS_DROP
+        self.offered: dict[Version, float] = {}  # since when each newer version is claimed
 
     def tick(self, now: float, unix: float) -> None:
-        """Ask for the next piece where a newer list is known."""
-        have = self.fleet.book.force.get(Line.LIST)
+        """Request the next piece if a newer list is known."""
+        have = self.fleet.registry.in_force.get(Artifact.LIST)
         if have is None or (self.fetch.want is None and now < self.next_offers):
             return
         self.next_offers = now + OFFERS_EVERY
@@ -51,57 +51,57 @@
             self.request_piece(now, unix, ask)
 
     def offers(self, now: float) -> list[Offer]:
-        """Versions beyond ours that may be asked for by now, newest first, and who holds them.
+        """Newer versions that may be fetched now, newest first, and their holders.
 
-        Our own source comes first, where it answers: one that is told what others are not must not lead them
-        all.
+        Our own source has precedence while it answers: a member with a deviating source must not lead all
+        others.
         """
         fleet = self.fleet
-        offers = fleet.book.offers() if self.fetch.want is None else []
+        offers = fleet.registry.offers() if self.fetch.want is None else []
         for version, holders in offers:
             if version not in self.offered:
                 figures = {"list": str(version), "at": " ".join(holders[:NAMED_HOLDERS])}
-                fleet.told.append(Told("newer_seen", figures))
+                fleet.events.append(FleetEvent("newer_seen", figures))
         self.offered = {version: self.offered.get(version, now) for version, _ in offers}
-        patience = SOURCE_FIRST if now - self.source_at < SOURCE_FIRST else 0.0
+        patience = SOURCE_FIRST if now - self.source_answered_at < SOURCE_FIRST else 0.0
         return [
-            Offer(version, [name for name in holders if name in fleet.heard])
+            Offer(version, [name for name in holders if name in fleet.peer_reports])
             for version, holders in offers
             if now - self.offered[version] >= patience
         ]
 
-    def request_piece(self, now: float, unix: float, ask: Ask) -> None:
-        """Send a request for one piece of a list."""
+    def request_piece(self, now: float, unix: float, ask: PieceRequest) -> None:
+        """Request one piece of a list."""
         fields = {"k": "f", "have": list(ask.have), "want": list(ask.want), "i": ask.place}
         self.fleet.messenger.request(now, unix, ask.to, RequestKind.FETCH, fields)
 
     def piece_arrived(self, now: float, unix: float, name: str, piece: ReceivedPiece) -> None:
-        """A piece has come, in base64: the next is asked for, or the whole list is checked and applied."""
-        step = self.fetch.came(now, name, piece)
-        if isinstance(step, Ask):
+        """Handle a received piece: request the next one, or check and apply the whole list."""
+        step = self.fetch.on_piece(now, name, piece)
+        if isinstance(step, PieceRequest):
             self.request_piece(now, unix, step)
         elif step is not None:
             self.apply(now, name, piece.want, step)
 
     def apply(self, now: float, name: str, want: Version, pieces: list[bytes]) -> None:
-        """Put a fetched list in force, if it is what was claimed and may be acted on."""
+        """Put a fetched list in force, if it is the claimed one and does not drop too many engines."""
         fleet = self.fleet
         try:
             rows = self.unpacked(want, pieces)
         except (UnusableListError, TypeError) as fault:
             self.fetch.fail(now, True)
-            fleet.told.append(Told("bring_up_failed", {"from": name, "why": str(fault)}))
+            fleet.events.append(FleetEvent("bring_up_failed", {"from": name, "why": str(fault)}))
             return
-        dropped = drops(fleet.rows, rows, READY)
-        if dropped > self.max_single_drop and len(fleet.book.holders(Line.LIST, want)) < WITNESSES:
+        dropped = dropped_share(fleet.rows, rows, READY)
+        if dropped > self.max_single_drop and len(fleet.registry.holders(Artifact.LIST, want)) < WITNESSES:
             self.fetch.refuse(now)
             figures = {"from": name, "drops": round(dropped, 2), "list": str(want)}
-            fleet.told.append(Told("list_refused", figures))
+            fleet.events.append(FleetEvent("list_refused", figures))
             return
         self.fetch.end(now, 0.0)
-        if fleet.in_force(Line.LIST, want, rows, by_source=False):
-            fleet.told.append(Told("brought_up", {"from": name, "list": str(want)}))
-            fleet.bring(want, rows)
+        if fleet.in_force(Artifact.LIST, want, rows, by_source=False):
+            fleet.events.append(FleetEvent("brought_up", {"from": name, "list": str(want)}))
+            fleet.apply_list(want, rows)
 
     def unpacked(self, want: Version, pieces: list[bytes]) -> Rows:
         """The list in these pieces.
@@ -109,7 +109,7 @@
         Raises:
             UnusableListError: It is not the list that was claimed.
         """
-        rows = applied(self.fleet.rows, unpack(pieces))
+        rows = apply_changes(self.fleet.rows, unpack(pieces))
         if any(len(row) != ROW for row in rows.values()) or list_digest(rows) != want.digest:
             raise UnusableListError("not what was claimed")
         return rows
--- a/spurdeal/fleet/receiver.py
+++ b/spurdeal/fleet/receiver.py
@@ -1,4 +1,4 @@
-"""Incoming datagrams of one fleet member: checked, read whole, and only then acted on."""
+"""Incoming datagrams of one fleet member: verified, parsed completely, and only then acted on."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 from .audit import SealedPage
 from .handlers import HANDLERS, Message
 from .hybrid import Stamp
-from .members import MOST_MEMBERS, Address, Life, Record
+from .members import MAX_MEMBERS, Address, Life, Record
 from .standing import Standing
-from .terms import Told
-from .versions import Line, Version
+from .terms import FleetEvent
+from .versions import Artifact, Version
 
 if TYPE_CHECKING:
     from .fleet import Fleet
@@ -21,8 +21,8 @@
 MAX_UNIX = 1 << 48  # ms
 
 
-class Heard(NamedTuple):
-    """A member's last word about itself. at: ms; clock: its Unix time less ours, in ms."""
+class PeerReport(NamedTuple):
+    """A member's last report on itself. at: ms; clock: its Unix time less ours, in ms."""
 
     at: float
     standing: Standing
@@ -31,12 +31,12 @@
 
 
 class Header(NamedTuple):
-    """What every message says of its sender."""
+    """The fields that every message has."""
 
     stamp: Stamp
-    claims: dict[Line, Version]
+    claims: dict[Artifact, Version]
     standing: Standing
-    news: list[Record]
+    gossip: list[Record]
     page: SealedPage | None
     kind: str
     unix: int
@@ -46,7 +46,7 @@
     """Read the fields that all messages have.
 
     Raises:
-        RefusedError: One of them has not its form.
+        RefusedError: One of them is malformed.
     """
     return Header(
         wire.stamp(body),
@@ -55,18 +55,18 @@
         wire.records(body),
         wire.page(body),
         wire.text(body.get("k"), 2),
-        wire.whole(body.get("u"), MAX_UNIX),
+        wire.integer(body.get("u"), MAX_UNIX),
     )
 
 
 class Receiver:
-    """Takes in datagrams. What cannot be used is counted by its reason, and changes nothing."""
+    """Handles datagrams. An unusable one is counted by its reason and changes nothing."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
 
-    def take(self, now: float, unix: float, source: Address, datagram: bytes) -> None:
-        """Check, read and act on one datagram. Raises nothing."""
+    def receive(self, now: float, unix: float, source: Address, datagram: bytes) -> None:
+        """Verify, read and act on one datagram. Raises nothing."""
         fleet = self.fleet
         fleet.counts["came"] += 1
         try:
@@ -77,7 +77,7 @@
             if body:
                 self.act_on(Message(now, unix, source, name, body))
             else:
-                fleet.messenger.greeted_back(now, unix, name, asked)
+                fleet.messenger.on_greeting(now, unix, name, asked)
         except RefusedError as fault:
             fleet.counts["drop_" + fault.reason] += 1
 
@@ -87,14 +87,14 @@
         """The body of a datagram, as `Session.read` gives it.
 
         Raises:
-            RefusedError: Its seal or number is not right, or there is no room for one more member.
+            RefusedError: Its seal or number is wrong, or the member table is full.
         """
         messenger = self.fleet.messenger
         session = messenger.sessions.get(name)
         try:
             if session is None:
                 session = self.first_session(name)
-                session.open(datagram)
+                session.verify(datagram)
                 messenger.sessions[name] = session
             return session.read(now, datagram)
         except RefusedError as fault:
@@ -103,18 +103,18 @@
             raise
 
     def first_session(self, name: str) -> Session:
-        """A session for a name that we have none with.
+        """A new session with a name.
 
         Raises:
-            RefusedError: There is no room for one more member.
+            RefusedError: The member table is full.
         """
         others = self.fleet.members.others
-        if name not in others and len(others) >= MOST_MEMBERS:
+        if name not in others and len(others) >= MAX_MEMBERS:
             raise RefusedError("full")
         return self.fleet.messenger.new_session(name)
 
     def act_on(self, message: Message) -> None:
-        """All is read before anything counts."""
+        """Read the whole message, then apply it."""
         fleet, name = self.fleet, message.name
         header = read_header(message.body)
         handler = HANDLERS.get(header.kind)
@@ -122,24 +122,24 @@
             raise RefusedError("kind")
         act = handler(fleet, message)
         boot = fleet.sessions[name].peer_boot
-        if not fleet.hybrid.seen(message.unix, header.stamp):
+        if not fleet.hybrid.receive(message.unix, header.stamp):
             fleet.counts["stamp_ahead"] += 1
         self.note_sender(message, header, boot)
-        for clash in fleet.book.claim(name, header.claims):
-            fleet.tell_clash(clash)
+        for clash in fleet.registry.claim(name, header.claims):
+            fleet.report_clash(clash)
         fleet.members.answered(message.now, name)
-        for record in header.news:
-            fleet.members.hear(message.now, record, name)
-        if name not in fleet.members.others:  # no news of the sender has come yet
+        for record in header.gossip:
+            fleet.members.merge(message.now, record, name)
+        if name not in fleet.members.others:  # no record of the sender has arrived yet
             record = Record(name, *message.source, boot, 0, Life.ALIVE)
-            fleet.members.hear(message.now, record, name)
+            fleet.members.merge(message.now, record, name)
         fleet.table_sync.compare(message.now, message.unix, name, message.body.get("e"))
         act()
 
     def note_sender(self, message: Message, header: Header, boot: int) -> None:
-        """Keep what the sender has said of itself; a newly sealed page of its audit log is an event."""
+        """Store the sender's report on itself; a newly sealed page of its audit log is an event."""
         fleet, name, page = self.fleet, message.name, header.page
-        before = fleet.heard[name].page if name in fleet.heard else None
+        before = fleet.peer_reports[name].page if name in fleet.peer_reports else None
         if page is not None and page != before:
             figures = {
                 "name": name,
@@ -148,6 +148,6 @@
                 "digest": page.digest,
                 "records": page.records,
             }
-            fleet.told.append(Told("page", figures))
-        apart = header.unix - message.unix - fleet.skew
-        fleet.heard[name] = Heard(message.now, header.standing, page or before, apart)
+            fleet.events.append(FleetEvent("page", figures))
+        offset = header.unix - message.unix - fleet.skew
+        fleet.peer_reports[name] = PeerReport(message.now, header.standing, page or before, offset)
--- a/spurdeal/fleet/standing.py
+++ b/spurdeal/fleet/standing.py
@@ -1,17 +1,17 @@
 """What a dispatcher may do, by how current it is. Free of I/O and clocks.
 
-| standing | redoable to warm engines | irreversible, or to cold engines | what is new at the door |
+| standing | idempotent to warm engines | non-idempotent, or to cold engines | new requests |
 | --- | --- | --- | --- |
-| JOINING: a new start, or one that returns | yes | no | taken, irreversible ones shed |
-| CURRENT | yes | yes | taken |
-| BEHIND: a newer list exists, and it is being brought up | yes | yes | taken |
-| LAPSED: no lease, or behind for too long, or its clock is off | yes | no | taken, irreversible ones shed |
-| SHUT: out | no | no | shed with a time to come back |
-| TWIN: another process has its name | no | no | shed, until it is started anew |
-
-The cure must not be worse than the illness: who hears no peer but its name service is LAPSED and no more; who
-is behind is shut out only while under a stated part of the fleet is, and who goes first is the same for all.
-Times are ms of one monotonic clock.
+| JOINING: a new start, or a return | yes | no | accepted, non-idempotent ones shed |
+| CURRENT | yes | yes | accepted |
+| BEHIND: a newer list exists and is being fetched | yes | yes | accepted |
+| LAPSED: no lease, behind for too long, or its clock is off | yes | no | accepted, non-idempotent ones shed |
+| SHUT: shut out | no | no | shed with a retry time |
+| TWIN: another process has its name | no | no | shed until it is restarted |
+
+The protection must not do more harm than the fault. A dispatcher that hears no peer but still hears its name
+service becomes LAPSED and nothing worse. Dispatchers that are behind are shut out only up to a configured
+share of the fleet, and which ones is the same in every member's view. Times are ms of one monotonic clock.
 """
 
 from __future__ import annotations
@@ -35,11 +35,11 @@
 
 
 class Allowed(NamedTuple):
-    """What may be sent; out is what is sent for something taken before."""
+    """What may be sent, also for requests that were accepted earlier."""
 
-    redoable: bool
-    doubtful: bool  # irreversible, or to a cold engine
-    lowers: bool  # of VRRP: the priority is lowered
+    idempotent: bool
+    doubtful: bool  # non-idempotent, or to a cold engine
+    lowers: bool  # the VRRP priority is lowered
 
 
 ALLOWED = {
@@ -53,55 +53,55 @@
 
 
 class Limits(NamedTuple):
-    """Times in ms, and a part of the fleet."""
+    """Limits of the standings: times in ms, and a share of the fleet."""
 
-    behind_for: float  # so long behind, and it counts as lapsed
-    shut_after: float  # lapsed for so long without a way to be brought up: shut out
-    most_shut: float  # of the fleet: no more are shut out for being behind
-    clock_off: float  # Unix time so far from the middle of the others'
+    behind_for: float  # behind for longer: lapsed
+    shut_after: float  # lapsed for longer without a way to catch up: shut out
+    most_shut: float  # largest share of the fleet that is shut out for being behind
+    clock_off: float  # largest distance of our Unix time from the median of the others'
 
 
-class Seen(NamedTuple):
-    """What one step is decided on."""
+class Observations(NamedTuple):
+    """The inputs of one step."""
 
     lease: bool
     behind: int
-    source: float  # since the name service last answered
-    others_behind: Callable[[], Sequence[str]]  # by their last word, or shut out
-    size: int  # of the fleet
-    synced: bool  # the members' table was got from one since the start, or since it returned
-    clock: float  # our Unix time less the middle of the others'
+    source: float  # ms since the name service last answered
+    others_behind: Callable[[], Sequence[str]]  # members behind, by their last message, or shut out
+    size: int  # of the fleet, ourselves included
+    synced: bool  # a member table was pulled since the start, or since the return
+    clock: float  # our Unix time less the median of the others'
     twin: bool
 
 
-class Ladder:
-    """One dispatcher's standing, with since when and why."""
+class StandingTracker:
+    """One dispatcher's standing, since when it has it, and why."""
 
     def __init__(self, own: str, limits: Limits, now: float) -> None:
         self.own, self.limits = own, limits
         self.standing, self.since, self.why = Standing.JOINING, now, "a new start"
         self.behind_since: float | None = None
         self.lapsed_since = now
-        self.returned = 0  # how often it came back, and what it owes before: a table newer than that
+        self.returned = 0  # how often it went back to JOINING; a return needs a newly pulled table
 
     @property
     def allowed(self) -> Allowed:
         """What may be sent in the present standing."""
         return ALLOWED[self.standing]
 
-    def stood_still(self, gap: float) -> None:
-        """The process stood still for so long: what did not come meanwhile proves nothing."""
+    def discount_pause(self, gap: float) -> None:
+        """Shift the timers by a pause of the process: silence during it proves nothing."""
         self.since += gap
         self.lapsed_since += gap
         self.behind_since = self.behind_since + gap if self.behind_since is not None else None
 
-    def step(self, now: float, seen: Seen) -> bool:
-        """True where the standing has changed."""
-        if not seen.behind:
+    def step(self, now: float, observed: Observations) -> bool:
+        """Update the standing; True if it has changed."""
+        if not observed.behind:
             self.behind_since = None
         elif self.behind_since is None:
             self.behind_since = now
-        standing, why = self.judged(now, seen)
+        standing, why = self.evaluate(now, observed)
         if standing is self.standing:
             return False
         if standing is Standing.LAPSED and self.standing not in (Standing.SHUT, Standing.JOINING):
@@ -111,55 +111,58 @@
         self.standing, self.since, self.why = standing, now, why
         return True
 
-    def judged(self, now: float, seen: Seen) -> tuple[Standing, str]:
-        """The standing that follows from what is seen, and why, in words for people."""
-        if seen.twin or self.standing is Standing.TWIN:
+    def evaluate(self, now: float, observed: Observations) -> tuple[Standing, str]:
+        """The standing that follows from the observations, and the reason for people."""
+        if observed.twin or self.standing is Standing.TWIN:
             return Standing.TWIN, "another process has our name"
-        late = self.behind_since is not None and now - self.behind_since > self.limits.behind_for
-        off = abs(seen.clock) > self.limits.clock_off
+        behind_too_long = self.behind_since is not None and now - self.behind_since > self.limits.behind_for
+        clock_is_off = abs(observed.clock) > self.limits.clock_off
         reason = (
             "no lease: too few grantors have answered"
-            if not seen.lease
-            else f"behind by {seen.behind} for too long"
-            if late
-            else f"our clock is {seen.clock:.0f} ms off the others'"
-            if off
+            if not observed.lease
+            else f"behind by {observed.behind} for too long"
+            if behind_too_long
+            else f"our clock is {observed.clock:.0f} ms off the others'"
+            if clock_is_off
             else ""
         )
         if reason:
-            return self.fallen(now, seen, reason)
+            return self.degraded(now, observed, reason)
         if self.standing in (Standing.LAPSED, Standing.SHUT):
             return Standing.JOINING, "returns: it has a lease, and the newest list"
-        if self.standing is Standing.JOINING and (not seen.synced or seen.behind):
+        if self.standing is Standing.JOINING and (not observed.synced or observed.behind):
             return Standing.JOINING, self.why
-        if seen.behind:
-            return Standing.BEHIND, f"behind by {seen.behind}"
+        if observed.behind:
+            return Standing.BEHIND, f"behind by {observed.behind}"
         return Standing.CURRENT, "lease held, newest list"
 
-    def fallen(self, now: float, seen: Seen, reason: str) -> tuple[Standing, str]:
-        """Lapsed, or out."""
+    def degraded(self, now: float, observed: Observations, reason: str) -> tuple[Standing, str]:
+        """LAPSED, or SHUT if that has lasted too long."""
         if self.standing is Standing.JOINING and not self.returned:
-            long = now - self.since > self.limits.shut_after
+            lapsed_too_long = now - self.since > self.limits.shut_after
         else:
-            long = (
+            lapsed_too_long = (
                 self.standing in (Standing.LAPSED, Standing.SHUT, Standing.JOINING)
                 and now - self.lapsed_since > self.limits.shut_after
             )
-        blind = seen.source > self.limits.shut_after
-        if long and not seen.lease and blind:
-            return Standing.SHUT, f"{reason}, and no word of the name service for {seen.source:.0f} ms"
-        if long and seen.lease and seen.behind and self.may_go(seen):
+        source_silent = observed.source > self.limits.shut_after
+        if lapsed_too_long and not observed.lease and source_silent:
+            return (
+                Standing.SHUT,
+                f"{reason}, and no answer from the name service for {observed.source:.0f} ms",
+            )
+        if lapsed_too_long and observed.lease and observed.behind and self.may_be_shut_out(observed):
             return Standing.SHUT, reason
-        if self.standing is Standing.JOINING and not self.returned and not seen.lease:
+        if self.standing is Standing.JOINING and not self.returned and not observed.lease:
             return Standing.JOINING, self.why
         return Standing.LAPSED, reason
 
-    def may_go(self, seen: Seen) -> bool:
-        """Whether we are among those who may be shut out for being behind.
+    def may_be_shut_out(self, observed: Observations) -> bool:
+        """Whether we are among those that may be shut out for being behind.
 
-        They are under the stated part of the fleet, those with the highest weight, the same for all who see
-        the same.
+        They are the members with the highest rendezvous weight, up to `most_shut` of the fleet. Members with
+        the same view choose the same ones.
         """
-        most = int(self.limits.most_shut * seen.size)
-        behind = {*seen.others_behind(), self.own}
+        most = int(self.limits.most_shut * observed.size)
+        behind = {*observed.others_behind(), self.own}
         return self.own in rendezvous("shut", behind, most)
--- a/spurdeal/fleet/station.py
+++ b/spurdeal/fleet/station.py
@@ -1,7 +1,7 @@
-"""The fleet beside one dispatcher: datagrams and timers in, and the link's Guard.
+"""Connects a `Fleet` with one dispatcher: its datagrams, timers, log and audit, and a Guard of its adapter.
 
-It decides nothing: `fleet` does. What was decided in a turn is in the audit before it leaves: the frame is
-written at the turn's end, and what the turn has sent leaves with the reactor's next round.
+It decides nothing; `Fleet` does. The audit has what was decided in a batch before any of it leaves: the frame
+is written at the batch's end, and what the batch sends leaves in the reactor's next iteration.
 """
 
 from __future__ import annotations
@@ -19,24 +19,24 @@
 from ..eventloop import DatagramLoop
 from ..interface import Life
 from ..net.datagram_reading import TolerantReading
-from ..net.engine_list import KnownList, Seat
-from ..net.link import Answer, BrokenOff, Delivered, Granted, Guard, Shed, Taken, at_most_once
+from ..net.engine_list import Endpoint, KnownList
+from ..net.link import Answer, Delivered, Failed, Granted, Guard, OpenRequest, Shed, at_most_once
 from ..net.service import Service
 from ..vrrp.sealed import Keys
 from .audit import COLD, DOUBTFUL, Kind
-from .fleet import READY, TICK, Fleet, FleetSettings, Told
+from .fleet import READY, TICK, Fleet, FleetEvent, FleetSettings
 from .journal import Journal, JournalSettings
-from .local_versions import configured, keyed, program, terms_of
-from .versions import Line, Row, Version, list_digest, rows_of
+from .local_versions import configured, keyed, program, shared_settings
+from .versions import Artifact, Row, Version, list_digest, rows_of
 
 if TYPE_CHECKING:
-    from ..settings.installation import FleetPart, Installation
+    from ..settings.installation import FleetSection, Installation
 
 LARGEST = 65_535
 KINDS = {"standing": Kind.STANDING, "member": Kind.MEMBER, "page": Kind.WITNESS, "clash": Kind.CLASH}
-ANSWERS = {Shed: Kind.SHED, BrokenOff: Kind.BROKEN_OFF, Granted: Kind.GRANTED}
+ANSWERS = {Shed: Kind.SHED, Failed: Kind.BROKEN_OFF, Granted: Kind.GRANTED}
 COUNT_EVERY = 500.0  # ms
-QUIET = ("page",)  # told too often for the log lines
+UNLOGGED_EVENTS = ("page",)  # too frequent for the log
 
 
 @dataclass(frozen=True)
@@ -44,8 +44,8 @@
     """The clocks of a dispatcher, each in ms.
 
     Attributes:
-        monotonic: It runs on while the process stands still.
-        unix: Unix time that does not step.
+        monotonic: Keeps running while the process is suspended.
+        unix: Unix time without steps.
         raw: The system's Unix time.
     """
 
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True)
 class StationSettings:
-    """What the operator's files say: the plan, the fleet's keys, and the configuration's bytes."""
+    """Contents of the operator's files: the plan, the fleet's keys, and the configuration's bytes."""
 
     plan: Installation
     keys: Keys
@@ -64,7 +64,7 @@
 
 
 class Datagrams(DatagramProtocol):
-    """What the others send."""
+    """Receives the datagrams of other members."""
 
     transport: Any
 
@@ -73,11 +73,11 @@
 
     def datagramReceived(self, datagram: bytes, address: tuple[Any, ...]) -> None:
         """See DatagramProtocol."""
-        self.station.came(datagram, (str(address[0]), int(address[1])))
+        self.station.datagram_received(datagram, (str(address[0]), int(address[1])))
 
 
 class FleetStation:
-    """One dispatcher among its fleet, and a Guard of its link."""
+    """One dispatcher's member of the fleet, and a Guard of its adapter."""
 
     def __init__(
         self,
@@ -91,33 +91,33 @@
         assert plan.fleet is not None
         self.service, self.plan, self.reactor = service, plan, reactor
         self.monotonic, self.unix, self.raw, self.log = clocks.monotonic, clocks.unix, clocks.raw, log
-        self.link, self.counters = service.link, service.counters
+        self.adapter, self.counters = service.adapter, service.counters
         part, site = plan.fleet, service.configuration.site
         self.guarded = at_most_once(site)
-        self.come_back, self.share = site.most_come_back, 1.0 / site.dispatchers
+        self.retry_after, self.share = site.max_retry_after, 1.0 / site.dispatchers
         self.inner: Guard | None = None
         self.fleet = self.make_fleet(plan.name, part, keys)
         self.datagrams = Datagrams(self)
         self.journal = self.make_journal(plan.name, part)
-        self.next_seal, self.heard_at = self.monotonic(), float("-inf")
+        self.next_seal, self.source_heard_at = self.monotonic(), float("-inf")
         self.next_count = self.monotonic()
-        self.parts = True
-        self.idents: dict[int, str] = {}  # engines by place, as the audit names them
-        self.fleet.in_force(Line.CONFIGURATION, configured(settings.configuration, plan))
-        self.fleet.in_force(Line.PROGRAM, program())
-        self.fleet.in_force(Line.KEYS, keyed(keys))
-
-    def make_fleet(self, name: str, part: FleetPart, keys: Keys) -> Fleet:
-        """The member that the operator's file describes."""
+        self.has_cold_share = True
+        self.engine_ids: dict[int, str] = {}  # engine ids by place, as the audit names them
+        self.fleet.in_force(Artifact.CONFIGURATION, configured(settings.configuration, plan))
+        self.fleet.in_force(Artifact.PROGRAM, program())
+        self.fleet.in_force(Artifact.KEYS, keyed(keys))
+
+    def make_fleet(self, name: str, part: FleetSection, keys: Keys) -> Fleet:
+        """Create the member that the operator's file describes."""
         at = part.advertise or part.listen
         seeds = {seed.name: (str(seed.at[0]), seed.at[1]) for seed in part.seeds if seed.name != name}
         chance = random.Random(secrets.randbits(64))
         now, unix = self.monotonic(), self.unix()
-        settings = FleetSettings(name, (str(at[0]), at[1]), seeds, terms_of(part), keys)
-        return Fleet(settings, chance, self.bring, now, unix)
+        settings = FleetSettings(name, (str(at[0]), at[1]), seeds, shared_settings(part), keys)
+        return Fleet(settings, chance, self.apply_peer_list, now, unix)
 
-    def make_journal(self, name: str, part: FleetPart) -> Journal | None:
-        """The audit log; None where the file has none."""
+    def make_journal(self, name: str, part: FleetSection) -> Journal | None:
+        """Open the audit log; None if the operator's file configures none."""
         if part.audit is None:
             return None
         return Journal(
@@ -129,23 +129,23 @@
     # Start and stop.
 
     def start(self) -> None:
-        """Before the service takes anything: its list is seen through this from the first."""
+        """Call before the service accepts requests, so that every list passes through here from the first."""
         assert self.plan.fleet is not None
-        self.inner, self.link.guard = self.link.guard, self
-        self.service.names.on_list = self.listed
-        self.service.names.on_unchanged = self.same
-        self.service.names.numbers_shared = True
+        self.inner, self.adapter.guard = self.adapter.guard, self
+        self.service.names.on_list = self.list_received
+        self.service.names.on_unchanged = self.list_unchanged
+        self.service.names.peers_share_lists = True
         self.service.clients.fleet = lambda: self.fleet.status(self.monotonic())
-        self.act_on(self.service.names.number, self.service.seats, "start")
+        self.act_on(self.service.names.number, self.service.endpoints, "start")
         host, port = self.plan.fleet.listen
         opened = self.reactor.listenUDP(port, self.datagrams, interface=str(host), maxPacketSize=LARGEST)
-        TolerantReading(opened, self.reactor, self.counters, self.log, most_errors=None)
+        TolerantReading(opened, self.reactor, self.counters, self.log, max_errors=None)
         if not self.fleet.allowed(self.monotonic()).doubtful:
-            self.tell_parts(False)
+            self.set_cold_share(False)
         self.tick()
 
     def stop(self) -> None:
-        """A planned end: the others are told."""
+        """Graceful shutdown: tell the other members."""
         self.fleet.leave(self.monotonic(), self.unix())
         self.send()
 
@@ -155,41 +155,41 @@
             self.journal.close()
 
     def read_again(self, configuration: bytes, plan: Installation, keys: Keys) -> None:
-        """SIGHUP: keys are in force at once; which configuration is, the others are told."""
+        """SIGHUP: use the new keys at once, and report the configuration in force to the others."""
         self.fleet.keys = keys
         for session in self.fleet.sessions.values():
             session.keys = keys
-        self.fleet.in_force(Line.KEYS, keyed(keys))
-        self.fleet.in_force(Line.CONFIGURATION, configured(configuration, plan))
-        self.acted_on("reload")
+        self.fleet.in_force(Artifact.KEYS, keyed(keys))
+        self.fleet.in_force(Artifact.CONFIGURATION, configured(configuration, plan))
+        self.audit_versions("reload")
 
     def lowers(self) -> bool:
-        """Of VRRP: the priority is lowered while the lease is not held."""
-        return self.fleet.ladder.allowed.lowers
+        """Whether VRRP lowers its priority: it does while the standing calls for it, as without a lease."""
+        return self.fleet.tracker.allowed.lowers
 
     # Versions.
 
-    def listed(self, seats: dict[str, Seat]) -> None:
-        """The name service has told a newer list."""
-        self.act_on(self.service.names.number, seats, "names")
-        self.link.listed(seats)
+    def list_received(self, endpoints: dict[str, Endpoint]) -> None:
+        """The name service gave a newer list."""
+        self.act_on(self.service.names.number, endpoints, "names")
+        self.adapter.apply_list(endpoints)
 
-    def same(self, seats: dict[str, Seat]) -> None:
-        """The name service has told the number that is in force."""
-        rows = rows_of(seats.values())
+    def list_unchanged(self, endpoints: dict[str, Endpoint]) -> None:
+        """The name service gave a list with the number in force."""
+        rows = rows_of(endpoints.values())
         if rows != self.fleet.rows:
-            self.fleet.source_says(Version(0, self.service.names.number, list_digest(rows)))
-
-    def act_on(self, number: int, seats: Mapping[str, Seat], by: str) -> None:
-        """Put a list of the name service in force, and note it in the audit."""
-        rows = rows_of(seats.values())
-        self.fleet.in_force(Line.LIST, Version(0, number, list_digest(rows)), rows)
-        self.acted_on(by)
-
-    def bring(self, version: Version, rows: Mapping[str, Row]) -> None:
-        """A peer has handed over a newer list; it was checked."""
-        seats = {
-            ident: Seat(
+            self.fleet.note_source_content(Version(0, self.service.names.number, list_digest(rows)))
+
+    def act_on(self, number: int, endpoints: Mapping[str, Endpoint], by: str) -> None:
+        """Put a list of the name service in force, and record it in the audit."""
+        rows = rows_of(endpoints.values())
+        self.fleet.in_force(Artifact.LIST, Version(0, number, list_digest(rows)), rows)
+        self.audit_versions(by)
+
+    def apply_peer_list(self, version: Version, rows: Mapping[str, Row]) -> None:
+        """Put a newer list in force that was fetched from a peer and checked."""
+        endpoints = {
+            ident: Endpoint(
                 ident,
                 str(row[1]),
                 int(row[2]),
@@ -203,27 +203,29 @@
             for ident, row in rows.items()
         }
         names = self.service.names
-        names.take_known(KnownList(max(names.number, version.number), seats))
-        names.is_brought = True
+        names.take_known(KnownList(max(names.number, version.number), endpoints))
+        names.is_from_peer = True
         self.counters.add("lists_from_peers")
-        self.acted_on("peer")
-        self.link.listed(seats)
+        self.audit_versions("peer")
+        self.adapter.apply_list(endpoints)
 
-    def acted_on(self, by: str) -> None:
-        """Note in the audit which versions are in force, and by whose word."""
+    def audit_versions(self, by: str) -> None:
+        """Record in the audit which versions are in force, and from which source."""
         if self.journal is not None:
-            force = {line.name.lower(): str(version) for line, version in self.fleet.book.force.items()}
+            force = {
+                line.name.lower(): str(version) for line, version in self.fleet.registry.in_force.items()
+            }
             engines = {ident: row[6] for ident, row in self.fleet.rows.items()}
-            self.journal.act_on(force | {"by": by, "engines": engines})
+            self.journal.set_versions(force | {"by": by, "engines": engines})
 
-    # Time and datagrams.
+    # Timers and datagrams.
 
     def tick(self) -> None:
-        """All that is due by now; repeats every TICK ms."""
+        """Do all that is due; repeats every TICK ms."""
         self.reactor.callLater(TICK / 1000, self.tick)
         now = self.monotonic()
-        if self.service.names.answered_at != self.heard_at:
-            self.heard_at = self.service.names.answered_at
+        if self.service.names.answered_at != self.source_heard_at:
+            self.source_heard_at = self.service.names.answered_at
             self.fleet.source_answered(now)
         self.fleet.skew = self.raw() - self.unix()
         self.fleet.tick(now, self.unix())
@@ -241,22 +243,22 @@
             self.fleet.page = self.journal.seal() or self.fleet.page
             for name in ("torn", "lost", "failures", "dropped", "broken", "written"):
                 self.counters.sums["audit_" + name] = getattr(self.journal, name)
-        self.after()
+        self.process_output()
 
-    def came(self, datagram: bytes, source: tuple[str, int]) -> None:
-        """A datagram has come."""
-        self.fleet.take(self.monotonic(), self.unix(), source, datagram)
-        self.after()
+    def datagram_received(self, datagram: bytes, source: tuple[str, int]) -> None:
+        """Handle a datagram."""
+        self.fleet.receive(self.monotonic(), self.unix(), source, datagram)
+        self.process_output()
 
-    def after(self) -> None:
-        """What the fleet has to send and to tell."""
+    def process_output(self) -> None:
+        """Send the fleet's datagrams, record its events, and follow a change of standing."""
         self.send()
-        told, self.fleet.told = self.fleet.told, []
-        for each in told:
-            self.tell(each)
-        doubtful = self.fleet.ladder.allowed.doubtful
-        if doubtful != self.parts:
-            self.tell_parts(doubtful)
+        events, self.fleet.events = self.fleet.events, []
+        for event in events:
+            self.record_event(event)
+        doubtful = self.fleet.tracker.allowed.doubtful
+        if doubtful != self.has_cold_share:
+            self.set_cold_share(doubtful)
 
     def send(self) -> None:
         """Send the datagrams that the fleet has queued."""
@@ -267,119 +269,123 @@
             except OSError:
                 self.counters.add("fleet_not_sent")
 
-    def tell(self, told: Told) -> None:
+    def record_event(self, event: FleetEvent) -> None:
         """Write an event to the log and the audit."""
-        if told.what not in QUIET:
-            self.log.info("fleet_" + told.what, extra={"figures": told.figures})
+        if event.what not in UNLOGGED_EVENTS:
+            self.log.info("fleet_" + event.what, extra={"figures": event.figures})
         if self.journal is not None:
-            kind = KINDS.get(told.what, Kind.OTHER)
-            figures = told.figures if kind is not Kind.OTHER else {"event": told.what} | told.figures
-            self.journal.pages.tell(kind, figures)
-            if not self.link.in_turn:
+            kind = KINDS.get(event.what, Kind.OTHER)
+            figures = event.figures if kind is not Kind.OTHER else {"event": event.what} | event.figures
+            self.journal.pages.add_json(kind, figures)
+            if not self.adapter.in_batch:
                 self.journal.flush()
 
-    def tell_parts(self, doubtful: bool) -> None:
-        """Set our part of cold budgets: nothing without a lease, so that the rules choose no cold engine.
+    def set_cold_share(self, doubtful: bool) -> None:
+        """Set our share of cold budgets: none without a lease, so that the rules choose no cold engine.
 
-        Where VRRP's tenure says the parts, it goes on to, and `departs` withholds.
+        Where VRRP's tenure sets the shares, it keeps doing so, and `allow_send` withholds the sends.
         """
-        self.parts = doubtful
+        self.has_cold_share = doubtful
         if self.inner is None or self.plan.vrrp is None:
-            self.link.gather(self.link.rules.tenured, self.share if doubtful else 0.0, self.share)
+            self.adapter.enqueue(
+                self.adapter.rules.capacity_shares_changed, self.share if doubtful else 0.0, self.share
+            )
 
-    # The link's Guard.
+    # The adapter's Guard.
 
-    def turning(self, now: float) -> None:
+    def batch_started(self, now: float) -> None:
         """See Guard."""
         if self.inner is not None:
-            self.inner.turning(now)
+            self.inner.batch_started(now)
 
-    def door(self, kind: int, ident: bytes) -> Answer | None:
-        """Shed what may not be taken in our standing."""
+    def immediate_answer(self, kind: int, ident: bytes) -> Answer | None:
+        """Shed requests that must not be accepted in our standing."""
         allowed = self.fleet.allowed(self.monotonic())
-        if not allowed.redoable or (self.guarded[kind] and not allowed.doubtful):
+        if not allowed.idempotent or (self.guarded[kind] and not allowed.doubtful):
             self.counters.add("fleet_shed")
-            self.short(Kind.SHED, ident)
-            return Shed(self.come_back)
-        return self.inner.door(kind, ident) if self.inner is not None else None
+            self.audit_request(Kind.SHED, ident)
+            return Shed(self.retry_after)
+        return self.inner.immediate_answer(kind, ident) if self.inner is not None else None
 
-    def before(self, taken: Taken, trip: int, go: Callable[[bool | None], None]) -> bool:
+    def before_send(self, request: OpenRequest, attempt: int, go: Callable[[bool | None], None]) -> bool:
         """See Guard."""
-        return self.inner.before(taken, trip, go) if self.inner is not None else True
+        return self.inner.before_send(request, attempt, go) if self.inner is not None else True
 
-    def given_up(self, number: int, trip: int) -> None:
+    def attempt_abandoned(self, number: int, attempt: int) -> None:
         """See Guard."""
         if self.inner is not None:
-            self.inner.given_up(number, trip)
+            self.inner.attempt_abandoned(number, attempt)
 
-    def answered(self, taken: Taken, answer: Answer | None) -> None:
-        """Note the answer in the audit, unless a trip brought it."""
+    def answered(self, request: OpenRequest, answer: Answer | None) -> None:
+        """Record the answer in the audit, unless an attempt delivered it."""
         if not isinstance(answer, Delivered):
-            self.short(ANSWERS[type(answer)] if answer is not None else Kind.WITHDRAWN, taken.ident)
+            self.audit_request(ANSWERS[type(answer)] if answer is not None else Kind.WITHDRAWN, request.ident)
         if self.inner is not None:
-            self.inner.answered(taken, answer)
+            self.inner.answered(request, answer)
 
-    def never_ran(self, taken: Taken) -> None:
+    def never_ran(self, request: OpenRequest) -> None:
         """See Guard."""
         if self.inner is not None:
-            self.inner.never_ran(taken)
+            self.inner.never_ran(request)
 
-    def departs(self, taken: Taken, trip: int, engine: int) -> bool:
-        """The last look before a send: the lease may have run out since the rules chose, also in a pause."""
-        found = self.link.rules.engines.get(engine)
-        cold = found is not None and found.warm_at > self.link.clock()
-        doubtful = cold or self.guarded[taken.kind]
+    def allow_send(self, request: OpenRequest, attempt: int, engine: int) -> bool:
+        """Check at send time: the lease may have expired since the rules chose, for instance in a pause."""
+        found = self.adapter.rules.engines.get(engine)
+        cold = found is not None and found.slow_start_until > self.adapter.clock()
+        doubtful = cold or self.guarded[request.kind]
         allowed = self.fleet.allowed(self.monotonic())
-        if not allowed.redoable or (doubtful and not allowed.doubtful):
+        if not allowed.idempotent or (doubtful and not allowed.doubtful):
             self.counters.add("fleet_withheld")
             return False
-        ident = self.ident_of(engine)
+        ident = self.engine_id(engine)
         row = self.fleet.rows.get(ident)
-        if row is None or row[6] != READY:  # a newer list came between the choice and this, in one turn
+        if row is None or row[6] != READY:  # a newer list arrived in this batch, after the choice
             self.counters.add("fleet_overtaken")
             return False
-        if self.inner is not None and not self.inner.departs(taken, trip, engine):  # last: it counts as used
+        if self.inner is not None and not self.inner.allow_send(
+            request, attempt, engine
+        ):  # checked last: it counts the engine's budget as used
             return False
         if self.journal is not None:
-            flags = COLD * cold | DOUBTFUL * self.guarded[taken.kind]
-            self.journal.pages.sent(taken.ident, trip, ident, flags)
-            if not self.link.in_turn:
+            flags = COLD * cold | DOUBTFUL * self.guarded[request.kind]
+            self.journal.pages.add_attempt(request.ident, attempt, ident, flags)
+            if not self.adapter.in_batch:
                 self.journal.flush()
         return True
 
-    def ident_of(self, engine: int) -> str:
+    def engine_id(self, engine: int) -> str:
         """The id of the engine at that place."""
-        if engine not in self.idents:
-            self.idents = {place: ident for ident, place in self.link.index.places.items()}
-        return self.idents.get(engine, str(engine))
+        if engine not in self.engine_ids:
+            self.engine_ids = {place: ident for ident, place in self.adapter.index.places.items()}
+        return self.engine_ids.get(engine, str(engine))
 
-    def called_off(self, taken: Taken, trip: int) -> None:
-        """Note it in the audit."""
-        self.short(Kind.CALLED_OFF, taken.ident, trip)
+    def attempt_cancelled(self, request: OpenRequest, attempt: int) -> None:
+        """Record the cancellation in the audit."""
+        self.audit_request(Kind.CALLED_OFF, request.ident, attempt)
         if self.inner is not None:
-            self.inner.called_off(taken, trip)
+            self.inner.attempt_cancelled(request, attempt)
 
-    def said(self, line: str) -> None:
-        """Note it in the audit."""
+    def mode_changed(self, line: str) -> None:
+        """Record a line of the rules in the audit."""
         if self.journal is not None:
-            self.journal.pages.tell(Kind.MODE, {"says": line})
+            self.journal.pages.add_json(Kind.MODE, {"says": line})
         if self.inner is not None:
-            self.inner.said(line)
+            self.inner.mode_changed(line)
 
-    def turned(self) -> None:
-        """Write the turn's frame before anything of it leaves."""
+    def batch_ended(self) -> None:
+        """Write the batch's frame before anything of the batch leaves."""
         if self.journal is not None:
             self.journal.flush()
         if self.inner is not None:
-            self.inner.turned()
+            self.inner.batch_ended()
 
-    def seat(self, seat: Seat) -> Seat:
+    def endpoint(self, endpoint: Endpoint) -> Endpoint:
         """See Guard."""
-        return self.inner.seat(seat) if self.inner is not None else seat
+        return self.inner.endpoint(endpoint) if self.inner is not None else endpoint
 
-    def short(self, kind: Kind, ident: bytes, trip: int = 0) -> None:
-        """Note in the audit what happened to a submission, at once when no turn is under way."""
+    def audit_request(self, kind: Kind, ident: bytes, attempt: int = 0) -> None:
+        """Record in the audit what happened to a request; at once if no batch is running."""
         if self.journal is not None:
-            self.journal.pages.short(kind, ident, trip)
-            if not self.link.in_turn:
+            self.journal.pages.add_event(kind, ident, attempt)
+            if not self.adapter.in_batch:
                 self.journal.flush()
--- a/spurdeal/fleet/status.py
+++ b/spurdeal/fleet/status.py
@@ -1,42 +1,44 @@
-"""What one member knows of its fleet, as `spurdeal fleet status` and the clients' interface show it."""
+"""One member's view of its fleet, as `spurdeal fleet status` and the client interface show it."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING, Any
 
-from .versions import Line
+from .versions import Artifact
 
 if TYPE_CHECKING:
     from .fleet import Fleet
 
 
 def fleet_status(fleet: Fleet, now: float) -> dict[str, Any]:
-    """All that is known here of the fleet, ready for JSON. Times in it are ms."""
+    """This member's view of the fleet, ready for JSON. Times are ms."""
     return own_status(fleet, now) | {
         "members": [member_status(fleet, now, name) for name in sorted(fleet.members.others)],
-        "clashes": [str(clash) for clash in fleet.book.clashes.values()],
-        "implausible": dict(fleet.book.implausible),
+        "clashes": [str(clash) for clash in fleet.registry.clashes.values()],
+        "implausible": dict(fleet.registry.implausible),
         "counts": dict(sorted(fleet.counts.items())),
     }
 
 
 def own_status(fleet: Fleet, now: float) -> dict[str, Any]:
-    """What concerns the member itself."""
-    newest = fleet.book.newest(Line.LIST)
-    versions = {line.name.lower(): str(each) for line, each in sorted(fleet.book.force.items())}
+    """The status of the member itself."""
+    newest = fleet.registry.newest(Artifact.LIST)
+    versions = {
+        artifact.name.lower(): str(each) for artifact, each in sorted(fleet.registry.in_force.items())
+    }
     return {
         "name": fleet.name,
         "boot": f"{fleet.boot:016x}",
-        "why": fleet.ladder.why,
-        "standing": fleet.ladder.standing.name.lower(),
-        "for_ms": round(now - fleet.ladder.since),
+        "why": fleet.tracker.why,
+        "standing": fleet.tracker.standing.name.lower(),
+        "for_ms": round(now - fleet.tracker.since),
         "lease": fleet.lease.holds(now),
         "term": fleet.lease.term.number,
         "grantors": list(fleet.lease.term.grantors),
-        "wardens": list(fleet.lease.term.grantors),  # deprecated: the name of "grantors" before
+        "wardens": list(fleet.lease.term.grantors),  # deprecated: the former name of "grantors"
         "versions": versions,
         "newest_list": str(newest) if newest is not None else None,
-        "behind": fleet.book.behind(),
+        "behind": fleet.registry.behind(),
         "clock_shift_ms": round(fleet.clock_shift),
         "size": fleet.members.size(),
         "health": fleet.members.health,
@@ -44,10 +46,10 @@
 
 
 def member_status(fleet: Fleet, now: float, name: str) -> dict[str, Any]:
-    """What is known here of one other member."""
-    record, heard = fleet.members.others[name], fleet.heard.get(name)
-    claims = fleet.book.claims.get(name, {})
-    newest = fleet.book.newest(Line.LIST)
+    """The status of one other member, as known here."""
+    record, heard = fleet.members.others[name], fleet.peer_reports.get(name)
+    claims = fleet.registry.claims.get(name, {})
+    newest = fleet.registry.newest(Artifact.LIST)
     found: dict[str, Any] = {
         "name": name,
         "life": record.life.name.lower(),
@@ -62,7 +64,7 @@
             "heard_ms_ago": round(now - heard.at),
             "page": heard.page.number if heard.page is not None else None,
         }
-    if Line.LIST in claims and newest is not None:
-        told = claims[Line.LIST]
-        found |= {"list": str(told), "behind": max(0, newest.number - told.number)}
+    if Artifact.LIST in claims and newest is not None:
+        claimed = claims[Artifact.LIST]
+        found |= {"list": str(claimed), "behind": max(0, newest.number - claimed.number)}
     return found
--- a/spurdeal/fleet/wire.py
+++ b/spurdeal/fleet/wire.py
@@ -1,7 +1,7 @@
-"""What fleet datagrams say: JSON bodies in the sealed datagrams that handover uses. Free of I/O and clocks.
+"""The wire format: JSON bodies in the sealed datagrams that handover uses as well. Free of I/O and clocks.
 
-Every body is read whole, and refused whole, before anything of it counts. A datagram stays in one packet:
-LARGEST is under the least that a path must carry with room for headers (RFC 8200, section 5: 1,280 bytes).
+A body is parsed completely, and rejected as a whole, before any of it takes effect. A datagram fits into one
+packet: LARGEST leaves room for headers within the minimum MTU (RFC 8200, section 5: 1,280 bytes).
 """
 
 from __future__ import annotations
@@ -18,44 +18,44 @@
 from .lease import GRANTORS, Term
 from .members import MAX_INCARNATION, Life, Record
 from .standing import Standing
-from .versions import Line, Version
+from .versions import Artifact, Version
 
 LARGEST = 1200  # bytes of a datagram
-LONGEST_NAME = 32
-MOST_RECORDS = 12
-MOST_LEFT = 3_600_000.0  # ms
+MAX_NAME_LENGTH = 32
+MAX_RECORDS = 12
+MAX_REMAINING = 3_600_000.0  # ms
 
 
 def name_of(datagram: bytes) -> str:
-    """The sender's name as the head tells it; the seal is yet to be checked."""
+    """The sender's name in the header. The seal has not been verified yet."""
     if len(datagram) < HEAD.size + SEAL:
         raise RefusedError("short")
     if len(datagram) > LARGEST:
         raise RefusedError("long")
     size = datagram[5]
     text = datagram[HEAD.size : HEAD.size + size]
-    if not 1 <= size <= LONGEST_NAME or len(text) != size or not text.isascii():
+    if not 1 <= size <= MAX_NAME_LENGTH or len(text) != size or not text.isascii():
         raise RefusedError("name")
     return text.decode("ascii")
 
 
 def room(name: str, body: Mapping[str, Any]) -> int:
-    """Bytes left for more in a datagram that is to carry this body."""
+    """Bytes left in a datagram that carries this body."""
     return LARGEST - HEAD.size - SEAL - len(name) - len(json.dumps(body, separators=(",", ":")))
 
 
-# Reading: each raises RefusedError("body") for what has not its form.
+# Parsing: each function raises RefusedError("body") for a malformed value.
 
 
-def whole(value: object, most: float = 1 << 63) -> int:
-    """A whole number from 0 to the most."""
+def integer(value: object, most: float = 1 << 63) -> int:
+    """An integer from 0 to `most`."""
     if not isinstance(value, int) or isinstance(value, bool) or not 0 <= value <= most:
         raise RefusedError("body")
     return value
 
 
-def figure(value: object, most: float = MOST_LEFT) -> float:
-    """A finite number from 0 to the most."""
+def finite_number(value: object, most: float = MAX_REMAINING) -> float:
+    """A finite number from 0 to `most`."""
     if (
         not isinstance(value, (int, float))
         or isinstance(value, bool)
@@ -66,8 +66,8 @@
     return float(value)
 
 
-def text(value: object, most: int = LONGEST_NAME) -> str:
-    """Printable ASCII of 1 to the most characters."""
+def text(value: object, most: int = MAX_NAME_LENGTH) -> str:
+    """Printable ASCII of 1 to `most` characters."""
     if (
         not isinstance(value, str)
         or not 1 <= len(value) <= most
@@ -78,15 +78,15 @@
     return value
 
 
-def items(value: object, least: int, most: int) -> list[Any]:
-    """A list with at least and at most so many items."""
+def array(value: object, least: int, most: int) -> list[Any]:
+    """A list of `least` to `most` items."""
     if not isinstance(value, list) or not least <= len(value) <= most:
         raise RefusedError("body")
     return value
 
 
 def host(value: object) -> str:
-    """An IP address, in its usual form."""
+    """An IP address in its canonical form."""
     try:
         return str(ip_address(text(value, 45)))
     except ValueError:
@@ -94,76 +94,76 @@
 
 
 def record(value: object) -> Record:
-    """A member's record, as `written` gives it."""
-    row = items(value, 7, 7)
+    """A member's record, as written by `record_row`."""
+    row = array(value, 7, 7)
     try:
-        life = Life(whole(row[5], 3))
+        life = Life(integer(row[5], 3))
     except ValueError:
         raise RefusedError("body") from None
     by = text(row[6]) if row[6] != "" else ""
     return Record(
         text(row[0]),
         host(row[1]),
-        whole(row[2], 65535),
-        whole(row[3]),
-        whole(row[4], MAX_INCARNATION),
+        integer(row[2], 65535),
+        integer(row[3]),
+        integer(row[4], MAX_INCARNATION),
         life,
         by,
     )
 
 
-def written(found: Record) -> list[Any]:
+def record_row(found: Record) -> list[Any]:
     """A member's record as a row for JSON."""
     return [found.name, found.host, found.port, found.boot, found.incarnation, int(found.life), found.by]
 
 
 def records(body: Mapping[str, Any], key: str = "n") -> list[Record]:
-    """The member records of a body, at most MOST_RECORDS."""
-    return [record(row) for row in items(body.get(key, []), 0, MOST_RECORDS)]
+    """The member records of a body, at most MAX_RECORDS."""
+    return [record(row) for row in array(body.get(key, []), 0, MAX_RECORDS)]
 
 
 def version(value: object) -> Version:
     """A version: generation, number and digest."""
-    row = items(value, 3, 3)
-    return Version(whole(row[0], 1 << 48), whole(row[1], 1 << 48), text(row[2], 16))
+    row = array(value, 3, 3)
+    return Version(integer(row[0], 1 << 48), integer(row[1], 1 << 48), text(row[2], 16))
 
 
-def versions(body: Mapping[str, Any]) -> dict[Line, Version]:
+def versions(body: Mapping[str, Any]) -> dict[Artifact, Version]:
     """The sender's versions in force."""
-    rows = items(body.get("v", []), 0, len(Line))
-    return {Line(place): version(row) for place, row in enumerate(rows) if row is not None}
+    rows = array(body.get("v", []), 0, len(Artifact))
+    return {Artifact(place): version(row) for place, row in enumerate(rows) if row is not None}
 
 
-def versions_written(force: Mapping[Line, Version]) -> list[Any]:
-    """Versions in force as a row for JSON, in the order of Line."""
-    return [list(force[line]) if line in force else None for line in Line]
+def versions_row(force: Mapping[Artifact, Version]) -> list[Any]:
+    """Versions in force as a row for JSON, in the order of Artifact."""
+    return [list(force[artifact]) if artifact in force else None for artifact in Artifact]
 
 
 def stamp(body: Mapping[str, Any]) -> Stamp:
-    """The sender's hybrid stamp."""
-    row = items(body.get("h"), 2, 2)
-    return Stamp(whole(row[0], 1 << 48), whole(row[1], 0xFFFF))
+    """The sender's hybrid timestamp."""
+    row = array(body.get("h"), 2, 2)
+    return Stamp(integer(row[0], 1 << 48), integer(row[1], 0xFFFF))
 
 
 def term(value: object) -> Term:
     """A lease term: its number and grantors."""
-    row = items(value, 2, 2)
-    return Term(whole(row[0], 1 << 48), tuple(sorted(text(name) for name in items(row[1], 0, GRANTORS))))
+    row = array(value, 2, 2)
+    return Term(integer(row[0], 1 << 48), tuple(sorted(text(name) for name in array(row[1], 0, GRANTORS))))
 
 
-def term_written(found: Term) -> list[Any]:
+def term_row(found: Term) -> list[Any]:
     """A lease term as a row for JSON."""
     return [found.number, list(found.grantors)]
 
 
 def standing(body: Mapping[str, Any]) -> Standing:
     """The sender's standing."""
-    return Standing(whole(body.get("s"), len(Standing) - 1))
+    return Standing(integer(body.get("s"), len(Standing) - 1))
 
 
 def page(body: Mapping[str, Any]) -> SealedPage | None:
     """The newest sealed page of the sender's audit log."""
     if "d" not in body:
         return None
-    row = items(body["d"], 3, 3)
-    return SealedPage(whole(row[0], 1 << 48), text(row[1], 32), whole(row[2], 1 << 48))
+    row = array(body["d"], 3, 3)
+    return SealedPage(integer(row[0], 1 << 48), text(row[1], 32), integer(row[2], 1 << 48))
--- a/spurdeal/lab/audited/virtual.py
+++ b/spurdeal/lab/audited/virtual.py
@@ -11,9 +11,9 @@
 from pathlib import Path
 from typing import Any
 
-from ...fleet.audit import Pages
+from ...fleet.audit import PageBuilder
 from ...fleet.fleet import Fleet
-from ...fleet.hybrid import Hybrid
+from ...fleet.hybrid import HybridClock
 from ...fleet.messenger import RequestKind
 from ...vrrp.sealed import Session
 from ..fleet_world import KEYS, World
@@ -81,13 +81,13 @@
         peer.messenger.ping(world.now, world.unix(None), "d0", RequestKind.RENEW)
         _, datagram = peer.out[-1]
         good.append(datagram)
-        fleet.take(world.now, world.unix(None), peer.address, datagram)
+        fleet.receive(world.now, world.unix(None), peer.address, datagram)
     fleet.out.clear()
     forger = Session("d1", "d0", 5, type(KEYS)({1: b"x" * 16}))
     before, dropped = state_of(fleet), drops(fleet)
     for number in range(tries):
         datagram = spoilt(number, chance.choice(good), forger, chance)
-        fleet.take(world.now, world.unix(None), peer.address, datagram)
+        fleet.receive(world.now, world.unix(None), peer.address, datagram)
         fleet.out.clear()
     refused = drops(fleet) - dropped
     return {"malformed_tried": tries, "malformed_accepted": tries - refused + (before != state_of(fleet))}
@@ -95,7 +95,7 @@
 
 def state_of(fleet: Fleet) -> tuple[object, ...]:
     """What no malformed datagram may change."""
-    return fleet.ladder.standing, dict(fleet.members.others), dict(fleet.book.claims)
+    return fleet.tracker.standing, dict(fleet.members.others), dict(fleet.registry.claims)
 
 
 def drops(fleet: Fleet) -> int:
@@ -120,16 +120,16 @@
 
 
 def stamping(times: int = 20_000) -> float:
-    """us of CPU for what a submission's send adds: its record, and its turn's frame with one write."""
+    """us of CPU for what a request's send adds: its record, and its turn's frame with one write."""
     folder = Path(tempfile.mkdtemp(prefix="spurdeal-lab-"))
-    pages, clock = Pages(), Hybrid(0.0)
+    pages, clock = PageBuilder(), HybridClock(0.0)
     with open(folder / "stamped", "wb", buffering=0) as file:
         began = time.process_time()
         for number in range(times):
-            pages.sent(b"0123456789abcdef", 0, "s-7", 2)
+            pages.add_attempt(b"0123456789abcdef", 0, "s-7", 2)
             data = pages.frame(clock.stamp(float(number)), 3)
             file.write(data)
-            pages.wrote(data, True)
+            pages.on_written(data, True)
         used = time.process_time() - began
     shutil.rmtree(folder)
     return round(used / times * 1e6, 2)
--- a/spurdeal/lab/capacity/engine_list.py
+++ b/spurdeal/lab/capacity/engine_list.py
@@ -5,9 +5,9 @@
 from collections.abc import Callable, Sequence
 
 from ...net import dns
-from ...net.engine_list import answered_seats
-from ...net.names import ASK_EVERY, SERVICE
-from ..names import Seat, answer
+from ...net.engine_list import answered_endpoints
+from ...net.names import QUERY_INTERVAL, SERVICE
+from ..names import Endpoint, answer
 from . import design
 from .fit import Form
 from .measure import TRIES, Refused, cpu_us, sample
@@ -18,23 +18,24 @@
 LARGEST_DATAGRAM = 65_507  # a UDP payload over IPv4
 RECORDS_PER_ENGINE, RECORDS_OF_LIST = 3, 1  # SRV, A and TXT; the SOA with the serial
 IDENT = 7
-ASKED_PER_S = 1 / ASK_EVERY
+ASKED_PER_S = 1 / QUERY_INTERVAL
 READS_PER_TRY = 5
 
 
 def datagram(engines: int) -> bytes:
     """The name service's answer with so many engines."""
     listed = [
-        Seat(f"s-{number}", f"127.9.{number // 250}.{number % 250 + 1}", 7001) for number in range(engines)
+        Endpoint(f"s-{number}", f"127.9.{number // 250}.{number % 250 + 1}", 7001)
+        for number in range(engines)
     ]
-    return answer(dns.question(IDENT, SERVICE, dns.SRV), 1, *(seat.record() for seat in listed))
+    return answer(dns.encode_query(IDENT, SERVICE, dns.SRV), 1, *(endpoint.record() for endpoint in listed))
 
 
 def read(message: bytes) -> int:
     """How many engines the dispatcher's reader finds; raises dns.BadDatagram as the reader does."""
-    found = dns.read_answer(message, IDENT, SERVICE, dns.SRV)
+    found = dns.decode_response(message, IDENT, SERVICE, dns.SRV)
     assert found is not None
-    return len(answered_seats(*found[1:]))
+    return len(answered_endpoints(*found[1:]))
 
 
 def most_in_a_datagram() -> int:
@@ -61,14 +62,14 @@
 
     def read_some() -> None:
         for _ in range(READS_PER_TRY):
-            dns.read_answer(message, IDENT, SERVICE, dns.SRV)
+            dns.decode_response(message, IDENT, SERVICE, dns.SRV)
 
     return sample([cpu_us(read_some) / READS_PER_TRY * ASKED_PER_S for _ in range(TRIES)])
 
 
 def bytes_per_s(engines: int) -> Sample:
     """Bytes of questions and answers a second."""
-    exchanged = len(datagram(engines)) + len(dns.question(IDENT, SERVICE, dns.SRV))
+    exchanged = len(datagram(engines)) + len(dns.encode_query(IDENT, SERVICE, dns.SRV))
     return Sample(exchanged * ASKED_PER_S)
 
 
--- a/spurdeal/lab/capacity/links_process.py
+++ b/spurdeal/lab/capacity/links_process.py
@@ -15,7 +15,7 @@
 
 from ...interface import Life
 from ...net.counters import Counters
-from ...net.engine_list import Seat
+from ...net.engine_list import Endpoint
 from ...net.engines import Engines
 from ...net.logs import logger
 from ...net.start import SWEEP_EVERY
@@ -24,7 +24,7 @@
 
 reactor: Any = installed
 DIAL_WITHIN_MS, IDLE_AFTER_MS = 10_000.0, 600_000.0
-FAR = 1e15  # ms: the trips that open the connections never expire
+FAR = 1e15  # ms: the attempts that open the connections never expire
 DIALS_AT_ONCE, LOOK_EVERY = 64, 0.02
 REST, GIVEN_UP_AFTER = 0.5, 60.0  # seconds
 
@@ -40,7 +40,7 @@
     def __init__(self, port: int, count: int) -> None:
         self.port, self.count, self.dialled = port, count, 0
         self.engines = Engines(reactor, clock, (), Counters(), logger("links", Silent()))
-        self.engines.bound(DIAL_WITHIN_MS, IDLE_AFTER_MS, 1, count, 0.0)
+        self.engines.set_limits(DIAL_WITHIN_MS, IDLE_AFTER_MS, 1, count, 0.0)
         self.before = resident_kb()
         self.cpu: list[float] = []
         self.memory = 0.0
@@ -61,9 +61,9 @@
             reactor.stop()
             return
         for number in range(self.dialled, min(self.count, self.up() + DIALS_AT_ONCE)):
-            seat = Seat(f"s-{number}", "127.0.0.1", self.port, "east", "std", 0, Life.READY, 1.0, 0.0)
-            self.engines.listed(number, seat)
-            # The connection comes up for a trip that is withdrawn before its first byte.
+            endpoint = Endpoint(f"s-{number}", "127.0.0.1", self.port, "east", "std", 0, Life.READY, 1.0, 0.0)
+            self.engines.update_engine(number, endpoint)
+            # The connection comes up for an attempt that is withdrawn before its first byte.
             self.engines.send(number, b"%016x" % number, b"lookup", b"", FAR, False, lambda: None)
             self.dialled += 1
         reactor.callLater(LOOK_EVERY, self.open_more)
--- a/spurdeal/lab/capacity/request_path.py
+++ b/spurdeal/lab/capacity/request_path.py
@@ -13,13 +13,13 @@
 from twisted.internet.task import Clock
 
 from ...deployment import deployment
-from ...interface import Deployment, Ending, EndReason, Life, Listed
+from ...interface import Deployment, Ending, EndReason, Life, ListedEngine
 from ...net.counters import Counters
-from ...net.engine_list import Seat
+from ...net.engine_list import Endpoint
 from ...net.engines import Engines
-from ...net.link import SocketLink
+from ...net.link import SocketAdapter
 from ...net.logs import logger
-from ...rules import TICK, WAKE_TICK, Dispatcher
+from ...rules import TICK_MS, TICK_TIMER, Dispatcher
 from . import design
 from .measure import TRIES, cpu_us, require_memory, sample
 from .records import Measure, Quantity, Role, Sample, quantity
@@ -27,24 +27,24 @@
 SIZES = (36, 150, 500, 1_000, 2_000, 3_000, 4_300)
 QUICK_SIZES = (36, 60, 100, 150, 250)
 CORES, CELLS = 4, 4
-COST_MS, EXPIRY_MS = 12.0, 2_500.0
+COST_MS, DEADLINE_MS = 12.0, 2_500.0
 CHOICES_PER_TRY = 12
 IN_FLIGHT = 40
-TICKS_PER_S = int(1000 / TICK)
+TICKS_PER_S = int(1000 / TICK_MS)
 KB_PER_ENGINE = 16.0  # a generous bound on what one engine costs, for the refusal
 
 SETTINGS = {
     "balancers": design.DISPATCHERS,
     "zones": ["east"],
     "models": ["std"],
-    "grades": [{"name": "lookup", "aim": 800, "deadline": EXPIRY_MS, "late_worth": 0.5}],
+    "grades": [{"name": "lookup", "aim": 800, "deadline": DEADLINE_MS, "late_worth": 0.5}],
     "extra": {"cpu_of_kind": [CORES]},
     "limits": {"cancelling": True, "dial_timeout": 250, "send_cap": 3, "streams_per_conn": 4},
 }
 
 
-class RecordingLink:
-    """A link that keeps only which submission went to which engine."""
+class RecordingAdapter:
+    """A link that keeps only which request went to which engine."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[int, int]] = []
@@ -53,10 +53,10 @@
         self.sent.append((number, engine))
 
     def terms(self, number: int, memory: float, priority: int) -> None: ...
-    def shed(self, number: int, come_back: float, reason: EndReason) -> None: ...
-    def break_off(self, number: int, reason: EndReason) -> None: ...
-    def call_off(self, number: int, trip: int) -> None: ...
-    def wake(self, delay: float, token: int) -> None: ...
+    def shed(self, number: int, retry_after: float, reason: EndReason) -> None: ...
+    def fail_request(self, number: int, reason: EndReason) -> None: ...
+    def cancel_attempt(self, number: int, attempt: int) -> None: ...
+    def set_timer(self, delay: float, token: int) -> None: ...
     def watch(self) -> None: ...
     def log(self, line: str) -> None: ...
 
@@ -70,15 +70,17 @@
     """One decision module before so many warm engines."""
 
     def __init__(self, engines: int) -> None:
-        self.link, self.now, self.number = RecordingLink(), 0.0, 0
-        self.rules = Dispatcher(site(), 1, self.link, self.now)
-        lines = [Listed(number, 0, 0, number % CELLS, Life.READY, 1.0, 0.0) for number in range(engines)]
-        self.rules.listed(self.now, lines, True)
+        self.adapter, self.now, self.number = RecordingAdapter(), 0.0, 0
+        self.rules = Dispatcher(site(), 1, self.adapter, self.now)
+        lines = [
+            ListedEngine(number, 0, 0, number % CELLS, Life.READY, 1.0, 0.0) for number in range(engines)
+        ]
+        self.rules.list_changed(self.now, lines, True)
 
     def submit(self) -> None:
-        """One submission; it is sent, or held where the module finds no engine."""
+        """One request; it is sent, or held where the module finds no engine."""
         self.number += 1
-        self.rules.submitted(self.now, self.number, 0, 0, 0, self.now + EXPIRY_MS, COST_MS, 0.0, 0)
+        self.rules.request_received(self.now, self.number, 0, 0, 0, self.now + DEADLINE_MS, COST_MS, 0.0, 0)
 
     def submit_many(self, count: int) -> None:
         """As `submit`, so many times."""
@@ -87,22 +89,24 @@
 
     def deliver_all(self) -> None:
         """All that is out comes back; what is held is withdrawn."""
-        sent, self.link.sent = self.link.sent, []
+        sent, self.adapter.sent = self.adapter.sent, []
         for number, engine in sent:
-            self.rules.ended(self.now, number, 0, engine, Ending.DELIVERED, COST_MS, True, COST_MS, 0.0, ())
-        for number in list(self.rules.open):
-            self.rules.withdrawn(self.now, number)
-        self.rules.turn(self.now)
+            self.rules.attempt_ended(
+                self.now, number, 0, engine, Ending.DELIVERED, COST_MS, True, COST_MS, 0.0, ()
+            )
+        for number in list(self.rules.open_requests):
+            self.rules.request_withdrawn(self.now, number)
+        self.rules.end_batch(self.now)
 
     def tick(self) -> None:
         """One periodic wake-up and its turn."""
-        self.now += TICK
-        self.rules.woken(self.now, WAKE_TICK)
-        self.rules.turn(self.now)
+        self.now += TICK_MS
+        self.rules.timer_fired(self.now, TICK_TIMER)
+        self.rules.end_batch(self.now)
 
 
 def choice_us(engines: int) -> Sample:
-    """Processor time of taking one submission in and choosing its engine."""
+    """Processor time of taking one request in and choosing its engine."""
     bench = Bench(engines)
     tries = []
     for _ in range(TRIES):
@@ -127,10 +131,10 @@
     return sample(tries)
 
 
-def seats(count: int, changed: int = -1) -> dict[str, Seat]:
+def endpoints(count: int, changed: int = -1) -> dict[str, Endpoint]:
     """A list of engines; one of them may be draining."""
     return {
-        f"s-{number}": Seat(
+        f"s-{number}": Endpoint(
             f"s-{number}",
             f"127.9.{number // 250}.{number % 250 + 1}",
             7001,
@@ -152,41 +156,41 @@
         return len(text)
 
 
-def empty_link() -> tuple[SocketLink, Clock]:
+def empty_adapter() -> tuple[SocketAdapter, Clock]:
     """A dispatcher's link before no engines, on a clock turned by hand."""
     clock = Clock()
     now: Callable[[], float] = lambda: clock.seconds() * 1000  # noqa: E731
     counters, log = Counters(), logger("capacity", Silent())
     engines = Engines(clock, now, (), counters, log)
-    engines.bound(250.0, 30_000.0, 4, 409, 0.0)
-    return SocketLink(site(), 1, ["east"], ["std"], engines, clock, now, counters, log), clock
+    engines.set_limits(250.0, 30_000.0, 4, 409, 0.0)
+    return SocketAdapter(site(), 1, ["east"], ["std"], engines, clock, now, counters, log), clock
 
 
-def apply_list(link: SocketLink, clock: Clock, listed: dict[str, Seat]) -> None:
+def apply_list(adapter: SocketAdapter, clock: Clock, listed: dict[str, Endpoint]) -> None:
     """A whole list through the link, the connections' table and the decision module."""
-    link.listed(listed)
+    adapter.apply_list(listed)
     clock.advance(0)
 
 
 def list_us(engines: int) -> Sample:
     """Processor time of applying a whole list in which one engine has changed."""
-    link, clock = empty_link()
-    apply_list(link, clock, seats(engines))
+    adapter, clock = empty_adapter()
+    apply_list(adapter, clock, endpoints(engines))
     tries = []
     for changed in range(TRIES):
-        told = seats(engines, changed)
+        told = endpoints(engines, changed)
         gc.collect()
-        tries.append(cpu_us(partial(apply_list, link, clock, told)))
+        tries.append(cpu_us(partial(apply_list, adapter, clock, told)))
     return sample(tries)
 
 
 def first_list_us(engines: int) -> Sample:
     """Processor time of the first list, in which all engines are new."""
-    told, tries = seats(engines), []
+    told, tries = endpoints(engines), []
     for _ in range(TRIES):
-        link, clock = empty_link()
+        adapter, clock = empty_adapter()
         gc.collect()
-        tries.append(cpu_us(partial(apply_list, link, clock, told)))
+        tries.append(cpu_us(partial(apply_list, adapter, clock, told)))
     return sample(tries)
 
 
@@ -194,9 +198,9 @@
     """What a list keeps allocated in the link, the connections' table and the decision module."""
     gc.collect()
     tracemalloc.start()
-    link, clock = empty_link()
+    adapter, clock = empty_adapter()
     before = tracemalloc.get_traced_memory()[0]
-    apply_list(link, clock, seats(engines))
+    apply_list(adapter, clock, endpoints(engines))
     gc.collect()
     kept = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
@@ -250,7 +254,7 @@
     return Role(
         "periodic tick",
         "engines",
-        "Dispatcher.woken every 50 ms, spurdeal/rules.py",
+        "Dispatcher.timer_fired every 50 ms, spurdeal/rules.py",
         "none of its own",
         "none",
         (by_engines(Measure.CPU, "us a second", sizes, samples, design.CONTROL_CPU_US_PER_S),),
@@ -264,7 +268,7 @@
     return Role(
         "whole list applied",
         "engines",
-        "SocketLink.listed, spurdeal/net/link.py; Dispatcher.listed, spurdeal/rules.py",
+        "SocketAdapter.apply_list, spurdeal/net/link.py; Dispatcher.list_changed, spurdeal/rules.py",
         "seat, place and Engine of each engine",
         "one list a change",
         (
@@ -280,7 +284,7 @@
     return Role(
         "first list applied",
         "engines",
-        "SocketLink.listed, spurdeal/net/link.py; Dispatcher.listed, spurdeal/rules.py",
+        "SocketAdapter.apply_list, spurdeal/net/link.py; Dispatcher.list_changed, spurdeal/rules.py",
         "as above",
         "one list a start",
         (by_engines(Measure.CPU, "us a start", sizes, samples, None),),
--- a/spurdeal/lab/capacity/sockets.py
+++ b/spurdeal/lab/capacity/sockets.py
@@ -21,7 +21,7 @@
 TYPICAL_ENGINES = 36
 REQUESTS_PER_TRY, QUICK_REQUESTS_PER_TRY = 900, 300
 MEMORY_LIMIT_KB = 192 * 1024.0  # `limits.memory_mb` of the configuration
-CLOSED_AFTER = 5.0  # seconds: LONGEST_IDLE of spurdeal/net/client.py
+CLOSED_AFTER = 5.0  # seconds: IDLE_TIMEOUT of spurdeal/net/client.py
 KB_PER_CONNECTION = 20.0  # at both ends and in the kernel: a generous bound, for the refusal
 PROCESSES = 2
 RUN_WITHIN = 120
@@ -62,8 +62,8 @@
         Role(
             "request over sockets",
             "engines",
-            "Client, spurdeal/net/client.py; SocketLink, net/link.py; Connection, net/engines.py",
-            "one Taken a submission, one Trip a send",
+            "Client, spurdeal/net/client.py; SocketAdapter, net/link.py; Connection, net/engines.py",
+            "one OpenRequest a request, one Attempt a send",
             "one call and one answer to the client, one command and one answer to the engine",
             (figures,),
             notes=(
--- a/spurdeal/lab/cold_ramp.py
+++ b/spurdeal/lab/cold_ramp.py
@@ -15,13 +15,13 @@
 from dataclasses import dataclass, replace
 from typing import Any, NamedTuple
 
-from ..interface import Deployment, Ending, Link, Listed, Rules, Workload
+from ..interface import Adapter, Deployment, Ending, ListedEngine, Rules, Workload
 from ..rules import Dispatcher
 from .model_engine import Engine, Kind
 from .planted import site
-from .virtual import Failure, Load, Taken, VirtualLink, World
+from .virtual import Failure, Load, OpenRequest, VirtualAdapter, World
 
-RulesFactory = Callable[[Deployment, int, Link, float], Rules]
+RulesFactory = Callable[[Deployment, int, Adapter, float], Rules]
 
 PROCESSES = 2
 WILSON_Z = 1.96  # two-sided 95%
@@ -37,7 +37,7 @@
 COLD_FOR, COLD_WINDOW, COLD_SHARE, FALL_MULTIPLE = 15_000.0, 1_500.0, 0.31, 2.0
 CORES = 16
 NEVER_FALLS = 1e9  # the model's engine must not fall by itself: it knows no slack
-TAIL_SHARE, TAIL_FACTOR = 0.02, 15.0  # of the submissions with heavy-tailed work, so many times as heavy
+TAIL_SHARE, TAIL_FACTOR = 0.02, 15.0  # of the requests with heavy-tailed work, so many times as heavy
 
 
 class Phase(NamedTuple):
@@ -48,7 +48,7 @@
 
 
 class Mix(NamedTuple):
-    """The workloads: their shares of all submissions, mean work and threads."""
+    """The workloads: their shares of all requests, mean work and threads."""
 
     shares: tuple[float, ...]
     work: tuple[float, ...]
@@ -124,7 +124,7 @@
         cold_share=COLD_SHARE,
         cold_multiple=FALL_MULTIPLE,
         cold_window=COLD_WINDOW,
-        further_window=None,
+        retry_window=None,
     )
 
 
@@ -165,19 +165,19 @@
         self.told_in_window += sign * attempt.work if attempt.told else 0.0
 
 
-class ToldLink(VirtualLink):
+class ToldAdapter(VirtualAdapter):
     """A dispatcher's link that keeps which starts of engines it has been told of."""
 
     def start(self) -> None:
         self.told = dict[int, float]()
         super().start()
 
-    def listed(self) -> None:
+    def apply_list(self) -> None:
         assert isinstance(self.world, ColdWorld)
         lines = self.world.list_for(self.index)
         self.told = {line.engine: line.started for line in lines}
         self.world.observer.listed(self.world.now, self.index, lines)
-        self.rules.listed(self.world.now, lines, True)
+        self.rules.list_changed(self.world.now, lines, True)
 
     def submit(self, kind: int, work: float, group: int) -> None:
         assert isinstance(self.world, ColdWorld)
@@ -203,7 +203,7 @@
         )
         self.metered, self.started_at = NO_ENGINE, 0.0
         self.warm_engines = max(FEWEST_ENGINES, dispatchers // DISPATCHERS_AN_ENGINE)
-        self.old_lines: list[Listed] = []
+        self.old_lines: list[ListedEngine] = []
         declared = max(1, round(scenario.declared * dispatchers))
         super().__init__(
             deployment(scenario, dispatchers),
@@ -212,8 +212,10 @@
             Load(self.peak_rate(), scenario.mix.shares, scenario.mix.work),
             (),
             seed,
-            lambda site, chance, link, now: make(replace(site, dispatchers=declared), chance, link, now),
-            ToldLink,
+            lambda site, chance, adapter, now: make(
+                replace(site, dispatchers=declared), chance, adapter, now
+            ),
+            ToldAdapter,
         )
         self.plan_events(dispatchers)
 
@@ -239,7 +241,7 @@
     # Load.
 
     def peak_rate(self) -> float:
-        """Submissions a second at the heaviest phase."""
+        """Requests a second at the heaviest phase."""
         capacity = self.warm_engines * CORES * 1000 / self.scenario.mean_work()
         return capacity * max(phase.load for phase in self.scenario.phases)
 
@@ -280,17 +282,19 @@
     def meter_engine(self, number: int) -> None:
         self.metered, self.started_at = number, self.now
 
-    def list_for(self, index: int) -> list[Listed]:
+    def list_for(self, index: int) -> list[ListedEngine]:
         """The list as this dispatcher can know it now."""
         late = index % 2 == 1 and self.now < self.untold_until
         return self.old_lines if late else list(self.lines.values())
 
-    def arrive(self, link: VirtualLink, life: int, taken: Taken, trip: int, number: int, job: int) -> None:
+    def arrive(
+        self, adapter: VirtualAdapter, life: int, request: OpenRequest, attempt: int, number: int, job: int
+    ) -> None:
         if number == self.metered:
-            assert isinstance(link, ToldLink)
-            told = link.told.get(number) == self.started_at
-            self.meter.reached(Attempt(self.now, taken.work, told))
-        super().arrive(link, life, taken, trip, number, job)
+            assert isinstance(adapter, ToldAdapter)
+            told = adapter.told.get(number) == self.started_at
+            self.meter.reached(Attempt(self.now, request.work, told))
+        super().arrive(adapter, life, request, attempt, number, job)
 
     def mean_use(self) -> float:
         """Work sent to the cold engine since its start, as a share of N in each window."""
--- a/spurdeal/lab/crowd.py
+++ b/spurdeal/lab/crowd.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from .rig import Rig
 
-COST = 12.0  # ms of work of a submission, in the middle
+COST = 12.0  # ms of work of a request, in the middle
 MOST_WAYS = 8
 DIAL_TIMEOUT = 0.5  # seconds
 
@@ -20,7 +20,7 @@
 class Crowd(Front):
     """Clients of all dispatchers together."""
 
-    def __init__(self, rig: Rig, seed: int, rate: float, irreversible: float) -> None:
+    def __init__(self, rig: Rig, seed: int, rate: float, non_idempotent: float) -> None:
         super().__init__(
             rig.reactor,
             lambda: time.time() * 1000,
@@ -29,7 +29,7 @@
             seed,
             rate,
             WAIT,
-            irreversible,
+            non_idempotent,
             COST,
         )
         self.rig = rig
@@ -37,7 +37,7 @@
     def send(self, asked: Asked) -> None:
         """To one of the dispatchers that are up and have not had it; later, where there is none."""
         now = self.clock()
-        if asked.over or now >= asked.expiry - 1 or len(asked.ways) >= MOST_WAYS:
+        if asked.over or now >= asked.deadline - 1 or len(asked.ways) >= MOST_WAYS:
             asked.over = True
             return
         places = [each.place for each in self.rig.front_knows() if each.place not in asked.ways]
@@ -48,10 +48,10 @@
         self.reactor.connectTCP(*place, Dial(self, asked, place), timeout=DIAL_TIMEOUT)
 
     def lost(self, asked: Asked, place: Place, sent: bool) -> None:
-        """The connection was refused or ended: again, where the submission may go again."""
+        """The connection was refused or ended: again, where the request may go again."""
         if sent:
             asked.unanswered.append(place)
-            if asked.irreversible:  # it may have run: a client that cares does not ask again
+            if asked.non_idempotent:  # it may have run: a client that cares does not ask again
                 asked.over = True
                 return
         self.reactor.callLater(AGAIN / 1000, self.send, asked)
--- a/spurdeal/lab/fleet_world.py
+++ b/spurdeal/lab/fleet_world.py
@@ -14,15 +14,15 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from ..fleet.fleet import TICK, Fleet, FleetSettings, Terms
+from ..fleet.fleet import TICK, Fleet, FleetSettings, SharedSettings
 from ..fleet.members import Address
-from ..fleet.versions import Line, Row, Version, list_digest
+from ..fleet.versions import Artifact, Row, Version, list_digest
 from ..vrrp.sealed import Keys
 
 KEYS = Keys({1: b"a key of the laboratory"})
 Rows = dict[str, Row]
 ASK_EVERY = 200.0  # ms between two questions to the name service
-TERMS = Terms()
+TERMS = SharedSettings()
 UNIX = 1_790_000_000_000.0
 
 
@@ -66,7 +66,7 @@
         self,
         count: int,
         seed: int,
-        terms: Terms = TERMS,
+        terms: SharedSettings = TERMS,
         seeds: int = 2,
         engine_count: int = 40,
         made: Callable[..., Fleet] = Fleet,
@@ -113,7 +113,7 @@
     def start(self, node: Node) -> None:
         node.life = self.next()
         version = node.source_old or self.newest
-        node.fleet.in_force(Line.LIST, version, self.lists[version])
+        node.fleet.in_force(Artifact.LIST, version, self.lists[version])
         node.had[version] = self.now
         self.at(self.now + self.chance.uniform(0.0, TICK), self.tick, node, node.life)
         self.at(self.now + self.chance.uniform(0.0, ASK_EVERY), self.ask_source, node, node.life)
@@ -166,7 +166,7 @@
         if node.source and self.now >= node.paused_until:
             node.fleet.source_answered(self.now)
             version = node.source_old or self.newest
-            if node.fleet.in_force(Line.LIST, version, self.lists[version]):
+            if node.fleet.in_force(Artifact.LIST, version, self.lists[version]):
                 node.had[version] = self.now
 
     def brought(self, name: str, version: Version) -> None:
@@ -177,10 +177,10 @@
 
     def sent(self, node: Node) -> None:
         out, node.fleet.out = node.fleet.out, []
-        for told in node.fleet.told:
+        for told in node.fleet.events:
             self.log.append((self.now, node.name, told.what, told.figures))
             self.trace.update(f"{self.now:.6f} {node.name} {told}\n".encode())
-        node.fleet.told.clear()
+        node.fleet.events.clear()
         for address, datagram in out:
             self.counts["datagrams"] += 1
             self.counts["bytes"] += len(datagram)
@@ -200,7 +200,7 @@
         if self.now < node.paused_until:
             self.at(node.paused_until + 0.01, self.arrives, to, source, datagram)
             return
-        node.fleet.take(self.now, self.unix(node), source, datagram)
+        node.fleet.receive(self.now, self.unix(node), source, datagram)
         self.sent(node)
 
     # What happens to them.
@@ -243,10 +243,10 @@
             members = node.fleet.members
             for record in records:
                 if record.name != node.name:
-                    members.put(self.now, record, node.name)
-            members.news.clear()
+                    members.set_record(self.now, record, node.name)
+            members.gossip.clear()
             members.changes.clear()
             node.fleet.synced = True
 
     def standings(self) -> Counter[str]:
-        return Counter(node.fleet.ladder.standing.name for node in self.nodes.values() if node.life)
+        return Counter(node.fleet.tracker.standing.name for node in self.nodes.values() if node.life)
--- a/spurdeal/lab/observer.py
+++ b/spurdeal/lab/observer.py
@@ -1,7 +1,7 @@
 """Checks the seven rules from what crosses the wire, apart from the code under test. Free of I/O; times are
 ms.
 
-It is told of lists, submissions, sends, ends and answers as they happen, and keeps what is broken: the rule's
+It is told of lists, requests, sends, ends and answers as they happen, and keeps what is broken: the rule's
 number and a line of what was seen. It knows each workload's terms and nothing of how a choice came about."""
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-from ..interface import NEVER_RAN, Deployment, Effect, Ending, Life, Listed, Reach
+from ..interface import NEVER_RAN, Deployment, Effect, Ending, Life, ListedEngine, Reach
 
 UNSURE = (Ending.TIME_OUT, Ending.RESET, Ending.CALLED_OFF)
 SLACK = 1.0  # ms: two ends of one event
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True)
-class Trip:
+class Attempt:
     engine: int
     sent: float
     ending: Ending | None = None
@@ -26,13 +26,13 @@
 
 @dataclass(slots=True)
 class Seen:
-    """One submission at one dispatcher."""
+    """One request at one dispatcher."""
 
     kind: int
     key: int
     taken: float
-    expiry: float
-    trips: dict[int, Trip] = field(default_factory=dict)
+    deadline: float
+    attempts: dict[int, Attempt] = field(default_factory=dict)
     answers: int = 0
 
 
@@ -42,8 +42,10 @@
     def __init__(self, site: Deployment, budget: float) -> None:
         self.site, self.budget = site, budget  # what a cold engine bears in a window, in ms of work, by all
         self.open: dict[tuple[int, int], Seen] = {}
-        self.lists: dict[int, dict[int, Listed]] = {}
-        self.places: dict[int, Listed] = {}  # of every engine ever listed: those that left have places, too
+        self.lists: dict[int, dict[int, ListedEngine]] = {}
+        self.places: dict[
+            int, ListedEngine
+        ] = {}  # of every engine ever listed: those that left have places, too
         self.left: dict[tuple[int, int], float] = {}  # when this dispatcher was told so
         self.pressure: dict[int, deque[tuple[float, float]]] = {}
         self.cold_until: dict[int, float] = {}
@@ -63,7 +65,7 @@
 
     # What is told.
 
-    def listed(self, now: float, dispatcher: int, lines: Sequence[Listed]) -> None:
+    def listed(self, now: float, dispatcher: int, lines: Sequence[ListedEngine]) -> None:
         """The whole list, as this dispatcher was told it now."""
         told = {line.engine: line for line in lines}
         self.places.update(told)
@@ -85,9 +87,9 @@
     def started(self, engine: int, until: float) -> None:
         self.cold_until[engine] = until
 
-    def taken(self, now: float, dispatcher: int, number: int, kind: int, key: int, expiry: float) -> None:
+    def taken(self, now: float, dispatcher: int, number: int, kind: int, key: int, deadline: float) -> None:
         ordered = key if self.site.workloads[kind].in_order else 0
-        self.open[dispatcher, number] = Seen(kind, ordered, now, expiry)
+        self.open[dispatcher, number] = Seen(kind, ordered, now, deadline)
         self.taken_at.setdefault(dispatcher, deque()).append(now)
         if ordered:
             self.lines.setdefault((dispatcher, ordered), []).append(number)
@@ -98,8 +100,8 @@
             seen.answers += 1
             self.settled(dispatcher, number, seen)
 
-    def sent(self, now: float, dispatcher: int, number: int, trip: int, engine: int) -> None:
-        what = f"dispatcher {dispatcher} submission {number} trip {trip} engine {engine}"
+    def sent(self, now: float, dispatcher: int, number: int, attempt: int, engine: int) -> None:
+        what = f"dispatcher {dispatcher} submission {number} trip {attempt} engine {engine}"
         seen = self.open.get((dispatcher, number))
         if seen is None or seen.answers:
             self.breaks(1, now, f"{what}: sent after its answer")
@@ -111,25 +113,25 @@
         if line is None or (told is not None and now > told + self.site.drain_grace + SLACK):
             self.breaks(3, now, f"{what}: told {told} that it drains or is gone")
         if line is not None and (
-            (w.locations is not None and line.location not in w.locations)
+            (w.zones is not None and line.zone not in w.zones)
             or (w.kinds is not None and line.kind not in w.kinds)
         ):
             self.breaks(6, now, f"{what}: not among its places")
         if seen.key:
             self.ordered(now, what, dispatcher, number, seen)
-        if seen.trips:
+        if seen.attempts:
             self.further(now, what, dispatcher)
-        seen.trips[trip] = Trip(engine, now)
+        seen.attempts[attempt] = Attempt(engine, now)
 
     def repeated(self, now: float, what: str, dispatcher: int, seen: Seen, engine: int) -> None:
         """Rule 2, before a further send."""
         w = self.site.workloads[seen.kind]
-        if not self.site.second_copies and any(trip.ending is None for trip in seen.trips.values()):
+        if not self.site.second_copies and any(attempt.ending is None for attempt in seen.attempts.values()):
             self.breaks(2, now, f"{what}: a second copy")
-        ran = [trip for trip in seen.trips.values() if trip.ending not in NEVER_RAN]
-        if not ran or w.effect == Effect.REDOABLE:
+        ran = [attempt for attempt in seen.attempts.values() if attempt.ending not in NEVER_RAN]
+        if not ran or w.effect == Effect.IDEMPOTENT:
             return
-        if w.effect == Effect.IRREVERSIBLE:
+        if w.effect == Effect.NON_IDEMPOTENT:
             self.breaks(2, now, f"{what}: irreversible, and it may have run")
             return
         first = ran[0]
@@ -137,22 +139,20 @@
         same = w.reach == Reach.ALL or (
             before is not None
             and after is not None
-            and (
-                before.location == after.location if w.reach == Reach.LOCATION else before.cell == after.cell
-            )
+            and (before.zone == after.zone if w.reach == Reach.ZONE else before.cell == after.cell)
         )
-        if not same or now > first.sent + w.known_for + SLACK:
+        if not same or now > first.sent + w.key_retention + SLACK:
             self.breaks(2, now, f"{what}: labelled, and its mark is not known there")
 
     def ordered(self, now: float, what: str, dispatcher: int, number: int, seen: Seen) -> None:
         line = self.lines.get((dispatcher, seen.key), [])
         if line and line[0] != number:
             self.breaks(5, now, f"{what}: {line[0]} of its key is not over")
-        elif now < self.rests.get((dispatcher, seen.key), 0.0) - SLACK and not seen.trips:
+        elif now < self.rests.get((dispatcher, seen.key), 0.0) - SLACK and not seen.attempts:
             self.breaks(5, now, f"{what}: its key rests")
 
     def further(self, now: float, what: str, dispatcher: int) -> None:
-        window = self.site.further_window
+        window = self.site.retry_window
         if not window:
             return
         times, taken = self.further_at.setdefault(dispatcher, deque()), self.taken_at.get(dispatcher, deque())
@@ -160,19 +160,19 @@
         for kept in (times, taken):
             while kept and kept[0] <= now - window:
                 kept.popleft()
-        most = (self.site.further_free or 0.0) + (self.site.further_share or 0.0) * len(taken)
+        most = (self.site.retry_floor or 0.0) + (self.site.retry_ratio or 0.0) * len(taken)
         if len(times) > most:
             self.breaks(7, now, f"{what}: {len(times)} further trips of {most:.1f}")
 
-    def ended(self, now: float, dispatcher: int, number: int, trip: int, ending: Ending) -> None:
+    def ended(self, now: float, dispatcher: int, number: int, attempt: int, ending: Ending) -> None:
         seen = self.open.get((dispatcher, number))
-        if seen is None or trip not in seen.trips:
+        if seen is None or attempt not in seen.attempts:
             return
-        seen.trips[trip].ending = ending
-        if ending == Ending.MOOT and self.further_at.get(dispatcher) and trip:
+        seen.attempts[attempt].ending = ending
+        if ending == Ending.MOOT and self.further_at.get(dispatcher) and attempt:
             self.further_at[dispatcher].pop()  # it was never sent, and does not count
         if seen.key and ending in UNSURE:
-            self.rests[dispatcher, seen.key] = now + (self.site.order_rest or 0.0)
+            self.rests[dispatcher, seen.key] = now + (self.site.order_pause or 0.0)
         self.settled(dispatcher, number, seen)
 
     def answered(self, now: float, dispatcher: int, number: int, shed: bool) -> None:
@@ -182,18 +182,20 @@
             self.breaks(1, now, f"{what}: a second answer")
             return
         seen.answers += 1
-        if now > seen.expiry + SLACK:
-            self.breaks(1, now, f"{what}: answered {now - seen.expiry:.0f} ms after its expiry")
+        if now > seen.deadline + SLACK:
+            self.breaks(1, now, f"{what}: answered {now - seen.deadline:.0f} ms after its expiry")
         w = self.site.workloads[seen.kind]
-        ran = any(trip.ending not in NEVER_RAN for trip in seen.trips.values())
-        harmless = w.effect == Effect.REDOABLE or (w.effect == Effect.LABELLED and w.reach == Reach.ALL)
+        ran = any(attempt.ending not in NEVER_RAN for attempt in seen.attempts.values())
+        harmless = w.effect == Effect.IDEMPOTENT or (
+            w.effect == Effect.IDEMPOTENT_BY_KEY and w.reach == Reach.ALL
+        )
         if shed and ran and not harmless:
             self.breaks(2, now, f"{what}: shed, and it may have run")
         self.settled(dispatcher, number, seen)
 
     def settled(self, dispatcher: int, number: int, seen: Seen) -> None:
-        """Over and without a trip that is out: nothing is kept of it."""
-        if not seen.answers or any(trip.ending is None for trip in seen.trips.values()):
+        """Over and without an attempt that is out: nothing is kept of it."""
+        if not seen.answers or any(attempt.ending is None for attempt in seen.attempts.values()):
             return
         self.open.pop((dispatcher, number), None)
         line = self.lines.get((dispatcher, seen.key))
@@ -218,5 +220,5 @@
     def overdue(self, now: float) -> None:
         """At the end of a run: what should have been answered by now."""
         for (dispatcher, number), seen in self.open.items():
-            if not seen.answers and now > seen.expiry + SLACK:
+            if not seen.answers and now > seen.deadline + SLACK:
                 self.breaks(1, now, f"dispatcher {dispatcher} submission {number}: never answered")
--- a/spurdeal/lab/planted.py
+++ b/spurdeal/lab/planted.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from ..interface import Deployment, Effect, Ending, Life, Link, Listed, Reach, Workload
-from ..rules import Dispatcher, Engine, Submission
+from ..interface import Adapter, Deployment, Effect, Ending, Life, ListedEngine, Reach, Workload
+from ..rules import Dispatcher, Engine, Request
 from .model_engine import Kind
-from .virtual import Failure, Load, Taken, VirtualLink, World
+from .virtual import Failure, Load, OpenRequest, VirtualAdapter, World
 
 
 def site(dispatchers: int) -> Deployment:
@@ -16,40 +16,49 @@
     return Deployment(
         index=0,
         dispatchers=dispatchers,
-        location=0,
+        zone=0,
         workloads=(
             Workload(800, 0, 3000, 1.0, 0.5),
-            Workload(2000, 0, 6000, 2.0, 0.5, effect=Effect.IRREVERSIBLE),
-            Workload(1500, 0, 5000, 1.0, 0.5, effect=Effect.LABELLED, reach=Reach.CELL, known_for=3000.0),
+            Workload(2000, 0, 6000, 2.0, 0.5, effect=Effect.NON_IDEMPOTENT),
+            Workload(
+                1500,
+                0,
+                5000,
+                1.0,
+                0.5,
+                effect=Effect.IDEMPOTENT_BY_KEY,
+                reach=Reach.CELL,
+                key_retention=3000.0,
+            ),
             Workload(1500, 0, 5000, 1.0, 0.5, in_order=True),
-            Workload(1500, 0, 5000, 1.0, 0.5, locations=(0,)),
+            Workload(1500, 0, 5000, 1.0, 0.5, zones=(0,)),
         ),
         quotas=(),
-        over_share_utility=1.0,
+        over_share_value=1.0,
         cores=(8,),
         memory_mb=(),
-        in_hand=None,
+        load_field=None,
         list_pushed=True,
-        may_call_off=True,
+        may_cancel=True,
         may_probe=False,
         may_tell=False,
         second_copies=True,
-        most_trips=4,
-        most_come_back=500.0,
+        max_attempts=4,
+        max_retry_after=500.0,
         grants=False,
         pages=False,
         priorities=False,
         largest_grant=1.0,
-        notes_every=0.0,
+        progress_interval=0.0,
         drain_grace=250.0,
         cold_for=15_000.0,
         cold_share=0.3,
         cold_multiple=1.2,
         cold_window=1500.0,
-        order_rest=500.0,
-        further_free=3.0,
-        further_share=0.01,
-        further_window=10_000.0,
+        order_pause=500.0,
+        retry_floor=3.0,
+        retry_ratio=0.01,
+        retry_window=10_000.0,
     )
 
 
@@ -82,67 +91,67 @@
     return World(site(dispatchers), KIND, engines, load(engines, of_capacity), failures, seed, make)
 
 
-class AnswersTwice(VirtualLink):
+class AnswersTwice(VirtualAdapter):
     """Rule 1: a refusal is written twice."""
 
-    def write(self, taken: Taken, what: str) -> None:
-        super().write(taken, what)
+    def write(self, request: OpenRequest, what: str) -> None:
+        super().write(request, what)
         if what == "shed":
-            super().write(taken, what)
+            super().write(request, what)
 
 
 class RunsTwice(Dispatcher):
-    """Rule 2: every workload counts as redoable, whatever may have run."""
+    """Rule 2: every workload counts as idempotent, whatever may have run."""
 
-    def __init__(self, told: Deployment, seed: int, link: Link, now: float) -> None:
-        super().__init__(told, seed, link, now)
+    def __init__(self, told: Deployment, seed: int, adapter: Adapter, now: float) -> None:
+        super().__init__(told, seed, adapter, now)
         from dataclasses import replace
 
-        self.workloads = tuple(replace(w, effect=Effect.REDOABLE) for w in self.workloads)
+        self.workloads = tuple(replace(w, effect=Effect.IDEMPOTENT) for w in self.workloads)
 
 
 class ForgetsDrains(Dispatcher):
     """Rule 3: what drains stays in use."""
 
-    def listed(self, now: float, lines: Sequence[Listed], whole: bool) -> None:
-        super().listed(now, [line._replace(life=Life.READY) for line in lines], False)
+    def list_changed(self, now: float, lines: Sequence[ListedEngine], whole: bool) -> None:
+        super().list_changed(now, [line._replace(life=Life.READY) for line in lines], False)
 
 
 class ForgetsCold(Dispatcher):
     """Rule 4: a cold engine is sent its full part."""
 
-    def bears(self, engine: Engine, work: float) -> bool:
+    def fits_slow_start(self, engine: Engine, work: float) -> bool:
         return True
 
 
 class ForgetsOrder(Dispatcher):
     """Rule 5: keys wait for nobody."""
 
-    def in_turn(self, s: Submission) -> bool:
+    def is_next_for_key(self, request: Request) -> bool:
         return True
 
 
 class ForgetsPlaces(Dispatcher):
     """Rule 6: any engine will do."""
 
-    def __init__(self, told: Deployment, seed: int, link: Link, now: float) -> None:
-        super().__init__(told, seed, link, now)
+    def __init__(self, told: Deployment, seed: int, adapter: Adapter, now: float) -> None:
+        super().__init__(told, seed, adapter, now)
         from dataclasses import replace
 
-        self.workloads = tuple(replace(w, locations=None) for w in self.workloads)
+        self.workloads = tuple(replace(w, zones=None) for w in self.workloads)
 
 
 class ForgetsBudget(Dispatcher):
-    """Rule 7: further trips as it likes, and each error is one."""
+    """Rule 7: further attempts as it likes, and each error is one."""
 
-    def may_go_further(self) -> bool:
+    def may_retry(self) -> bool:
         return True
 
-    def ended(
+    def attempt_ended(
         self,
         now: float,
         number: int,
-        trip: int,
+        attempt: int,
         engine: int,
         ending: Ending,
         took: float,
@@ -151,8 +160,8 @@
         memory: float,
         report: Sequence[float],
     ) -> None:
-        self.further_credit = 30.0
-        super().ended(now, number, trip, engine, ending, took, final, work, memory, report)
+        self.retry_budget = 30.0
+        super().attempt_ended(now, number, attempt, engine, ending, took, final, work, memory, report)
 
 
 PLANTED: dict[int, type[Dispatcher]] = {
@@ -169,7 +178,7 @@
     """How often the planted rule was seen broken, and how often any other; rule 0 plants nothing."""
     made: World
     if rule == 1:
-        made = World(site(3), KIND, 6, load(6, 1.3), ROUGH, 5, links=AnswersTwice)
+        made = World(site(3), KIND, 6, load(6, 1.3), ROUGH, 5, adapters=AnswersTwice)
     else:
         made = world(3, 6, 0.9, 5, PLANTED.get(rule, Dispatcher))
     made.run(seconds)
--- a/spurdeal/lab/proxy.py
+++ b/spurdeal/lab/proxy.py
@@ -21,10 +21,10 @@
 
 @dataclass(slots=True)
 class Asked:
-    """One submission: what its client was told at last, and each way that it went."""
+    """One request: what its client was told at last, and each way that it went."""
 
     ident: str
-    irreversible: bool
+    non_idempotent: bool
     cost: float
     ways: list[str] = field(default_factory=list)
     answers: list[int] = field(default_factory=list)
@@ -32,7 +32,7 @@
 
 def request(asked: Asked, wait: float) -> Any:
     told = pb.ProcessingRequest()
-    workload = "load" if asked.irreversible else "lookup"
+    workload = "load" if asked.non_idempotent else "lookup"
     for key, value in (
         (":method", "POST"),
         (":path", f"/ops/{workload}"),
@@ -66,7 +66,7 @@
             reader, writer = await asyncio.wait_for(asyncio.open_connection(host, int(port)), 0.25)
         except (OSError, TimeoutError):
             return 503, True  # refused, or never up: not a byte has left
-        parser, workload = ArrayParser(), b"load" if asked.irreversible else b"lookup"
+        parser, workload = ArrayParser(), b"load" if asked.non_idempotent else b"lookup"
         try:
             writer.write(
                 command(
@@ -119,7 +119,7 @@
         await asyncio.wait_for(old.close(), 2.0)
 
     async def go(self, asked: Asked, wait: float) -> int:
-        """One way for one submission; 0 where nobody can know what became of it, -1 where the processor is
+        """One way for one request; 0 where nobody can know what became of it, -1 where the processor is
         away."""
         asked.ways.append(self.name)
         loop = asyncio.get_running_loop()
--- a/spurdeal/lab/virtual.py
+++ b/spurdeal/lab/virtual.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from typing import Any, NamedTuple
 
-from ..interface import Deployment, Effect, Ending, EndReason, Life, Listed
+from ..interface import Deployment, Effect, Ending, EndReason, Life, ListedEngine
 from ..rules import Dispatcher
 from .model_engine import Engine, Job, Kind
 from .observer import Observer
@@ -43,18 +43,18 @@
 
 
 @dataclass(slots=True, eq=False)
-class Taken:
+class OpenRequest:
     number: int
     kind: int
-    expiry: float
+    deadline: float
     work: float
     group: int
     answered: bool = False
     made: int = 0
-    out: dict[int, tuple[int, float, int]] = field(default_factory=dict)  # trip: engine, sent, job
+    out: dict[int, tuple[int, float, int]] = field(default_factory=dict)  # attempt: engine, sent, job
 
 
-class VirtualLink:
+class VirtualAdapter:
     """One dispatcher's link. `make` builds the rules, or what stands in for them."""
 
     def __init__(self, world: World, index: int, make: Callable[[Deployment, int, Any, float], Any]) -> None:
@@ -63,145 +63,151 @@
 
     def start(self) -> None:
         """Also a new start: nothing is known of the last."""
-        self.taken: dict[int, Taken] = {}
+        self.open_requests: dict[int, OpenRequest] = {}
         self.life = self.world.next()
         self.numbers = 0
-        self.turning = False
+        self.batch_scheduled = False
         world = self.world
         self.rules = self.make(world.site, world.chance.getrandbits(32), self, world.now)
-        self.listed()
+        self.apply_list()
 
     def event(self, life: int, call: Callable[..., None], *words: Any) -> None:
         """Something for this start of it; a turn follows when all of the moment is gathered."""
         if life != self.life:
             return
         call(*words)
-        if not self.turning:
-            self.turning = True
-            self.world.at(self.world.now, self.turn, life)
+        if not self.batch_scheduled:
+            self.batch_scheduled = True
+            self.world.at(self.world.now, self.run_batch, life)
 
-    def turn(self, life: int) -> None:
+    def run_batch(self, life: int) -> None:
         if life == self.life:
-            self.turning = False
-            self.rules.turn(self.world.now)
+            self.batch_scheduled = False
+            self.rules.end_batch(self.world.now)
 
     def later(self, delay: float, call: Callable[..., None], *words: Any) -> None:
         self.world.at(self.world.now + delay, self.event, self.life, call, *words)
 
     # What comes in.
 
-    def listed(self) -> None:
+    def apply_list(self) -> None:
         lines = list(self.world.lines.values())
         self.world.observer.listed(self.world.now, self.index, lines)
-        self.rules.listed(self.world.now, lines, True)
+        self.rules.list_changed(self.world.now, lines, True)
 
     def submit(self, kind: int, work: float, group: int) -> None:
         world, w = self.world, self.world.site.workloads[kind]
-        number, expiry = self.numbers, world.now + w.expiry
+        number, deadline = self.numbers, world.now + w.deadline
         self.numbers += 1
-        taken = self.taken[number] = Taken(number, kind, expiry, work, group)
+        request = self.open_requests[number] = OpenRequest(number, kind, deadline, work, group)
         key = group + 1 if w.in_order else 0
         world.counts["submissions"] += 1
-        world.observer.taken(world.now, self.index, number, kind, key, expiry)
-        self.later(w.expiry, self.expire, number)
-        self.rules.submitted(world.now, number, kind, 0, key, expiry, self.estimate(work), 0.0, group)
-        world.note("in", self.index, number, taken.kind)
+        world.observer.taken(world.now, self.index, number, kind, key, deadline)
+        self.later(w.deadline, self.expire, number)
+        self.rules.request_received(
+            world.now, number, kind, 0, key, deadline, self.estimate(work), 0.0, group
+        )
+        world.note("in", self.index, number, request.kind)
 
     def estimate(self, work: float) -> float:
         """Estimates are wrong (the brief)."""
         return work * self.world.chance.choice((0.5, 0.8, 1.0, 1.25, 2.0))
 
     def expire(self, number: int) -> None:
-        taken = self.taken.get(number)
-        if taken is None:
+        request = self.open_requests.get(number)
+        if request is None:
             return
-        for trip in list(taken.out):
-            self.finish(taken, trip, Ending.TIME_OUT)
-        if not taken.answered:
+        for attempt in list(request.out):
+            self.finish(request, attempt, Ending.TIME_OUT)
+        if not request.answered:
             self.world.at(self.world.now, self.overdue, self.life, number)
 
     def overdue(self, life: int, number: int) -> None:
-        if life == self.life and (taken := self.taken.get(number)) is not None and not taken.answered:
+        if (
+            life == self.life
+            and (request := self.open_requests.get(number)) is not None
+            and not request.answered
+        ):
             self.world.counts["not_answered_in_time"] += 1
-            self.answer(taken, "broken_off")
+            self.answer(request, "broken_off")
 
-    def finish(self, taken: Taken, trip: int, ending: Ending) -> None:
-        found = taken.out.pop(trip, None)
+    def finish(self, request: OpenRequest, attempt: int, ending: Ending) -> None:
+        found = request.out.pop(attempt, None)
         if found is None:
             return
         world, (engine, sent, job) = self.world, found
         if ending in (Ending.TIME_OUT, Ending.CALLED_OFF):
             world.at(world.now + world.way(), world.cancel, engine, job)
-        world.observer.ended(world.now, self.index, taken.number, trip, ending)
-        delivered = ending == Ending.DELIVERED and not taken.answered
+        world.observer.ended(world.now, self.index, request.number, attempt, ending)
+        delivered = ending == Ending.DELIVERED and not request.answered
         if delivered:
-            self.answer(taken, "delivered")
-            took = world.now - (taken.expiry - world.site.workloads[taken.kind].expiry)
-            world.took[taken.kind].append(took)
-            world.counts["in_time"] += took <= world.site.workloads[taken.kind].agreed
-        self.rules.ended(
+            self.answer(request, "delivered")
+            took = world.now - (request.deadline - world.site.workloads[request.kind].deadline)
+            world.took[request.kind].append(took)
+            world.counts["in_time"] += took <= world.site.workloads[request.kind].objective
+        self.rules.attempt_ended(
             world.now,
-            taken.number,
-            trip,
+            request.number,
+            attempt,
             engine,
             ending,
             world.now - sent,
-            delivered or taken.answered,
+            delivered or request.answered,
             0.0,
             0.0,
             (),
         )
-        self.drop(taken)
+        self.drop(request)
 
-    def came_back(self, number: int, trip: int, ending: Ending) -> None:
-        if (taken := self.taken.get(number)) is not None:
-            self.finish(taken, trip, ending)
+    def came_back(self, number: int, attempt: int, ending: Ending) -> None:
+        if (request := self.open_requests.get(number)) is not None:
+            self.finish(request, attempt, ending)
 
     # What the rules ask for.
 
     def send(self, number: int, engine: int, time_limit: float) -> None:
-        world, taken = self.world, self.taken[number]
-        trip, taken.made = taken.made, taken.made + 1
+        world, request = self.world, self.open_requests[number]
+        attempt, request.made = request.made, request.made + 1
         job = world.next()
-        taken.out[trip] = (engine, world.now, job)
-        world.observer.sent(world.now, self.index, number, trip, engine)
-        world.note("send", self.index, number, trip, engine)
-        world.at(world.now + world.way(), world.arrive, self, self.life, taken, trip, engine, job)
+        request.out[attempt] = (engine, world.now, job)
+        world.observer.sent(world.now, self.index, number, attempt, engine)
+        world.note("send", self.index, number, attempt, engine)
+        world.at(world.now + world.way(), world.arrive, self, self.life, request, attempt, engine, job)
 
     def terms(self, number: int, memory: float, priority: int) -> None:
         """Weights are not carried here."""
 
-    def shed(self, number: int, come_back: float, reason: EndReason) -> None:
-        self.answer(self.taken[number], "shed")
+    def shed(self, number: int, retry_after: float, reason: EndReason) -> None:
+        self.answer(self.open_requests[number], "shed")
 
-    def break_off(self, number: int, reason: EndReason) -> None:
-        self.answer(self.taken[number], "broken_off")
+    def fail_request(self, number: int, reason: EndReason) -> None:
+        self.answer(self.open_requests[number], "broken_off")
 
-    def answer(self, taken: Taken, what: str) -> None:
-        if not taken.answered:
-            taken.answered = True
+    def answer(self, request: OpenRequest, what: str) -> None:
+        if not request.answered:
+            request.answered = True
             self.world.counts[what] += 1
-            self.write(taken, what)
-            self.drop(taken)
+            self.write(request, what)
+            self.drop(request)
 
-    def write(self, taken: Taken, what: str) -> None:
+    def write(self, request: OpenRequest, what: str) -> None:
         """The answer leaves for the client."""
-        self.world.observer.answered(self.world.now, self.index, taken.number, what == "shed")
-        self.world.note(what, self.index, taken.number)
+        self.world.observer.answered(self.world.now, self.index, request.number, what == "shed")
+        self.world.note(what, self.index, request.number)
 
-    def drop(self, taken: Taken) -> None:
-        if taken.answered and not taken.out:
-            self.taken.pop(taken.number, None)
+    def drop(self, request: OpenRequest) -> None:
+        if request.answered and not request.out:
+            self.open_requests.pop(request.number, None)
 
-    def call_off(self, number: int, trip: int) -> None:
-        if (taken := self.taken.get(number)) is not None and trip in taken.out:
-            self.later(0.0, self.came_back, number, trip, Ending.CALLED_OFF)
+    def cancel_attempt(self, number: int, attempt: int) -> None:
+        if (request := self.open_requests.get(number)) is not None and attempt in request.out:
+            self.later(0.0, self.came_back, number, attempt, Ending.CALLED_OFF)
 
-    def wake(self, delay: float, token: int) -> None:
+    def set_timer(self, delay: float, token: int) -> None:
         self.later(delay, self.woken, token)
 
     def woken(self, token: int) -> None:
-        self.rules.woken(self.world.now, token)
+        self.rules.timer_fired(self.world.now, token)
 
     def watch(self) -> None:
         """The list comes unasked."""
@@ -222,7 +228,7 @@
         failures: Sequence[Failure],
         seed: int,
         make: Callable[[Deployment, int, Any, float], Any] = Dispatcher,
-        links: type[VirtualLink] = VirtualLink,
+        adapters: type[VirtualAdapter] = VirtualAdapter,
     ) -> None:
         self.site, self.kind, self.load = site, kind, load
         self.chance, self.now = random.Random(seed), 1e6  # Unix times are too coarse for ends of jobs
@@ -234,12 +240,12 @@
         self.trace = hashlib.sha256()
         self.observer = Observer(site, kind.multiple * kind.cores * kind.cold_share * kind.window)
         self.engines: dict[int, Engine] = {}
-        self.lines: dict[int, Listed] = {}
-        self.running: dict[int, tuple[VirtualLink, int, Taken, int]] = {}
+        self.lines: dict[int, ListedEngine] = {}
+        self.running: dict[int, tuple[VirtualAdapter, int, OpenRequest, int]] = {}
         self.versions: dict[int, int] = {}
         for number in range(engines):
             self.add_engine(number, cold=False)
-        self.dispatchers = [links(self, index, make) for index in range(site.dispatchers)]
+        self.dispatchers = [adapters(self, index, make) for index in range(site.dispatchers)]
         for failure in failures:
             self.at(self.began + failure.at, self.fails, failure)
         self.arrive_next()
@@ -276,49 +282,65 @@
     def client(self) -> None:
         self.arrive_next()
         kind = self.chance.choices(range(len(self.load.shares)), self.load.shares)[0]
-        link = self.dispatchers[self.chance.randrange(len(self.dispatchers))]
+        adapter = self.dispatchers[self.chance.randrange(len(self.dispatchers))]
         work = self.chance.expovariate(1 / self.load.work[kind])
-        link.event(link.life, link.submit, kind, work, self.chance.randrange(self.load.groups))
+        adapter.event(adapter.life, adapter.submit, kind, work, self.chance.randrange(self.load.groups))
 
     # Engines.
 
     def add_engine(self, number: int, cold: bool) -> None:
         self.engines[number] = Engine(self.kind, self.now if cold else None, self.now)
         places = max(1, len({0, *self.site.cores}))
-        self.lines[number] = Listed(
+        self.lines[number] = ListedEngine(
             number, number % 2, number % places, number % 4, Life.READY, 1.0, self.now if cold else 0.0
         )
         if cold:
             self.observer.started(number, self.now + self.kind.cold_for)
 
-    def arrive(self, link: VirtualLink, life: int, taken: Taken, trip: int, number: int, job: int) -> None:
-        """A trip reaches its engine."""
+    def arrive(
+        self, adapter: VirtualAdapter, life: int, request: OpenRequest, attempt: int, number: int, job: int
+    ) -> None:
+        """An attempt reaches its engine."""
         engine = self.engines[number]
         if engine.down:
             self.at(
-                self.now + self.way(), link.event, life, link.came_back, taken.number, trip, Ending.UNREACHED
+                self.now + self.way(),
+                adapter.event,
+                life,
+                adapter.came_back,
+                request.number,
+                attempt,
+                Ending.UNREACHED,
             )
             return
         if engine.hung:
-            return  # it says nothing; the trip's time will be up
+            return  # it says nothing; the attempt's time will be up
         self.progress(number)
-        self.observer.reached(self.now, number, taken.work)
-        w = self.site.workloads[taken.kind]
+        self.observer.reached(self.now, number, request.work)
+        w = self.site.workloads[request.kind]
         made = Job(
             job,
-            max(0.01, taken.work),
+            max(0.01, request.work),
             w.threads,
             1.0,
             0.0,
-            taken.group if w.holds_tables or w.waits_for_loads else -1,
+            request.group if w.holds_tables or w.waits_for_loads else -1,
             w.holds_tables,
         )
         if not engine.start(self.now, made):
-            self.at(self.now + self.way(), link.event, life, link.came_back, taken.number, trip, Ending.FULL)
+            self.at(
+                self.now + self.way(),
+                adapter.event,
+                life,
+                adapter.came_back,
+                request.number,
+                attempt,
+                Ending.FULL,
+            )
         else:
-            self.running[job] = (link, life, taken, trip)
+            self.running[job] = (adapter, life, request, attempt)
             self.counts["runs"] += 1
-            if w.effect == Effect.IRREVERSIBLE:
+            if w.effect == Effect.NON_IDEMPOTENT:
                 self.counts["irreversible_runs"] += 1
         self.plan(number)
 
@@ -329,8 +351,10 @@
     def reply(self, job: int, ending: Ending) -> None:
         found = self.running.pop(job, None)
         if found is not None:
-            link, life, taken, trip = found
-            self.at(self.now + self.way(), link.event, life, link.came_back, taken.number, trip, ending)
+            adapter, life, request, attempt = found
+            self.at(
+                self.now + self.way(), adapter.event, life, adapter.came_back, request.number, attempt, ending
+            )
 
     def plan(self, number: int) -> None:
         """When its next job ends; what was planned before counts no more."""
@@ -357,10 +381,12 @@
         self.note("fails", failure.what, failure.whom)
         engine = self.engines.get(failure.whom)
         if failure.what == "restart":
-            link = self.dispatchers[failure.whom % len(self.dispatchers)]
-            self.observer.restarted(link.index)
-            self.counts["held_by_killed"] += sum(not taken.answered for taken in link.taken.values())
-            link.start()
+            adapter = self.dispatchers[failure.whom % len(self.dispatchers)]
+            self.observer.restarted(adapter.index)
+            self.counts["held_by_killed"] += sum(
+                not request.answered for request in adapter.open_requests.values()
+            )
+            adapter.start()
         elif engine is not None and failure.what in ("crash", "replace"):
             self.progress(failure.whom)
             for job in engine.crash(self.now):
@@ -391,5 +417,5 @@
 
     def tell(self) -> None:
         """Each dispatcher learns of it a little later, by itself."""
-        for link in self.dispatchers:
-            self.at(self.now + self.chance.uniform(*NOTICE), link.event, link.life, link.listed)
+        for adapter in self.dispatchers:
+            self.at(self.now + self.chance.uniform(*NOTICE), adapter.event, adapter.life, adapter.apply_list)
--- a/spurdeal/net/answers.py
+++ b/spurdeal/net/answers.py
@@ -1,4 +1,4 @@
-"""How a submission is answered."""
+"""The answers that a request can have."""
 
 from __future__ import annotations
 
@@ -6,20 +6,24 @@
 
 
 class Delivered(NamedTuple):
+    """The result of the query, as the pages of an engine's answer."""
+
     pages: tuple[bytes, ...]
 
 
 class Shed(NamedTuple):
-    come_back: float
+    """Rejected to limit load; the client may retry after so many ms (0: not told)."""
+
+    retry_after: float
 
 
-class BrokenOff(NamedTuple):
-    pass
+class Failed(NamedTuple):
+    """Ended without a result; the client gets an error."""
 
 
 class Granted(NamedTuple):
-    """A caller carries it from here on; its trip's outcome comes later, or never."""
+    """The caller sends the query itself; the outcome of its attempt is reported later, or never."""
 
 
-Answer = Delivered | Shed | BrokenOff | Granted
-COUNTED = {Delivered: "delivered", Shed: "shed", BrokenOff: "broken_off", Granted: "granted"}
+Answer = Delivered | Shed | Failed | Granted
+COUNTER_NAMES = {Delivered: "delivered", Shed: "shed", Failed: "broken_off", Granted: "granted"}
--- a/spurdeal/net/dial.py
+++ b/spurdeal/net/dial.py
@@ -1,4 +1,4 @@
-"""Dials an engine for one connection, and tells how a dial that failed counts for its trips."""
+"""Dials an engine for one connection, and maps a failed dial to the outcome of its attempts."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 from ..interface import Ending
 from .connection import Connection
-from .transient_errors import OWN_SHORTAGE
+from .transient_errors import LOCAL_RESOURCE_ERRORS
 
 
 class Dial(ClientFactory):
-    """Makes a connection once its engine has accepted it."""
+    """Client factory of one connection."""
 
     noisy = False
 
@@ -22,17 +22,18 @@
         self.connection = connection
 
     def buildProtocol(self, addr: Any) -> Connection:
+        """Return the connection that was dialled for."""
         return self.connection
 
     def clientConnectionLost(self, connector: Any, reason: Failure) -> None:
-        """Twisted's connector and transport hold each other; parted, they need no collector."""
+        """Break the reference cycle of connector and transport, so that no garbage collection is needed."""
         connector.transport = None
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        """Refused or never up: either way not a byte of a trip has left."""
+        """Handle a refused or timed-out dial: no byte of an attempt has been sent."""
         if isinstance(reason.value, ConnectionRefusedError):
             counter, ending = "dials_refused", Ending.UNREACHED
-        elif getattr(reason.value, "osError", None) in OWN_SHORTAGE:
+        elif getattr(reason.value, "osError", None) in LOCAL_RESOURCE_ERRORS:
             counter, ending = "dials_failed_here", Ending.MOOT
         else:
             counter, ending = "dials_not_up", Ending.CONNECT_TIMEOUT
--- a/spurdeal/net/engine_list.py
+++ b/spurdeal/net/engine_list.py
@@ -1,4 +1,4 @@
-"""The list of engines as messages: the numbered events of a configuration, and the records of an answer."""
+"""The list of engines as it is received: numbered events of a configuration, or records of a DNS response."""
 
 from __future__ import annotations
 
@@ -20,13 +20,13 @@
     port: int
 
 
-class Seat(NamedTuple):
-    """An engine as the list names it; started is 0 for long ago."""
+class Endpoint(NamedTuple):
+    """An engine's entry in the list; `started` is in Unix ms, 0 if long ago."""
 
     ident: str
     host: str
     port: int
-    location: str
+    zone: str
     kind: str
     cell: int
     life: Life
@@ -35,17 +35,17 @@
 
 
 class KnownList(NamedTuple):
-    """The list that a start is configured with, and the number of its last event."""
+    """A whole list and its serial number, which is the number of its last event."""
 
     number: int
-    seats: dict[str, Seat]
+    endpoints: dict[str, Endpoint]
 
 
 def read_address(text: object) -> Address:
-    """Reads HOST:PORT.
+    """Parses HOST:PORT.
 
     Raises:
-        ValueError: The text is no IPv4 address with a port.
+        ValueError: The text is not an IPv4 address with a port.
     """
     host, colon, port = str(text).rpartition(":")
     if not colon or not port.isdigit() or not 0 < int(port) < 65536:
@@ -54,24 +54,26 @@
 
 
 def known_list(known: Mapping[str, Any]) -> KnownList:
-    """What the numbered events of the start add up to."""
-    seats: dict[str, Seat] = {}
+    """Builds the list from the numbered events of the configuration."""
+    endpoints: dict[str, Endpoint] = {}
     last = int(known.get("no", 0))
     for item in sorted(known.get("items", []), key=lambda item: int(item["no"])):
         roster = item["roster"]
         if roster.get("reset"):
-            seats.clear()
+            endpoints.clear()
         for entry in roster["instances"]:
-            seat = known_seat(entry)
-            seats[seat.ident] = seat
+            endpoint = known_endpoint(entry)
+            endpoints[endpoint.ident] = endpoint
         last = max(last, int(item["no"]))
-    return KnownList(last, {ident: seat for ident, seat in seats.items() if seat.life != Life.GONE})
+    return KnownList(
+        last, {ident: endpoint for ident, endpoint in endpoints.items() if endpoint.life != Life.GONE}
+    )
 
 
-def known_seat(entry: Mapping[str, Any]) -> Seat:
-    """One engine of a numbered event."""
+def known_endpoint(entry: Mapping[str, Any]) -> Endpoint:
+    """Reads one engine of a numbered event."""
     address = read_address(entry["hostPort"])
-    return Seat(
+    return Endpoint(
         str(entry["instanceId"]),
         address.host,
         address.port,
@@ -84,35 +86,35 @@
     )
 
 
-def answered_seats(
+def answered_endpoints(
     services: Sequence[tuple[int, int, int, str]],
     addresses: Mapping[str, str],
     texts: Mapping[str, Sequence[str]],
-) -> dict[str, Seat]:
-    """The engines that an answer's records name, by id.
+) -> dict[str, Endpoint]:
+    """Builds the list from the records of a response, by engine id.
 
     Raises:
-        dns.BadDatagram: Records of one of them are missing or cannot be used.
+        dns.BadDatagram: Records of an engine are missing or unusable.
     """
-    seats = {}
+    endpoints = {}
     for priority, weight, port, target in services:
         labels = dns.labels_of(target)
         owner = target.lower()
         if len(labels) < 2 or owner not in addresses:
-            raise dns.BadDatagram(f"no address for {target}")
-        told = dict(text.partition("=")[::2] for text in texts.get(owner, ()))
+            raise dns.BadDatagram(f"no A record for {target}")
+        attributes = dict(text.partition("=")[::2] for text in texts.get(owner, ()))
         try:
-            seats[labels[0]] = Seat(
+            endpoints[labels[0]] = Endpoint(
                 labels[0],
                 addresses[owner],
                 port,
                 labels[1],
-                told["kind"],
-                int(told.get("cell", 0)),
+                attributes["kind"],
+                int(attributes.get("cell", 0)),
                 Life.DRAINING if priority else Life.READY,
                 weight / WEIGHT_SCALE,
-                float(told.get("started", 0.0)),
+                float(attributes.get("started", 0.0)),
             )
         except (KeyError, ValueError):
-            raise dns.BadDatagram(f"no usable text for {target}") from None
-    return seats
+            raise dns.BadDatagram(f"no usable TXT record for {target}") from None
+    return endpoints
--- a/spurdeal/net/request_log.py
+++ b/spurdeal/net/request_log.py
@@ -1,4 +1,4 @@
-"""Log lines and counters of single requests: why one was refused, aborted or tried again; engines' states."""
+"""Log lines and counters of single requests (refused, aborted, retried) and of engine state changes."""
 
 from __future__ import annotations
 
@@ -7,39 +7,43 @@
 
 from ..interface import Ending, EndReason, Life
 from .counters import Counters
-from .engine_list import Seat
+from .engine_list import Endpoint
 from .limited_log import LimitedLog
-from .submissions import Taken
+from .requests import OpenRequest
 
 
 class RequestLog:
-    """Lines of requests that did not simply run once, and of engines that changed state.
+    """Logs requests that did not run exactly once without trouble, and engines that changed state.
 
-    A request that is sent once and delivered has no line. Each line has the request's id, so that it can be
-    found in the records of clients and engines.
+    A request that is sent once and delivered is not logged. Each line has the request's id, so that it can be
+    found in the logs of clients and engines.
     """
 
     def __init__(self, log: logging.Logger, clock: Callable[[], float], counters: Counters) -> None:
         self.lines = LimitedLog(log, clock)
         self.counters = counters
 
-    def refused(self, request: Taken, reason: EndReason) -> None:
-        """A request is answered with a promise that a repeat is harmless."""
+    def refused(self, request: OpenRequest, reason: EndReason) -> None:
+        """Log a request that is rejected; repeating it is safe."""
         self.ended("request_refused", request, reason)
 
-    def aborted(self, request: Taken, reason: EndReason) -> None:
-        """A request is answered as failed: it may have run."""
+    def aborted(self, request: OpenRequest, reason: EndReason) -> None:
+        """Log a request that fails; it may have run."""
         self.ended("request_aborted", request, reason)
 
-    def ended(self, event: str, request: Taken, reason: EndReason) -> None:
-        """A request that is still open ends without a result."""
+    def ended(self, event: str, request: OpenRequest, reason: EndReason) -> None:
+        """Log and count the end of an open request without a result."""
         if request.answered:
             return
         self.counters.add(f"{event}_{reason}")
-        self.lines.write(event, **self.figures(request), reason=str(reason), attempts_out=len(request.trips))
+        self.lines.write(
+            event, **self.figures(request), reason=str(reason), attempts_out=len(request.attempts)
+        )
 
-    def attempt_failed(self, request: Taken, attempt: int, server: str, ending: Ending, took: float) -> None:
-        """An attempt of a request that must not run twice ended without a result."""
+    def attempt_failed(
+        self, request: OpenRequest, attempt: int, server: str, ending: Ending, took: float
+    ) -> None:
+        """Log an attempt without a result, of a request that must not run twice."""
         self.lines.write(
             "attempt_failed",
             **self.figures(request),
@@ -49,8 +53,8 @@
             took_ms=took,
         )
 
-    def retried(self, request: Taken, attempt: int, server: str) -> None:
-        """A further attempt of a request is about to be sent."""
+    def retried(self, request: OpenRequest, attempt: int, server: str) -> None:
+        """Log and count a retry."""
         self.counters.add("attempts_further")
         before = "none" if request.last_ending is None else request.last_ending.name.lower()
         self.lines.write(
@@ -59,18 +63,18 @@
             attempt=attempt,
             server=server,
             before=before,
-            attempts_out=len(request.trips),
+            attempts_out=len(request.attempts),
         )
 
-    def left_unconfirmed(self, request: Taken, server: str, age: float) -> None:
-        """An attempt leaves by a list that was not confirmed for long."""
+    def left_unconfirmed(self, request: OpenRequest, server: str, age: float) -> None:
+        """Log and count an attempt sent while the list of engines has not been confirmed for long."""
         self.counters.add("attempts_on_unconfirmed_list")
         self.lines.write(
             "attempt_on_unconfirmed_list", **self.figures(request), server=server, list_age_ms=age
         )
 
-    def states(self, before: Mapping[str, Seat], after: Mapping[str, Seat]) -> None:
-        """A new list of engines is in force."""
+    def states(self, before: Mapping[str, Endpoint], after: Mapping[str, Endpoint]) -> None:
+        """Log the engines whose state or start time differs between two lists."""
         for ident in before.keys() | after.keys():
             old, new = state_of(before.get(ident)), state_of(after.get(ident))
             if old != new or started_of(before.get(ident)) != started_of(after.get(ident)):
@@ -78,19 +82,19 @@
                 started = started_of(after.get(ident))
                 self.lines.write("server_state", server=ident, before=old, after=new, started_unix_ms=started)
 
-    def figures(self, request: Taken) -> dict[str, object]:
-        """What each line of a request tells."""
+    def figures(self, request: OpenRequest) -> dict[str, object]:
+        """The fields of every line about a request."""
         return {
             "id": request.ident.decode("ascii", "replace"),
             "workload": request.workload.decode("utf-8", "replace"),
         }
 
 
-def state_of(seat: Seat | None) -> str:
-    """The state's name; an engine that is not in the list is gone."""
-    return (Life.GONE if seat is None else seat.life).name.lower()
+def state_of(endpoint: Endpoint | None) -> str:
+    """The name of an endpoint's state; `gone` if it is not in the list."""
+    return (Life.GONE if endpoint is None else endpoint.life).name.lower()
 
 
-def started_of(seat: Seat | None) -> float:
-    """The engine's start as the list tells it; 0 for long ago, or for none."""
-    return 0.0 if seat is None else seat.started
+def started_of(endpoint: Endpoint | None) -> float:
+    """An engine's start time as listed; 0 if it was long ago or the engine is not listed."""
+    return 0.0 if endpoint is None else endpoint.started
--- a/spurdeal/net/transient_errors.py
+++ b/spurdeal/net/transient_errors.py
@@ -1,8 +1,8 @@
-"""Errors of system calls that may be over within a moment, and say nothing of the far side."""
+"""Transient errors of system calls: they may pass soon, and say nothing about the peer."""
 
 import errno
 
-OWN_SHORTAGE = {  # of descriptors, memory, buffers or ports on our machine
+LOCAL_RESOURCE_ERRORS = {  # shortage of descriptors, memory, buffers or ports on this machine
     errno.EMFILE,
     errno.ENFILE,
     errno.ENOBUFS,
@@ -11,10 +11,10 @@
     errno.EADDRNOTAVAIL,
     errno.EAGAIN,
 }
-TRANSIENT = OWN_SHORTAGE | {errno.EINTR}
-READING_MAY_PASS = TRANSIENT | {errno.EIO}  # of a file
+TRANSIENT = LOCAL_RESOURCE_ERRORS | {errno.EINTR}
+TRANSIENT_FILE_ERRORS = TRANSIENT | {errno.EIO}  # when reading a file
 
 
-def name_of(fault: OSError) -> str:
-    """The name of an error's number, for the log."""
-    return errno.errorcode.get(fault.errno or 0, str(fault.errno))
+def errno_name(error: OSError) -> str:
+    """The symbolic name of an error's errno, for the log."""
+    return errno.errorcode.get(error.errno or 0, str(error.errno))
