--- a/spurdeal/net/watch.py
+++ b/spurdeal/net/watch.py
@@ -1,8 +1,8 @@
-"""Watches the event loop: how long it went without polling its sockets, and since when what it now reads may
-have waited there.
+"""Measures event loop gaps, times without a poll, and dates input by when it may have arrived.
 
-Level-triggered polling reports each readable socket each time. So bytes that one round of the loop reads were
-not there when the poll of the round before returned."""
+Polling is level-triggered: each poll reports every readable socket. So bytes that are read in one round of
+the loop arrived after the poll of the previous round had returned.
+"""
 
 from __future__ import annotations
 
@@ -14,23 +14,24 @@
 from .counters import Counters
 from .limited_log import LimitedLog
 from .retrying_poller import RetryingPoller
-from .transient_errors import name_of
+from .transient_errors import errno_name
 
-COUNTED_GAP = 100.0  # ms between two polls from which on waiting bytes are dated back; timers come every 50
-LOGGED_GAP = 200.0  # ms
-MOST_DELAY = 3000.0  # ms by which failing reads date back at most; nothing waits longer for an answer then
+MIN_GAP = 100.0  # ms between two polls from which input is backdated; timers wake the loop every 50 ms
+MIN_LOGGED_GAP = 200.0  # ms between two polls from which the gap is logged
+# ms by which failing reads backdate input at most; no request waits longer for its answer then.
+MAX_BACKDATING = 3000.0
 LOG_INTERVAL = 1000.0  # ms between two log lines
 
 
 class Unpolled(NamedTuple):
-    """A socket was not polled from this time on; it is first read in this round of the loop, or was empty."""
+    """A socket that was not polled from `since` on, and is read by round `last_round`, or was empty then."""
 
     since: float
     last_round: int
 
 
 class LoopWatch:
-    """Dates what is read. Without an instrumented reactor, bytes count as come when they are read."""
+    """Dates input by arrival. Without an instrumented reactor, input counts as arrived when it is read."""
 
     def __init__(self, clock: Callable[[], float], counters: Counters, log: logging.Logger) -> None:
         self.clock, self.counters, self.log = clock, counters, log
@@ -38,83 +39,88 @@
         self.polled_at = self.readable_since = clock()
         self.next_log = 0.0
         self.lines = LimitedLog(log, clock)
-        self.turn_time, self.turn_events = 0.0, 0  # of the turns since the last poll
+        self.batch_time, self.batch_events = 0.0, 0  # of the batches since the last poll
         self.poller: RetryingPoller | None = None
-        self.delays: dict[object, float] = {}  # since when reading from each source fails
-        self.over: set[object] = set()  # those that were read in this round
-        self.gap_since: float | None = None  # the beginning of a gap that ended with the last poll
+        self.failing_since: dict[object, float] = {}  # by source: since when reading from it fails
+        self.recovered: set[object] = set()  # failing sources that were read again in this round
+        self.gap_since: float | None = None  # the start of a gap that ended with the last poll
 
     def install(self, reactor: Any) -> None:
-        """Times each poll of Twisted's epoll reactor, and outlives calls on it that fail for a moment.
+        """Instruments the poller of Twisted's epoll reactor, and makes it retry calls that fail transiently.
 
-        Other reactors are left as they are."""
+        Other reactors are left as they are.
+        """
         if hasattr(reactor, "_poller"):
             reactor._poller = self.poller = RetryingPoller(TimedPoller(reactor._poller, self), self.clock)
             self.installed, self.polled_at = True, self.clock()
 
     def polled(self) -> None:
-        """A poll has returned.
+        """Records the return of a poll.
 
-        On a busy machine the process may have lost its core behind the system's look, before Python returns.
-        So what came in a gap may be found by the next poll only."""
+        On a busy machine the process may be descheduled after the system has checked the sockets and before
+        Python returns. So input that arrived in a gap may be reported only by the following poll.
+        """
         now = self.clock()
         gap = now - self.polled_at
-        before, self.gap_since = self.gap_since, self.polled_at if gap > COUNTED_GAP else None
+        before, self.gap_since = self.gap_since, self.polled_at if gap > MIN_GAP else None
         known = [since for since in (before, self.gap_since) if since is not None]
         self.readable_since = min(known, default=now)
-        self.date_back()
+        self.apply_backdating()
         self.polled_at = now
         self.round += 1
-        if gap > COUNTED_GAP:
+        if gap > MIN_GAP:
             self.report(now, gap)
-        self.turn_time, self.turn_events = 0.0, 0
-
-    def delayed(self, source: object) -> None:
-        """Reading from a source fails: what comes there waits since the poll of this round."""
-        self.delays.setdefault(source, self.readable_since)
-        self.over.discard(source)
-
-    def caught_up(self, source: object) -> None:
-        """Reading from a source works again: what is read after this round did not wait."""
-        if source in self.delays:
-            self.over.add(source)
-
-    def date_back(self) -> None:
-        """Which source is read next is not known: while one is delayed, all that is read counts from then."""
-        for source in self.over:
-            del self.delays[source]
-        self.over.clear()
-        if self.poller is not None and self.poller.refused:
-            self.delayed(self.poller)
-        elif self.poller in self.delays:
-            self.over.add(self.poller)
-        oldest = self.polled_at - MOST_DELAY
-        self.delays = {source: since for source, since in self.delays.items() if since > oldest}
-        self.over &= self.delays.keys()
-        if self.delays:
-            self.readable_since = min(self.readable_since, *self.delays.values())
-
-    def turned(self, took: float, events: int) -> None:
-        """A turn of the dispatcher is over."""
-        self.turn_time += took
-        self.turn_events += events
+        self.batch_time, self.batch_events = 0.0, 0
+
+    def read_failed(self, source: object) -> None:
+        """Reading from a source has failed: its input counts as arrived since the poll of this round."""
+        self.failing_since.setdefault(source, self.readable_since)
+        self.recovered.discard(source)
+
+    def read_recovered(self, source: object) -> None:
+        """Reading from a source works again: input that is read after this round is not backdated."""
+        if source in self.failing_since:
+            self.recovered.add(source)
+
+    def apply_backdating(self) -> None:
+        """Backdates all input while any source fails, as it is not known which source is read next."""
+        for source in self.recovered:
+            del self.failing_since[source]
+        self.recovered.clear()
+        if self.poller is not None and self.poller.pending_changes:
+            self.read_failed(self.poller)
+        elif self.poller in self.failing_since:
+            self.recovered.add(self.poller)
+        oldest = self.polled_at - MAX_BACKDATING
+        self.failing_since = {source: since for source, since in self.failing_since.items() if since > oldest}
+        self.recovered &= self.failing_since.keys()
+        if self.failing_since:
+            self.readable_since = min(self.readable_since, *self.failing_since.values())
+
+    def batch_ended(self, duration: float, events: int) -> None:
+        """Records a batch: its duration in ms and its number of events."""
+        self.batch_time += duration
+        self.batch_events += events
 
     def report(self, now: float, gap: float) -> None:
+        """Counts a gap, and logs it if it is long, at most once per LOG_INTERVAL."""
         self.counters.add("poll_gaps")
-        self.counters.most("longest_poll_gap_ms", gap)
-        if gap > LOGGED_GAP and now >= self.next_log:
+        self.counters.record_max("longest_poll_gap_ms", gap)
+        if gap > MIN_LOGGED_GAP and now >= self.next_log:
             self.next_log = now + LOG_INTERVAL
-            figures = {"ms": gap, "turns_ms": self.turn_time, "events": self.turn_events}
+            figures = {"ms": gap, "turns_ms": self.batch_time, "events": self.batch_events}
             self.log.warning("poll_gap", extra={"figures": figures})
 
-    def refused(self, call: str, descriptor: int, fault: OSError) -> None:
-        """A call on the poller has failed."""
-        self.counters.add(f"{call}_failed_errno_{fault.errno}")
-        self.lines.write("poller_call_failed", call=call, descriptor=descriptor, error=name_of(fault))
+    def refused(self, call: str, descriptor: int, error: OSError) -> None:
+        """Counts and logs a failed call on the poller."""
+        self.counters.add(f"{call}_failed_errno_{error.errno}")
+        self.lines.write("poller_call_failed", call=call, descriptor=descriptor, error=errno_name(error))
 
     def arrival(self, unpolled: Unpolled | None = None) -> float:
-        """The earliest time at which bytes that are read now can have come, on a socket that was not always
-        polled before."""
+        """The earliest time at which bytes that are read now can have arrived.
+
+        unpolled: Given for a socket that was not polled for some time before.
+        """
         if not self.installed:
             return self.clock()
         if unpolled is not None and self.round <= unpolled.last_round:
@@ -123,62 +129,63 @@
 
 
 class TimedPoller:
-    """A reactor's poller that tells the watch when it was asked."""
+    """Wraps a reactor's poller, and reports its polls and errors to the watch."""
 
     def __init__(self, poller: Any, watch: LoopWatch) -> None:
         self.poller, self.watch = poller, watch
         self.close = poller.close
 
     def register(self, descriptor: int, events: int) -> None:
-        """Watch a descriptor."""
+        """Starts to watch a descriptor."""
         self.control("add", descriptor, self.poller.register, events)
 
     def modify(self, descriptor: int, events: int) -> None:
-        """Change what a descriptor is watched for."""
+        """Changes the events for which a descriptor is watched."""
         self.control("mod", descriptor, self.poller.modify, events)
 
     def unregister(self, descriptor: int) -> None:
-        """Watch a descriptor no more."""
+        """Stops watching a descriptor."""
         self.control("del", descriptor, self.poller.unregister)
 
     def control(self, call: str, descriptor: int, change: Callable[..., None], *events: int) -> None:
-        """Make a change; an error is counted and told, then raised as it came.
+        """Makes a change; counts and logs an error before raising it unchanged.
 
         Raises:
-            OSError: The system has refused it.
+            OSError: The system has rejected it.
         """
         try:
             change(descriptor, *events)
-        except OSError as fault:
-            self.watch.refused(f"epoll_{call}", descriptor, fault)
+        except OSError as error:
+            self.watch.refused(f"epoll_{call}", descriptor, error)
             raise
 
-    def poll(self, timeout: float, most: int) -> list[tuple[int, int]]:
+    def poll(self, timeout: float, limit: int) -> list[tuple[int, int]]:
+        """Waits for events, and records the return of the poll."""
         try:
-            found: list[tuple[int, int]] = self.poller.poll(timeout, most)
-        except OSError as fault:
-            self.watch.refused("epoll_wait", -1, fault)
+            found: list[tuple[int, int]] = self.poller.poll(timeout, limit)
+        except OSError as error:
+            self.watch.refused("epoll_wait", -1, error)
             raise
         self.watch.polled()
         return found
 
 
-class QueueLook(NamedTuple):
-    """A look at the accept queue: what is accepted later than `newer_from` entered the queue after `at`."""
+class QueueSample(NamedTuple):
+    """A sample of the accept queue: connections from `first_newer` on entered the queue after `at`."""
 
     at: float
-    newer_from: int  # the first connection of which that is known, counted from the first accepted as 0
+    first_newer: int  # index of a connection, in the order of accepting, from 0
 
 
 class AcceptWatch:
-    """Dates connections: since when one that is accepted now may have waited, with bytes of its own.
+    """Dates connections: since when one that is accepted now may have been waiting, with input of its own.
 
     The accept queue is first in, first out. So a connection entered it after it was last empty, and after any
-    look at it once as many were accepted as waited then. Where the system does not tell how many wait, a full
-    queue is assumed.
+    sample of its length once that many connections were accepted. If the system does not report the length,
+    the queue is assumed to be full.
 
-    waiting: tells how many connections the queue holds, or None.
-    queue_length: How many it holds at most.
+    waiting: Returns the present length of the queue, or None.
+    queue_length: Its maximum length.
     """
 
     def __init__(
@@ -186,48 +193,51 @@
     ) -> None:
         self.loop, self.queue_length, self.waiting = loop, queue_length, waiting
         self.round, self.since = -1, 0.0
-        self.count, self.most = 0, 0  # accepted in that round, and how many could be
-        self.total = 0
-        self.looks = deque[QueueLook]()  # since the queue was last empty, those that date nothing yet
-        self.is_told = False  # whether the system has told of a connection that waits
-
-    def accepted(self, most: int) -> Unpolled:
-        """One more, of so many at most in this round."""
+        self.count, self.limit = 0, 0  # accepted in that round, and the limit on them
+        self.total = 0  # accepted so far
+        self.samples = deque[
+            QueueSample
+        ]()  # since the queue was last empty; those that date no connection yet
+        self.count_supported = False  # whether the system has ever reported a waiting connection
+
+    def accepted(self, limit: int) -> Unpolled:
+        """Records an accept, of at most `limit` in this round; returns since when the connection may wait."""
         if self.loop.round != self.round:
-            self.begin_round(most)
-            self.look(self.total + 1)
-        while self.looks and self.total >= self.looks[0].newer_from:
-            self.since = max(self.since, self.looks.popleft().at)
+            self.begin_round(limit)
+            self.sample_queue(self.total + 1)
+        while self.samples and self.total >= self.samples[0].first_newer:
+            self.since = max(self.since, self.samples.popleft().at)
         self.count += 1
         self.total += 1
         return Unpolled(self.since, self.round + 1)
 
-    def begin_round(self, most: int) -> None:
-        """The first accept of a round of the loop, or the first that failed in it."""
-        if self.loop.round > self.round + 1 or self.count < self.most:
+    def begin_round(self, limit: int) -> None:
+        """Starts a round of the loop, at its first accept, whether that succeeded or failed."""
+        if self.loop.round > self.round + 1 or self.count < self.limit:
             self.since = self.loop.arrival()
-            self.looks.clear()
-        self.round, self.count, self.most = self.loop.round, 0, most
+            self.samples.clear()
+        self.round, self.count, self.limit = self.loop.round, 0, limit
 
-    def look(self, taken: int) -> None:
-        """Notes how many connections wait now that so many were taken off the queue.
+    def sample_queue(self, removed: int) -> None:
+        """Samples the queue's length after `removed` connections left it.
 
-        A count of 0 is believed only where a system has told of more before: it may not count them."""
+        A length of 0 is trusted only if the system has reported more before, as some do not count at all.
+        """
         at, waiting = self.loop.clock(), self.waiting()
-        self.is_told = self.is_told or bool(waiting)
-        if waiting is None or not self.is_told:
-            at, taken, waiting = self.loop.arrival(), self.total, self.queue_length
-        while self.looks and self.looks[-1].newer_from >= taken + waiting:
-            self.looks.pop()  # the new one dates all of its connections, and dates them later
-        self.looks.append(QueueLook(at, taken + waiting))
+        self.count_supported = self.count_supported or bool(waiting)
+        if waiting is None or not self.count_supported:
+            at, removed, waiting = self.loop.arrival(), self.total, self.queue_length
+        while self.samples and self.samples[-1].first_newer >= removed + waiting:
+            self.samples.pop()  # the new one dates all of its connections, and dates them later
+        self.samples.append(QueueSample(at, removed + waiting))
 
     def failed(self) -> None:
-        """An accept has failed: the queue is not empty."""
+        """Records a failed accept: the queue is not empty."""
         if self.loop.round != self.round:
             self.begin_round(0)
-            self.look(self.total)
-        self.count = self.most = 0
+            self.sample_queue(self.total)
+        self.count = self.limit = 0
 
     def resumed(self) -> None:
-        """Accepting goes on after a pause: what waits may have done so since the last was accepted."""
-        self.round, self.count, self.most = self.loop.round, 0, 0
+        """Accepting resumes after a pause: connections may have been waiting since the last accept."""
+        self.round, self.count, self.limit = self.loop.round, 0, 0
--- a/spurdeal/vrrp/address.py
+++ b/spurdeal/vrrp/address.py
@@ -1,7 +1,8 @@
-"""Holding an address: by listening on it, by telling a switch, or by an operator's command.
+"""Ways to hold a virtual address: announce it to a switch, listen on it, or run an operator's command.
 
-Each holder has `take(group, addresses)` and `leave(group, addresses)`; leaving drains, so that what was taken
-there is answered. What fails is counted and tried again while the address is held.
+Each holder has `take(group, addresses)` and `leave(group, addresses)`. A `Listener` drains the connections of
+an address that it leaves, so that accepted requests are answered. Failures are counted; a failed listen is
+retried while the address is held, announcements are repeated, and a failed command is only logged.
 """
 
 from __future__ import annotations
@@ -20,40 +21,51 @@
 from ..net.counters import Counters
 from .advert import Address
 
-ANNOUNCE_AT = (0.0, 0.02, 0.06, 0.2)  # seconds: a lost datagram must not cost the takeover
-ANNOUNCE_EVERY = 1.0
-LISTEN_AGAIN = 0.05  # seconds: the one that leaves may hold the port for a moment yet
-MOST_COMMANDS = 16
+ANNOUNCE_DELAYS = (0.0, 0.02, 0.06, 0.2)  # seconds after a takeover: a lost datagram must not delay it
+ANNOUNCE_INTERVAL = 1.0  # seconds between announcements after that
+LISTEN_RETRY_DELAY = 0.05  # seconds: the previous holder may keep the port open for a moment
+MAX_QUEUED_COMMANDS = 16  # above this the oldest is dropped
 
 
 class Announcer(DatagramProtocol):
-    """Tells a switch again and again that an address is here, as gratuitous ARPs do (RFC 9568, 6.4.1)."""
+    """Announces held addresses to a switch repeatedly, as gratuitous ARP does (RFC 9568, section 6.4.1).
+
+    Args:
+        reactor: Schedules the announcements.
+        switch: Host and UDP port that announcements are sent to.
+        own_endpoint: Host and port where this dispatcher serves; part of each announcement.
+        counters: Counts `announced` and `announce_not_sent`.
+    """
 
     transport: Any
 
     def __init__(
-        self, reactor: Scheduler, switch: tuple[str, int], here: tuple[str, int], counters: Counters
+        self, reactor: Scheduler, switch: tuple[str, int], own_endpoint: tuple[str, int], counters: Counters
     ) -> None:
-        self.reactor, self.switch, self.here, self.counters = reactor, switch, here, counters
+        self.reactor, self.switch, self.own_endpoint, self.counters = reactor, switch, own_endpoint, counters
         self.held: dict[int, Sequence[Address]] = {}
-        self.later: dict[int, list[Timer]] = {}
+        self.timers: dict[int, list[Timer]] = {}
 
     def take(self, group: int, addresses: Sequence[Address]) -> None:
-        """Announce the addresses of a group from now on."""
+        """Start announcing the addresses of a group."""
         self.cancel(group)
         self.held[group] = addresses
-        self.later[group] = [self.reactor.callLater(at, self.announce, group) for at in ANNOUNCE_AT]
-        self.later[group].append(self.reactor.callLater(ANNOUNCE_EVERY, self.again, group))
+        self.timers[group] = [self.reactor.callLater(at, self.announce, group) for at in ANNOUNCE_DELAYS]
+        self.timers[group].append(
+            self.reactor.callLater(ANNOUNCE_INTERVAL, self.announce_periodically, group)
+        )
 
-    def again(self, group: int) -> None:
-        """Announce once more, each ANNOUNCE_EVERY."""
+    def announce_periodically(self, group: int) -> None:
+        """Announce a group and schedule the next announcement after ANNOUNCE_INTERVAL."""
         self.announce(group)
-        self.later[group] = [self.reactor.callLater(ANNOUNCE_EVERY, self.again, group)]
+        self.timers[group] = [self.reactor.callLater(ANNOUNCE_INTERVAL, self.announce_periodically, group)]
 
     def announce(self, group: int) -> None:
-        """Send one announcement for each address of a group."""
+        """Send one announcement for each address of a group; send errors are counted."""
         for address in self.held[group]:
-            text = json.dumps({"address": str(address), "group": group, "at": list(self.here)}).encode()
+            text = json.dumps(
+                {"address": str(address), "group": group, "at": list(self.own_endpoint)}
+            ).encode()
             try:
                 self.transport.write(text, self.switch)
                 self.counters.add("announced")
@@ -61,25 +73,25 @@
                 self.counters.add("announce_not_sent")
 
     def leave(self, group: int, addresses: Sequence[Address]) -> None:
-        """Announce the addresses of a group no more."""
+        """Stop announcing the addresses of a group."""
         self.cancel(group)
         self.held.pop(group, None)
 
     def cancel(self, group: int) -> None:
-        """Drop the announcements of a group that are scheduled."""
-        for call in self.later.pop(group, ()):
+        """Cancel the scheduled announcements of a group."""
+        for call in self.timers.pop(group, ()):
             if call.active():
                 call.cancel()
 
 
 @dataclass(frozen=True)
-class Served:
-    """What is served at the addresses.
+class ServedPort:
+    """The service offered at the addresses.
 
     Attributes:
-        factory: Makes the protocol of each connection.
-        port: On which it is served.
-        drain: Called with an address that is left: what was taken there is to be answered, then closed.
+        factory: Builds the protocol of each connection.
+        port: TCP port.
+        drain: Called with an address that is left; answers its open requests, then closes its connections.
     """
 
     factory: ServerFactory
@@ -90,13 +102,13 @@
 class Listener:
     """Listens on the addresses in this process.
 
-    One that leaves an address accepts no more there and answers the rest.
+    After an address is left, no connection is accepted there and the open ones are drained.
     """
 
     def __init__(
         self,
         reactor: StreamLoop,
-        served: Served,
+        served: ServedPort,
         counters: Counters,
         log: logging.Logger,
     ) -> None:
@@ -105,14 +117,14 @@
         self.wanted: set[Address] = set()
 
     def take(self, group: int, addresses: Sequence[Address]) -> None:
-        """Listen on these addresses."""
+        """Start listening on these addresses; those already held are skipped."""
         for address in addresses:
             if address not in self.wanted:
                 self.wanted.add(address)
                 self.listen(address)
 
     def listen(self, address: Address) -> None:
-        """Listen on an address; where its port is in use, again after LISTEN_AGAIN."""
+        """Listen on an address; if that fails, log it and retry after LISTEN_RETRY_DELAY."""
         if address not in self.wanted or address in self.ports:
             return
         try:
@@ -125,10 +137,10 @@
                 "address_not_listened",
                 extra={"figures": {"address": str(address), "why": str(fault.socketError)}},
             )
-            self.reactor.callLater(LISTEN_AGAIN, self.listen, address)
+            self.reactor.callLater(LISTEN_RETRY_DELAY, self.listen, address)
 
     def leave(self, group: int, addresses: Sequence[Address]) -> None:
-        """Accept no more on these addresses, and drain their connections."""
+        """Stop accepting on these addresses and drain their connections."""
         for address in addresses:
             self.wanted.discard(address)
             port = self.ports.pop(address, None)
@@ -139,7 +151,13 @@
 
 @dataclass(frozen=True)
 class CommandSettings:
-    """The operator's commands. `{address}` in a word stands for the address; within is in ms."""
+    """The operator's commands.
+
+    Attributes:
+        take: Program and arguments that take an address; `{address}` in an argument is replaced by it.
+        leave: Likewise, to give the address up.
+        within: Time limit of one command, in ms.
+    """
 
     take: Sequence[str]
     leave: Sequence[str]
@@ -147,7 +165,10 @@
 
 
 class Commands:
-    """Runs the operator's command, one after the other, each ended after its time."""
+    """Runs the operator's commands one at a time; a command that exceeds its time limit is killed.
+
+    No shell is involved. At most MAX_QUEUED_COMMANDS wait; above that the oldest is dropped and counted.
+    """
 
     def __init__(
         self,
@@ -156,75 +177,75 @@
         counters: Counters,
         log: logging.Logger,
     ) -> None:
-        self.reactor, self.words = reactor, {True: settings.take, False: settings.leave}
+        self.reactor, self.arguments = reactor, {True: settings.take, False: settings.leave}
         self.within, self.counters, self.log = settings.within, counters, log
         self.queue: list[list[str]] = []
         self.running = False
 
     def take(self, group: int, addresses: Sequence[Address]) -> None:
-        """Run the command that takes an address, for each."""
-        self.ask(True, addresses)
+        """Queue the `take` command for each address."""
+        self.enqueue(True, addresses)
 
     def leave(self, group: int, addresses: Sequence[Address]) -> None:
-        """Run the command that leaves an address, for each."""
-        self.ask(False, addresses)
+        """Queue the `leave` command for each address."""
+        self.enqueue(False, addresses)
 
-    def ask(self, taken: bool, addresses: Sequence[Address]) -> None:
-        """Queue a command for each address."""
+    def enqueue(self, taken: bool, addresses: Sequence[Address]) -> None:
+        """Queue the `take` (or `leave`) command for each address."""
         for address in addresses:
-            words = [word.replace("{address}", str(address)) for word in self.words[taken]]
-            if len(self.queue) >= MOST_COMMANDS:  # only the newest tell how things stand
+            arguments = [word.replace("{address}", str(address)) for word in self.arguments[taken]]
+            if len(self.queue) >= MAX_QUEUED_COMMANDS:  # the newest commands reflect the current state
                 self.queue.pop(0)
                 self.counters.add("commands_dropped")
-            self.queue.append(words)
-        self.next()
+            self.queue.append(arguments)
+        self.run_next()
 
-    def next(self) -> None:
-        """Run the next command, unless one is running."""
+    def run_next(self) -> None:
+        """Start the next queued command unless one is running."""
         if self.running or not self.queue:
             return
         self.running = True
-        words = self.queue.pop(0)
-        run = Run(self, words)
+        arguments = self.queue.pop(0)
+        run = CommandProcess(self, arguments)
         try:
-            self.reactor.spawnProcess(run, words[0], words, env=None)
+            self.reactor.spawnProcess(run, arguments[0], arguments, env=None)
         except OSError as fault:
-            self.ended(words, str(fault))
+            self.command_ended(arguments, str(fault))
             return
-        run.limit = self.reactor.callLater(self.within / 1000, run.overdue)
+        run.timer = self.reactor.callLater(self.within / 1000, run.kill_overdue)
 
-    def ended(self, words: Sequence[str], fault: str) -> None:
-        """A command has ended; `fault` is empty where it went well."""
+    def command_ended(self, arguments: Sequence[str], fault: str) -> None:
+        """Count and log the end of a command and start the next; `fault` is empty on success."""
         self.counters.add("commands_failed" if fault else "commands_run")
         if fault:
-            self.log.error("command_failed", extra={"figures": {"command": words[0], "why": fault}})
+            self.log.error("command_failed", extra={"figures": {"command": arguments[0], "why": fault}})
         self.running = False
-        self.next()
+        self.run_next()
 
 
-class Run(ProcessProtocol):
-    """One command, from its start to its end."""
+class CommandProcess(ProcessProtocol):
+    """The process of one command."""
 
     transport: Any
 
-    def __init__(self, commands: Commands, words: Sequence[str]) -> None:
-        self.commands, self.words, self.late = commands, words, False
-        self.limit: Timer | None = None
+    def __init__(self, commands: Commands, arguments: Sequence[str]) -> None:
+        self.commands, self.arguments, self.timed_out = commands, arguments, False
+        self.timer: Timer | None = None
 
-    def overdue(self) -> None:
-        """Its time is over: end it."""
-        self.late = True
+    def kill_overdue(self) -> None:
+        """Kill the process: its time limit has passed."""
+        self.timed_out = True
         self.transport.signalProcess("KILL")
 
     def processEnded(self, reason: Failure) -> None:
         """See ProcessProtocol."""
-        if self.limit is not None and self.limit.active():
-            self.limit.cancel()
+        if self.timer is not None and self.timer.active():
+            self.timer.cancel()
         fault = (
-            "ended after its time"
-            if self.late
+            "killed after its time limit"
+            if self.timed_out
             else ""
             if isinstance(reason.value, ProcessDone)
             else str(reason.value)
         )
-        self.commands.ended(self.words, fault)
+        self.commands.command_ended(self.arguments, fault)
--- a/spurdeal/vrrp/exchange.py
+++ b/spurdeal/vrrp/exchange.py
@@ -1,6 +1,6 @@
-"""Handover datagrams between one dispatcher and its peers, and the verdicts that submissions wait for.
+"""Network side of the handover: sends and receives its datagrams and delivers verdicts to waiting requests.
 
-It decides nothing: `handover` does.
+The decisions are made in `handover`.
 """
 
 from __future__ import annotations
@@ -10,20 +10,20 @@
 
 from twisted.internet.protocol import DatagramProtocol
 
-from .handover import Facts, Handover, Verdict
+from .handover import DispatcherState, Handover, Verdict
 from .sealed import RefusedError
 from .setup import Runtime
 
 if TYPE_CHECKING:
     from ..settings.installation import Installation
 
-MAX_GREETINGS = 20  # a second: an unproven datagram draws one answer, and a flood must not draw a flood
+MAX_GREETINGS = 20  # per window: each unproven datagram is answered, and a flood must not be amplified
 GREETING_WINDOW = 1000.0  # ms
-REPEATS = 4  # within the time that a verdict may take: a datagram or its answer may be lost
+REPEATS = 4  # sends of an announcement within `ahead_wait`: a datagram or its reply may be lost
 
 
-class Telling(DatagramProtocol):
-    """Handover datagrams of the peers."""
+class HandoverProtocol(DatagramProtocol):
+    """Receives the peers' handover datagrams."""
 
     transport: Any
 
@@ -32,11 +32,11 @@
 
     def datagramReceived(self, datagram: bytes, address: tuple[Any, ...]) -> None:
         """See DatagramProtocol."""
-        self.exchange.came(datagram, (str(address[0]), int(address[1])))
+        self.exchange.on_datagram(datagram, (str(address[0]), int(address[1])))
 
 
 class Exchange:
-    """Sends and takes handover datagrams; nothing happens where there is no handover."""
+    """Sends and receives handover datagrams; does nothing if no handover is configured."""
 
     def __init__(
         self,
@@ -46,81 +46,86 @@
     ) -> None:
         self.handover, self.reactor, self.counters = handover, runtime.reactor, runtime.counters
         self.monotonic = runtime.monotonic
-        self.places = {peer.name: (str(peer.handover[0]), peer.handover[1]) for peer in plan.peers}
-        self.by_address = {place: name for name, place in self.places.items()}
-        self.telling = Telling(self)
-        self.going: dict[object, Callable[[bool | None], None]] = {}  # what waits for its verdict
-        self.flushing = False
-        self.greeted, self.greeted_since = 0, self.monotonic()
-
-    def tell_all(self, facts: Facts, idle: bool) -> None:
-        """Tell each peer how we are. idle: our part of cold budgets may be lent."""
+        self.peer_addresses = {peer.name: (str(peer.handover[0]), peer.handover[1]) for peer in plan.peers}
+        self.peer_by_address = {address: name for name, address in self.peer_addresses.items()}
+        self.protocol = HandoverProtocol(self)
+        self.pending_callbacks: dict[
+            object, Callable[[bool | None], None]
+        ] = {}  # sends that wait for a verdict, by token
+        self.flush_scheduled = False
+        self.greetings_sent, self.greeting_window_start = 0, self.monotonic()
+
+    def send_state(self, state: DispatcherState, idle: bool) -> None:
+        """Send the regular state datagram to each peer; with `idle`, our budget share may be lent."""
         if self.handover is None:
             return
         now = self.monotonic()
-        for peer in self.places:
-            self.send(peer, self.handover.compose(now, peer, facts, idle))
-        self.conclude(self.handover.tick(now))
+        for peer in self.peer_addresses:
+            self.send(peer, self.handover.compose(now, peer, state, idle))
+        self.deliver_verdicts(self.handover.tick(now))
 
     def flush(self) -> None:
-        """What waits for the peers' word goes out at once, all of one turn together."""
-        self.flushing = False
+        """Send announcements and replies that are due, those of one event-loop turn in one datagram.
+
+        Repeated while any announcement waits for replies.
+        """
+        self.flush_scheduled = False
         if self.handover is None:
             return
         now = self.monotonic()
-        for peer in self.places:
-            datagram = self.handover.compose_told(now, peer)
+        for peer in self.peer_addresses:
+            datagram = self.handover.compose_urgent(now, peer)
             if datagram is not None:
                 self.send(peer, datagram)
-        self.conclude(self.handover.tick(now))
+        self.deliver_verdicts(self.handover.tick(now))
         if self.handover.waiting:
             self.flush_soon(self.handover.settings.ahead_wait / REPEATS)
 
     def flush_soon(self, delay: float = 0.0) -> None:
-        """Flush after so many ms, unless that is to happen already."""
-        if not self.flushing:
-            self.flushing = True
+        """Schedule a flush after `delay` ms unless one is scheduled."""
+        if not self.flush_scheduled:
+            self.flush_scheduled = True
             self.reactor.callLater(delay / 1000, self.flush)
 
     def send(self, peer: str, datagram: bytes) -> None:
-        """To that peer, as far as the system takes it."""
+        """Send a datagram to a peer; send errors are counted."""
         try:
-            self.telling.transport.write(datagram, self.places[peer])
+            self.protocol.transport.write(datagram, self.peer_addresses[peer])
             self.counters.add("handover_sent")
         except OSError:
             self.counters.add("handover_not_sent")
 
-    def came(self, datagram: bytes, address: tuple[str, int]) -> None:
-        """A datagram; what cannot be used is counted by its reason."""
-        peer = self.by_address.get(address)
+    def on_datagram(self, datagram: bytes, address: tuple[str, int]) -> None:
+        """Process a datagram; one that is refused is counted by its reason."""
+        peer = self.peer_by_address.get(address)
         if peer is None or self.handover is None:
             self.counters.add("handover_drop_sender")
             return
         now = self.monotonic()
         try:
-            verdicts = self.handover.take(now, peer, datagram)
+            verdicts = self.handover.receive(now, peer, datagram)
         except RefusedError as fault:
             self.counters.add("handover_drop_" + fault.reason)
             if fault.reason == "unproven":
                 self.greet(self.handover, now, peer, datagram)
             return
         self.counters.add("handover_taken")
-        self.conclude(verdicts)
+        self.deliver_verdicts(verdicts)
         if self.handover.replies[peer]:
             self.flush_soon()
 
     def greet(self, handover: Handover, now: float, peer: str, datagram: bytes) -> None:
-        """Answer one who does not know our start with it, as long as the rate allows."""
-        if now - self.greeted_since >= GREETING_WINDOW:
-            self.greeted, self.greeted_since = 0, now
-        if self.greeted < MAX_GREETINGS:
-            self.greeted += 1
+        """Answer an unproven datagram with our start, at most MAX_GREETINGS per window."""
+        if now - self.greeting_window_start >= GREETING_WINDOW:
+            self.greetings_sent, self.greeting_window_start = 0, now
+        if self.greetings_sent < MAX_GREETINGS:
+            self.greetings_sent += 1
             self.send(peer, handover.sessions[peer].greet(now, datagram))
 
-    def conclude(self, verdicts: Sequence[Verdict]) -> None:
-        """Tell what waits for these verdicts."""
+    def deliver_verdicts(self, verdicts: Sequence[Verdict]) -> None:
+        """Call back the sends that waited for these verdicts, and count the outcomes."""
         for token, go in verdicts:
-            call = self.going.pop(token, None)
+            call = self.pending_callbacks.pop(token, None)
             if call is not None:
                 ending = "sent" if go else "not_sent" if go is False else "ran_elsewhere"
                 self.counters.add("ahead_" + ending)
--- a/spurdeal/vrrp/guard.py
+++ b/spurdeal/vrrp/guard.py
@@ -1,6 +1,6 @@
-"""The link's Guard where dispatchers stand in for one another: handover's verdicts, and tenure's parts.
+"""The adapter's Guard with VRRP peers: applies the handover's verdicts and this dispatcher's budget shares.
 
-It decides nothing: `handover` and `tenure` do.
+The decisions are made in `handover` and `tenure`.
 """
 
 from __future__ import annotations
@@ -8,169 +8,176 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from ..net.engine_list import Seat
-from ..net.link import Answer, BrokenOff, Shed, SocketLink, Taken, at_most_once
+from ..net.engine_list import Endpoint
+from ..net.link import Answer, Failed, OpenRequest, Shed, SocketAdapter, at_most_once
 from ..net.start import Service
 from .exchange import Exchange
-from .handover import Facts
-from .marks import Door
-from .tenure import Tenure
+from .handover import DispatcherState
+from .marks import Admission
+from .tenure import BudgetShares
 
 
 class ColdSend(NamedTuple):
-    """Something was sent to a cold engine. at: ms."""
+    """One send to a cold engine: when, in ms of the monotonic clock, and its work (1.0 each)."""
 
     at: float
     work: float
 
 
 class HandoverGuard:
-    """Asked by the link about each submission and each send.
+    """Consulted by the adapter about each request and each send.
 
     Args:
-        share: Whether cold budgets are shared by tenure.
-        assumed_cold: Whether each engine counts as started just now.
+        service: The dispatcher's service.
+        exchange: Carries the handover's datagrams.
+        budget_shares: This dispatcher's shares of cold engines' budgets.
+        share: Whether cold budgets are shared between dispatchers (`tenure.on`).
+        assumed_cold: Whether every engine is to count as just started.
     """
 
     def __init__(
         self,
         service: Service,
         exchange: Exchange,
-        tenure: Tenure,
+        budget_shares: BudgetShares,
         share: bool,
         assumed_cold: Callable[[], bool],
     ) -> None:
-        self.link: SocketLink = service.link
-        self.counters, self.come_back = service.counters, service.configuration.site.most_come_back
+        self.adapter: SocketAdapter = service.adapter
+        self.counters, self.retry_after = service.counters, service.configuration.site.max_retry_after
         self.exchange, self.handover, self.monotonic = exchange, exchange.handover, exchange.monotonic
-        self.tenure, self.share = tenure, share
+        self.budget_shares, self.share = budget_shares, share
         self.guarded, self.assumed_cold = at_most_once(service.configuration.site), assumed_cold
         own = 1.0 / service.configuration.site.dispatchers
-        self.parts = own, own
-        self.sent_cold: dict[int, list[ColdSend]] = {}  # by engine, within a window
+        self.shares = own, own
+        self.sent_cold: dict[int, list[ColdSend]] = {}  # by engine, within one cold window
 
-    # The link's Guard.
+    # The Guard protocol of net.requests.
 
-    def turning(self, now: float) -> None:
-        """Tell the rules our parts of cold budgets, where they have changed."""
+    def batch_started(self, now: float) -> None:
+        """Pass our budget shares to the rules if they have changed."""
         if not self.share or self.handover is None:
             return
         mono = self.monotonic()
-        parts = self.tenure.part(mono), self.tenure.start(mono)
-        if parts != self.parts:
-            self.parts = parts
-            self.link.rules.tenured(now, *parts)
+        shares = self.budget_shares.share(mono), self.budget_shares.start_share(mono)
+        if shares != self.shares:
+            self.shares = shares
+            self.adapter.rules.capacity_shares_changed(now, *shares)
             self.counters.add("tenure_changes")
 
-    def door(self, kind: int, ident: bytes) -> Answer | None:
-        """An answer at once, where the submission may have run at a peer or cannot be guarded."""
+    def immediate_answer(self, kind: int, ident: bytes) -> Answer | None:
+        """Answer a request at once if it may have run already, or if no record of it can be kept."""
         if self.handover is None or not self.guarded[kind]:
             return None
-        found = self.handover.door(self.monotonic(), ident.lower())
-        if found is Door.OPEN:
+        found = self.handover.check_admission(self.monotonic(), ident.lower())
+        if found is Admission.ALLOWED:
             return None
         self.counters.add("door_" + found.value)
-        return BrokenOff() if found is Door.RAN else Shed(self.come_back)
+        return Failed() if found is Admission.MAY_HAVE_RUN else Shed(self.retry_after)
 
-    def before(self, taken: Taken, trip: int, go: Callable[[bool | None], None]) -> bool:
-        """Whether a trip may leave now; False where `go` is called with the peers' verdict, later."""
-        if self.handover is None or not self.guarded[taken.kind]:
+    def before_send(self, request: OpenRequest, attempt: int, go: Callable[[bool | None], None]) -> bool:
+        """Return whether an attempt may leave now; if False, `go` is called later with the verdict."""
+        if self.handover is None or not self.guarded[request.kind]:
             return True
-        now, token = self.monotonic(), (taken.number, trip)
-        expiry = now + max(0.0, taken.expiry - self.link.clock())
-        verdict = self.handover.before(now, taken.ident.lower(), expiry, token)
+        now, token = self.monotonic(), (request.number, attempt)
+        deadline = now + max(0.0, request.deadline - self.adapter.clock())
+        verdict = self.handover.prepare_send(now, request.ident.lower(), deadline, token)
         if verdict is not None and verdict.go:
             return True
-        self.exchange.going[token] = go
+        self.exchange.pending_callbacks[token] = go
         if verdict is None:
             self.exchange.flush_soon()
         else:
-            self.exchange.reactor.callLater(0, self.exchange.conclude, [verdict])
+            self.exchange.reactor.callLater(0, self.exchange.deliver_verdicts, [verdict])
         return False
 
-    def given_up(self, number: int, trip: int) -> None:
-        """A trip that waits for its verdict is not to be sent any more."""
-        self.exchange.going.pop((number, trip), None)
+    def attempt_abandoned(self, number: int, attempt: int) -> None:
+        """Forget an attempt that waits for its verdict and is not to be sent any more."""
+        self.exchange.pending_callbacks.pop((number, attempt), None)
         if self.handover is not None:
-            self.handover.give_up((number, trip))
+            self.handover.abandon((number, attempt))
 
-    def answered(self, taken: Taken, answer: Answer | None) -> None:
-        """The answer has left, or the client (None)."""
-        if self.handover is not None and self.guarded[taken.kind]:
-            self.handover.over(taken.ident.lower(), isinstance(answer, Shed))
+    def answered(self, request: OpenRequest, answer: Answer | None) -> None:
+        """Process the end of a request: its answer was sent, or the client left (None)."""
+        if self.handover is not None and self.guarded[request.kind]:
+            self.handover.finish(request.ident.lower(), isinstance(answer, Shed))
 
-    def never_ran(self, taken: Taken) -> None:
-        """It was granted, and the caller has shown that nothing ran."""
-        if self.handover is not None and self.guarded[taken.kind]:
-            self.handover.over(taken.ident.lower(), never_ran=True)
+    def never_ran(self, request: OpenRequest) -> None:
+        """Drop the record of a granted request: the caller has shown that nothing ran."""
+        if self.handover is not None and self.guarded[request.kind]:
+            self.handover.finish(request.ident.lower(), never_ran=True)
 
-    def called_off(self, taken: Taken, trip: int) -> None:
-        """Nothing follows of it here."""
+    def attempt_cancelled(self, request: OpenRequest, attempt: int) -> None:
+        """Do nothing: the handover needs no notice of it."""
 
-    def said(self, line: str) -> None:
-        """Nothing follows of it here."""
+    def mode_changed(self, line: str) -> None:
+        """Do nothing: the handover needs no notice of it."""
 
-    def turned(self) -> None:
-        """Nothing follows of it here."""
+    def batch_ended(self) -> None:
+        """Do nothing: the handover needs no notice of it."""
 
-    def departs(self, taken: Taken, trip: int, engine: int) -> bool:
-        """Whether something may go there now.
+    def allow_send(self, request: OpenRequest, attempt: int, engine: int) -> bool:
+        """Return whether an attempt may be sent to this engine now.
 
-        A cold engine's budget may have been lent since the rules chose.
+        Our share of a cold engine's budget may have been lent since the rules chose the engine.
         """
         if not self.share or self.handover is None or not self.is_cold(engine):
             return True
         now = self.monotonic()
-        if self.tenure.part(now) <= 0.0:
+        if self.budget_shares.share(now) <= 0.0:
             self.counters.add("cold_withheld")
             return False
-        self.tenure.used(now)
-        self.sent_cold[engine] = [*self.recent(engine, now), ColdSend(now, 1.0)]
+        self.budget_shares.record_use(now)
+        self.sent_cold[engine] = [*self.recent_sends(engine, now), ColdSend(now, 1.0)]
         return True
 
-    def seat(self, seat: Seat) -> Seat:
-        """The seat with its engine's latest start that a peer tells.
+    def endpoint(self, endpoint: Endpoint) -> Endpoint:
+        """Return the endpoint with the latest start of its engine that any peer reports.
 
-        Until the list is known to be fresh, each engine may have been started anew, and counts as cold.
+        Until the first list after our start, each engine may have been restarted and counts as cold.
         """
         if self.assumed_cold():
-            return seat._replace(started=self.link.clock())
-        told = [
+            return endpoint._replace(started=self.adapter.clock())
+        reported_starts = [
             started
-            for known in (self.handover.known.values() if self.handover else ())
+            for known in (self.handover.peer_states.values() if self.handover else ())
             for ident, started, _ in known.cold
-            if ident == seat.ident
+            if ident == endpoint.ident
         ]
-        return seat._replace(started=max(seat.started, *told)) if told else seat
+        return (
+            endpoint._replace(started=max(endpoint.started, *reported_starts))
+            if reported_starts
+            else endpoint
+        )
 
     # Cold engines.
 
     def is_cold(self, engine: int) -> bool:
-        """Whether that engine is in the list, and not warm yet."""
-        found = self.link.rules.engines.get(engine)
-        return found is not None and found.warm_at > self.link.clock()
+        """Return whether that engine is in the list and still in slow start."""
+        found = self.adapter.rules.engines.get(engine)
+        return found is not None and found.slow_start_until > self.adapter.clock()
 
-    def recent(self, engine: int, now: float) -> list[ColdSend]:
-        """What we have sent to a cold engine within a window."""
-        return [row for row in self.sent_cold.get(engine, ()) if row.at > now - self.tenure.window]
+    def recent_sends(self, engine: int, now: float) -> list[ColdSend]:
+        """Return what was sent to a cold engine within the last cold window."""
+        return [row for row in self.sent_cold.get(engine, ()) if row.at > now - self.budget_shares.window]
 
-    def facts(self, now: float, number: int, held: list[int]) -> Facts:
-        """What the peers are told of us.
+    def dispatcher_state(self, now: float, number: int, held: list[int]) -> DispatcherState:
+        """Return the state that is sent to the peers.
 
         Args:
             now: Monotonic clock, in ms.
-            number: Of the list in force.
+            number: Number of the list in force.
             held: The groups whose addresses we hold.
         """
-        unix, rules = self.link.clock(), self.link.rules
-        cold, aside = [], []
-        for ident, place in self.link.index.places.items():
+        unix, rules = self.adapter.clock(), self.adapter.rules
+        cold, ejected = [], []
+        for ident, place in self.adapter.index.places.items():
             engine = rules.engines.get(place)
             if engine is None:
                 continue
-            if engine.warm_at > unix and ident in self.link.seats:
-                work = sum(row.work for row in self.recent(place, now))
-                cold.append((ident, self.link.seats[ident].started, work))
-            if engine.aside_until > unix:
-                aside.append((ident, engine.aside_until - unix))
-        return Facts(number, held, cold, aside)
+            if engine.slow_start_until > unix and ident in self.adapter.endpoints:
+                work = sum(row.work for row in self.recent_sends(place, now))
+                cold.append((ident, self.adapter.endpoints[ident].started, work))
+            if engine.ejected_until > unix:
+                ejected.append((ident, engine.ejected_until - unix))
+        return DispatcherState(number, held, cold, ejected)
--- a/spurdeal/vrrp/handover.py
+++ b/spurdeal/vrrp/handover.py
@@ -1,10 +1,10 @@
-"""What dispatchers of one installation tell each other, and what follows from it. Free of I/O and clocks.
+"""State replication between the dispatchers of one installation. No I/O, no clocks.
 
-Every few ms each tells each peer: the number of its list, which engines are cold since when and what it sent
-there, which it has set aside, which groups it holds, what it lends of its tenure, and its marks. Between
-these, an irreversible submission is told ahead of its sending, and answered. Times are ms of one monotonic
-clock; a datagram tells only what is left of them. A body is JSON with the keys of `compose`; one with
-anything unusable in it is refused whole and changes nothing.
+At each interval a dispatcher sends each peer: the number of its list, the starts of cold engines and the work
+sent to them, the engines that it has ejected, the groups that it holds, the budget share that it lends, and
+pages of its idempotency records. Between these datagrams it announces non-idempotent requests before they
+are sent, and the peers reply. Times are ms of one monotonic clock; a datagram carries remaining times only.
+A body is JSON with the keys of `compose`; one with any invalid value is refused whole and changes nothing.
 """
 
 from __future__ import annotations
@@ -13,49 +13,49 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-from .marks import Door, Marks
-from .message import MOST_ENGINES, MOST_TOLD, PAGE, Known, Message, Page, read_message
+from .marks import Admission, IdempotencyTable
+from .message import MAX_ANNOUNCED, MAX_ENGINES, PAGE_SIZE, Message, Page, PeerState, read_message
 from .sealed import Keys, Session
-from .tenure import Tenure
+from .tenure import BudgetShares
 
-SAY_CLEAR = 3  # datagrams in a row in which a mark taken back is told: one or two may be lost
+CLEAR_REPEATS = 3  # consecutive datagrams that carry a withdrawal: one or two may be lost
 
 
-class Facts(NamedTuple):
-    """What one dispatcher sees of the fleet, for its peers. Starts are Unix ms, as the list tells them."""
+class DispatcherState(NamedTuple):
+    """State of one dispatcher, as sent to its peers. Starts are Unix ms, as in the list."""
 
     list_number: int
     held: Sequence[int]
-    cold: Sequence[tuple[str, float, float]]  # engine, start, ms of work sent there in the cold window
-    aside: Sequence[tuple[str, float]]  # engine, ms left
+    cold: Sequence[tuple[str, float, float]]  # engine, start, work sent to it within the cold window
+    ejected: Sequence[tuple[str, float]]  # engine, remaining ms
 
 
 class Verdict(NamedTuple):
-    """One told ahead may go (True), must not (False), or may have run at a peer (None)."""
+    """Whether an announced request may be sent (True), must not (False), or may have run elsewhere (None)."""
 
     token: object
     go: bool | None
 
 
-class Waiting(NamedTuple):
-    """One that was told ahead and waits for its peers' answers; times in ms."""
+class PendingSend(NamedTuple):
+    """A request that is announced and waits for the peers' replies; times in ms."""
 
-    turn: int  # of this telling: an answer to an earlier one is none to this (found by the walks)
+    announcement: int  # its number: a reply to an earlier one does not count (found by lab.handover_walk)
     ident: bytes
-    expiry: float
+    deadline: float
     until: float
-    missing: frozenset[str]
+    awaited_peers: frozenset[str]
 
 
 @dataclass(frozen=True)
 class Membership:
-    """Which start of which dispatcher this is, and its peers.
+    """Identity of this dispatcher and its peers.
 
     Attributes:
-        name: Its own.
-        peers: The other dispatchers' names.
-        boot: Tells this start from earlier ones.
-        keys: Seal the datagrams.
+        name: Its name.
+        peers: Names of the other dispatchers.
+        boot: Random number that distinguishes this start from earlier ones.
+        keys: Keys that authenticate the datagrams.
     """
 
     name: str
@@ -66,99 +66,125 @@
 
 @dataclass(frozen=True)
 class HandoverSettings:
-    """What is told ahead, and what holds without peers. Times in ms.
+    """Settings of the handover. Times in ms.
 
     Attributes:
-        ahead: Whether irreversible submissions are told before they are sent.
-        ahead_wait: Within how long they must be answered.
-        alone_after: None refuses them while a peer is not heard; a figure lets them go once it was not heard
-            for so long.
-        without: After so long without any peer, what peers know counts as known.
+        ahead: Whether non-idempotent requests are announced before they are sent.
+        ahead_wait: Time limit for the peers' replies to an announcement.
+        alone_after: None sheds non-idempotent requests while a peer is silent; otherwise a peer that has been
+            silent for longer than this need not reply.
+        sync_timeout: So long after the start, requests are admitted even without all peers' records.
     """
 
     ahead: bool
     ahead_wait: float
     alone_after: float | None
-    without: float
+    sync_timeout: float
 
 
 class Handover:
-    """One dispatcher's side towards its peers."""
+    """Replication of state and idempotency records between this dispatcher and its peers.
+
+    Args:
+        membership: Identity of this dispatcher and its peers.
+        settings: Settings of the handover.
+        budget_shares: This dispatcher's shares of cold engines' budgets.
+        records: Its idempotency records.
+        now: Time of the start, in ms.
+    """
 
     def __init__(
         self,
         membership: Membership,
         settings: HandoverSettings,
-        tenure: Tenure,
-        marks: Marks,
+        budget_shares: BudgetShares,
+        records: IdempotencyTable,
         now: float,
     ) -> None:
         own, peers, boot, keys = membership.name, membership.peers, membership.boot, membership.keys
         self.sessions = {peer: Session(own, peer, boot, keys) for peer in peers}
-        self.settings, self.tenure, self.marks, self.began = settings, tenure, marks, now
-        self.known: dict[str, Known] = {}
-        self.left: dict[str, float] = {}
-        self.waiting: dict[object, Waiting] = {}
-        self.turn = 0
-        self.clearing: dict[str, list[tuple[bytes, float, int]]] = {peer: [] for peer in peers}
+        self.settings, self.budget_shares, self.records, self.started_at = (
+            settings,
+            budget_shares,
+            records,
+            now,
+        )
+        self.peer_states: dict[str, PeerState] = {}
+        self.remaining_loans: dict[str, float] = {}
+        self.waiting: dict[object, PendingSend] = {}
+        self.announcement = 0
+        self.pending_clears: dict[str, list[tuple[bytes, float, int]]] = {peer: [] for peer in peers}
         self.replies: dict[str, list[tuple[float, bool]]] = {peer: [] for peer in peers}
-        self.pages_of: dict[str, list[list[tuple[bytes, float]]]] = {}  # what a new peer has yet to get
-        self.pages_asked: dict[str, int] = {}
-        self.pages_got: dict[str, int] = {}
+        # Snapshot of our records, in pages, for each peer that synchronizes.
+        self.record_pages: dict[str, list[list[tuple[bytes, float]]]] = {}
+        self.requested_pages: dict[str, int] = {}
+        self.received_pages: dict[str, int] = {}
         self.synced: set[str] = set()
 
-    # What is asked of it.
+    # Requests.
 
-    def complete(self, now: float) -> bool:
-        """All that peers know is here, or the stated time without is over."""
-        return len(self.synced) == len(self.sessions) or now >= self.began + self.settings.without
+    def is_synchronized(self, now: float) -> bool:
+        """Return whether all peers' records are here, or the wait for them has timed out."""
+        return len(self.synced) == len(self.sessions) or now >= self.started_at + self.settings.sync_timeout
 
-    def door(self, now: float, ident: bytes) -> Door:
-        """For one that must not run twice, on its way in."""
-        found = self.marks.door(now, ident)
-        if found is Door.OPEN and (not self.complete(now) or (self.settings.ahead and self.away(now))):
-            return Door.AWAY
+    def check_admission(self, now: float, ident: bytes) -> Admission:
+        """Decide whether a new non-idempotent request is admitted."""
+        found = self.records.check(now, ident)
+        if found is Admission.ALLOWED and (
+            not self.is_synchronized(now) or (self.settings.ahead and self.peer_unreachable(now))
+        ):
+            return Admission.PEER_UNREACHABLE
         return found
 
-    def away(self, now: float) -> bool:
-        """A peer that should be told ahead cannot be."""
-        return any(now - self.heard(peer) > 3 * self.settings.ahead_wait for peer in self.needed(now))
+    def peer_unreachable(self, now: float) -> bool:
+        """Return whether a peer whose reply is required has been silent for over three reply limits."""
+        return any(
+            now - self.last_heard(peer) > 3 * self.settings.ahead_wait for peer in self.required_peers(now)
+        )
 
-    def heard(self, peer: str) -> float:
-        """When a peer was last heard, in ms; our start where it never was."""
-        return self.known[peer].at if peer in self.known else self.began
+    def last_heard(self, peer: str) -> float:
+        """Return when a peer was last heard, in ms; our start if never."""
+        return self.peer_states[peer].heard_at if peer in self.peer_states else self.started_at
 
-    def needed(self, now: float) -> list[str]:
-        """The peers that must answer what is told ahead."""
+    def required_peers(self, now: float) -> list[str]:
+        """Return the peers that must reply to an announcement."""
         if self.settings.alone_after is None:
             return list(self.sessions)
-        return [peer for peer in self.sessions if now - self.heard(peer) <= self.settings.alone_after]
-
-    def before(self, now: float, ident: bytes, expiry: float, token: object) -> Verdict | None:
-        """It is about to be sent. A verdict at once, or None: one comes of `take` or `tick`."""
-        self.turn += 1
-        if not self.marks.mark(now, ident, expiry, self.turn):
-            return Verdict(token, None if ident in self.marks.known else False)
-        missing = frozenset(self.needed(now)) if self.settings.ahead else frozenset[str]()
-        if not missing:
-            self.marks.sent(ident)
+        return [peer for peer in self.sessions if now - self.last_heard(peer) <= self.settings.alone_after]
+
+    def prepare_send(self, now: float, ident: bytes, deadline: float, token: object) -> Verdict | None:
+        """Record a request that is to be sent, and announce it.
+
+        Returns:
+            A verdict; None if `receive` or `tick` will return it later.
+        """
+        self.announcement += 1
+        if not self.records.add(now, ident, deadline, self.announcement):
+            return Verdict(token, None if ident in self.records.by_id else False)
+        awaited_peers = frozenset(self.required_peers(now)) if self.settings.ahead else frozenset[str]()
+        if not awaited_peers:
+            self.records.mark_sent(ident)
             return Verdict(token, True)
-        self.waiting[token] = Waiting(self.turn, ident, expiry, now + self.settings.ahead_wait, missing)
+        self.waiting[token] = PendingSend(
+            self.announcement, ident, deadline, now + self.settings.ahead_wait, awaited_peers
+        )
         return None
 
-    def give_up(self, token: object) -> bool:
-        """It is not to be sent any more; True if it was still waiting, and so never went."""
+    def abandon(self, token: object) -> bool:
+        """Give up a send; True if it still waited for replies, and so never left."""
         return self.waiting.pop(token, None) is not None
 
-    def over(self, ident: bytes, never_ran: bool) -> None:
-        """It was answered. Only where each trip is known not to have run is its mark taken back."""
-        if never_ran and (turn := self.marks.never_ran(ident)) is not None:
-            for clearing in self.clearing.values():
-                clearing.append((ident, turn, SAY_CLEAR))
-                del clearing[: -MOST_TOLD * SAY_CLEAR]  # older ones end by time
+    def finish(self, ident: bytes, never_ran: bool) -> None:
+        """Process the end of a request; its record is withdrawn only if no attempt of it has run."""
+        if never_ran and (announcement := self.records.remove_own(ident)) is not None:
+            for pending_clears in self.pending_clears.values():
+                pending_clears.append((ident, announcement, CLEAR_REPEATS))
+                del pending_clears[
+                    : -MAX_ANNOUNCED * CLEAR_REPEATS
+                ]  # older withdrawals are dropped: their records expire
 
     def tick(self, now: float) -> list[Verdict]:
-        """Verdicts for those that have waited too long: they must not go."""
+        """Return verdicts for requests whose replies are overdue: they must not be sent."""
         late = [token for token, waiting in self.waiting.items() if now >= waiting.until]
         for token in late:
             del self.waiting[token]
@@ -166,126 +192,140 @@
 
     # Datagrams.
 
-    def compose(self, now: float, peer: str, facts: Facts, idle: bool) -> bytes:
-        """All there is to tell this peer now."""
-        part, wait = self.tenure.lend(now, peer, idle)
-        clears, self.clearing[peer] = self.clearing[peer][:MOST_TOLD], self.clearing[peer][MOST_TOLD:]
-        self.clearing[peer] += [(ident, turn, times - 1) for ident, turn, times in clears if times > 1]
+    def compose(self, now: float, peer: str, state: DispatcherState, idle: bool) -> bytes:
+        """Return the regular datagram for a peer. `idle`: our budget share may be lent."""
+        share, wait = self.budget_shares.lend(now, peer, idle)
+        clears, self.pending_clears[peer] = (
+            self.pending_clears[peer][:MAX_ANNOUNCED],
+            self.pending_clears[peer][MAX_ANNOUNCED:],
+        )
+        self.pending_clears[peer] += [
+            (ident, announcement, times - 1) for ident, announcement, times in clears if times > 1
+        ]
         body: dict[str, Any] = {
-            "list": facts.list_number,
-            "held": list(facts.held),
-            "cold": [list(row) for row in facts.cold[:MOST_ENGINES]],
-            "aside": [list(row) for row in facts.aside[:MOST_ENGINES]],
-            "lend": [part, wait],
-            "left": self.tenure.left_of(now, peer),
-            "clear": [[ident.decode(), turn] for ident, turn, _ in clears],
+            "list": state.list_number,
+            "held": list(state.held),
+            "cold": [list(row) for row in state.cold[:MAX_ENGINES]],
+            "aside": [list(row) for row in state.ejected[:MAX_ENGINES]],
+            "lend": [share, wait],
+            "left": self.budget_shares.remaining_loan(now, peer),
+            "clear": [[ident.decode(), announcement] for ident, announcement, _ in clears],
         }
         if peer not in self.synced:
-            body["need"] = self.pages_got.get(peer, 0)
-        if (pages := self.pages_of.get(peer)) is not None:
-            asked = min(self.pages_asked.get(peer, 0), len(pages))
+            body["need"] = self.received_pages.get(peer, 0)
+        if (pages := self.record_pages.get(peer)) is not None:
+            asked = min(self.requested_pages.get(peer, 0), len(pages))
             page = pages[asked] if asked < len(pages) else []
             body["marks"] = [[ident.decode(), left] for ident, left in page]
             body["page"] = [asked, len(pages)]
-        return self.sessions[peer].write(now, body | self.told(now, peer))
-
-    def compose_told(self, now: float, peer: str) -> bytes | None:
-        """Only what waits for an answer, and answers: at once, between the regular ones."""
-        told = self.told(now, peer)
-        return self.sessions[peer].write(now, told) if told["tell"] or told["reply"] else None
-
-    def told(self, now: float, peer: str) -> dict[str, Any]:
-        """What is told ahead and answered in the next datagram to a peer."""
-        waiting = [waiting for waiting in self.waiting.values() if peer in waiting.missing][:MOST_TOLD]
-        replies, self.replies[peer] = self.replies[peer][:MOST_TOLD], self.replies[peer][MOST_TOLD:]
+        return self.sessions[peer].write(now, body | self.announcements_and_replies(now, peer))
+
+    def compose_urgent(self, now: float, peer: str) -> bytes | None:
+        """Return a datagram with announcements and replies only; None if there are none."""
+        body = self.announcements_and_replies(now, peer)
+        return self.sessions[peer].write(now, body) if body["tell"] or body["reply"] else None
+
+    def announcements_and_replies(self, now: float, peer: str) -> dict[str, Any]:
+        """Return the announcements and replies for the next datagram to a peer."""
+        waiting = [waiting for waiting in self.waiting.values() if peer in waiting.awaited_peers][
+            :MAX_ANNOUNCED
+        ]
+        replies, self.replies[peer] = self.replies[peer][:MAX_ANNOUNCED], self.replies[peer][MAX_ANNOUNCED:]
         return {
             "tell": [
-                [each.ident.decode(), max(0.0, each.expiry + self.marks.keep - now), each.turn]
+                [
+                    each.ident.decode(),
+                    max(0.0, each.deadline + self.records.retention - now),
+                    each.announcement,
+                ]
                 for each in waiting
             ],
             "reply": [list(reply) for reply in replies],
         }
 
-    def take(self, now: float, peer: str, datagram: bytes) -> list[Verdict]:
-        """A datagram of that peer. now: ms.
+    def receive(self, now: float, peer: str, datagram: bytes) -> list[Verdict]:
+        """Process a datagram of a peer received at `now` (ms).
+
+        Returns:
+            Verdicts on announced requests.
 
         Raises:
-            RefusedError: It cannot be used; nothing has changed then but what Session counts as seen.
+            RefusedError: The datagram is invalid; nothing has changed then except the session's state.
         """
         session = self.sessions[peer]
-        boots = session.boots
+        restarts = session.restarts
         body, asked = session.read(now, datagram)
         message = read_message(now, body)
-        # All is read: nothing above has changed anything.
-        if session.boots != boots:
-            self.restarted(peer)
-        self.take_known(now, peer, message.known)
+        # The body is valid as a whole: from here on it takes effect.
+        if session.restarts != restarts:
+            self.peer_restarted(peer)
+        self.update_peer_state(now, peer, message.peer_state)
         if asked is not None:
-            self.take_tenure(now, peer, message, asked)
-        for ident, turn in message.clears:
-            self.marks.peer_clears(peer, ident, turn)
-        for told in message.told:
-            marked = self.marks.peer_marks(now, peer, told.ident, told.left, told.turn)
-            self.replies[peer].append((told.turn, marked))
-            del self.replies[peer][: -4 * MOST_TOLD]
-        self.take_need(now, peer, message.need)
+            self.update_loans(now, peer, message, asked)
+        for ident, announcement in message.clears:
+            self.records.remove_from_peer(peer, ident, announcement)
+        for request in message.announced:
+            marked = self.records.add_from_peer(now, peer, request.ident, request.left, request.announcement)
+            self.replies[peer].append((request.announcement, marked))
+            del self.replies[peer][: -4 * MAX_ANNOUNCED]
+        self.page_requested(now, peer, message.need)
         if message.page is not None:
-            self.take_page(now, peer, message.page, message.marks)
-        return self.answered(peer, message.replies)
-
-    def take_known(self, now: float, peer: str, known: Known | None) -> None:
-        """What the peer tells of itself; None where this datagram only shows that it is there."""
-        if known is not None:
-            self.known[peer] = known
-        elif peer in self.known:
-            self.known[peer] = self.known[peer]._replace(at=now)
-
-    def take_tenure(self, now: float, peer: str, message: Message, asked: float) -> None:
-        """What the peer lends, and what is left of what it lent, as it answers what we sent at `asked`."""
+            self.page_received(now, peer, message.page, message.records)
+        return self.replies_received(peer, message.replies)
+
+    def update_peer_state(self, now: float, peer: str, peer_state: PeerState | None) -> None:
+        """Store the state of a peer; None only shows that it is alive."""
+        if peer_state is not None:
+            self.peer_states[peer] = peer_state
+        elif peer in self.peer_states:
+            self.peer_states[peer] = self.peer_states[peer]._replace(heard_at=now)
+
+    def update_loans(self, now: float, peer: str, message: Message, asked: float) -> None:
+        """Apply the peer's loan and the remaining time of ours; `asked`: send time of what it answers."""
         if message.lend is not None:
-            self.tenure.borrow(now, peer, message.lend.part, message.lend.wait, asked)
+            self.budget_shares.borrow(now, peer, message.lend.share, message.lend.wait, asked)
         if message.left is not None:
-            self.left[peer] = message.left
-            self.tenure.told_left(now, self.left, len(self.sessions))
+            self.remaining_loans[peer] = message.left
+            self.budget_shares.remaining_reported(now, self.remaining_loans, len(self.sessions))
 
-    def take_need(self, now: float, peer: str, need: int | None) -> None:
-        """The page of our marks that the peer needs next; None where it has them all."""
+    def page_requested(self, now: float, peer: str, need: int | None) -> None:
+        """Note the page of our records that the peer needs next; None if it has all."""
         if need is None:
-            self.pages_of.pop(peer, None)
+            self.record_pages.pop(peer, None)
             return
-        if peer not in self.pages_of:
-            self.pages_of[peer] = list(self.marks.pages(now, PAGE))
-        self.pages_asked[peer] = need
+        if peer not in self.record_pages:
+            self.record_pages[peer] = list(self.records.pages(now, PAGE_SIZE))
+        self.requested_pages[peer] = need
 
-    def take_page(self, now: float, peer: str, page: Page, marks: list[tuple[bytes, float]]) -> None:
-        """A page of the peer's marks, where it is the one that we need."""
-        if peer in self.synced or page.at != self.pages_got.get(peer, 0):
+    def page_received(self, now: float, peer: str, page: Page, records: list[tuple[bytes, float]]) -> None:
+        """Add a page of the peer's records if it is the one that is needed next."""
+        if peer in self.synced or page.position != self.received_pages.get(peer, 0):
             return
-        self.marks.learn(now, peer, marks)
-        self.pages_got[peer] = page.at + 1
-        if page.at + 1 >= page.of:
+        self.records.add_page(now, peer, records)
+        self.received_pages[peer] = page.position + 1
+        if page.position + 1 >= page.total:
             self.synced.add(peer)
 
-    def restarted(self, peer: str) -> None:
-        """A new start of the peer: it knows nothing, and what it had told us stands as marks."""
-        self.pages_of.pop(peer, None)
-        self.left.pop(peer, None)
+    def peer_restarted(self, peer: str) -> None:
+        """Reset what depends on the peer's start; the records that it announced before stay."""
+        self.record_pages.pop(peer, None)
+        self.remaining_loans.pop(peer, None)
 
-    def answered(self, peer: str, replies: Iterable[tuple[float, bool]]) -> list[Verdict]:
-        """Verdicts that follow from a peer's answers."""
+    def replies_received(self, peer: str, replies: Iterable[tuple[float, bool]]) -> list[Verdict]:
+        """Return the verdicts that follow from a peer's replies."""
         verdicts = []
-        for turn, ok in replies:
+        for announcement, ok in replies:
             for token, waiting in list(self.waiting.items()):
-                if waiting.turn != turn or peer not in waiting.missing:
+                if waiting.announcement != announcement or peer not in waiting.awaited_peers:
                     continue
-                missing = waiting.missing - {peer}
+                awaited_peers = waiting.awaited_peers - {peer}
                 if not ok:
                     del self.waiting[token]
                     verdicts.append(Verdict(token, None))
-                elif missing:
-                    self.waiting[token] = waiting._replace(missing=missing)
+                elif awaited_peers:
+                    self.waiting[token] = waiting._replace(awaited_peers=awaited_peers)
                 else:
                     del self.waiting[token]
-                    self.marks.sent(waiting.ident)
+                    self.records.mark_sent(waiting.ident)
                     verdicts.append(Verdict(token, True))
         return verdicts
--- a/spurdeal/vrrp/marks.py
+++ b/spurdeal/vrrp/marks.py
@@ -1,8 +1,8 @@
-"""Which submissions that must not run twice may have run, here or at a peer. Free of I/O and clocks.
+"""Idempotency records: which non-idempotent requests may have run, here or at a peer. No I/O, no clocks.
 
-A mark is made before such a submission is sent, and taken away only when each trip of it is known not to have
-run, or when its time is over. Times are ms of one monotonic clock; between dispatchers only what is left is
-told.
+A record is made before such a request is sent, and removed only when no attempt of it can have run, or when
+it expires. Times are ms of one monotonic clock; dispatchers exchange remaining times only, as their clocks
+are not comparable.
 """
 
 from __future__ import annotations
@@ -12,129 +12,156 @@
 from typing import NamedTuple
 
 
-class Door(Enum):
-    """What a submission that must not run twice meets on its way in."""
+class Admission(Enum):
+    """Whether a new non-idempotent request is admitted. The values name counters (`door_...`)."""
 
-    OPEN = "open"
-    RAN = "ran"  # it may have run: broken off, never shed and never sent again
-    AWAY = "away"  # no peer can be told ahead: shed, nothing ran
-    FULL = "full"  # no room for another mark: shed, nothing ran
+    ALLOWED = "open"
+    MAY_HAVE_RUN = "ran"  # failed: never shed and never sent again
+    PEER_UNREACHABLE = "away"  # a peer cannot be informed before the send: shed, nothing ran
+    TABLE_FULL = "full"  # no room for another record: shed, nothing ran
 
 
-class Mark(NamedTuple):
-    """What is known of one submission that may have run."""
+class IdempotencyRecord(NamedTuple):
+    """Record of one request that may have run. `until`: deadline, in ms."""
 
     until: float
-    peer: str  # who told; "" for our own
-    sent: bool  # it has left, or may have
-    turn: float  # the telling that it is from; what is said of an earlier one changes nothing
-
-
-class Marks:
-    """All marks, at most so many. None is dropped before its time: a full table sheds instead."""
-
-    def __init__(self, most: int, keep: float) -> None:
-        self.most, self.keep = most, keep
-        self.known: dict[bytes, Mark] = {}
-        self.soonest = float("inf")
-        self.refused = self.double = 0
-
-    def door(self, now: float, ident: bytes) -> Door:
-        """A new submission: its id may be known from an earlier way in."""
-        self.forget(now)
-        if ident in self.known:
-            self.double += 1
-            return Door.RAN
-        if len(self.known) >= self.most:
+    peer: str  # who reported it; "" for our own
+    sent: bool  # it was sent, or may have been
+    announcement: float  # number of its announcement; a message about an earlier one changes nothing
+
+
+class IdempotencyTable:
+    """Idempotency records by request id. None is dropped before it expires: a full table sheds requests.
+
+    Args:
+        capacity: Maximum number of records.
+        retention: How long a record outlives the deadline of its request, in ms.
+    """
+
+    def __init__(self, capacity: int, retention: float) -> None:
+        self.capacity, self.retention = capacity, retention
+        self.by_id: dict[bytes, IdempotencyRecord] = {}
+        self.next_expiry = float("inf")
+        self.refused = self.duplicates = 0
+
+    def check(self, now: float, ident: bytes) -> Admission:
+        """Check the id of a new request; a known one may have run already."""
+        self.expire(now)
+        if ident in self.by_id:
+            self.duplicates += 1
+            return Admission.MAY_HAVE_RUN
+        if len(self.by_id) >= self.capacity:
             self.refused += 1
-            return Door.FULL
-        return Door.OPEN
+            return Admission.TABLE_FULL
+        return Admission.ALLOWED
 
-    def mark(self, now: float, ident: bytes, expiry: float, turn: int) -> bool:
-        """Ours is about to be told and sent; kept for a time after its expiry. False: there is no room."""
-        found = self.known.get(ident)
+    def add(self, now: float, ident: bytes, deadline: float, announcement: int) -> bool:
+        """Record a request of ours before it is announced and sent.
+
+        Returns:
+            False if a peer has recorded it since it was admitted, or if there is no room.
+        """
+        found = self.by_id.get(ident)
         if found is not None and found.peer:
-            return False  # a peer was first, since the door
-        if found is None and len(self.known) >= self.most:
+            return False  # a peer has recorded it since it was admitted here
+        if found is None and len(self.by_id) >= self.capacity:
             return False
-        self.keep_mark(ident, Mark(expiry + self.keep, "", found.sent if found else False, turn))
+        self.store(
+            ident,
+            IdempotencyRecord(deadline + self.retention, "", found.sent if found else False, announcement),
+        )
         return True
 
-    def sent(self, ident: bytes) -> None:
-        """It has left, or may have."""
-        if ident in self.known:
-            self.known[ident] = self.known[ident]._replace(sent=True)
+    def mark_sent(self, ident: bytes) -> None:
+        """Note that the request was sent, or may have been."""
+        if ident in self.by_id:
+            self.by_id[ident] = self.by_id[ident]._replace(sent=True)
 
-    def never_ran(self, ident: bytes) -> float | None:
-        """Each trip is known not to have run, so it may go again.
+    def remove_own(self, ident: bytes) -> float | None:
+        """Remove our record of a request of which no attempt has run, so that it may be sent again.
 
         Returns:
-            Its last telling; None if it was not ours.
+            The number of its last announcement; None if there is no record of ours.
         """
-        found = self.known.get(ident)
+        found = self.by_id.get(ident)
         if found is None or found.peer:
             return None
-        del self.known[ident]
-        return found.turn
+        del self.by_id[ident]
+        return found.announcement
+
+    def restore(self, ident: bytes, until: float) -> None:
+        """Record a request that an earlier start of ours may have sent, as its ledger shows.
+
+        Peers that synchronize from us get it too. Without room it is not recorded.
+        """
+        if ident not in self.by_id and len(self.by_id) < self.capacity:
+            self.store(ident, IdempotencyRecord(until, "", True, 0))
 
-    def recall(self, ident: bytes, until: float) -> None:
-        """An earlier start of ours may have sent it, as its ledger tells; new peers are told."""
-        if ident not in self.known and len(self.known) < self.most:
-            self.keep_mark(ident, Mark(until, "", True, 0))
+    # Messages from peers.
 
-    # What peers tell.
+    def add_from_peer(self, now: float, peer: str, ident: bytes, left: float, announcement: float) -> bool:
+        """Record a request that a peer announces.
 
-    def peer_marks(self, now: float, peer: str, ident: bytes, left: float, turn: float) -> bool:
-        """A peer will send it.
+        Args:
+            now: Monotonic clock, in ms.
+            peer: Its name.
+            ident: Id of the request.
+            left: ms until the record expires.
+            announcement: Number of the announcement.
 
         Returns:
-            False where it is ours, or another's, or there is no room: it must not send.
+            False if it is recorded as ours or another peer's, or if there is no room: the peer must not send.
         """
-        self.forget(now)
-        found = self.known.get(ident)
-        if (found is not None and found.peer != peer) or (found is None and len(self.known) >= self.most):
+        self.expire(now)
+        found = self.by_id.get(ident)
+        if (found is not None and found.peer != peer) or (found is None and len(self.by_id) >= self.capacity):
             return False
         until = max(now + left, found.until if found else 0.0)
-        self.keep_mark(ident, Mark(until, peer, True, max(turn, found.turn if found else turn)))
+        self.store(
+            ident,
+            IdempotencyRecord(
+                until, peer, True, max(announcement, found.announcement if found else announcement)
+            ),
+        )
         return True
 
-    def peer_clears(self, peer: str, ident: bytes, turn: float) -> None:
-        """A peer takes its mark back.
+    def remove_from_peer(self, peer: str, ident: bytes, announcement: float) -> None:
+        """Remove the record of a peer that withdraws it.
 
-        It is said several times, and overtaken by a newer telling it must not take that one's mark away.
+        Withdrawals are repeated; one that arrives after a newer announcement must not remove its record.
         """
-        found = self.known.get(ident)
-        if found is not None and found.peer == peer and found.turn <= turn:
-            del self.known[ident]
-
-    def learn(self, now: float, peer: str, marks: Iterable[tuple[bytes, float]]) -> None:
-        """A page of what a peer knows. Ours and nearer ones stay; what has no room is counted."""
-        for ident, left in marks:
-            if ident not in self.known and not self.peer_marks(now, peer, ident, left, float("inf")):
+        found = self.by_id.get(ident)
+        if found is not None and found.peer == peer and found.announcement <= announcement:
+            del self.by_id[ident]
+
+    def add_page(self, now: float, peer: str, records: Iterable[tuple[bytes, float]]) -> None:
+        """Add a page of a peer's records; known ids stay as they are, and what has no room is counted."""
+        for ident, left in records:
+            if ident not in self.by_id and not self.add_from_peer(now, peer, ident, left, float("inf")):
                 self.refused += 1
 
     def pages(self, now: float, size: int) -> Iterator[list[tuple[bytes, float]]]:
-        """All that we know, for a peer that has started anew, with ms left."""
-        self.forget(now)
+        """Yield all records with their remaining ms, in pages of `size`, for a peer that has restarted."""
+        self.expire(now)
         page: list[tuple[bytes, float]] = []
-        for ident, mark in list(self.known.items()):
-            page.append((ident, mark.until - now))
+        for ident, record in list(self.by_id.items()):
+            page.append((ident, record.until - now))
             if len(page) == size:
                 yield page
                 page = []
         if page:
             yield page
 
-    # Time.
+    # Deadline.
 
-    def keep_mark(self, ident: bytes, mark: Mark) -> None:
-        """Set a mark, and see that it ends in time."""
-        self.known[ident] = mark
-        self.soonest = min(self.soonest, mark.until)
+    def store(self, ident: bytes, record: IdempotencyRecord) -> None:
+        """Set a record and update the next deadline."""
+        self.by_id[ident] = record
+        self.next_expiry = min(self.next_expiry, record.until)
 
-    def forget(self, now: float) -> None:
-        """Drop the marks whose time is over."""
-        if now < self.soonest:
+    def expire(self, now: float) -> None:
+        """Drop expired records."""
+        if now < self.next_expiry:
             return
-        self.known = {ident: mark for ident, mark in self.known.items() if mark.until > now}
-        self.soonest = min((mark.until for mark in self.known.values()), default=float("inf"))
+        self.by_id = {ident: record for ident, record in self.by_id.items() if record.until > now}
+        self.next_expiry = min((record.until for record in self.by_id.values()), default=float("inf"))
--- a/spurdeal/vrrp/message.py
+++ b/spurdeal/vrrp/message.py
@@ -1,4 +1,4 @@
-"""The body of a handover datagram, read whole before anything of it counts. Free of I/O and clocks."""
+"""Parsing of handover bodies: a body is validated whole before any of it takes effect. No I/O, no clocks."""
 
 from __future__ import annotations
 
@@ -8,95 +8,119 @@
 
 from .sealed import RefusedError
 
-PAGE, MOST_TOLD, MOST_ENGINES = 64, 48, 64  # entries in one datagram: all of them fit in sealed.LARGEST
-MOST_PAGES = 4096
-LONGEST_ID = 64  # characters
-MOST_GROUPS = 255
-LONGEST_LEFT = 3_600_000.0  # ms; nothing told lasts longer
-LARGEST_TURN = LATEST_START = 1e15
-LARGEST_LIST = MOST_WORK = 1e12
+# Entries per datagram of records, announcements and engines; together they fit sealed.MAX_DATAGRAM.
+PAGE_SIZE, MAX_ANNOUNCED, MAX_ENGINES = 64, 48, 64
+MAX_PAGES = 4096  # of records
+MAX_ID_LENGTH = 64  # characters
+MAX_GROUPS = 255  # groups held, and the largest group number
+MAX_REMAINING = 3_600_000.0  # ms: of any remaining time
+MAX_ANNOUNCEMENT = MAX_START = 1e15  # number of an announcement; start of an engine in Unix ms
+MAX_LIST_NUMBER = MAX_WORK = 1e12
 
 
-class Known(NamedTuple):
-    """What was last heard of a peer."""
+class PeerState(NamedTuple):
+    """Last state received from a peer.
 
-    at: float
+    Attributes:
+        heard_at: When it was last heard, in ms of our monotonic clock.
+        list_number: Number of its list.
+        held: Groups whose addresses it holds.
+        cold: Its cold engines: name, start in Unix ms, work sent within the cold window.
+        ejected: Engines that it has ejected, with the remaining ms.
+    """
+
+    heard_at: float
     list_number: int
     held: tuple[int, ...]
     cold: tuple[tuple[str, float, float], ...]
-    aside: tuple[tuple[str, float], ...]
+    ejected: tuple[tuple[str, float], ...]
 
 
-class Told(NamedTuple):
-    """An irreversible submission that the peer is about to send. left: ms that its mark lasts."""
+class AnnouncedRequest(NamedTuple):
+    """A non-idempotent request that the peer is about to send. `left`: ms until its record expires."""
 
     ident: bytes
     left: float
-    turn: float
+    announcement: float
 
 
-class Loan(NamedTuple):
-    """What the peer lends of its part of cold budgets, and in how many ms it may be used."""
+class LoanOffer(NamedTuple):
+    """The share of cold budgets that the peer lends, 0 to 1, and the ms until it may be used."""
 
-    part: float
+    share: float
     wait: float
 
 
 class Page(NamedTuple):
-    """Which page of the peer's marks this is, and of how many."""
+    """Position of a page of the peer's records, from 0, and the number of pages."""
 
-    at: int
-    of: int
+    position: int
+    total: int
 
 
 class Message(NamedTuple):
-    """All that a datagram tells.
+    """Contents of a handover datagram.
 
     Attributes:
-        replies: By the turn of what we told, whether it may go.
-        clears: Marks taken back, by id and turn.
-        marks: By id, for how many ms each lasts.
-        known: None where the datagram tells only of submissions.
-        left: ms until what the peer lent counts no more with it.
-        need: The page of our marks that it needs next.
+        announced: Requests that the peer is about to send.
+        replies: By the number of our announcement, whether the request may be sent.
+        clears: Withdrawn records, by request id and number of the announcement.
+        records: A page of the peer's records: request id and remaining ms.
+        peer_state: The peer's state; None if the datagram carries announcements and replies only.
+        lend: The share that the peer lends; None if the datagram does not say.
+        left: ms for which the peer may still use what we lent; None if the datagram does not say.
+        need: The page of our records that the peer needs next; None if it has all.
+        page: Position of `records`; None without a page.
     """
 
-    told: list[Told]
+    announced: list[AnnouncedRequest]
     replies: list[tuple[float, bool]]
     clears: list[tuple[bytes, float]]
-    marks: list[tuple[bytes, float]]
-    known: Known | None
-    lend: Loan | None
+    records: list[tuple[bytes, float]]
+    peer_state: PeerState | None
+    lend: LoanOffer | None
     left: float | None
     need: int | None
     page: Page | None
 
 
-def number(value: object, most: float = LONGEST_LEFT) -> float:
-    """A number from 0 to `most`."""
+def parse_number(value: object, maximum: float = MAX_REMAINING) -> float:
+    """Return a number from 0 to `maximum`.
+
+    Raises:
+        RefusedError: It is not one.
+    """
     if (
         not isinstance(value, (int, float))
         or isinstance(value, bool)
         or not isfinite(value)
-        or not 0 <= value <= most
+        or not 0 <= value <= maximum
     ):
         raise RefusedError("body")
     return float(value)
 
 
-def ident_of(value: object) -> bytes:
-    """An id, or an engine's name."""
-    if not isinstance(value, str) or not 1 <= len(value) <= LONGEST_ID or not value.isascii():
+def parse_id(value: object) -> bytes:
+    """Return a request id or an engine's name: 1 to MAX_ID_LENGTH ASCII characters.
+
+    Raises:
+        RefusedError: It is not one.
+    """
+    if not isinstance(value, str) or not 1 <= len(value) <= MAX_ID_LENGTH or not value.isascii():
         raise RefusedError("body")
     return value.encode()
 
 
-def rows(body: Mapping[str, Any], name: str, width: int, most: int) -> list[list[Any]]:
-    """A list of rows of that width; empty where there is none."""
+def parse_rows(body: Mapping[str, Any], name: str, width: int, maximum: int) -> list[list[Any]]:
+    """Return a list of at most `maximum` rows of that width; empty if the key is missing.
+
+    Raises:
+        RefusedError: The value is not such a list.
+    """
     found = body.get(name, [])
     if (
         not isinstance(found, list)
-        or len(found) > most
+        or len(found) > maximum
         or not all(isinstance(row, list) and len(row) == width for row in found)
     ):
         raise RefusedError("body")
@@ -104,57 +128,76 @@
 
 
 def read_message(now: float, body: Mapping[str, Any]) -> Message:
-    """Read a body.
+    """Parse a body received at `now` (ms).
 
     Raises:
-        RefusedError: Something in it has not its form.
+        RefusedError: A value has the wrong form or is out of range.
     """
-    told = [
-        Told(ident_of(ident), number(left), number(turn, LARGEST_TURN))
-        for ident, left, turn in rows(body, "tell", 3, MOST_TOLD)
+    announced = [
+        AnnouncedRequest(parse_id(ident), parse_number(left), parse_number(announcement, MAX_ANNOUNCEMENT))
+        for ident, left, announcement in parse_rows(body, "tell", 3, MAX_ANNOUNCED)
     ]
     return Message(
-        told,
-        [(number(turn, LARGEST_TURN), ok is True) for turn, ok in rows(body, "reply", 2, MOST_TOLD)],
-        [(ident_of(ident), number(turn, LARGEST_TURN)) for ident, turn in rows(body, "clear", 2, MOST_TOLD)],
-        [(ident_of(ident), number(left)) for ident, left in rows(body, "marks", 2, PAGE)],
-        read_known(now, body),
-        read_loan(body),
-        number(body["left"]) if "left" in body else None,
-        int(number(body["need"], MOST_PAGES)) if "need" in body else None,
+        announced,
+        [
+            (parse_number(announcement, MAX_ANNOUNCEMENT), ok is True)
+            for announcement, ok in parse_rows(body, "reply", 2, MAX_ANNOUNCED)
+        ],
+        [
+            (parse_id(ident), parse_number(announcement, MAX_ANNOUNCEMENT))
+            for ident, announcement in parse_rows(body, "clear", 2, MAX_ANNOUNCED)
+        ],
+        [(parse_id(ident), parse_number(left)) for ident, left in parse_rows(body, "marks", 2, PAGE_SIZE)],
+        read_peer_state(now, body),
+        read_loan_offer(body),
+        parse_number(body["left"]) if "left" in body else None,
+        int(parse_number(body["need"], MAX_PAGES)) if "need" in body else None,
         read_page(body),
     )
 
 
-def read_known(now: float, body: Mapping[str, Any]) -> Known | None:
-    """What the peer tells of itself, if it does."""
+def read_peer_state(now: float, body: Mapping[str, Any]) -> PeerState | None:
+    """Return the state of the peer; None if the body carries none.
+
+    Raises:
+        RefusedError: A value has the wrong form or is out of range.
+    """
     if "list" not in body:
         return None
     cold = tuple(
-        (ident_of(ident).decode(), number(started, LATEST_START), number(sent, MOST_WORK))
-        for ident, started, sent in rows(body, "cold", 3, MOST_ENGINES)
+        (parse_id(ident).decode(), parse_number(started, MAX_START), parse_number(sent, MAX_WORK))
+        for ident, started, sent in parse_rows(body, "cold", 3, MAX_ENGINES)
     )
-    aside = tuple(
-        (ident_of(ident).decode(), number(left)) for ident, left in rows(body, "aside", 2, MOST_ENGINES)
+    ejected = tuple(
+        (parse_id(ident).decode(), parse_number(left))
+        for ident, left in parse_rows(body, "aside", 2, MAX_ENGINES)
     )
     held = body.get("held", [])
-    if not isinstance(held, list) or len(held) > MOST_GROUPS:
+    if not isinstance(held, list) or len(held) > MAX_GROUPS:
         raise RefusedError("body")
-    groups = tuple(int(number(group, MOST_GROUPS)) for group in held)
-    return Known(now, int(number(body["list"], LARGEST_LIST)), groups, cold, aside)
+    groups = tuple(int(parse_number(group, MAX_GROUPS)) for group in held)
+    return PeerState(now, int(parse_number(body["list"], MAX_LIST_NUMBER)), groups, cold, ejected)
+
 
+def read_loan_offer(body: Mapping[str, Any]) -> LoanOffer | None:
+    """Return the loan offer; None if the body carries none.
 
-def read_loan(body: Mapping[str, Any]) -> Loan | None:
-    """What is lent, if anything is told of it."""
+    Raises:
+        RefusedError: A value has the wrong form or is out of range.
+    """
     if "lend" not in body:
         return None
-    ((part, wait),) = rows({"lend": [body["lend"]]}, "lend", 2, 1)
-    return Loan(number(part, 1.0), number(wait))
+    ((share, wait),) = parse_rows({"lend": [body["lend"]]}, "lend", 2, 1)
+    return LoanOffer(parse_number(share, 1.0), parse_number(wait))
 
 
 def read_page(body: Mapping[str, Any]) -> Page | None:
-    """Which page of marks there is, if any."""
+    """Return the position of the page of records; None if the body carries none.
+
+    Raises:
+        RefusedError: A value has the wrong form or is out of range.
+    """
     if "page" not in body:
         return None
-    ((at, of),) = rows({"page": [body["page"]]}, "page", 2, 1)
-    return Page(int(number(at, MOST_PAGES)), int(number(of, MOST_PAGES)))
+    ((position, total),) = parse_rows({"page": [body["page"]]}, "page", 2, 1)
+    return Page(int(parse_number(position, MAX_PAGES)), int(parse_number(total, MAX_PAGES)))
--- a/spurdeal/vrrp/setup.py
+++ b/spurdeal/vrrp/setup.py
@@ -1,4 +1,4 @@
-"""What the operator's file makes of VRRP, handover and keys: the objects that a station works with."""
+"""Builds the objects of a station from the operator's file: VRRP groups, handover, keys, address holder."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from ..eventloop import Reactor
 from ..net.counters import Counters
 from ..net.start import Service
-from .address import Announcer, Commands, CommandSettings, Listener, Served
+from .address import Announcer, Commands, CommandSettings, Listener, ServedPort
 from .groups import Groups, Tracked
 from .handover import Handover, HandoverSettings, Membership
-from .machine import Terms
-from .marks import Marks
+from .machine import GroupSettings
+from .marks import IdempotencyTable
 from .sealed import Keys
-from .tenure import Tenure
+from .tenure import BudgetShares
 
 if TYPE_CHECKING:
-    from ..settings.installation import FleetPart, HandoverPart, Installation, Vrrp
+    from ..settings.installation import FleetSection, HandoverSection, Installation, Vrrp
 
 Holder = Announcer | Listener | Commands
 
@@ -31,9 +31,9 @@
 
     Attributes:
         reactor: The event loop.
-        monotonic: Gives ms that run on while the process stands still.
-        counters: Where events are counted.
-        log: For the operator.
+        monotonic: Monotonic clock in ms that also runs while the process is paused.
+        counters: Counters of events.
+        log: The operator's log.
     """
 
     reactor: Reactor
@@ -42,12 +42,12 @@
     log: logging.Logger
 
 
-def keys_of(part: HandoverPart | FleetPart) -> Keys:
-    """The keys of a part, read.
+def keys_of(part: HandoverSection | FleetSection) -> Keys:
+    """Return the keys of a section of the file.
 
     Raises:
-        OSError: A file cannot be read.
-        ValueError: A file holds no key.
+        OSError: A key file cannot be read.
+        ValueError: A key file holds no key in hex, or a key or id is out of bounds (see Keys).
     """
     return Keys(
         {
@@ -60,10 +60,10 @@
 
 
 def make_groups(vrrp: Vrrp) -> Groups:
-    """The VRRP groups, none of them started."""
+    """Return the VRRP groups, none of them started."""
     own = vrrp.listen[0]
     terms = [
-        Terms(each.group, each.priority, each.interval, own, each.preempt, each.preempt_delay)
+        GroupSettings(each.group, each.priority, each.interval, own, each.preempt, each.preempt_delay)
         for each in vrrp.groups
     ]
     tracked = {
@@ -72,11 +72,12 @@
     return Groups(terms, tracked, vrrp.bundles)
 
 
-def make_handover(plan: Installation, boot: int, tenure: Tenure, now: float) -> Handover | None:
-    """The handover; None where the file has none.
+def make_handover(plan: Installation, boot: int, budget_shares: BudgetShares, now: float) -> Handover | None:
+    """Return the handover; None if the file configures none.
 
     Raises:
-        OSError, ValueError: As `keys_of`.
+        OSError: A key file cannot be read.
+        ValueError: A key is invalid.
     """
     part, vrrp = plan.handover, plan.vrrp
     if part is None or vrrp is None:
@@ -86,20 +87,20 @@
         HandoverSettings(
             part.ahead, part.ahead_wait, part.alone_after if part.alone == "send" else None, vrrp.bar
         ),
-        tenure,
-        Marks(part.marks, part.keep),
+        budget_shares,
+        IdempotencyTable(part.marks, part.keep),
         now,
     )
 
 
 def make_holder(vrrp: Vrrp, service: Service, reactor: Reactor, log: logging.Logger) -> Holder:
-    """What takes and leaves the addresses."""
-    told, counters = vrrp.holder, service.counters
-    if told.kind == "announce":
-        switch = (str(told.switch[0]), told.switch[1])
-        place = (service.configuration.host, service.configuration.port)
-        return Announcer(reactor, switch, place, counters)
-    if told.kind == "listen":
+    """Return the holder that the file names; it takes and leaves the addresses."""
+    holder, counters = vrrp.holder, service.counters
+    if holder.kind == "announce":
+        switch = (str(holder.switch[0]), holder.switch[1])
+        own_endpoint = (service.configuration.host, service.configuration.port)
+        return Announcer(reactor, switch, own_endpoint, counters)
+    if holder.kind == "listen":
         clients = service.clients
-        return Listener(reactor, Served(clients, told.port, clients.drain), counters, log)
-    return Commands(reactor, CommandSettings(told.take, told.leave, told.within), counters, log)
+        return Listener(reactor, ServedPort(clients, holder.port, clients.drain), counters, log)
+    return Commands(reactor, CommandSettings(holder.take, holder.leave, holder.within), counters, log)
--- a/spurdeal/vrrp/station.py
+++ b/spurdeal/vrrp/station.py
@@ -1,6 +1,6 @@
-"""VRRP, handover and tenure beside one dispatcher, put together: start and stop, conditions, and the bar.
+"""VRRP, handover and budget shares of one dispatcher: start, stop, tracked conditions, initial sync.
 
-It decides nothing: `groups`, `handover` and `tenure` do.
+The decisions are made in `groups`, `handover` and `tenure`.
 """
 
 from __future__ import annotations
@@ -19,26 +19,33 @@
 from .guard import HandoverGuard
 from .handover import Handover
 from .setup import Runtime, keys_of, make_groups, make_handover, make_holder
-from .tenure import Tenure
+from .tenure import BudgetShares
 
 if TYPE_CHECKING:
     from ..settings.installation import Installation
 
 __all__ = ["Runtime", "Station", "keys_of"]
 
-LARGEST_ADVERT = 8 + 16 * advert.MOST_ADDRESSES
-LARGEST_DATAGRAM = 65_535
-LOOK_EVERY = 100.0  # ms between two looks at the conditions where there is no handover
+MAX_ADVERT_SIZE = 8 + 16 * advert.MAX_ADDRESSES  # bytes: header and IPv6 addresses
+MAX_DATAGRAM_SIZE = 65_535  # bytes
+CHECK_INTERVAL = 100.0  # ms between checks of the conditions without a handover
 
 
 class Station:
-    """One dispatcher among its peers.
+    """One dispatcher among its VRRP peers.
+
+    After a start it awaits sync: until the list is fresh and the peers' records are here, or for `vrrp.bar`
+    ms at most, it takes no address back by preemption.
 
     Args:
-        boot: Tells this start from earlier ones.
+        service: The dispatcher's service.
+        plan: The operator's file; its `vrrp` section must be present.
+        boot: Random number that distinguishes this start from earlier ones.
+        runtime: Event loop, clock, counters and log.
 
     Raises:
-        OSError, ValueError: The handover's keys cannot be read.
+        OSError: A key file of the handover cannot be read.
+        ValueError: A key of the handover is invalid.
     """
 
     def __init__(
@@ -49,150 +56,162 @@
         runtime: Runtime,
     ) -> None:
         assert plan.vrrp is not None
-        self.service, self.plan, self.link, self.vrrp = service, plan, service.link, plan.vrrp
+        self.service, self.plan, self.adapter, self.vrrp = service, plan, service.adapter, plan.vrrp
         self.reactor, self.monotonic = runtime.reactor, runtime.monotonic
         self.counters, self.log = runtime.counters, runtime.log
         now, site = self.monotonic(), service.configuration.site
-        self.began, self.fresh, self.barred, self.stopping = now, False, True, False
-        self.shut_out: Callable[[], bool] = lambda: False  # by the fleet, where there is one
+        self.started_at, self.list_fresh, self.awaiting_sync, self.stopping = now, False, True, False
+        self.shut_out: Callable[[], bool] = lambda: False  # set by the fleet, if there is one
         self.groups = make_groups(self.vrrp)
-        self.tenure = Tenure(site.dispatchers, site.cold_window, plan.tenure.lease, now)
-        self.handover: Handover | None = make_handover(plan, boot, self.tenure, now)
+        self.budget_shares = BudgetShares(site.dispatchers, site.cold_window, plan.tenure.lease, now)
+        self.handover: Handover | None = make_handover(plan, boot, self.budget_shares, now)
         self.holder = make_holder(self.vrrp, service, self.reactor, self.log)
         self.exchange = Exchange(plan, self.handover, runtime)
-        self.guard = HandoverGuard(service, self.exchange, self.tenure, plan.tenure.on, self.assumed_cold)
+        self.guard = HandoverGuard(
+            service, self.exchange, self.budget_shares, plan.tenure.on, self.assumed_cold
+        )
         self.advertising = Advertising(
-            plan, self.groups, self.holder, runtime, Callbacks(self.taken, lambda: self.barred)
+            plan,
+            self.groups,
+            self.holder,
+            runtime,
+            Callbacks(self.addresses_taken, lambda: self.awaiting_sync),
         )
         self.ports: list[object] = []
 
     @property
-    def going(self) -> dict[object, Callable[[bool | None], None]]:
-        """What waits for the peers' verdict."""
-        return self.exchange.going
+    def pending_callbacks(self) -> dict[object, Callable[[bool | None], None]]:
+        """Sends that wait for the peers' verdict, by token."""
+        return self.exchange.pending_callbacks
 
-    def advert_came(self, datagram: bytes, sender: str) -> None:
-        """An advertisement of a peer."""
-        self.advertising.came(datagram, sender)
+    def on_advert(self, datagram: bytes, sender: str) -> None:
+        """Process an advertisement of a peer."""
+        self.advertising.on_datagram(datagram, sender)
 
-    def handover_came(self, datagram: bytes, address: tuple[str, int]) -> None:
-        """A handover datagram of a peer."""
-        self.exchange.came(datagram, address)
+    def on_handover_datagram(self, datagram: bytes, address: tuple[str, int]) -> None:
+        """Process a handover datagram of a peer."""
+        self.exchange.on_datagram(datagram, address)
 
     # Start and stop.
 
     def start(self) -> None:
-        """Before the service takes anything: its list is seen through this from the first."""
-        self.link.guard = self.guard
+        """Start listening and the groups; to be called before the service accepts requests or a list."""
+        self.adapter.guard = self.guard
         self.listen()
-        self.advertising.do(self.groups.start(self.monotonic(), barred=True))
-        self.every()
+        self.advertising.perform(self.groups.start(self.monotonic(), awaiting_sync=True))
+        self.run_periodic()
         self.advertising.rearm()
 
     def listen(self) -> None:
-        """Take datagrams of the peers from here on."""
+        """Open the sockets for the peers' datagrams."""
         host, port = self.vrrp.listen
-        adverts = self.advertising.adverts
+        advert_protocol = self.advertising.protocol
         self.ports.append(
-            self.reactor.listenUDP(port, adverts, interface=str(host), maxPacketSize=LARGEST_ADVERT + 1)
+            self.reactor.listenUDP(
+                port, advert_protocol, interface=str(host), maxPacketSize=MAX_ADVERT_SIZE + 1
+            )
         )
-        sock = getattr(adverts.transport, "socket", None)
+        sock = getattr(advert_protocol.transport, "socket", None)
         if sock is not None and isinstance(host, IPv4Address):
             sock.setsockopt(socket.IPPROTO_IP, socket.IP_TTL, advert.TTL)
         if self.plan.handover is not None:
             host, port = self.plan.handover.listen
-            telling = self.exchange.telling
+            handover_protocol = self.exchange.protocol
             self.ports.append(
-                self.reactor.listenUDP(port, telling, interface=str(host), maxPacketSize=LARGEST_DATAGRAM)
+                self.reactor.listenUDP(
+                    port, handover_protocol, interface=str(host), maxPacketSize=MAX_DATAGRAM_SIZE
+                )
             )
         if isinstance(self.holder, Announcer):
             own = str(self.vrrp.listen[0])
             self.ports.append(self.reactor.listenUDP(0, self.holder, interface=own))
         for opened in self.ports:
-            TolerantReading(opened, self.reactor, self.counters, self.log, most_errors=None)
+            TolerantReading(opened, self.reactor, self.counters, self.log, max_errors=None)
 
     def stop(self) -> None:
-        """A planned stop: resigns, leaves the addresses, and tells the peers what they need, until exit."""
+        """Begin a graceful shutdown: resign, release the addresses, inform the peers until exit."""
         if not self.stopping:
             self.stopping = True
-            self.advertising.do(self.groups.stop(self.monotonic()))
-            self.tell_all()
+            self.advertising.perform(self.groups.stop(self.monotonic()))
+            self.send_state()
 
     def read_again(self, plan: Installation) -> None:
-        """SIGHUP: keys are in force at once, the rest at a start."""
+        """Apply a file reread on SIGHUP: keys take effect at once, all else at the next start."""
         if self.handover is not None and plan.handover is not None:
             try:
                 keys = keys_of(plan.handover)
             except (OSError, ValueError) as fault:
-                self.kept(str(fault))
+                self.reject_installation(str(fault))
                 return
             for session in self.handover.sessions.values():
                 session.keys = keys
         before, after = (each.model_dump(exclude={"handover": {"keys"}}) for each in (self.plan, plan))
         self.log.info("installation_read", extra={"figures": {"rest_at_a_start": before != after}})
 
-    def kept(self, why: str) -> None:
-        """A file that cannot be used leaves the old in force."""
+    def reject_installation(self, why: str) -> None:
+        """Count and log a file that cannot be used; the old one stays in effect."""
         self.counters.add("installations_unusable")
         self.log.error("installation_kept", extra={"figures": {"why": why}})
 
-    def recall(self, ends: Mapping[bytes, float]) -> None:
-        """Peers that have lost theirs get the ledger's ids from us.
+    def restore_records(self, ends: Mapping[bytes, float]) -> None:
+        """Restore idempotency records from the ledger; peers without them get them from us.
 
         Args:
-            ends: By id, until when it counts, in Unix ms.
+            ends: Deadline of each record in Unix ms, by request id.
         """
         if self.handover is not None:
-            apart = self.monotonic() - self.link.clock()
+            apart = self.monotonic() - self.adapter.clock()
             for ident, until in ends.items():
-                self.handover.marks.recall(ident, until + apart)
+                self.handover.records.restore(ident, until + apart)
 
-    # Time.
+    # Periodic work.
 
-    def every(self) -> None:
-        """At each handover interval: conditions, the bar, and what the peers are told."""
+    def run_periodic(self) -> None:
+        """Check the list, the initial sync and conditions, and inform the peers, at each interval."""
         now = self.monotonic()
-        interval = self.plan.handover.every if self.plan.handover else LOOK_EVERY
-        self.reactor.callLater(interval / 1000, self.every)
-        self.look_at_list()
-        if self.barred and self.may_lift(now):
-            self.lift(now)
+        interval = self.plan.handover.every if self.plan.handover else CHECK_INTERVAL
+        self.reactor.callLater(interval / 1000, self.run_periodic)
+        self.check_list()
+        if self.awaiting_sync and self.sync_wait_over(now):
+            self.end_sync_wait(now)
         if not self.stopping:
-            self.advertising.do(self.groups.conditions(now, self.holding(now)))
-        self.tell_all()
+            self.advertising.perform(self.groups.set_conditions(now, self.conditions_met(now)))
+        self.send_state()
         self.advertising.rearm()
 
-    def may_lift(self, now: float) -> bool:
-        """Whether the addresses may be taken back.
+    def sync_wait_over(self, now: float) -> bool:
+        """Return whether addresses may be taken back.
 
-        The list and the peers' marks are known by then, or waited for long enough.
+        That is once the list is fresh and the peers' records are here, or the wait has timed out.
         """
-        waited = now - self.began >= self.vrrp.bar
-        return waited or (self.fresh and (self.handover is None or self.handover.complete(now)))
-
-    def lift(self, now: float) -> None:
-        """The addresses may be taken back from here on."""
-        self.barred = False
-        self.groups.lift()
-        self.log.info("bar_lifted", extra={"figures": {"after_ms": now - self.began, "fresh": self.fresh}})
+        waited = now - self.started_at >= self.vrrp.bar
+        return waited or (self.list_fresh and (self.handover is None or self.handover.is_synchronized(now)))
+
+    def end_sync_wait(self, now: float) -> None:
+        """Allow addresses to be taken back."""
+        self.awaiting_sync = False
+        self.groups.end_sync_wait()
+        self.log.info(
+            "bar_lifted", extra={"figures": {"after_ms": now - self.started_at, "fresh": self.list_fresh}}
+        )
 
-    def look_at_list(self) -> None:
-        """The first answer of the name service since the start: engines' starts are known now."""
-        if not self.fresh and self.service.names.answered_at > float("-inf"):
-            self.fresh = True
-            self.link.listed(self.link.seats)
+    def check_list(self) -> None:
+        """Note the first answer of the name service: from then on the engines' starts are known."""
+        if not self.list_fresh and self.service.names.answered_at > float("-inf"):
+            self.list_fresh = True
+            self.adapter.apply_list(self.adapter.endpoints)
 
     def assumed_cold(self) -> bool:
-        """Whether each engine may have been started anew without our knowing."""
-        unsure = not self.fresh and self.plan.tenure.on
-        return unsure and self.monotonic() < self.began + self.vrrp.bar
+        """Return whether each engine may have restarted without our knowledge."""
+        unsure = not self.list_fresh and self.plan.tenure.on
+        return unsure and self.monotonic() < self.started_at + self.vrrp.bar
 
-    def holding(self, now: float) -> list[str]:
-        """The conditions that hold now and lower priorities."""
-        unix = self.link.clock()
+    def conditions_met(self, now: float) -> list[str]:
+        """Return the tracked conditions that hold now."""
+        unix = self.adapter.clock()
         stale = (self.reactor.seconds() - self.service.names.answered_at) * 1000 > self.vrrp.stale_after
-        conditions = ["list_stale"] if stale and now - self.began > self.vrrp.stale_after else []
-        if not any(engine.aside_until <= unix for engine in self.link.rules.ready):
+        conditions = ["list_stale"] if stale and now - self.started_at > self.vrrp.stale_after else []
+        if not any(engine.ejected_until <= unix for engine in self.adapter.rules.ready):
             conditions.append("no_engine")
         if self.shut_out():
             conditions.append("shut_out")
@@ -200,22 +219,24 @@
 
     # Peers.
 
-    def taken(self, group: int, why: str) -> None:
-        """We hold a group's addresses: engines that its last holder had set aside are suspect here too."""
-        part = f"{self.tenure.part(self.monotonic()):.2f}"
-        self.log.info("address_taken", extra={"figures": {"group": group, "why": why, "part": part}})
+    def addresses_taken(self, group: int, why: str) -> None:
+        """Log a takeover; engines that a peer had ejected count as suspect here too."""
+        share = f"{self.budget_shares.share(self.monotonic()):.2f}"
+        self.log.info("address_taken", extra={"figures": {"group": group, "why": why, "part": share}})
         if self.handover is None:
             return
-        for known in self.handover.known.values():
-            for ident, left in known.aside:
-                if ident in self.link.index.places:
-                    self.link.gather(self.link.rules.warned, self.link.index.place_of(ident), left)
-
-    def tell_all(self) -> None:
-        """Tell the peers how we are; our part of cold budgets may be lent while we hold nothing."""
+        for known in self.handover.peer_states.values():
+            for ident, left in known.ejected:
+                if ident in self.adapter.index.places:
+                    self.adapter.enqueue(
+                        self.adapter.rules.engine_suspected, self.adapter.index.place_of(ident), left
+                    )
+
+    def send_state(self) -> None:
+        """Send our state to the peers; our budget share may be lent while we hold no address."""
         if self.handover is None:
             return
         held = self.groups.held()
         idle = self.plan.tenure.on and (self.stopping or not held)
-        facts = self.guard.facts(self.monotonic(), self.service.names.number, held)
-        self.exchange.tell_all(facts, idle)
+        dispatcher_state = self.guard.dispatcher_state(self.monotonic(), self.service.names.number, held)
+        self.exchange.send_state(dispatcher_state, idle)
--- a/tests/crowds.py
+++ b/tests/crowds.py
@@ -1,4 +1,4 @@
-"""Clients that connect in great number and bring nothing, on real sockets, in a thread of their own."""
+"""A flood of clients that connect and send no whole request, on real sockets in a thread of their own."""
 
 import contextlib
 import errno
@@ -9,14 +9,14 @@
 from dataclasses import dataclass
 
 TRICKLED = b"POST /ops/lookup HTTP/1.1\r\nHost: origin.svc\r\nReq-Id: "
-TRICKLE_EVERY = 1.0  # seconds between two bytes of one client
-POLL_FOR = 0.02  # seconds
-CONNECTS_A_ROUND = 200  # so that the thread looks at its clients' ends in between
+TRICKLE_EVERY = 1.0  # seconds between two bytes that one client sends
+POLL_FOR = 0.02  # seconds; the timeout of a poll
+CONNECTS_A_ROUND = 200  # so that connections which were closed are noticed in between
 
 
 @dataclass(frozen=True, slots=True)
-class Habit:
-    """What each client of a crowd does once it is connected."""
+class Behavior:
+    """What each client of a crowd does once it is connected: first bytes, slow sending, reconnecting."""
 
     first: bytes = b""
     trickles: bool = False
@@ -24,7 +24,7 @@
 
 
 class CrowdClient:
-    """One client of a crowd: its socket, and how far its trickle has come."""
+    """One client of a crowd: its socket, and how many bytes it has sent slowly."""
 
     def __init__(self) -> None:
         self.socket: socket.socket | None = None
@@ -33,10 +33,10 @@
 
 
 class Crowd:
-    """`size` clients of one habit. Use as a context manager: leaving it ends the thread and its sockets."""
+    """`size` clients of the same behavior. A context manager; its exit stops them."""
 
-    def __init__(self, address: tuple[str, int], size: int, habit: Habit) -> None:
-        self.address, self.habit = address, habit
+    def __init__(self, address: tuple[str, int], size: int, behavior: Behavior) -> None:
+        self.address, self.behavior = address, behavior
         self.clients = [CrowdClient() for _ in range(size)]
         self.selector = selectors.DefaultSelector()
         self.stopping = threading.Event()
@@ -65,9 +65,9 @@
                 if ended:
                     self.ends += 1
                     self.close(key.data)
-                    if self.habit.reconnects:
+                    if self.behavior.reconnects:
                         waiting.append(key.data)
-            if self.habit.trickles:
+            if self.behavior.trickles:
                 self.trickle(time.monotonic())
 
     def connect(self, client: CrowdClient) -> None:
@@ -80,14 +80,14 @@
         self.selector.register(client.socket, selectors.EVENT_READ | selectors.EVENT_WRITE, client)
 
     def serve(self, client: CrowdClient, events: int) -> bool:
-        """Acts on a client's events; True when its connection has ended."""
+        """Handles a client's events; returns whether its connection has ended."""
         assert client.socket is not None
         try:
             if events & selectors.EVENT_WRITE:  # connected
                 self.selector.modify(client.socket, selectors.EVENT_READ, client)
                 client.next_byte_at = time.monotonic() + TRICKLE_EVERY
-                if self.habit.first:
-                    client.socket.send(self.habit.first)
+                if self.behavior.first:
+                    client.socket.send(self.behavior.first)
             return bool(events & selectors.EVENT_READ) and client.socket.recv(4096) == b""
         except BlockingIOError:
             return False
@@ -100,7 +100,7 @@
                 client.next_byte_at = now + TRICKLE_EVERY
                 at = client.sent % len(TRICKLED)
                 client.sent += 1
-                with contextlib.suppress(OSError):  # its end is read by `serve`
+                with contextlib.suppress(OSError):  # `serve` detects the end
                     client.socket.send(TRICKLED[at : at + 1])
 
     def close(self, client: CrowdClient) -> None:
--- a/tests/test_gone_clients.py
+++ b/tests/test_gone_clients.py
@@ -1,7 +1,8 @@
-"""A client that cancels its request or ends its connection has gone: no attempt of its begins after that.
+"""No attempt begins after its client has cancelled the request or closed the connection.
 
-Each test brings a request to a place where it waits, lets its client leave there, unseen, and turns the loop
-on. The places and the ways of leaving are the table in docs/crossings.md."""
+Each test brings a request to a stage at which it waits, makes its client leave there before the dispatcher
+has read that, and runs the loop on. The stages and the ways of leaving are the table in docs/crossings.md.
+"""
 
 import contextlib
 import socket
@@ -12,46 +13,47 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-from spurdeal.net.connection import ABANDONED_WITHIN
-from spurdeal.net.link import LEFT_LATE
+from spurdeal.net.connection import MAX_ABANDONED_WRITE
+from spurdeal.net.link import LATE_AFTER_LEAVING
 from tests.helpers import Caller, Peer, World
-from tests.steps import HOST, ROW, Steps, Talk
+from tests.steps import HOST, ROW, PeerSocket, Steps
 
-LOOKUP, OTHER = 2, 3  # ids: the request that is watched, one of another client
-HALF_A_CALL = b"POST /ops/lookup HTTP/1.1\r\nReq-Id: 00"
-WHOLE_CALL = b"POST /ops/lookup HTTP/1.1\r\nReq-Id: %016x\r\nReq-Wait-Ms: 5000\r\n\r\n" % 77
+LOOKUP, OTHER = 2, 3  # ids: the request under test, and one of another client
+PARTIAL_REQUEST = b"POST /ops/lookup HTTP/1.1\r\nReq-Id: 00"
+WHOLE_REQUEST = b"POST /ops/lookup HTTP/1.1\r\nReq-Id: %016x\r\nReq-Wait-Ms: 5000\r\n\r\n" % 77
 
 
-def close(client: Talk) -> None:
+def close(client: PeerSocket) -> None:
     client.socket.close()
 
 
-def half_close(client: Talk) -> None:
+def half_close(client: PeerSocket) -> None:
     client.socket.shutdown(socket.SHUT_WR)
 
 
-def reset(client: Talk) -> None:
+def reset(client: PeerSocket) -> None:
     client.reset()
 
 
-ENDS = (close, half_close, reset)  # a process that dies ends its connections by the first or the last
+# The connections of a killed process end by the first or the last.
+ENDS = (close, half_close, reset)
 
 
 class Waiting(NamedTuple):
-    """A request where it waits: its client, and what lets it go on from there."""
+    """A request at the stage where it waits: its client, and a function that lets it proceed."""
 
-    client: Talk
-    go_on: Callable[[], object]
+    client: PeerSocket
+    proceed: Callable[[], object]
 
 
 @dataclass(frozen=True)
 class Leaving:
-    """How a client leaves: what it still sends ahead, and how its connection ends."""
+    """How a client leaves: what it still pipelines, and how its connection ends."""
 
     ahead: bytes
-    end: Callable[[Talk], None]
+    end: Callable[[PeerSocket], None]
 
-    def __call__(self, steps: Steps, client: Talk) -> None:
+    def __call__(self, steps: Steps, client: PeerSocket) -> None:
         if self.ahead:
             client.socket.sendall(self.ahead)
         self.end(client)
@@ -60,43 +62,43 @@
         return f"{self.end.__name__} behind {len(self.ahead)} bytes"
 
 
-def cancel(steps: Steps, client: Talk) -> None:
-    """On another connection, the first; read before the request goes on."""
+def cancel(steps: Steps, client: PeerSocket) -> None:
+    """Cancels on another connection, the first; this is read before the request proceeds."""
     steps.clients[0].socket.sendall(b"DELETE /ops/lookup/%016x HTTP/1.1\r\n\r\n" % LOOKUP)
     next(iter(steps.service.clients.connections)).transport.doRead()
 
 
-Leave = Callable[[Steps, Talk], None]
-AHEAD = (b"", HALF_A_CALL, WHOLE_CALL)
+Leave = Callable[[Steps, PeerSocket], None]
+AHEAD = (b"", PARTIAL_REQUEST, WHOLE_REQUEST)
 ENDED: list[Leave] = [Leaving(ahead, end) for ahead in AHEAD for end in ENDS]
 WAYS = [cancel, *ENDED]
 
 
 def attempts(steps: Steps, ident: int = LOOKUP) -> int:
-    """How many attempts of that request have come to the engines so far."""
+    """How many attempts of that request have reached the engines so far."""
     wanted, found = ["serve", f"{ident:016x}"], 0
     for engine in steps.engines:
         while engine.accept():
             pass
-        for talk in engine.talks:
+        for talk in engine.peers:
             with contextlib.suppress(ConnectionResetError):
                 found += sum(said[:2] == wanted for said in talk.heard())
     return found
 
 
-def only_timers(steps: Steps) -> None:
-    """The first half of a round: what is due, and nothing is read or written by the loop."""
+def run_due_timers(steps: Steps) -> None:
+    """Runs the first half of a round: due timers; the loop reads and writes nothing."""
     steps.reactor.runUntilCurrent()
 
 
-def after_another(steps: Steps) -> Talk:
-    """A client, and a connection to the engine that rests since it served another's request."""
+def after_another(steps: Steps) -> PeerSocket:
+    """A new client; the engine has an idle connection that served another client's request."""
     steps.served(1)
     return steps.client()
 
 
-def connected_to_both(steps: Steps) -> list[Talk]:
-    """Two calls at once, then answered: a connection rests at each of two engines. Their far sides."""
+def connected_to_both(steps: Steps) -> list[PeerSocket]:
+    """Makes an idle connection to each of two engines by two concurrent calls; returns the engines' ends."""
     callers = [steps.client(), steps.client()]
     for ident, caller in enumerate(callers, 10):
         caller.post(ident)
@@ -115,7 +117,7 @@
 
 
 class GoneClients(unittest.TestCase):
-    """One test for each place; each for every way of leaving."""
+    """One test for each stage; each for every way of leaving."""
 
     def check_each_way(
         self, bring: Callable[[Steps], Waiting], ways: Sequence[Leave] = WAYS, **more: Any
@@ -125,19 +127,19 @@
                 self.check(bring, way, Steps(self, **more))
 
     def check(self, bring: Callable[[Steps], Waiting], leave: Leave | None, steps: Steps) -> None:
-        steps.client()  # the one that cancels
+        steps.client()  # the client that cancels
         steps.until(lambda: steps.service.clients.connections)
-        client, go_on = bring(steps)
+        client, proceed = bring(steps)
         attempts(steps)
         if leave is not None:
             leave(steps, client)
-        go_on()
+        proceed()
         steps.go()
         self.assertEqual(attempts(steps), 1 if leave is None else 0)
-        if leave is not None:  # else it stayed, and this is where its attempt begins
+        if leave is not None:  # a client that stays gets its attempt at this stage
             steps.go(200)
             self.assertEqual(attempts(steps), 0)
-            self.assertNotIn(b"%016x" % LOOKUP, steps.service.link.by_ident)
+            self.assertNotIn(b"%016x" % LOOKUP, steps.service.adapter.by_ident)
             self.assertEqual(counted(steps, "attempts_after_client_left"), 0)
             self.assertEqual(counted(steps, "attempts_late_after_client_left"), 0)
 
@@ -150,10 +152,10 @@
         self.check_each_way(bring)
 
     def test_in_the_backlog_while_accepting_is_paused(self) -> None:
-        """Each connection has a call open. Its end needs no accepting; a cancel would wait as it does."""
+        """Every slot has an open call. A cancel would wait in the backlog too, so only ends are tested."""
 
         def bring(steps: Steps) -> Waiting:
-            rules = steps.service.link.rules
+            rules = steps.service.adapter.rules
             rules.choose = lambda *_, **__: None  # type: ignore[method-assign]
             busy = []
             while not steps.service.clients.paused:
@@ -163,7 +165,7 @@
             client = steps.client()
             client.post(LOOKUP)
             steps.go()
-            self.assertNotIn(b"%016x" % LOOKUP, steps.service.link.by_ident)
+            self.assertNotIn(b"%016x" % LOOKUP, steps.service.adapter.by_ident)
 
             def others_leave() -> None:
                 for other in busy:
@@ -184,17 +186,17 @@
 
         self.check_each_way(bring)
 
-    def test_read_and_before_its_turn(self) -> None:
+    def test_read_and_before_its_batch(self) -> None:
         def bring(steps: Steps) -> Waiting:
             client = after_another(steps)
             client.post(LOOKUP)
-            steps.until(lambda: steps.service.link.inbox)
-            return Waiting(client, lambda: only_timers(steps))
+            steps.until(lambda: steps.service.adapter.pending_events)
+            return Waiting(client, lambda: run_due_timers(steps))
 
         self.check_each_way(bring)
 
     def test_behind_a_call_on_its_connection(self) -> None:
-        """The answer to the call before it is read in the round in which the client leaves."""
+        """The response to the previous call is read in the round in which the client leaves."""
 
         def bring(steps: Steps) -> Waiting:
             client = steps.client()
@@ -206,7 +208,7 @@
             def answer() -> None:
                 connection = steps.service.engines.engines[0].connections[0]
                 talk.say(1)
-                connection.transport.doRead()  # before the client's socket is
+                connection.transport.doRead()  # before the client's socket is read
 
             return Waiting(client, answer)
 
@@ -215,13 +217,13 @@
     def test_in_the_wait_queue(self) -> None:
         def bring(steps: Steps) -> Waiting:
             steps.served(1)
-            rules = steps.service.link.rules
+            rules = steps.service.adapter.rules
             rules.choose = lambda *_, **__: None  # type: ignore[method-assign]
             client = steps.client()
             client.post(LOOKUP)
-            steps.until(lambda: rules.held)
+            steps.until(lambda: rules.wait_queue)
             del rules.choose
-            return Waiting(client, steps.service.link.turn)
+            return Waiting(client, steps.service.adapter.run_batch)
 
         self.check_each_way(bring)
 
@@ -235,7 +237,7 @@
 
             def connected() -> None:
                 while not connection.up:
-                    only_timers(steps)
+                    run_due_timers(steps)
                     for dialled in steps.reactor.getWriters():
                         dialled.doWrite()
 
@@ -246,8 +248,8 @@
     def test_while_a_guard_has_not_decided(self) -> None:
         def bring(steps: Steps) -> Waiting:
             steps.served(1)
-            guard = SlowGuard()
-            steps.service.link.guard = guard
+            guard = DeferringGuard()
+            steps.service.adapter.guard = guard
             client = steps.client()
             client.post(LOOKUP)
             steps.until(lambda: guard.verdicts)
@@ -256,7 +258,7 @@
         self.check_each_way(bring)
 
     def test_before_its_retry(self) -> None:
-        """The first engine is full, which was read; the next attempt is due."""
+        """The answer of the first engine, which is full, was read; the next attempt is due."""
 
         def bring(steps: Steps) -> Waiting:
             talks = connected_to_both(steps)
@@ -264,8 +266,8 @@
             client.post(LOOKUP)
             talk = steps.until(lambda: next((talk for talk in talks if talk.heard()), None))
             talk.say(LOOKUP, "503", "-", b"")
-            steps.until(lambda: steps.service.link.inbox)
-            return Waiting(client, lambda: only_timers(steps))
+            steps.until(lambda: steps.service.adapter.pending_events)
+            return Waiting(client, lambda: run_due_timers(steps))
 
         self.check_each_way(bring, engines=2)
 
@@ -276,24 +278,24 @@
             talk = steps.until(steps.engines[0].accept)
             steps.until(talk.heard)
             talk.say(LOOKUP, "503", "-", b"")
-            rules = steps.service.link.rules
-            steps.until(lambda: rules.held)
+            rules = steps.service.adapter.rules
+            steps.until(lambda: rules.wait_queue)
             engine = rules.engines[0]
-            self.assertGreater(engine.aside_until, steps.clock())
-            engine.aside_until = engine.pressed_until = 0.0  # its rest is over
-            return Waiting(client, steps.service.link.turn)
+            self.assertGreater(engine.ejected_until, steps.clock())
+            engine.ejected_until = engine.pressure_until = 0.0  # its backoff is over
+            return Waiting(client, steps.service.adapter.run_batch)
 
         self.check_each_way(bring)
 
     def test_behind_another_message_on_a_shared_connection(self) -> None:
         def bring(steps: Steps) -> Waiting:
-            steps.service.engines.most_connections = 1
+            steps.service.engines.max_connections = 1
             first = steps.client()
             first.post(1)
             steps.until(steps.engines[0].accept)
             connection = steps.service.engines.engines[0].connections[0]
-            steps.until(lambda: connection.trips and not connection.sending)
-            connection.sending = True  # its transport still holds a message
+            steps.until(lambda: connection.attempts and not connection.sending)
+            connection.sending = True  # its transport still buffers a message
             client = steps.client()
             client.post(LOOKUP)
             steps.until(lambda: connection.write_queue)
@@ -307,7 +309,7 @@
         self.check_each_way(bring)
 
     def test_parsed_while_its_client_does_not_read(self) -> None:
-        """Answers of its own unread: reading is paused, and the next call lies parsed behind them."""
+        """Its responses are unread: reading is paused, and the next request waits behind them."""
 
         def bring(steps: Steps) -> Waiting:
             client = after_another(steps)
@@ -315,75 +317,75 @@
             self.assertEqual(steps.until(client.status), 200)
             connection = list(steps.service.clients.connections)[-1]
             connection.pauseProducing()
-            connection.dataReceived(WHOLE_CALL.replace(b"%016x" % 77, b"%016x" % LOOKUP))
-            self.assertEqual(steps.service.link.by_ident, {})
+            connection.dataReceived(WHOLE_REQUEST.replace(b"%016x" % 77, b"%016x" % LOOKUP))
+            self.assertEqual(steps.service.adapter.by_ident, {})
 
             def client_reads() -> None:
                 connection.resumeProducing()
-                only_timers(steps)
+                run_due_timers(steps)
 
             return Waiting(client, client_reads)
 
         self.check_each_way(bring)
 
 
-class BetweenLookAndWrite(unittest.TestCase):
-    """After the last look nothing may hold an attempt back, or its client could leave before it begins."""
+class BetweenCheckAndWrite(unittest.TestCase):
+    """Nothing may delay an attempt after the check at send time, or its client could leave in between."""
 
-    def test_an_attempt_leaves_at_the_last_look(self) -> None:
-        """And not when the loop next comes to write: a round can take long on a busy machine."""
+    def test_an_attempt_is_written_at_the_check_at_send_time(self) -> None:
+        """Not in the loop's next round: a round can take long on a busy machine."""
         steps = Steps(self)
         steps.served(1)
         client = steps.client()
         client.post(LOOKUP)
-        steps.until(lambda: steps.service.link.inbox)
-        only_timers(steps)
+        steps.until(lambda: steps.service.adapter.pending_events)
+        run_due_timers(steps)
         self.assertEqual(attempts(steps), 1)
         client.socket.close()
         steps.go()
-        self.assertEqual([said[0] for said in steps.engines[0].talks[0].heard()], ["cancel"])
+        self.assertEqual([said[0] for said in steps.engines[0].peers[0].heard()], ["cancel"])
         self.assertEqual(counted(steps, "attempts_after_client_left"), 0)
 
-    def test_where_a_guard_keeps_a_journal_it_leaves_behind_its_turn(self) -> None:
-        """What a turn has sent is in the journal when `turned` has returned; then it leaves, at once."""
+    def test_with_a_guard_that_keeps_a_journal_it_is_written_after_its_batch(self) -> None:
+        """Attempts of a batch are in the journal once `batch_ended` has returned; then they are written."""
         steps = Steps(self)
         client = after_another(steps)
-        guard = SlowGuard()
-        guard.before = lambda *_: True  # type: ignore[method-assign]
-        guard.turned = lambda: self.assertEqual(attempts(steps), 0)  # type: ignore[method-assign]
-        steps.service.link.guard = guard
+        guard = DeferringGuard()
+        guard.before_send = lambda *_: True  # type: ignore[method-assign]
+        guard.batch_ended = lambda: self.assertEqual(attempts(steps), 0)  # type: ignore[method-assign]
+        steps.service.adapter.guard = guard
         client.post(LOOKUP)
-        steps.until(lambda: steps.service.link.inbox)
-        only_timers(steps)
+        steps.until(lambda: steps.service.adapter.pending_events)
+        run_due_timers(steps)
         self.assertEqual(attempts(steps), 1)
 
-    def test_two_in_one_turn_on_a_connection_with_a_journal(self) -> None:
-        """The second leaves as the system has taken the first, with a look and a record of its own."""
+    def test_two_in_one_batch_on_a_connection_with_a_journal(self) -> None:
+        """The second is written when the system has accepted the first, with its own check and record."""
         steps = Steps(self)
-        steps.service.engines.most_connections = 1
+        steps.service.engines.max_connections = 1
         after_another(steps)
-        guard = SlowGuard()
-        guard.before = lambda *_: True  # type: ignore[method-assign]
-        steps.service.link.guard = guard
+        guard = DeferringGuard()
+        guard.before_send = lambda *_: True  # type: ignore[method-assign]
+        steps.service.adapter.guard = guard
         for ident, client in ((LOOKUP, steps.client()), (OTHER, steps.client())):
             client.post(ident)
-        steps.until(lambda: len(steps.service.link.inbox) == 2)
-        only_timers(steps)
-        said = [words[1] for words in steps.engines[0].talks[0].heard()]
+        steps.until(lambda: len(steps.service.adapter.pending_events) == 2)
+        run_due_timers(steps)
+        said = [words[1] for words in steps.engines[0].peers[0].heard()]
         self.assertEqual(said, [f"{LOOKUP:016x}", f"{OTHER:016x}"])
 
     def test_a_connection_lost_before_the_journal_is_written(self) -> None:
         world = World(self, engines=2)
-        guard = SlowGuard()
-        guard.before = lambda *_: True  # type: ignore[method-assign]
+        guard = DeferringGuard()
+        guard.before_send = lambda *_: True  # type: ignore[method-assign]
         caller = Caller(world)
         caller.post(1)
         peer = world.peer().up()
         peer.say(1, "200", "parts=1", ROW)
-        world.service.link.guard = guard
-        guard.turned = lambda: peer.protocol.lost()  # type: ignore[method-assign]  # noqa: PLW0108 - the attribute is replaced below
+        world.service.adapter.guard = guard
+        guard.batch_ended = lambda: peer.protocol.lost()  # type: ignore[method-assign]  # noqa: PLW0108 - the attribute is replaced below
         caller.post(LOOKUP)
-        guard.turned = lambda: None  # type: ignore[method-assign]
+        guard.batch_ended = lambda: None  # type: ignore[method-assign]
         world.go()
         self.assertEqual([said[1] for said in peer.heard()], [f"{1:016x}"])
 
@@ -393,15 +395,15 @@
         canceller, client = steps.client(), steps.client()
         steps.go()
         client.post(LOOKUP)
-        steps.until(lambda: steps.service.link.inbox)
+        steps.until(lambda: steps.service.adapter.pending_events)
         canceller.socket.sendall(b"DELETE /ops/lookup/%016x HTTP/1.1\r\n\r\n" % LOOKUP)
         steps.round()
-        self.assertNotIn(b"%016x" % LOOKUP, steps.service.link.by_ident)
+        self.assertNotIn(b"%016x" % LOOKUP, steps.service.adapter.by_ident)
         steps.round()
-        self.assertEqual([said[0] for said in steps.engines[0].talks[0].heard()], ["serve", "cancel"])
+        self.assertEqual([said[0] for said in steps.engines[0].peers[0].heard()], ["serve", "cancel"])
 
     def stuck(self) -> tuple[World, Peer]:
-        """An engine that does not read: one byte of an attempt leaves, the rest stays. Its client leaves."""
+        """An engine that does not read: only one byte of an attempt is sent. Its client leaves."""
         world = World(self)
         caller = Caller(world)
         caller.post(LOOKUP)
@@ -411,17 +413,17 @@
         caller.leave()
         return world, peer
 
-    def test_what_the_system_has_not_taken_is_cut_off(self) -> None:
+    def test_what_the_system_has_not_accepted_is_aborted(self) -> None:
         world, peer = self.stuck()
         world.go(40)
         self.assertFalse(peer.pipe.aborted)
         world.go(20)
         self.assertTrue(peer.pipe.aborted)
-        self.assertLess(ABANDONED_WITHIN, LEFT_LATE)
+        self.assertLess(MAX_ABANDONED_WRITE, LATE_AFTER_LEAVING)
         self.assertEqual(world.count("attempts_after_client_left"), 0)
 
-    def test_what_the_system_takes_in_time_is_left_to_run(self) -> None:
-        """It is counted: its client had left, less than 100 ms before."""
+    def test_what_the_system_accepts_in_time_is_left_to_run(self) -> None:
+        """It is counted as sent after its client left, by less than 100 ms."""
         world, peer = self.stuck()
         world.go(30)
         peer.pipe.full = False
@@ -449,10 +451,10 @@
         self.assertEqual(world.count("attempts_after_client_left"), 0)
         self.assertEqual(world.count("trips_written"), 0)
 
-    def test_others_that_run_on_its_connection_are_not_cut(self) -> None:
-        """So it may come late there, and is counted as that."""
+    def test_others_that_run_on_its_connection_are_not_aborted(self) -> None:
+        """So the attempt may reach the engine late, and is counted as late."""
         world = World(self)
-        world.service.engines.most_connections = 1
+        world.service.engines.max_connections = 1
         kept, caller = Caller(world), Caller(world)
         kept.post(OTHER)
         peer = world.peer().up()
@@ -474,16 +476,16 @@
     DELETE = b"DELETE /ops/lookup/%016x HTTP/1.1\r\n\r\n"
 
     def test_behind_its_open_call(self) -> None:
-        """Its 200 would be read as the answer to that call, so none is written and the connection ends."""
+        """A 200 would be read as the response to that call, so none is written; the connection is closed."""
         world = World(self)
         caller = Caller(world)
         caller.post(LOOKUP)
         caller.say(self.DELETE % LOOKUP)
-        self.assertEqual(world.service.link.by_ident, {})
+        self.assertEqual(world.service.adapter.by_ident, {})
         self.assertEqual((caller.answers(), caller.pipe.disconnecting), ([], True))
         self.assertEqual(world.peer().up().heard(), [])
 
-    def test_found_by_the_last_look(self) -> None:
+    def test_found_by_the_check_at_send_time(self) -> None:
         world = World(self)
         caller = Caller(world)
         caller.post(LOOKUP)
@@ -502,18 +504,18 @@
         self.assertEqual([said[1] for said in peer.heard() if said[0] == "serve"], [f"{1:016x}"])
         self.assertEqual([status for status, _, _ in caller.answers()], [200])
 
-    def test_that_of_another_is_answered_in_its_turn(self) -> None:
+    def test_that_of_another_is_answered_in_order(self) -> None:
         world = World(self)
         first, caller = Caller(world), Caller(world)
         first.post(1)
         caller.post(LOOKUP)
         caller.say(self.DELETE % 1 + self.DELETE % 99)
-        self.assertEqual(list(world.service.link.by_ident), [b"%016x" % LOOKUP])
+        self.assertEqual(list(world.service.adapter.by_ident), [b"%016x" % LOOKUP])
         self.assertEqual(caller.answers(), [])
         world.peer(1).up().say(LOOKUP, "200", "parts=1", ROW)
         self.assertEqual([status for status, _, _ in caller.answers()], [200, 200, 404])
 
-    def test_many_and_bad_ones_wait_for_their_turn(self) -> None:
+    def test_many_and_bad_ones_are_answered_in_order(self) -> None:
         world = World(self)
         caller = Caller(world)
         caller.post(LOOKUP)
@@ -526,7 +528,7 @@
 
 class Processes(unittest.TestCase):
     def test_a_client_whose_process_is_killed(self) -> None:
-        """With its own call open, and half of the next one sent ahead."""
+        """With its own call open, and part of the next one pipelined."""
         text = (
             "import socket, sys\n"
             f"it = socket.create_connection(({HOST!r}, int(sys.argv[1])))\n"
@@ -536,20 +538,20 @@
         )
         steps = Steps(self)
         steps.served(1)
-        sent = WHOLE_CALL.replace(b"%016x" % 77, b"%016x" % LOOKUP)
+        sent = WHOLE_REQUEST.replace(b"%016x" % 77, b"%016x" % LOOKUP)
         with subprocess.Popen(
-            [sys.executable, "-c", text, str(steps.told.port)],
+            [sys.executable, "-c", text, str(steps.configuration.port)],
             stdin=subprocess.PIPE,
             stdout=subprocess.PIPE,
         ) as process:
             assert process.stdin is not None and process.stdout is not None
-            process.stdin.write(sent + HALF_A_CALL)
+            process.stdin.write(sent + PARTIAL_REQUEST)
             process.stdin.close()
             self.assertEqual(process.stdout.readline(), b"sent\n")
-            steps.until(lambda: steps.service.link.inbox)
+            steps.until(lambda: steps.service.adapter.pending_events)
             process.kill()
             process.wait()
-        only_timers(steps)
+        run_due_timers(steps)
         steps.go()
         self.assertEqual(attempts(steps), 0)
         self.assertEqual(counted(steps, "trips_whose_client_left"), 1)
@@ -571,32 +573,32 @@
 
 
 class SentAhead(unittest.TestCase):
-    def test_more_than_its_bound_found_by_the_last_look(self) -> None:
-        """Its connection is cut, and its request ends with that: not a round later."""
+    def test_more_than_its_limit_found_by_the_check_at_send_time(self) -> None:
+        """Its connection is aborted, and its request is cancelled at once, not a round later."""
         world = World(self)
         caller = Caller(world)
         caller.post(LOOKUP)
         caller.pipe.unread = b"x" * 200_000
         self.assertEqual(world.peer().up().heard(), [])
         self.assertTrue(caller.pipe.aborted)
-        self.assertEqual(world.service.link.by_ident, {})
+        self.assertEqual(world.service.adapter.by_ident, {})
 
 
-class SlowGuard:
-    """A guard that keeps each verdict back."""
+class DeferringGuard:
+    """A guard that withholds its decisions until the test releases them."""
 
     def __init__(self) -> None:
         self.verdicts: list[Callable[[bool | None], None]] = []
 
-    def before(self, taken: Any, trip: int, go: Callable[[bool | None], None]) -> bool:
+    def before_send(self, taken: Any, attempt: int, go: Callable[[bool | None], None]) -> bool:
         self.verdicts.append(go)
         return False
 
-    def departs(self, taken: Any, trip: int, engine: int) -> bool:
+    def allow_send(self, taken: Any, attempt: int, engine: int) -> bool:
         return True
 
-    def turned(self) -> None:
-        """Nothing follows of it here."""
+    def batch_ended(self) -> None:
+        """Does nothing."""
 
     def __getattr__(self, name: str) -> Callable[..., Any]:
         return lambda *_: None
--- a/tests/test_holding.py
+++ b/tests/test_holding.py
@@ -1,4 +1,4 @@
-"""Holding an address: by a command, by listening, and two real processes that pass one between them."""
+"""Holding an address by a command or by listening, and its handover between two real processes."""
 
 import io
 import json
@@ -23,7 +23,7 @@
 from spurdeal.lab.loopback import Network
 from spurdeal.net.counters import Counters
 from spurdeal.net.logs import logger
-from spurdeal.vrrp.address import MOST_COMMANDS, Commands, CommandSettings, Listener, Served
+from spurdeal.vrrp.address import MAX_QUEUED_COMMANDS, Commands, CommandSettings, Listener, ServedPort
 from tests.helpers import Caller, World, configuration
 
 ADDRESS = ip_address("127.0.7.1")
@@ -31,7 +31,7 @@
 
 
 class Spawner(Clock):
-    """Keeps what it is asked to run, and the ports it is asked to open."""
+    """A reactor that records the commands it is to run and the ports it is to open."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -73,15 +73,16 @@
         self.assertEqual(reactor.ran[1][1], ["/bin/leave", "127.0.7.1"])
         reactor.advance(0.6)
         self.assertEqual((counters.sums["commands_run"], counters.sums["commands_failed"]), (1, 1))
-        for _ in range(3 * MOST_COMMANDS):
+        for _ in range(3 * MAX_QUEUED_COMMANDS):
             commands.take(1, [ADDRESS])
         self.assertEqual(
-            (len(commands.queue), counters.sums["commands_dropped"]), (MOST_COMMANDS, 2 * MOST_COMMANDS - 1)
+            (len(commands.queue), counters.sums["commands_dropped"]),
+            (MAX_QUEUED_COMMANDS, 2 * MAX_QUEUED_COMMANDS - 1),
         )
 
-    def test_a_port_in_use_is_tried_again_while_the_address_is_held(self) -> None:
+    def test_a_port_in_use_is_retried_while_the_address_is_held(self) -> None:
         reactor, counters, drained = Spawner(), Counters(), list[str]()
-        listener = Listener(reactor, Served(ServerFactory(), 7001, drained.append), counters, SILENT)
+        listener = Listener(reactor, ServedPort(ServerFactory(), 7001, drained.append), counters, SILENT)
         reactor.busy = 2
         listener.take(1, [ADDRESS])
         reactor.pump([0.05, 0.05])
@@ -94,7 +95,7 @@
         reactor.advance(1)
         self.assertEqual(listener.ports, {})
 
-    def test_what_was_taken_at_an_address_that_is_left_is_answered_and_then_closed(self) -> None:
+    def test_connections_to_an_address_that_is_released_are_answered_and_then_closed(self) -> None:
         world = World(self)
         busy, idle, elsewhere = Caller(world), Caller(world), Caller(world)
         for caller, host in ((busy, "127.0.7.1"), (idle, "127.0.7.1"), (elsewhere, "127.0.8.1")):
@@ -158,7 +159,7 @@
         self.folder = Path(folder.name)
 
     def who(self, within: float, host: str = SHARED, port: int = 7301) -> dict[str, int]:
-        """The counters of whoever answers there, once somebody does."""
+        """The counters of the dispatcher that answers there; retries until one does."""
         until = time.monotonic() + within
         while True:
             try:
@@ -171,7 +172,7 @@
                 time.sleep(0.02)
 
     def until_other_answers(self, within: float) -> None:
-        """Whoever has read a bad file is leaving, and goes on answering until its signal has been handled."""
+        """Waits for the other dispatcher: that with the bad file still answers until it handles SIGTERM."""
         until = time.monotonic() + within
         while self.who(within).get("installations_unusable") is not None:
             self.assertLess(time.monotonic(), until)
--- a/tests/test_list_freshness.py
+++ b/tests/test_list_freshness.py
@@ -1,191 +1,195 @@
-"""Whether the list may be followed: questions that do not leave, answers that cannot be read, silence."""
+"""The lease on the list: queries that cannot be sent, lost and unusable responses, silence."""
 
 import unittest
 from unittest.mock import patch
 
-from spurdeal.answer_times import BACKOFF, BACKOFF_MOST, REPEAT_FIRST, REPEAT_LEAST, REPEAT_MOST
+from spurdeal.answer_times import BACKOFF, INITIAL_RETRANSMIT, MAX_BACKOFF, MAX_RETRANSMIT, MIN_RETRANSMIT
 from spurdeal.interface import Verdict
 from spurdeal.lab import names
 from spurdeal.list_freshness import (
-    KNOWN_FOR,
-    MOST_OPEN,
-    ROW,
-    TOLD_WITHIN,
-    UNASKED_MOST,
-    Doubt,
+    INITIAL_LEASE,
+    MAX_OPEN_QUERIES,
+    MAX_QUERY_GAP,
+    PROPAGATION_LIMIT,
+    SETTLING_RESPONSES,
     ListFreshness,
+    StaleReason,
 )
 from spurdeal.net.service import Service
-from spurdeal.slow_start import NEWS_DELAY
-from tests.helpers import AGREED, SETTLED, Caller, World
+from spurdeal.slow_start import MAX_PROPAGATION_DELAY
+from tests.helpers import LIST_CONFIRMED_MS, LIST_SETTLED_MS, Caller, World
 
 GRACE = 250.0
-MEAN = 0.5  # of chance: neither shorter nor longer
+MEAN = 0.5  # no jitter
 
 
 class Lease(unittest.TestCase):
+    """The lease, by the send times of queries and the responses to them."""
+
     def setUp(self) -> None:
         self.list = ListFreshness(GRACE)
 
     def confirm(self, at: float) -> None:
-        """A question that is answered at once with the list in force."""
+        """Sends a query; its response confirms the list at once."""
         self.list.asked(at)
         self.list.answered(at, at, Verdict.CONFIRMED)
 
-    def ask_until(self, end: float) -> None:
-        """A question each 200 ms, none answered."""
+    def query_until(self, end: float) -> None:
+        """Sends a query every 200 ms, all unanswered."""
         for at in range(0, int(end) + 1, 200):
             self.list.asked(float(at))
 
-    def test_a_list_that_does_not_come_by_questions_is_always_followed(self) -> None:
-        self.assertTrue(self.list.followed(1e9))
+    def test_a_list_without_a_name_server_may_always_be_followed(self) -> None:
+        self.assertTrue(self.list.may_be_followed(1e9))
 
-    def test_a_name_service_that_stays_silent_ends_the_lease_for_good(self) -> None:
+    def test_lasting_silence_ends_the_lease(self) -> None:
         self.confirm(0.0)
-        self.ask_until(20_000)
-        self.assertTrue(self.list.followed(GRACE / 2))
-        for now in (GRACE / 2 + 1.0, 1001.0 + GRACE / 2, 6000.0, NEWS_DELAY + GRACE / 2, 20_100.0):
-            self.assertEqual(self.list.doubt(now), Doubt.UNANSWERED, now)
+        self.query_until(20_000)
+        self.assertTrue(self.list.may_be_followed(GRACE / 2))
+        for now in (GRACE / 2 + 1.0, 1001.0 + GRACE / 2, 6000.0, MAX_PROPAGATION_DELAY + GRACE / 2, 20_100.0):
+            self.assertEqual(self.list.stale_reason(now), StaleReason.UNANSWERED, now)
 
-    def test_the_lease_counts_from_when_the_answered_question_left(self) -> None:
+    def test_the_lease_starts_when_the_answered_query_was_sent(self) -> None:
         self.confirm(0.0)
         self.list.asked(100.0)
         self.list.answered(5000.0, 100.0, Verdict.CONFIRMED)
-        self.assertTrue(self.list.followed(100.0 + UNASKED_MOST))
-        self.assertEqual(self.list.doubt(101.0 + UNASKED_MOST), Doubt.UNASKED)
+        self.assertTrue(self.list.may_be_followed(100.0 + MAX_QUERY_GAP))
+        self.assertEqual(self.list.stale_reason(101.0 + MAX_QUERY_GAP), StaleReason.UNASKED)
 
-    def test_questions_that_do_not_leave(self) -> None:
+    def test_the_lease_ends_while_no_query_can_be_sent(self) -> None:
         self.list.asked(0.0)
         self.list.answered(1.0, 0.0, Verdict.CONFIRMED)
-        self.assertTrue(self.list.followed(UNASKED_MOST))
-        self.assertFalse(self.list.followed(UNASKED_MOST + 1))
+        self.assertTrue(self.list.may_be_followed(MAX_QUERY_GAP))
+        self.assertFalse(self.list.may_be_followed(MAX_QUERY_GAP + 1))
 
-    def test_after_that_an_answer_alone_lets_it_be_followed(self) -> None:
+    def test_after_that_only_responses_restore_the_lease(self) -> None:
         self.list.asked(0.0)
         self.list.answered(1.0, 0.0, Verdict.CONFIRMED)
         for at in range(3000, 20_000, 100):
             self.list.asked(float(at))
-            self.assertEqual(self.list.doubt(at + 1.0), Doubt.UNASKED)
-        self.answer_in_a_row(20_000.0, ROW)
-        self.assertTrue(self.list.followed(20_000.0 + ROW * 40.0))
+            self.assertEqual(self.list.stale_reason(at + 1.0), StaleReason.UNASKED)
+        self.answer_consecutively(20_000.0, SETTLING_RESPONSES)
+        self.assertTrue(self.list.may_be_followed(20_000.0 + SETTLING_RESPONSES * 40.0))
 
-    def test_a_question_without_an_answer_may_have_been_answered_with_news(self) -> None:
+    def test_an_unanswered_query_ends_the_lease_as_its_response_may_hold_a_change(self) -> None:
         self.list.asked(0.0)
         self.list.answered(2.0, 0.0, Verdict.CONFIRMED)
         for at in (200.0, 280.0, 300.0):
             self.list.asked(at)
-        self.assertIsNone(self.list.doubt(200.0 + GRACE / 2))
-        self.assertEqual(self.list.doubt(201.0 + GRACE / 2), Doubt.UNANSWERED)
+        self.assertIsNone(self.list.stale_reason(200.0 + GRACE / 2))
+        self.assertEqual(self.list.stale_reason(201.0 + GRACE / 2), StaleReason.UNANSWERED)
         self.list.answered(330.0, 280.0, Verdict.NEWER)
-        self.assertEqual(self.list.doubt(330.0), Doubt.UNANSWERED)
+        self.assertEqual(self.list.stale_reason(330.0), StaleReason.UNANSWERED)
         for at in range(350, 1301, 50):
             self.list.asked(float(at))
         for now in (1300.0, 1301.0, 2000.0):
-            self.assertEqual(self.list.doubt(now), Doubt.UNANSWERED)
+            self.assertEqual(self.list.stale_reason(now), StaleReason.UNANSWERED)
 
-    def answer_in_a_row(self, first: float, count: int) -> None:
-        """So many questions, 40 ms apart, answered at once with the list in force."""
+    def answer_consecutively(self, first: float, count: int) -> None:
+        """Sends so many queries, 40 ms apart; each response confirms the list 1 ms later."""
         for number in range(count):
             self.list.asked(first + 40.0 * number)
             self.list.answered(first + 40.0 * number + 1.0, first + 40.0 * number, Verdict.CONFIRMED)
 
-    def test_a_question_without_an_answer_is_settled_by_answers_in_a_row(self) -> None:
+    def test_consecutive_responses_settle_an_unanswered_query(self) -> None:
         self.confirm(0.0)
         self.list.asked(200.0)
-        self.answer_in_a_row(240.0, ROW - 1)
-        self.assertEqual(self.list.doubt(500.0), Doubt.UNANSWERED)
-        self.assertTrue(self.list.is_settling())
-        self.answer_in_a_row(460.0, 1)
-        self.assertIsNone(self.list.doubt(500.0))
-        self.assertFalse(self.list.is_settling())
-
-    def test_a_newer_list_begins_the_row_anew(self) -> None:
+        self.answer_consecutively(240.0, SETTLING_RESPONSES - 1)
+        self.assertEqual(self.list.stale_reason(500.0), StaleReason.UNANSWERED)
+        self.assertTrue(self.list.has_unsettled_query())
+        self.answer_consecutively(460.0, 1)
+        self.assertIsNone(self.list.stale_reason(500.0))
+        self.assertFalse(self.list.has_unsettled_query())
+
+    def test_a_newer_list_starts_a_new_run(self) -> None:
         self.confirm(0.0)
         self.list.asked(200.0)
-        self.answer_in_a_row(240.0, ROW - 1)
+        self.answer_consecutively(240.0, SETTLING_RESPONSES - 1)
         self.list.asked(450.0)
         self.list.answered(451.0, 450.0, Verdict.NEWER)
-        self.answer_in_a_row(460.0, ROW - 2)
-        self.assertEqual(self.list.doubt(700.0), Doubt.UNANSWERED)
-        self.answer_in_a_row(700.0, 1)
-        self.assertIsNone(self.list.doubt(710.0))
+        self.answer_consecutively(460.0, SETTLING_RESPONSES - 2)
+        self.assertEqual(self.list.stale_reason(700.0), StaleReason.UNANSWERED)
+        self.answer_consecutively(700.0, 1)
+        self.assertIsNone(self.list.stale_reason(710.0))
 
-    def test_another_question_without_an_answer_begins_the_row_anew(self) -> None:
+    def test_another_unanswered_query_starts_a_new_run(self) -> None:
         self.confirm(0.0)
         self.list.asked(200.0)
-        self.answer_in_a_row(240.0, ROW - 1)
+        self.answer_consecutively(240.0, SETTLING_RESPONSES - 1)
         self.list.asked(450.0)
-        self.answer_in_a_row(460.0, ROW - 1)
-        self.assertEqual(self.list.doubt(700.0), Doubt.UNANSWERED)
-        self.answer_in_a_row(700.0, 1)
-        self.assertIsNone(self.list.doubt(710.0))
+        self.answer_consecutively(460.0, SETTLING_RESPONSES - 1)
+        self.assertEqual(self.list.stale_reason(700.0), StaleReason.UNANSWERED)
+        self.answer_consecutively(700.0, 1)
+        self.assertIsNone(self.list.stale_reason(710.0))
 
-    def test_its_own_late_answer_settles_a_question(self) -> None:
+    def test_a_late_response_settles_its_query(self) -> None:
         self.confirm(0.0)
         self.list.asked(200.0)
-        self.answer_in_a_row(240.0, 1)
-        self.assertEqual(self.list.doubt(400.0), Doubt.UNANSWERED)
+        self.answer_consecutively(240.0, 1)
+        self.assertEqual(self.list.stale_reason(400.0), StaleReason.UNANSWERED)
         self.list.answered(401.0, 200.0, Verdict.CONFIRMED)
-        self.assertIsNone(self.list.doubt(401.0))
+        self.assertIsNone(self.list.stale_reason(401.0))
 
-    def test_answers_of_another_name_service_settle_nothing_for_as_long_as_it_may_lag(self) -> None:
+    def test_responses_of_a_new_name_server_settle_nothing_while_it_may_lag(self) -> None:
         self.confirm(0.0)
         self.list.asked(200.0)
         self.list.moved()
-        self.answer_in_a_row(210.0, 30)
-        self.assertEqual(self.list.doubt(1500.0), Doubt.UNANSWERED)
-        self.answer_in_a_row(200.0 + TOLD_WITHIN, 1)
-        self.assertIsNone(self.list.doubt(201.0 + TOLD_WITHIN))
+        self.answer_consecutively(210.0, 30)
+        self.assertEqual(self.list.stale_reason(1500.0), StaleReason.UNANSWERED)
+        self.answer_consecutively(200.0 + PROPAGATION_LIMIT, 1)
+        self.assertIsNone(self.list.stale_reason(201.0 + PROPAGATION_LIMIT))
 
-    def test_many_questions_without_an_answer_may_all_be_lost(self) -> None:
+    def test_many_unanswered_queries_end_the_lease(self) -> None:
         for number in range(40):
-            self.assertEqual(number >= 2, self.list.doubt(100.0 * number) is Doubt.UNANSWERED, number)
+            self.assertEqual(
+                number >= 2, self.list.stale_reason(100.0 * number) is StaleReason.UNANSWERED, number
+            )
             self.list.asked(100.0 * number)
 
-    def test_the_answer_to_an_earlier_question_does_not_speak_for_a_later_one(self) -> None:
+    def test_the_response_to_one_query_does_not_settle_another(self) -> None:
         self.list.asked(0.0)
         self.list.asked(50.0)
         self.list.answered(60.0, 50.0, Verdict.CONFIRMED)
-        self.assertEqual(list(self.list.open_since), [0.0])
+        self.assertEqual(list(self.list.unanswered_since), [0.0])
         self.list.answered(400.0, 0.0, Verdict.CONFIRMED)
         self.list.asked(400.0)
-        self.assertEqual(list(self.list.open_since), [400.0])
+        self.assertEqual(list(self.list.unanswered_since), [400.0])
 
-    def test_a_late_answer_to_a_question_that_was_overtaken_does_not_count_as_a_usual_one(self) -> None:
+    def test_a_late_response_to_an_overtaken_query_does_not_count_as_a_response_time(self) -> None:
         self.list.asked(0.0)
         self.list.asked(10_000.0)
         self.list.answered(10_002.0, 10_000.0, Verdict.CONFIRMED)
         self.list.answered(10_003.0, 0.0, Verdict.CONFIRMED)
-        self.assertEqual(self.list.repeat_after(MEAN), REPEAT_LEAST)
+        self.assertEqual(self.list.retransmit_after(MEAN), MIN_RETRANSMIT)
 
-    def test_questions_are_repeated_at_growing_distances_until_one_is_answered(self) -> None:
+    def test_retransmission_backs_off_until_a_response(self) -> None:
         self.list.asked(0.0)
-        self.assertEqual(self.list.repeat_after(MEAN), REPEAT_FIRST)
+        self.assertEqual(self.list.retransmit_after(MEAN), INITIAL_RETRANSMIT)
         self.list.answered(2.0, 0.0, Verdict.CONFIRMED)
         pauses = list[float]()
         for number in range(100):
             self.list.asked(200.0 + number)
-            pauses.append(self.list.repeat_after(MEAN))
-        self.assertEqual(pauses[:4], [REPEAT_LEAST * BACKOFF**step for step in range(4)])
-        self.assertEqual(set(pauses[4:]), {BACKOFF_MOST})
+            pauses.append(self.list.retransmit_after(MEAN))
+        self.assertEqual(pauses[:4], [MIN_RETRANSMIT * BACKOFF**step for step in range(4)])
+        self.assertEqual(set(pauses[4:]), {MAX_BACKOFF})
         self.list.answered(301.0, 299.0, Verdict.CONFIRMED)
         self.list.asked(302.0)
-        self.assertEqual(self.list.repeat_after(MEAN), REPEAT_LEAST)
+        self.assertEqual(self.list.retransmit_after(MEAN), MIN_RETRANSMIT)
 
-    def test_repetitions_of_many_dispatchers_are_spread(self) -> None:
+    def test_retransmission_has_jitter(self) -> None:
         self.list.asked(0.0)
-        shortest, longest = self.list.repeat_after(0.0), self.list.repeat_after(1.0)
-        self.assertEqual((shortest, longest), (0.75 * REPEAT_FIRST, 1.25 * REPEAT_FIRST))
+        shortest, longest = self.list.retransmit_after(0.0), self.list.retransmit_after(1.0)
+        self.assertEqual((shortest, longest), (0.75 * INITIAL_RETRANSMIT, 1.25 * INITIAL_RETRANSMIT))
 
-    def test_a_slow_name_service_is_followed_between_an_answer_and_the_next_question(self) -> None:
+    def test_with_a_slow_name_server_the_lease_holds_between_a_response_and_the_next_query(self) -> None:
         for asked in range(0, 5000, 500):
             self.list.asked(float(asked))
-            self.assertEqual(self.list.doubt(asked + 1.0 + GRACE / 2), Doubt.UNANSWERED)
+            self.assertEqual(self.list.stale_reason(asked + 1.0 + GRACE / 2), StaleReason.UNANSWERED)
             self.list.answered(asked + 400.0, float(asked), Verdict.CONFIRMED)
-            self.assertIsNone(self.list.doubt(asked + 500.0))
-        self.assertEqual(self.list.repeat_after(MEAN), REPEAT_MOST)
+            self.assertIsNone(self.list.stale_reason(asked + 500.0))
+        self.assertEqual(self.list.retransmit_after(MEAN), MAX_RETRANSMIT)
 
-    def test_a_name_service_that_is_quick_again_is_expected_to_be_quick(self) -> None:
+    def test_retransmission_adapts_to_a_name_server_that_is_fast_again(self) -> None:
         for number in range(10):
             self.list.asked(200.0 * number)
             self.list.answered(200.0 * number + 400.0, 200.0 * number, Verdict.CONFIRMED)
@@ -193,75 +197,75 @@
             self.list.asked(200.0 * number)
             self.list.answered(200.0 * number + 2.0, 200.0 * number, Verdict.CONFIRMED)
         self.list.asked(3400.0)
-        self.assertEqual(self.list.repeat_after(MEAN), REPEAT_LEAST)
-        self.assertEqual(self.list.doubt(3401.0 + GRACE / 2), Doubt.UNANSWERED)
+        self.assertEqual(self.list.retransmit_after(MEAN), MIN_RETRANSMIT)
+        self.assertEqual(self.list.stale_reason(3401.0 + GRACE / 2), StaleReason.UNANSWERED)
 
-    def test_the_times_of_many_questions_are_bounded_and_the_oldest_and_the_latest_are_kept(self) -> None:
-        self.ask_until(100_000)
-        self.assertEqual(len(self.list.open_since), MOST_OPEN)
-        self.assertEqual((self.list.open_since[0], self.list.open_since[-1]), (0.0, 100_000.0))
+    def test_send_times_are_bounded_and_the_oldest_and_latest_are_kept(self) -> None:
+        self.query_until(100_000)
+        self.assertEqual(len(self.list.unanswered_since), MAX_OPEN_QUERIES)
+        self.assertEqual((self.list.unanswered_since[0], self.list.unanswered_since[-1]), (0.0, 100_000.0))
 
-    def test_sockets_that_were_not_looked_at(self) -> None:
+    def test_the_lease_ends_while_sockets_are_not_polled(self) -> None:
         self.list.polled_at = lambda: 1000.0
         self.list.asked(1000.0)
-        self.assertTrue(self.list.followed(1000.0 + GRACE / 2))
-        self.assertFalse(self.list.followed(1001.0 + GRACE / 2))
+        self.assertTrue(self.list.may_be_followed(1000.0 + GRACE / 2))
+        self.assertFalse(self.list.may_be_followed(1001.0 + GRACE / 2))
 
-    def test_without_a_grace_in_the_settings_there_is_no_rule(self) -> None:
+    def test_without_a_drain_grace_the_list_may_always_be_followed(self) -> None:
         free = ListFreshness(0.0)
         free.polled_at = lambda: 0.0
         free.asked(0.0)
-        self.assertTrue(free.followed(60_000.0))
+        self.assertTrue(free.may_be_followed(60_000.0))
 
-    def test_a_process_that_stood_still_before_its_first_question(self) -> None:
+    def test_a_process_suspended_before_its_first_query(self) -> None:
         self.list.known(0.0)
-        self.assertFalse(self.list.followed(60_000.0))
+        self.assertFalse(self.list.may_be_followed(60_000.0))
         self.list.asked(60_000.0)
-        self.assertFalse(self.list.followed(60_000.0))
+        self.assertFalse(self.list.may_be_followed(60_000.0))
 
-    def test_the_list_of_a_start_may_be_some_time_old_when_it_is_read(self) -> None:
+    def test_the_initial_lease_allows_for_the_age_of_the_configuration(self) -> None:
         self.list.known(0.0)
-        self.assertTrue(self.list.followed(KNOWN_FOR))
-        self.assertEqual(self.list.doubt(KNOWN_FOR + 1.0), Doubt.UNASKED)
-        self.list.asked(KNOWN_FOR + 2.0)
-        self.assertEqual(self.list.doubt(KNOWN_FOR + 3.0), Doubt.UNASKED)
-        self.list.answered(KNOWN_FOR + 4.0, KNOWN_FOR + 2.0, Verdict.CONFIRMED)
-        self.assertTrue(self.list.followed(KNOWN_FOR + 4.0))
-
-    def test_an_older_list_settles_its_own_question_and_ends_the_row(self) -> None:
+        self.assertTrue(self.list.may_be_followed(INITIAL_LEASE))
+        self.assertEqual(self.list.stale_reason(INITIAL_LEASE + 1.0), StaleReason.UNASKED)
+        self.list.asked(INITIAL_LEASE + 2.0)
+        self.assertEqual(self.list.stale_reason(INITIAL_LEASE + 3.0), StaleReason.UNASKED)
+        self.list.answered(INITIAL_LEASE + 4.0, INITIAL_LEASE + 2.0, Verdict.CONFIRMED)
+        self.assertTrue(self.list.may_be_followed(INITIAL_LEASE + 4.0))
+
+    def test_an_older_list_settles_its_query_and_ends_the_run(self) -> None:
         self.confirm(0.0)
         self.list.asked(200.0)
-        self.answer_in_a_row(240.0, ROW - 1)
+        self.answer_consecutively(240.0, SETTLING_RESPONSES - 1)
         self.list.asked(450.0)
         self.list.answered(451.0, 450.0, Verdict.OLDER)
-        self.assertEqual(list(self.list.open_since), [200.0])
-        self.answer_in_a_row(460.0, ROW - 1)
-        self.assertEqual(self.list.doubt(700.0), Doubt.UNANSWERED)
-        self.answer_in_a_row(700.0, 1)
-        self.assertIsNone(self.list.doubt(710.0))
+        self.assertEqual(list(self.list.unanswered_since), [200.0])
+        self.answer_consecutively(460.0, SETTLING_RESPONSES - 1)
+        self.assertEqual(self.list.stale_reason(700.0), StaleReason.UNANSWERED)
+        self.answer_consecutively(700.0, 1)
+        self.assertIsNone(self.list.stale_reason(710.0))
 
-    def test_a_question_on_its_way_is_not_one_that_was_missed(self) -> None:
+    def test_a_pending_query_is_not_an_unsettled_one(self) -> None:
         self.confirm(0.0)
         self.list.asked(200.0)
-        self.assertFalse(self.list.is_settling())
-        self.answer_in_a_row(240.0, 1)
-        self.assertTrue(self.list.is_settling())
+        self.assertFalse(self.list.has_unsettled_query())
+        self.answer_consecutively(240.0, 1)
+        self.assertTrue(self.list.has_unsettled_query())
 
 
 class OfADispatcher(unittest.TestCase):
-    """What its answers and questions make of it."""
+    """The lease of a dispatcher with a simulated name server."""
 
-    def test_an_answer_with_a_bad_record_confirms_nothing(self) -> None:
+    def test_a_response_with_a_bad_record_confirms_nothing(self) -> None:
         world = World(self, engines=2)
         world.names_silent = True
         world.go(210)
         world.answer(2, ("s-0.east.hosts", "127.0.9.0:7001", 1, "cell=x"))
         self.assertEqual(world.count("names_bad"), 1)
         world.go(130)
-        freshness = world.service.link.rules.freshness
-        self.assertEqual(freshness.doubt(world.now()), Doubt.UNANSWERED)
+        freshness = world.service.adapter.rules.freshness
+        self.assertEqual(freshness.stale_reason(world.now()), StaleReason.UNANSWERED)
 
-    def test_a_list_that_was_old_when_the_dispatcher_could_start_waits_for_the_first_answer(self) -> None:
+    def test_a_list_that_is_stale_at_startup_is_used_after_the_first_responses(self) -> None:
         def wait(service: Service, world: World) -> None:
             world.names_silent = True
             world.reactor.advance(4.0)
@@ -272,22 +276,22 @@
         self.assertEqual(world.reactor.tcpClients, [])
         joined = ("s-1.east.hosts", "127.0.9.1:7001", 0, "kind=std cell=0 started=0")
         world.answer(2, joined)
-        world.go(AGREED)
+        world.go(LIST_CONFIRMED_MS)
         self.assertEqual(world.reactor.tcpClients, [])
         world.answer(2, joined)
-        world.go(AGREED)
+        world.go(LIST_CONFIRMED_MS)
         self.assertEqual(world.reactor.tcpClients, [])
         world.names_silent = False
-        world.go(SETTLED)
+        world.go(LIST_SETTLED_MS)
         self.assertEqual([client[0] for client in world.reactor.tcpClients], ["127.0.9.1"])
 
-    def test_an_answer_to_a_question_of_a_predecessor_is_foreign(self) -> None:
+    def test_a_response_to_a_query_of_a_predecessor_is_foreign(self) -> None:
         with patch("spurdeal.net.names.secrets.randbelow", side_effect=(7, 4000)):
             before, world = World(self), World(self)
         world.service.names.datagramReceived(names.answer(before.names[-1], 9), ("127.0.8.9", 5300))
         self.assertEqual((world.count("names_foreign"), world.service.names.number), (1, 1))
 
-    def test_an_answered_question_is_followed_by_the_next_at_the_usual_time(self) -> None:
+    def test_after_a_response_the_next_query_follows_at_the_usual_interval(self) -> None:
         world = World(self)
         before = world.count("names_asked")
         world.go(2000)
