--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1,4 +1,4 @@
-"""The dispatcher on sockets, from a client's bytes to an engine's and back, on in-memory transports."""
+"""End-to-end tests of the network side on in-memory transports: from clients to engines and back."""
 
 import gc
 import io
@@ -17,8 +17,17 @@
 from spurdeal.net.engines import Connection
 from spurdeal.net.logs import logger
 from spurdeal.net.start import Configuration, load_configuration, read_configuration
-from spurdeal.state import Submission
-from tests.helpers import AGREED, BASE, SETTINGS, SETTLED, Caller, World, configuration, started_process
+from spurdeal.state import Request
+from tests.helpers import (
+    BASE,
+    LIST_CONFIRMED_MS,
+    LIST_SETTLED_MS,
+    SETTINGS,
+    Caller,
+    World,
+    configuration,
+    started_process,
+)
 
 NETWORK = Network.of_this_process()
 ROW = b"a\t1\tx\n"
@@ -53,16 +62,16 @@
         caller.post(1)
         caller.post(2)
         peer = world.peer().up()
-        self.assertEqual([said[1] for said in peer.heard()], [f"{1:016x}"])
+        self.assertEqual([message[1] for message in peer.heard()], [f"{1:016x}"])
         peer.say(1, "200", "parts=1", ROW)
-        self.assertEqual([said[1] for said in peer.heard()], [f"{2:016x}"])
+        self.assertEqual([message[1] for message in peer.heard()], [f"{2:016x}"])
         peer.say(2, "200")
         self.assertEqual(
             [value for _, _, value in caller.answers()], [{"result": [["a", "1", "x"]]}, {"result": []}]
         )
 
     def test_what_proves_that_nothing_ran(self) -> None:
-        """Refused, never up, full and over let an irreversible one go again; all else breaks it off."""
+        """A non-idempotent request is retried after a failed dial, 503 or 504; anything else fails it."""
         for proof in ("refused", "not up", "503", "504"):
             with self.subTest(proof):
                 world = World(self, engines=2)
@@ -111,7 +120,7 @@
                 self.assertEqual(self.outcome(caller), BROKEN)
                 self.assertEqual(len(world.reactor.tcpClients), 1)
 
-    def test_a_lost_page_of_a_redoable_one_goes_again_elsewhere(self) -> None:
+    def test_a_lost_page_of_an_idempotent_request_is_retried_elsewhere(self) -> None:
         world = World(self, engines=2)
         caller = Caller(world)
         caller.post(1)
@@ -133,7 +142,9 @@
                 world.go(30)
                 self.assertEqual(self.outcome(caller), wanted)
                 self.assertEqual(peer.heard()[1:], [["cancel", f"{1:016x}"]])
-                peer.say(1, "200", "parts=2", ROW)  # it crossed: its pages are let go, and no answer follows
+                peer.say(
+                    1, "200", "parts=2", ROW
+                )  # crossed the cancel: its pages are released, and no answer follows
                 self.assertEqual((peer.heard(), caller.answers()), ([["release", f"{1:016x}"]], []))
 
     def test_a_client_that_leaves_is_withdrawn(self) -> None:
@@ -142,17 +153,17 @@
         caller.post(1)
         peer = world.peer().up()
         caller.leave()
-        self.assertEqual([said[0] for said in peer.heard()], ["serve", "cancel"])
+        self.assertEqual([message[0] for message in peer.heard()], ["serve", "cancel"])
         caller = Caller(world)
         caller.post(2)
         other.say(b"DELETE /ops/lookup/%016x HTTP/1.1\r\n\r\n" % 2)
-        self.assertEqual([said[0] for said in peer.heard()], ["serve", "cancel"])
+        self.assertEqual([message[0] for message in peer.heard()], ["serve", "cancel"])
         self.assertEqual((other.answers()[0][0], caller.answers()), (200, []))
         self.assertTrue(caller.pipe.disconnecting)
         other.say(b"DELETE /ops/lookup/%016x HTTP/1.1\r\n\r\n" % 2)
         self.assertEqual((other.answers()[0][0], world.count("withdrawn")), (404, 2))
 
-    def test_a_client_that_leaves_before_its_turn_costs_nothing(self) -> None:
+    def test_a_client_that_leaves_before_its_batch_costs_nothing(self) -> None:
         world = World(self)
         kept, caller = Caller(world), Caller(world)
         kept.post(1)
@@ -160,9 +171,9 @@
         head = b"POST /ops/lookup HTTP/1.1\r\nReq-Id: %016x\r\nReq-Wait-Ms: 900\r\n\r\n" % 2
         caller.protocol.dataReceived(head)
         caller.leave()
-        link = world.service.link
+        adapter = world.service.adapter
         self.assertEqual(len(peer.heard()), 1)
-        self.assertEqual((list(link.taken), link.rules.engines[0].threads), ([0], 1))
+        self.assertEqual((list(adapter.open_requests), adapter.rules.engines[0].in_flight_threads), ([0], 1))
 
     def test_bad_messages_cost_their_connection_only(self) -> None:
         world = World(self)
@@ -201,9 +212,8 @@
             self.assertEqual(caller.answers()[0][0], status)
         self.assertFalse(caller.pipe.disconnecting)
 
-    def test_slow_endless_and_silent_clients_are_let_go(self) -> None:
-        """Each is owed an error or an end within three seconds of its last word; one that brought something
-        may stay."""
+    def test_slow_endless_and_silent_clients_are_disconnected(self) -> None:
+        """Each gets an error or is closed within three seconds of its last byte, unless it sent a request."""
         world = World(self)
         half, slow, silent, asked, served, unread, ahead = (Caller(world) for _ in range(7))
         half.say(b"POST /ops/lookup HTT")
@@ -231,9 +241,11 @@
         world.go(5000)
         self.assertTrue(unread.pipe.aborted)
 
-    def test_a_full_door_closes_and_opens(self) -> None:
+    def test_accepting_pauses_at_the_connection_limit_and_resumes(self) -> None:
         world = World(self)
-        world.service.clients.bound(most=33, accepts=2, memory_mb=64.0)  # eviction begins at 32
+        world.service.clients.set_limits(
+            max_connections=33, accepts=2, memory_mb=64.0
+        )  # eviction begins at 32
         served = Caller(world)
         served.post(98)
         world.peer().up().say(98, "200", "parts=1", ROW)
@@ -242,34 +254,36 @@
         for ident, caller in enumerate(callers[1:]):
             caller.post(ident)
         world.go(30)
-        Caller(world).post(99)  # one that has brought nothing makes room
-        self.assertTrue(callers[0].pipe.disconnecting and world.door.open)
+        Caller(world).post(99)  # a connection without a request is evicted
+        self.assertTrue(callers[0].pipe.disconnecting and world.listener.open)
         self.assertFalse(served.pipe.disconnecting)
         callers[0].leave()
         Caller(world).post(100)
-        self.assertTrue(served.pipe.disconnecting and world.door.open)
+        self.assertTrue(served.pipe.disconnecting and world.listener.open)
         served.leave()
         Caller(world).post(101)
-        self.assertTrue(world.door.open)
+        self.assertTrue(world.listener.open)
         Caller(world).post(102)  # all are busy
-        self.assertFalse(world.door.open)
+        self.assertFalse(world.listener.open)
         callers[1].leave()
-        self.assertTrue(world.door.open)
+        self.assertTrue(world.listener.open)
 
-    def test_each_trip_on_a_connection_of_its_own_while_descriptors_last(self) -> None:
-        """One that is spoilt takes down what is out on it, and costs its engine one strike."""
+    def test_each_attempt_gets_its_own_connection_while_descriptors_last(self) -> None:
+        """A failed connection fails its attempts, but raises the failure score of its engine only once."""
         world = World(self, engines=2, limits={"sockets": 10})  # four connections, two an engine
         callers = [Caller(world) for _ in range(6)]
         for ident, caller in enumerate(callers):
             caller.post(ident)
         peers = [world.peer(place).up() for place in range(4)]
         self.assertEqual(sorted(len(peer.heard()) for peer in peers), [1, 1, 2, 2])
-        crowded = max(peers, key=lambda peer: len(peer.protocol.trips))
-        for ident in [trip.ident for trip in crowded.protocol.trips.values()][1:]:
+        crowded = max(peers, key=lambda peer: len(peer.protocol.attempts))
+        for ident in [attempt.ident for attempt in crowded.protocol.attempts.values()][1:]:
             crowded.say(int(ident, 16), "200")
         crowded.raw(b"nonsense\r\n")
         self.assertEqual([len(caller.answers()) for caller in callers].count(1), 1)
-        self.assertEqual(max(engine.strikes for engine in world.service.link.rules.engines.values()), 0.5)
+        self.assertEqual(
+            max(engine.failure_score for engine in world.service.adapter.rules.engines.values()), 0.5
+        )
         world.go(21_000)
         self.assertTrue(all(peer.pipe.disconnecting for peer in peers))  # idle for half of the engines' time
 
@@ -288,7 +302,7 @@
         self.assertEqual(self.outcome(caller), (200, [["a", "1", "x"], ["b", "1", "x"], ["c", "1", "x"]]))
         self.assertEqual((peer.heard(), peer.pipe.aborted), ([["release", f"{1:016x}"]], False))
 
-    def test_an_answer_that_stops_short_is_not_waited_for(self) -> None:
+    def test_an_incomplete_answer_times_out(self) -> None:
         world = World(self, engines=2)
         caller = Caller(world)
         caller.post(1)
@@ -310,12 +324,12 @@
             world.list(serial, (f"s-{serial}.east.hosts", "127.0.9.1:7001", 0, "kind=std cell=0 started=0"))
             peer.lose()
         world.go(6000)
-        link = world.service.link
-        kept = (link.index.places, link.rules.engines, link.engines.engines)
+        adapter = world.service.adapter
+        kept = (adapter.index.places, adapter.rules.engines, adapter.engines.engines)
         self.assertEqual([len(engines) for engines in kept], [1, 1, 1])
 
-    def test_what_has_ended_needs_no_collector(self) -> None:
-        """Rings of objects outlive their use until a collection, and look like memory that leaks."""
+    def test_finished_objects_form_no_reference_cycles(self) -> None:
+        """Reference cycles keep objects until a garbage collection, which looks like a memory leak."""
         world = World(self)
         gc.collect()
         gc.disable()
@@ -334,16 +348,16 @@
             world.reactor.tcpClients.clear()
 
         one_round()
-        left = [thing for thing in gc.get_objects() if isinstance(thing, (Submission, Connection))]
+        left = [thing for thing in gc.get_objects() if isinstance(thing, (Request, Connection))]
         self.assertEqual(left, [])
 
-    def test_a_connection_gone_silent_gets_nothing_more(self) -> None:
-        """A machine cut off: the next trip dials anew, and that it never comes up proves that nothing ran."""
+    def test_a_silent_connection_gets_no_further_attempts(self) -> None:
+        """The machine is unreachable: the next attempt dials; its connect timeout proves that nothing ran."""
         world = World(self)
         Caller(world).post(1, wait=1000)
         peer = world.peer().up()
         world.go(1000)
-        self.assertEqual([said[0] for said in peer.heard()], ["serve", "cancel"])
+        self.assertEqual([message[0] for message in peer.heard()], ["serve", "cancel"])
         load = Caller(world)
         load.post(2, "load", wait=1000)
         self.assertEqual((len(world.reactor.tcpClients), peer.heard()), (2, []))
@@ -352,16 +366,16 @@
         world.go(1000)
         self.assertEqual(self.outcome(load), SHED)
 
-    def test_an_answer_that_the_rules_owe_is_given_for_them(self) -> None:
+    def test_an_overdue_answer_is_given_without_the_rules(self) -> None:
         world = World(self)
-        link, faults = world.service.link, list[str]()
+        adapter, faults = world.service.adapter, list[str]()
 
         def must(holds: object, what: str) -> bool:
             faults.extend([] if holds else [what])
             return bool(holds)
 
-        link.counters.must = must  # type: ignore[method-assign]
-        link.rules.submitted = lambda *_: None  # type: ignore[method-assign]
+        adapter.counters.check_invariant = must  # type: ignore[method-assign]
+        adapter.rules.request_received = lambda *_: None  # type: ignore[method-assign]
         caller = Caller(world)
         caller.post(1, wait=1000)
         world.go(975)
@@ -372,19 +386,19 @@
     def test_reports_and_priorities(self) -> None:
         report = {"report": {"how": "piggyback", "fields": ["q", "rif"]}}
         world = World(self, settings=SETTINGS | report)
-        link = world.service.link
+        adapter = world.service.adapter
         Caller(world).post(1)
         peer = world.peer().up()
-        link.terms(0, 0.0, 2)
+        adapter.terms(0, 0.0, 2)
         world.go(60)
         self.assertEqual(peer.heard()[1:], [["weigh", f"{1:016x}", "2"]])
         peer.say(1, "200", "parts=1,stats=rif:9;q:0")
-        self.assertEqual(link.rules.all, 10.0)
+        self.assertEqual(adapter.rules.fleet_in_flight, 10.0)
         Caller(world).post(2)
-        peer.say(2, "200", "parts=1,stats=q:0")  # one is missing: no report
+        peer.say(2, "200", "parts=1,stats=q:0")  # a field is missing: no report
         Caller(world).post(3)
         peer.say(3, "200", "parts=1,stats=rif:nan;q:0")
-        self.assertEqual((link.rules.all, peer.pipe.aborted), (10.0, True))
+        self.assertEqual((adapter.rules.fleet_in_flight, peer.pipe.aborted), (10.0, True))
 
     def test_a_late_start_of_a_call_has_its_own_time(self) -> None:
         world = World(self)
@@ -396,39 +410,44 @@
 
     def test_engines_of_the_list(self) -> None:
         world = World(self, engines=2)
-        seat = ("s-{}.east.hosts", "127.0.9.{}:7001", 0, "kind=std cell=0 started={}")
+        endpoint = ("s-{}.east.hosts", "127.0.9.{}:7001", 0, "kind=std cell=0 started={}")
 
         def at(number: int, priority: int = 0, started: int = 0) -> tuple[str, str, int, str]:
-            return (seat[0].format(number), seat[1].format(number), priority, seat[3].format(started))
+            return (
+                endpoint[0].format(number),
+                endpoint[1].format(number),
+                priority,
+                endpoint[3].format(started),
+            )
 
-        world.list(0, at(0))  # overtaken by what is known
-        self.assertEqual(set(world.service.link.seats), {"s-0", "s-1"})
-        world.go(SETTLED)
+        world.list(0, at(0))  # older than the current list
+        self.assertEqual(set(world.service.adapter.endpoints), {"s-0", "s-1"})
+        world.go(LIST_SETTLED_MS)
         world.list(3, at(0, priority=1), at(1))
         for ident in range(3):
             Caller(world).post(ident)
         peers = [world.peer(place).up() for place in range(3)]
         self.assertEqual({peer.host for peer in peers}, {"127.0.9.1"})
         world.list(4, ("s-5.east.hosts", "127.0.9.1:7001", 0, "kind=std cell=0 started=0"))
-        self.assertFalse(peers[0].pipe.disconnecting)  # gone, yet its trips may still end
+        self.assertFalse(peers[0].pipe.disconnecting)  # gone, but its attempts may still finish
         for ident, peer in enumerate(peers):
             peer.say(ident, "200")
             self.assertTrue(peer.pipe.disconnecting)
-        world.go(AGREED)
+        world.go(LIST_CONFIRMED_MS)
         Caller(world).post(7)
         self.assertEqual(world.peer(3).host, "127.0.9.1")  # another engine there: a new connection
         again = world.peer(3).up()
         world.go(300)
         started = int(BASE + world.reactor.seconds() * 1000)
         world.list(5, ("s-5.east.hosts", "127.0.9.1:7001", 0, f"kind=std cell=0 started={started}"))
-        self.assertTrue(again.pipe.aborted)  # the process that it led to is no more
+        self.assertTrue(again.pipe.aborted)  # it led to a process that has ended
         foreign = world.count("names_foreign")
         world.service.names.datagramReceived(b"\0\0nonsense", ("127.0.8.9", 5300))
         world.service.names.datagramReceived(world.names[-1], ("127.0.8.7", 5300))
         self.assertEqual(world.count("names_foreign"), foreign + 2)
         world.list(9, at(1), flags=0x8402)
         world.list(9, ("s-1.east.hosts", "127.0.9.1:7001", 0, "cell=0"))
-        self.assertEqual((world.count("names_bad"), set(world.service.link.seats)), (2, {"s-5"}))
+        self.assertEqual((world.count("names_bad"), set(world.service.adapter.endpoints)), (2, {"s-5"}))
 
     def test_nothing_dialled_for_is_sent_after_a_drain(self) -> None:
         world = World(self)
@@ -437,7 +456,7 @@
         world.list(2, ("s-0.east.hosts", "127.0.9.0:7001", 1, "kind=std cell=0 started=0"))
         self.assertEqual(world.peer().up().heard(), [])
 
-    def test_a_planned_stop_answers_all_first(self) -> None:
+    def test_a_graceful_shutdown_answers_all_requests_first(self) -> None:
         world = World(self)
         lookup, load, late = (Caller(world) for _ in range(3))
         lookup.post(1)
@@ -474,31 +493,33 @@
         caller = Caller(world)
         caller.post(1)
         told = read_configuration(json.dumps(configuration(1, nameserver="127.0.8.10:5301")))
-        world.service.read_again(lambda: told)
+        world.service.reload_configuration(lambda: told)
         self.assertEqual(world.asked[-1], ("127.0.8.10", 5301))
-        seat = ("s-1.east.hosts", "127.0.9.1:7001", 0, "kind=std cell=0 started=0")
-        world.list(2, seat)  # the old one answers no more
-        self.assertEqual(set(world.service.link.seats), {"s-0"})
-        world.list(2, seat, source=("127.0.8.10", 5301))
-        self.assertEqual(set(world.service.link.seats), set())
-        world.go(AGREED)
-        self.assertEqual(set(world.service.link.seats), {"s-1"})
+        endpoint = ("s-1.east.hosts", "127.0.9.1:7001", 0, "kind=std cell=0 started=0")
+        world.list(2, endpoint)  # from the old name service: ignored
+        self.assertEqual(set(world.service.adapter.endpoints), {"s-0"})
+        world.list(2, endpoint, source=("127.0.8.10", 5301))
+        self.assertEqual(set(world.service.adapter.endpoints), set())
+        world.go(LIST_CONFIRMED_MS)
+        self.assertEqual(set(world.service.adapter.endpoints), {"s-1"})
 
         def unusable() -> Configuration:
             return load_configuration("/nowhere/config.json")
 
-        world.service.read_again(unusable)
+        world.service.reload_configuration(unusable)
         self.assertIn("event=configuration_kept", world.log.getvalue())
         self.assertEqual(world.service.names.address, ("127.0.8.10", 5301))
         world.peer(1).up().say(1, "200", "parts=1", ROW)
         self.assertEqual(self.outcome(caller), (200, [["a", "1", "x"]]))
 
-    def test_newer_events_and_limits_of_a_new_configuration(self) -> None:
+    def test_a_new_configuration_applies_its_list_and_limits(self) -> None:
         world = World(self)
         more = configuration(2, limits={"sockets": 8})
         more["known"]["no"] = more["known"]["items"][0]["no"] = 9
-        world.service.read_again(lambda: read_configuration(json.dumps(more)))
-        self.assertEqual((set(world.service.link.seats), world.service.names.number), ({"s-0", "s-1"}, 9))
+        world.service.reload_configuration(lambda: read_configuration(json.dumps(more)))
+        self.assertEqual(
+            (set(world.service.adapter.endpoints), world.service.names.number), ({"s-0", "s-1"}, 9)
+        )
         for ident in range(8):
             Caller(world).post(ident)
         self.assertEqual(len(world.reactor.tcpClients), 3)
@@ -513,14 +534,17 @@
             out.getvalue().split(" ", 1)[1], 'level=info event=ready a=1.2 b="x \\"y\\"\\n" c=""\n'
         )
 
-    def test_what_must_hold_is_asserted_or_counted(self) -> None:
-        text = "from spurdeal.net.counters import Counters as C; c = C(); print(c.must(0, 'it'), c.figures())"
-        said = [
+    def test_a_violated_invariant_is_asserted_or_counted(self) -> None:
+        text = (
+            "from spurdeal.net.counters import Counters as C; c = C(); "
+            "print(c.check_invariant(0, 'it'), c.figures())"
+        )
+        runs = [
             subprocess.run([sys.executable, *flags, "-c", text], capture_output=True, text=True, check=False)
             for flags in ([], ["-O"])
         ]
-        self.assertIn("AssertionError: it", said[0].stderr)
-        self.assertEqual(said[1].stdout, "False {'must_it': 1}\n")
+        self.assertIn("AssertionError: it", runs[0].stderr)
+        self.assertEqual(runs[1].stdout, "False {'must_it': 1}\n")
 
 
 class Start(unittest.TestCase):
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -1,13 +1,13 @@
-"""The parsers: every split, and what cannot be used."""
+"""Parsers: input split at every byte, and malformed input."""
 
 import struct
 import unittest
 
 from spurdeal.lab.names import answer as name_answer
 from spurdeal.net import dns
-from spurdeal.net.http import LARGEST_BODY, LARGEST_HEAD, BadMessage, RequestParser
-from spurdeal.net.resp import LARGEST_PART, MOST_PARTS, ArrayParser, BadAnswer, command
-from spurdeal.net.statement import NO_GROUP, group_of
+from spurdeal.net.http import MAX_BODY_SIZE, MAX_HEAD_SIZE, BadRequest, RequestParser
+from spurdeal.net.resp import MAX_PART_BYTES, MAX_PARTS, ArrayParser, BadAnswer, command
+from spurdeal.net.statement import NO_GROUP, table_group
 
 POST = b"POST /ops/report HTTP/1.1\r\nHost: o\r\nReq-Id:  9b1f \t\r\nContent-Length: 5\r\n\r\nab\r\nc"
 GET = b"GET /alive HTTP/1.1\r\n\r\n"
@@ -32,9 +32,9 @@
         for place in range(len(POST)):
             parser.feed(POST[place : place + 1])
             found += parser.take() is not None
-        self.assertEqual((found, parser.left()), (1, 0))
+        self.assertEqual((found, parser.remaining()), (1, 0))
 
-    def test_what_cannot_be_used(self) -> None:
+    def test_malformed_input(self) -> None:
         for text, status in (
             (b"GET /a\r\n\r\n", 400),
             (b"GET  / HTTP/1.1\r\n\r\n", 400),
@@ -49,26 +49,26 @@
             (b"POST / HTTP/1.1\r\nContent-Length: -1\r\n\r\n", 400),
             (b"POST / HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nab", 400),
             (b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400),
-            (b"POST / HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % (LARGEST_BODY + 1), 413),
+            (b"POST / HTTP/1.1\r\nContent-Length: %d\r\n\r\n" % (MAX_BODY_SIZE + 1), 413),
             (b"POST / HTTP/1.1\r\nContent-Length: 99999999999999999999\r\n\r\n", 413),
-            (b"GET / HTTP/1.1\r\nA: " + b"a" * LARGEST_HEAD + b"\r\n\r\n", 431),
-            (b"a" * LARGEST_HEAD, 431),
+            (b"GET / HTTP/1.1\r\nA: " + b"a" * MAX_HEAD_SIZE + b"\r\n\r\n", 431),
+            (b"a" * MAX_HEAD_SIZE, 431),
             (b"GET / HTTP/1.1\r\nA:" + b" \t" * 4000 + b"\0\r\n\r\n", 400),
         ):
             with self.subTest(text[:40]):
                 parser = RequestParser()
                 parser.feed(text)
-                with self.assertRaises(BadMessage) as caught:
+                with self.assertRaises(BadRequest) as caught:
                     parser.take()
                 self.assertEqual(caught.exception.status, status)
 
     def test_the_largest_body_and_a_closing_call(self) -> None:
         parser = RequestParser()
-        parser.feed(b"POST / HTTP/1.1\r\nConnection: Close\r\nContent-Length: %d\r\n\r\n" % LARGEST_BODY)
-        parser.feed(b"x" * LARGEST_BODY)
+        parser.feed(b"POST / HTTP/1.1\r\nConnection: Close\r\nContent-Length: %d\r\n\r\n" % MAX_BODY_SIZE)
+        parser.feed(b"x" * MAX_BODY_SIZE)
         taken = parser.take()
         assert taken is not None
-        self.assertEqual((len(taken[3]), taken[4]), (LARGEST_BODY, False))
+        self.assertEqual((len(taken[3]), taken[4]), (MAX_BODY_SIZE, False))
 
 
 class Resp(unittest.TestCase):
@@ -90,15 +90,15 @@
             found += parser.take() is not None
         self.assertEqual(found, 3)
 
-    def test_what_cannot_be_used(self) -> None:
+    def test_malformed_input(self) -> None:
         for text in (
             b"+OK\r\n",
             b"*x\r\n",
             b"*-1\r\n",
-            b"*%d\r\n" % (MOST_PARTS + 1),
+            b"*%d\r\n" % (MAX_PARTS + 1),
             b"*1\r\n:5\r\n",
             b"*1\r\n$-1\r\n",
-            b"*1\r\n$%d\r\n" % (LARGEST_PART + 1),
+            b"*1\r\n$%d\r\n" % (MAX_PART_BYTES + 1),
             b"*1\r\n$2\r\nabc\r\n",
             b"*" + b"1" * 20,
             b"*1\r\n$" + b"0" * 20,
@@ -112,14 +112,14 @@
 
 
 class Dns(unittest.TestCase):
-    ASKED = dns.question(7, "_api._tcp.svc.local", dns.SRV)
-    SEATS = (
+    ASKED = dns.encode_query(7, "_api._tcp.svc.local", dns.SRV)
+    ENDPOINTS = (
         ("s-1.east.hosts", "10.1.0.9:7001", 0, "kind=std cell=2 started=0"),
         ("s-2.east.hosts", "10.1.0.8:7002", 1, "kind=std cell=3 started=9"),
     )
 
     def read(self, datagram: bytes, ident: int = 7) -> object:
-        return dns.read_answer(datagram, ident, "_api._tcp.svc.local", dns.SRV)
+        return dns.decode_response(datagram, ident, "_api._tcp.svc.local", dns.SRV)
 
     def test_compressed_or_not(self) -> None:
         wanted = (
@@ -133,25 +133,25 @@
         )
         sizes = set()
         for compressed in (True, False):
-            datagram = name_answer(self.ASKED, 41, *self.SEATS, compressed=compressed)
+            datagram = name_answer(self.ASKED, 41, *self.ENDPOINTS, compressed=compressed)
             sizes.add(len(datagram))
             self.assertEqual(self.read(datagram), wanted)
         self.assertEqual(len(sizes), 2)
 
     def test_an_answer_of_8000_bytes(self) -> None:
-        seats = [
+        endpoints = [
             (f"s-{n}.east.hosts", f"10.1.{n >> 8}.{n & 255}:7001", 0, "kind=std cell=2 started=0")
             for n in range(75)
         ]
-        datagram = name_answer(self.ASKED, 41, *seats, compressed=False)
+        datagram = name_answer(self.ASKED, 41, *endpoints, compressed=False)
         self.assertGreater(len(datagram), 7800)
         answer = self.read(datagram)
         assert isinstance(answer, tuple)
         self.assertEqual(len(answer[1]), 75)
 
-    def test_every_cut_and_every_changed_byte(self) -> None:
-        """Whatever comes, the reader ends, and says so or answers."""
-        datagram = name_answer(self.ASKED, 41, *self.SEATS)
+    def test_every_truncation_and_every_changed_byte(self) -> None:
+        """The parser terminates on any datagram, with a result or with BadDatagram."""
+        datagram = name_answer(self.ASKED, 41, *self.ENDPOINTS)
         for place in range(len(datagram)):
             if place < dns.HEADER.size:
                 with self.assertRaises(dns.BadDatagram):
@@ -165,12 +165,12 @@
                         continue
 
     def test_foreign_refused_and_looping(self) -> None:
-        datagram = name_answer(self.ASKED, 41, *self.SEATS)
+        datagram = name_answer(self.ASKED, 41, *self.ENDPOINTS)
         self.assertIsNone(self.read(datagram, 8))
         self.assertIsNone(self.read(self.ASKED))
-        other = dns.question(7, "_api._tcp.svc.locas", dns.SRV)
+        other = dns.encode_query(7, "_api._tcp.svc.locas", dns.SRV)
         self.assertIsNone(self.read(name_answer(self.ASKED, 1).replace(self.ASKED[12:-4], other[12:-4])))
-        for flags in (0x8403, 0x8600):  # no such name; cut short
+        for flags in (0x8403, 0x8600):  # NXDOMAIN; truncated
             with self.assertRaises(dns.BadDatagram):
                 self.read(name_answer(self.ASKED, 41, flags=flags))
         loop = struct.pack("!6H", 7, 0x8400, 1, 0, 0, 0) + struct.pack("!H", 0xC000 | 12)
@@ -221,8 +221,8 @@
             ("\xff\0;..,", NO_GROUP),
         ):
             with self.subTest(text):
-                self.assertEqual(group_of(text.encode()), group)
+                self.assertEqual(table_group(text.encode()), group)
 
-    def test_long_nonsense_ends_soon(self) -> None:
+    def test_long_malformed_statements_end_soon(self) -> None:
         for text in ("'" * 65535, "$a" * 32000, "/*" * 32000, '"' * 65535, "e'\\" * 20000, "(" * 65000):
-            self.assertEqual(group_of(text.encode()), NO_GROUP)
+            self.assertEqual(table_group(text.encode()), NO_GROUP)
--- a/tests/test_request_log.py
+++ b/tests/test_request_log.py
@@ -1,11 +1,11 @@
-"""What the log and the counters tell of requests, of engines' states, of discovery and the wall clock."""
+"""Log lines and counters of requests, engine states, discovery and the wall clock."""
 
 import io
 import unittest
 
 from spurdeal.interface import EndReason
 from spurdeal.net.counters import Counters
-from spurdeal.net.limited_log import MOST_LINES, WINDOW, LimitedLog
+from spurdeal.net.limited_log import MAX_LINES, WINDOW, LimitedLog
 from spurdeal.net.logs import logger
 from spurdeal.net.wall_clock import WallClockWatch
 from tests.helpers import Caller, World
@@ -14,7 +14,7 @@
 
 
 class Lines(unittest.TestCase):
-    """Lines of a dispatcher on transports in memory."""
+    """Log lines of a dispatcher on in-memory transports."""
 
     def lines(self, world: World, event: str) -> list[str]:
         return [line for line in world.log.getvalue().splitlines() if f"event={event} " in line]
@@ -76,15 +76,15 @@
 
 
 class Bounds(unittest.TestCase):
-    """Very many lines of one event cost few."""
+    """The rate limit of log lines."""
 
     def test_lines_over_the_bound_are_counted(self) -> None:
         stream, now = io.StringIO(), [0.0]
         log = LimitedLog(logger("n1", stream), lambda: now[0])
-        for _ in range(MOST_LINES + 5):
+        for _ in range(MAX_LINES + 5):
             log.write("one")
         log.write("other")
-        self.assertEqual(stream.getvalue().count("event=one"), MOST_LINES)
+        self.assertEqual(stream.getvalue().count("event=one"), MAX_LINES)
         self.assertEqual(stream.getvalue().count("event=other"), 1)
         now[0] = WINDOW
         log.write("one")
@@ -92,7 +92,7 @@
 
 
 class WallClock(unittest.TestCase):
-    """Steps of the wall clock are told and counted; its slow drift is not."""
+    """Steps of the wall clock are logged and counted; slow drift is not."""
 
     def test_steps_either_way(self) -> None:
         wall, steady, counters, stream = [1e12], [5.0], Counters(), io.StringIO()
--- a/tests/test_review_findings.py
+++ b/tests/test_review_findings.py
@@ -5,9 +5,9 @@
 
 from spurdeal.interface import Life, Verdict
 from spurdeal.lab import names
-from spurdeal.list_agreement import RENUMBERED_AFTER, Agreement, judged, same_use
-from spurdeal.list_freshness import ROW, TOLD_WITHIN, ListFreshness
-from spurdeal.net.engine_list import Seat
+from spurdeal.list_agreement import RENUMBERED_AFTER, Agreement, assess, same_use
+from spurdeal.list_freshness import PROPAGATION_LIMIT, SETTLING_RESPONSES, ListFreshness
+from spurdeal.net.engine_list import Endpoint
 from tests.helpers import World
 
 GRACE, SLACK = 250.0, 50.0  # ms, as the settings and the protocol page have them
@@ -50,19 +50,19 @@
 
     def settle(self) -> None:
         """The name service answers each question at once, until the list is followed."""
-        for _ in range(2 * ROW):
+        for _ in range(2 * SETTLING_RESPONSES):
             self.next_question()
             self.told(1, ALL_READY, -1)
-        self.assertTrue(self.followed())
+        self.assertTrue(self.may_be_followed())
 
-    def followed(self) -> bool:
+    def may_be_followed(self) -> bool:
         """Whether requests may be sent by the list."""
-        return self.world.service.link.rules.freshness.followed(self.world.now())
+        return self.world.service.adapter.rules.freshness.may_be_followed(self.world.now())
 
     def may_get(self, place: int) -> bool:
         """Whether an attempt at that engine may begin now."""
-        seat = self.world.service.link.seats.get(f"s-{place}")
-        return self.followed() and seat is not None and seat.life == Life.READY
+        endpoint = self.world.service.adapter.endpoints.get(f"s-{place}")
+        return self.may_be_followed() and endpoint is not None and endpoint.life == Life.READY
 
     def check_never_sent(
         self, place: int, sent: float, until: float, serial: int, lag: tuple[Record, ...]
@@ -86,14 +86,14 @@
         sent = self.next_question()  # answered with 3, in which s-1 drains: lost
         self.next_question()
         self.told(2, ALL_READY, -1)  # newer than 1, and older than what was sent
-        self.check_never_sent(1, sent, sent + TOLD_WITHIN, 2, ALL_READY)
+        self.check_never_sent(1, sent, sent + PROPAGATION_LIMIT, 2, ALL_READY)
 
     def test_a_number_that_is_too_high_settles_no_question(self) -> None:
         self.settle()
         sent = self.next_question()  # answered with 2, in which s-1 drains: lost
         self.next_question()
         self.told(1000, ALL_READY, -1)
-        while self.world.now() < sent + TOLD_WITHIN:  # nothing more arrives
+        while self.world.now() < sent + PROPAGATION_LIMIT:  # nothing more arrives
             self.world.go(5)
             if self.world.now() > sent + GRACE + SLACK:
                 self.assertFalse(self.may_get(1), f"{self.world.now() - sent:.0f} ms after it was told")
@@ -101,7 +101,7 @@
     def test_lagging_answers_in_a_row_settle_no_question_while_a_replica_may_lag(self) -> None:
         self.settle()
         sent = self.next_question()  # answered with 2, in which s-1 drains: lost
-        self.check_never_sent(1, sent, sent + TOLD_WITHIN, 1, ALL_READY)
+        self.check_never_sent(1, sent, sent + PROPAGATION_LIMIT, 1, ALL_READY)
 
 
 class Stalled(Answered):
@@ -119,7 +119,7 @@
 
         with patch.object(World, "sendto", staticmethod(slow_write)):
             self.next_question()  # answered at once with 2, in which s-1 drains: lost, as what follows
-            while self.world.now() < sent[0] + TOLD_WITHIN:
+            while self.world.now() < sent[0] + PROPAGATION_LIMIT:
                 if self.world.now() > sent[0] + GRACE + SLACK:
                     self.assertFalse(
                         self.may_get(1), f"{self.world.now() - sent[0]:.0f} ms after it was told"
@@ -148,7 +148,7 @@
         self.next_question()
         self.told(1000, ALL_READY, -1)
         self.told(2, ONE_DRAINS, -2)
-        while self.world.now() < sent + TOLD_WITHIN:  # nothing more arrives
+        while self.world.now() < sent + PROPAGATION_LIMIT:  # nothing more arrives
             self.world.go(5)
             if self.world.now() > sent + GRACE + SLACK:
                 self.assertFalse(self.may_get(1), f"{self.world.now() - sent:.0f} ms after it was told")
@@ -158,13 +158,13 @@
     """Peers tell lists too."""
 
     def test_a_number_that_is_too_high_hides_no_drain(self) -> None:
-        self.world.service.names.numbers_shared = True
+        self.world.service.names.peers_share_lists = True
         self.settle()
         self.next_question()
         self.told(1000, ALL_READY, -1)
         sent = self.next_question()
         self.told(2, ONE_DRAINS, -1)
-        self.check_never_sent(1, sent, sent + 2 * TOLD_WITHIN, 2, ONE_DRAINS)
+        self.check_never_sent(1, sent, sent + 2 * PROPAGATION_LIMIT, 2, ONE_DRAINS)
 
 
 class Slow(Answered):
@@ -183,7 +183,7 @@
             while due and due[0][0] <= self.world.now():
                 self.told(1, ALL_READY, due.pop(0)[1])
             if self.world.now() > began + 2000.0:
-                looks.append(self.followed())
+                looks.append(self.may_be_followed())
         return sum(looks) / len(looks)
 
     def test_a_list_whose_answers_all_come_within_the_grace_is_followed_most_of_the_time(self) -> None:
@@ -205,26 +205,26 @@
         freshness.known(read)
         freshness.asked(read + 900.0)
         for passed in range(900, 2000, 5):
-            if read + passed > drained + TOLD_WITHIN + GRACE + SLACK:
-                self.assertFalse(freshness.followed(read + passed), passed)
+            if read + passed > drained + PROPAGATION_LIMIT + GRACE + SLACK:
+                self.assertFalse(freshness.may_be_followed(read + passed), passed)
 
 
-def seat(ident: str, life: Life = Life.READY, started: float = 0.0) -> Seat:
+def endpoint(ident: str, life: Life = Life.READY, started: float = 0.0) -> Endpoint:
     """One engine."""
-    return Seat(ident, "127.0.9.1", 7001, "east", "std", 0, life, 1.0, started)
+    return Endpoint(ident, "127.0.9.1", 7001, "east", "std", 0, life, 1.0, started)
 
 
 class Agreeing(unittest.TestCase):
     def setUp(self) -> None:
         self.now = 0.0
-        self.agreement = Agreement.of(5, {"a": seat("a"), "b": seat("b")})
+        self.agreement = Agreement.of(5, {"a": endpoint("a"), "b": endpoint("b")})
 
-    def answer(self, number: int, *seats: Seat) -> Verdict:
+    def answer(self, number: int, *endpoints: Endpoint) -> Verdict:
         """One answer, 40 ms behind the last."""
         self.now += 40.0
-        listed = {each.ident: each for each in seats}
-        found = judged(self.agreement, number, listed, self.now - 1.0, self.now)
-        self.agreement, self.is_settled = found.agreement, found.is_settled
+        listed = {each.ident: each for each in endpoints}
+        found = assess(self.agreement, number, listed, self.now - 1.0, self.now)
+        self.agreement, self.covers_serving = found.agreement, found.covers_serving
         return found.verdict
 
     def life(self, ident: str) -> Life | None:
@@ -232,39 +232,39 @@
         return self.agreement.in_force[ident].life if ident in self.agreement.in_force else None
 
     def test_a_change_during_the_hold_after_a_renumbering_releases_nothing_early(self) -> None:
-        drains = seat("b", Life.DRAINING)
-        self.answer(10, seat("a"), drains)
+        drains = endpoint("b", Life.DRAINING)
+        self.answer(10, endpoint("a"), drains)
         told = self.now
         for _ in range(RENUMBERED_AFTER):  # from a replica that lags
-            self.answer(7, seat("a"), seat("b"))
-        while self.now < told + TOLD_WITHIN:  # it goes on, and still lags
-            self.answer(8, seat("a"), seat("b"), seat("c"))
+            self.answer(7, endpoint("a"), endpoint("b"))
+        while self.now < told + PROPAGATION_LIMIT:  # it goes on, and still lags
+            self.answer(8, endpoint("a"), endpoint("b"), endpoint("c"))
             self.assertEqual(self.life("b"), Life.DRAINING, f"{self.now - told:.0f} ms after it was told")
 
     def test_two_old_lists_with_a_number_that_is_too_high_take_no_drain_back(self) -> None:
-        self.answer(10, seat("a"), seat("b", Life.DRAINING))
+        self.answer(10, endpoint("a"), endpoint("b", Life.DRAINING))
         for _ in range(2):  # from before a restart
-            self.answer(41, seat("a"), seat("b"))
+            self.answer(41, endpoint("a"), endpoint("b"))
         self.assertEqual(self.life("b"), Life.DRAINING)
 
     def test_an_engine_that_was_told_again_gets_requests_though_another_has_joined_meanwhile(self) -> None:
-        joined = [seat("a"), seat("b")]
+        joined = [endpoint("a"), endpoint("b")]
         for number in range(6, 56):  # 2 s
-            joined.append(seat(f"n{number}"))
+            joined.append(endpoint(f"n{number}"))
             self.answer(number, *joined)
         self.assertEqual(self.life("n6"), Life.READY)
 
     def test_two_numberings_in_turn_with_the_same_list_leave_it_followed(self) -> None:
-        freshness, followed = ListFreshness(GRACE), False
+        freshness, may_be_followed = ListFreshness(GRACE), False
         freshness.known(0.0)
         for number in range(250):  # 10 s
             asked = self.now + 39.0
             freshness.asked(asked)
-            verdict = self.answer(5 if number % 2 else 3, seat("a"), seat("b"))
-            if self.is_settled:
+            verdict = self.answer(5 if number % 2 else 3, endpoint("a"), endpoint("b"))
+            if self.covers_serving:
                 freshness.answered(self.now, asked, verdict)
-            followed = freshness.followed(self.now)
-        self.assertTrue(followed)
+            may_be_followed = freshness.may_be_followed(self.now)
+        self.assertTrue(may_be_followed)
 
 
 if __name__ == "__main__":
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,96 +1,145 @@
-"""Plays the files of scenarios/ against the rules. The notation is described in scenarios/README.md."""
+"""Plays the files of scenarios/ against the rules; scenarios/README.md describes the notation."""
 
 import unittest
 from collections.abc import Iterator
 from pathlib import Path
 from typing import Any
 
-from spurdeal.interface import Deployment, Effect, Ending, EndReason, Life, Listed, Reach, Word, Workload
+from spurdeal.interface import (
+    Deployment,
+    Effect,
+    Ending,
+    EndReason,
+    Life,
+    ListedEngine,
+    ProgressKind,
+    Reach,
+    Workload,
+)
 from spurdeal.rules import Dispatcher
 
 FOLDER = Path(__file__).parent / "scenarios"
-SITE: dict[str, Any] = dict(
+DEFAULTS: dict[str, Any] = dict(
     index=0,
     dispatchers=1,
-    location=0,
+    zone=0,
     quotas=(),
-    over_share_utility=1.0,
+    over_share_value=1.0,
     cores=(8,),
     memory_mb=(8192.0,),
-    in_hand=None,
+    load_field=None,
     list_pushed=True,
-    may_call_off=True,
+    may_cancel=True,
     may_probe=False,
     may_tell=False,
     second_copies=False,
-    most_trips=3,
-    most_come_back=500.0,
+    max_attempts=3,
+    max_retry_after=500.0,
     grants=False,
     priorities=False,
     pages=False,
     largest_grant=0.4,
-    notes_every=0.0,
+    progress_interval=0.0,
     drain_grace=500.0,
     cold_for=15000.0,
     cold_share=0.3,
     cold_multiple=3.0,
     cold_window=2000.0,
 )
-LINE = Listed(0, 0, 0, 0, Life.READY, 1.0, 0.0)
-KINDS: tuple[Any, ...] = (Effect, Ending, Life, Reach, Word)
-WORDS: dict[str, Any] = {word.name.lower(): word for kind in KINDS for word in kind}
+ENTRY = ListedEngine(0, 0, 0, 0, Life.READY, 1.0, 0.0)
+ENUMS: tuple[Any, ...] = (Effect, Ending, Life, Reach, ProgressKind)
+# The notation of the scenario files has names of its own for some members and fields.
+VALUES: dict[str, Any] = {member.name.lower(): member for enum in ENUMS for member in enum} | {
+    "redoable": Effect.IDEMPOTENT,
+    "labelled": Effect.IDEMPOTENT_BY_KEY,
+    "irreversible": Effect.NON_IDEMPOTENT,
+    "location": Reach.ZONE,
+}
+FIELDS = {
+    "agreed": "objective",
+    "customer": "tenant",
+    "expiry": "deadline",
+    "further_free": "retry_floor",
+    "further_share": "retry_ratio",
+    "further_window": "retry_window",
+    "in_hand": "load_field",
+    "known_for": "key_retention",
+    "late_utility": "late_value",
+    "location": "zone",
+    "locations": "zones",
+    "may_call_off": "may_cancel",
+    "most_come_back": "max_retry_after",
+    "most_open": "max_open",
+    "notes_every": "progress_interval",
+    "order_rest": "order_pause",
+    "over_share_utility": "over_share_value",
+    "utility": "value",
+}
+# Attributes of an engine that `set` and `set_all` name.
+ENGINE_FIELDS = {
+    "answered": "last_response",
+    "aside_until": "ejected_until",
+    "bound": "concurrency_limit",
+    "cold_part": "initial_cold_credit",
+    "errors": "recent_errors",
+    "luck": "admission_draw",
+    "most": "peak_threads",
+    "pressed_until": "pressure_until",
+    "strikes": "failure_score",
+    "threads": "in_flight_threads",
+}
 
 
 def value(text: str) -> Any:
     if "," in text:
         return tuple(value(part) for part in text.split(",") if part)
-    return WORDS[text] if text in WORDS else float(text) if "." in text else int(text)
+    return VALUES[text] if text in VALUES else float(text) if "." in text else int(text)
 
 
 class Script:
-    """One scenario: it is the rules' link, and keeps what they ask for as words."""
+    """Plays one scenario: the adapter of the rules, which records what they ask for as words."""
 
     def __init__(self, case: unittest.TestCase) -> None:
         self.case, self.now = case, 0.0
-        self.site, self.workloads = dict(SITE), list[Workload]()
-        self.did: list[str] = []
-        self.wakes: list[tuple[float, int]] = []
+        self.settings, self.workloads = dict(DEFAULTS), list[Workload]()
+        self.actions: list[str] = []
+        self.timers: list[tuple[float, int]] = []
         self.engine_of: dict[tuple[int, int], int] = {}
-        self.made: dict[int, int] = {}
-        self.lines: dict[int, Listed] = {}
-        self.began: Dispatcher | None = None
+        self.attempts_made: dict[int, int] = {}
+        self.entries: dict[int, ListedEngine] = {}
+        self.dispatcher: Dispatcher | None = None
 
     @property
     def rules(self) -> Dispatcher:
-        if self.began is None:
-            site = Deployment(workloads=tuple(self.workloads), **self.site)
-            self.began = Dispatcher(site, 1, self, self.now)
-        return self.began
+        if self.dispatcher is None:
+            site = Deployment(workloads=tuple(self.workloads), **self.settings)
+            self.dispatcher = Dispatcher(site, 1, self, self.now)
+        return self.dispatcher
 
     # What the rules ask for.
 
     def send(self, number: int, engine: int, time_limit: float) -> None:
-        self.engine_of[number, self.made.get(number, 0)] = engine
-        self.made[number] = self.made.get(number, 0) + 1
-        self.did.append(f"send {number} {engine}")
+        self.engine_of[number, self.attempts_made.get(number, 0)] = engine
+        self.attempts_made[number] = self.attempts_made.get(number, 0) + 1
+        self.actions.append(f"send {number} {engine}")
 
-    def shed(self, number: int, come_back: float, reason: EndReason) -> None:
-        self.did.append(f"shed {number}")
+    def shed(self, number: int, retry_after: float, reason: EndReason) -> None:
+        self.actions.append(f"shed {number}")
 
-    def break_off(self, number: int, reason: EndReason) -> None:
-        self.did.append(f"break {number}")
+    def fail_request(self, number: int, reason: EndReason) -> None:
+        self.actions.append(f"break {number}")
 
-    def call_off(self, number: int, trip: int) -> None:
-        self.did.append(f"call_off {number}")
+    def cancel_attempt(self, number: int, attempt: int) -> None:
+        self.actions.append(f"call_off {number}")
 
-    def wake(self, delay: float, token: int) -> None:
-        self.wakes.append((self.now + delay, token))
+    def set_timer(self, delay: float, token: int) -> None:
+        self.timers.append((self.now + delay, token))
 
     def terms(self, number: int, memory: float, priority: int) -> None:
         pass
 
     def watch(self) -> None:
-        self.did.append("watch")
+        self.actions.append("watch")
 
     def log(self, line: str) -> None:
         pass
@@ -101,19 +150,20 @@
         line, arrow, wanted = line.partition("->")
         verb, *rest = line.split()
         words = [word for word in rest if "=" not in word]
-        given = {key: value(text) for key, _, text in (word.partition("=") for word in rest if "=" in word)}
+        pairs = (word.partition("=") for word in rest if "=" in word)
+        given = {FIELDS.get(key, key): value(text) for key, _, text in pairs}
         getattr(self, "do_" + verb)(*words, **given)
         if arrow:
             self.expect([] if wanted.strip() == "nothing" else wanted.split(","))
 
     def do_site(self, **given: Any) -> None:
-        self.site |= given
+        self.settings |= given
 
     def do_workload(self, **given: Any) -> None:
         self.workloads.append(
             Workload(
                 **(
-                    {"agreed": 1000.0, "stretch": 2.0, "expiry": 5000.0, "utility": 1.0, "late_utility": 0.0}
+                    {"objective": 1000.0, "stretch": 2.0, "deadline": 5000.0, "value": 1.0, "late_value": 0.0}
                     | given
                 )
             )
@@ -121,31 +171,31 @@
 
     def do_engines(self, count: str, **given: Any) -> None:
         for engine in range(int(count)):
-            self.lines[engine] = LINE._replace(engine=engine, **given)
-        self.rules.listed(self.now, list(self.lines.values()), True)
+            self.entries[engine] = ENTRY._replace(engine=engine, **given)
+        self.rules.list_changed(self.now, list(self.entries.values()), True)
 
     def do_engine(self, engine: str, **given: Any) -> None:
-        line = self.lines.get(int(engine), LINE._replace(engine=int(engine)))
-        self.lines[int(engine)] = line._replace(**given)
-        self.rules.listed(self.now, [self.lines[int(engine)]], False)
+        line = self.entries.get(int(engine), ENTRY._replace(engine=int(engine)))
+        self.entries[int(engine)] = line._replace(**given)
+        self.rules.list_changed(self.now, [self.entries[int(engine)]], False)
 
     def do_unlist(self, engine: str) -> None:
-        del self.lines[int(engine)]
-        self.rules.listed(self.now, list(self.lines.values()), True)
+        del self.entries[int(engine)]
+        self.rules.list_changed(self.now, list(self.entries.values()), True)
 
     def do_stop(self, until: str) -> None:
-        self.rules.stopping(self.now, float(until))
+        self.rules.shutdown_started(self.now, float(until))
 
     def do_list_failed(self) -> None:
         self.rules.list_failed(self.now)
 
     def do_at(self, when: str) -> None:
-        while self.wakes and min(self.wakes)[0] <= float(when):
-            due = min(self.wakes)
-            self.wakes.remove(due)
+        while self.timers and min(self.timers)[0] <= float(when):
+            due = min(self.timers)
+            self.timers.remove(due)
             self.now = max(self.now, due[0])
-            self.rules.woken(self.now, due[1])
-            self.rules.turn(self.now)
+            self.rules.timer_fired(self.now, due[1])
+            self.rules.end_batch(self.now)
         self.now = float(when)
 
     def do_submit(
@@ -156,64 +206,70 @@
         life: float = 5000.0,
         key: int = 0,
         group: int = 0,
-        customer: int = 0,
+        tenant: int = 0,
     ) -> None:
         for number in numbers:
-            expiry = self.now + life
-            self.rules.submitted(self.now, int(number), kind, customer, key, expiry, cost, 0.0, group)
-        self.rules.turn(self.now)
+            deadline = self.now + life
+            self.rules.request_received(self.now, int(number), kind, tenant, key, deadline, cost, 0.0, group)
+        self.rules.end_batch(self.now)
 
     def do_end(
-        self, *trips: str, ending: Ending = Ending.DELIVERED, took: float = 100.0, report: float = 0.0
+        self, *attempts: str, ending: Ending = Ending.DELIVERED, took: float = 100.0, report: float = 0.0
     ) -> None:
-        for name in trips:
-            number, _, trip = name.partition(".")
-            which = int(number), int(trip or 0)
+        for name in attempts:
+            number, _, attempt = name.partition(".")
+            which = int(number), int(attempt or 0)
             final = ending == Ending.DELIVERED
             engine = self.engine_of[which]
-            self.rules.ended(self.now, *which, engine, ending, took, final, 0.0, 0.0, (report,))
-        self.rules.turn(self.now)
+            self.rules.attempt_ended(self.now, *which, engine, ending, took, final, 0.0, 0.0, (report,))
+        self.rules.end_batch(self.now)
 
-    def do_note(self, number: str, word: Word, level: float) -> None:
-        self.rules.noted(self.now, int(number), 0, self.engine_of[int(number), 0], word, level)
+    def do_note(self, number: str, word: ProgressKind, level: float) -> None:
+        self.rules.progress_reported(self.now, int(number), 0, self.engine_of[int(number), 0], word, level)
 
     def do_withdraw(self, number: str) -> None:
-        self.rules.withdrawn(self.now, int(number))
+        self.rules.request_withdrawn(self.now, int(number))
 
     def do_interval(self, engine: str, served: float, work: float = 0.0, most: float = 99.0) -> None:
-        e = self.rules.engines[int(engine)]
-        e.served, e.work, e.most = served, work, most
-        e.move_bound(self.rules.widest * self.rules.own / self.rules.all)
+        measured = self.rules.engines[int(engine)]
+        measured.served_threads, measured.served_work, measured.peak_threads = served, work, most
+        measured.adjust_limit(
+            self.rules.widest_request * self.rules.own_in_flight / self.rules.fleet_in_flight
+        )
 
     def do_set(self, engine: str, **given: Any) -> None:
         for name, new in given.items():
-            setattr(self.rules.engines[int(engine)], name, new)
+            setattr(self.rules.engines[int(engine)], ENGINE_FIELDS[name], new)
 
     def do_set_all(self, **given: Any) -> None:
         for engine in self.rules.engines:
             self.do_set(str(engine), **given)
 
     def do_bound(self, engine: str, wanted: str) -> None:
-        self.case.assertAlmostEqual(self.rules.engines[int(engine)].bound, float(wanted))
+        self.case.assertAlmostEqual(self.rules.engines[int(engine)].concurrency_limit, float(wanted))
 
     def do_pressing(self, wanted: str) -> None:
-        self.case.assertAlmostEqual(self.rules.pressing, float(wanted), 2)
+        self.case.assertAlmostEqual(self.rules.pressure_threshold, float(wanted), 2)
 
     def do_cold(self, engine: str) -> None:
-        self.case.assertGreater(self.rules.engines[int(engine)].warm_at, self.now)
+        self.case.assertGreater(self.rules.engines[int(engine)].slow_start_until, self.now)
 
     def do_warm(self, engine: str) -> None:
-        self.case.assertLessEqual(self.rules.engines[int(engine)].warm_at, self.now)
+        self.case.assertLessEqual(self.rules.engines[int(engine)].slow_start_until, self.now)
 
     def do_aside(self, *engines: str) -> None:
-        aside = [str(e.number) for e in self.rules.engines.values() if e.aside_until > self.now]
+        aside = [
+            str(engine.number) for engine in self.rules.engines.values() if engine.ejected_until > self.now
+        ]
         self.case.assertEqual(aside, list(engines))
 
     def do_aside_only(self, count: str) -> None:
-        self.case.assertEqual(sum(e.aside_until > self.now for e in self.rules.engines.values()), int(count))
+        self.case.assertEqual(
+            sum(engine.ejected_until > self.now for engine in self.rules.engines.values()), int(count)
+        )
 
     def expect(self, wanted: list[str]) -> None:
-        got, self.did = [asked.split() for asked in self.did], []
+        got, self.actions = [asked.split() for asked in self.actions], []
         self.case.assertEqual(len(got), len(wanted), f"at {self.now}: {got} where {wanted} was expected")
         for asked, words in zip(got, [part.split() for part in wanted], strict=True):
             asked = [*asked[:2], "?"] if words[-1] == "?" else asked
--- a/tests/test_system_faults.py
+++ b/tests/test_system_faults.py
@@ -1,4 +1,4 @@
-"""System calls that fail for a moment, and faults in one step: discovery goes on, nothing is half done."""
+"""Transient failures of system calls and faults in one step: discovery continues, nothing is half done."""
 
 import errno
 import json
@@ -21,11 +21,11 @@
 from spurdeal.net.watch import LoopWatch
 from spurdeal.settings.reading import read_text
 from spurdeal.vrrp.sealed import Keys
-from tests.helpers import RETURNED, SETTLED, Caller, DatagramPort, World, configuration, instance
+from tests.helpers import LIST_SETTLED_MS, REINSTATED_MS, Caller, DatagramPort, World, configuration, instance
 from tests.stations import Pair
 from tests.steps import Steps
 from tests.test_new_days import served
-from tests.test_turns import ANSWER_WAY, ROUND, CrowdedQueue
+from tests.test_turns import ANSWER_RETURN_TIME, ROUND, CrowdedQueue
 
 DRAINED = {"lifecycle": "DRAINING"}
 FLEET_PLAN = b"""
@@ -43,7 +43,7 @@
 
 
 class FailingSocket:
-    """A socket of which one call fails with an error, as often as is wanted."""
+    """A socket of which one call fails with an error a given number of times."""
 
     def __init__(self, real: Any, call: str, error: int, times: int = 1) -> None:
         self.real, self.call, self.error, self.times = real, call, error, times
@@ -59,7 +59,7 @@
 
 
 def heard_question(steps: Steps) -> bool:
-    """Whether a question of the dispatcher's has come to the name service, which is taken off its socket."""
+    """Read a query of the dispatcher at the name service; returns whether there was one."""
     try:
         return bool(steps.names.recv(512))
     except BlockingIOError:
@@ -67,7 +67,7 @@
 
 
 class Discovery(unittest.TestCase):
-    """The name service goes on being asked, whatever happens to its socket."""
+    """The name service is queried on, whatever happens to the socket."""
 
     def test_an_error_on_reading_loses_no_answer(self) -> None:
         for error in (errno.ENOMEM, errno.ENOBUFS, errno.EHOSTUNREACH, errno.ETIMEDOUT, errno.EINTR):
@@ -75,9 +75,9 @@
                 steps = Steps(self)
                 port = steps.service.names.transport
                 port.socket = FailingSocket(port.socket, "recvfrom", error)
-                steps.list(2, 0)  # a drain, in an answer of which the first read fails
+                steps.list(2, 0)  # a drain, in an answer whose first read fails
                 steps.go(30)
-                self.assertEqual(steps.service.link.seats["s-0"].life, Life.DRAINING)
+                self.assertEqual(steps.service.adapter.endpoints["s-0"].life, Life.DRAINING)
                 self.assertIs(steps.service.names.transport, port)
 
     def test_an_error_that_twisted_passes_over_is_counted(self) -> None:
@@ -86,7 +86,7 @@
         telling.real = FailingSocket(telling.real, "recvfrom", errno.ECONNREFUSED)
         steps.list(2, 0)
         steps.go(30)
-        self.assertEqual(steps.service.link.seats["s-0"].life, Life.DRAINING)
+        self.assertEqual(steps.service.adapter.endpoints["s-0"].life, Life.DRAINING)
         self.assertEqual(steps.service.counters.sums["datagram_read_errors"], 1)
 
     def test_errors_that_go_on_end_the_socket_and_another_is_opened(self) -> None:
@@ -98,11 +98,11 @@
         question, asker = steps.names.recvfrom(512)
         steps.names.sendto(question[:2], asker)  # something to read
         steps.go(700)
-        steps.service.counters.sums.pop("unhandled", None)  # Twisted's own line of the error
+        steps.service.counters.sums.pop("unhandled", None)  # Twisted's own report of the error
         self.assertIsNot(steps.service.names.transport, port)
         self.assertEqual(steps.service.counters.sums["names_socket_ended"], 1)
         steps.list(2, 0)
-        self.assertEqual(steps.service.link.seats["s-0"].life, Life.DRAINING)
+        self.assertEqual(steps.service.adapter.endpoints["s-0"].life, Life.DRAINING)
 
     def test_an_error_on_sending_is_counted_and_the_next_question_goes(self) -> None:
         for error in (errno.ENOBUFS, errno.EPERM, errno.ENETUNREACH, errno.EHOSTUNREACH):
@@ -142,10 +142,10 @@
         taken = world.service.names.on_list
         failures = [RuntimeError("by the test")]
 
-        def on_list(seats: Any) -> None:
+        def on_list(endpoints: Any) -> None:
             if failures:
                 raise failures.pop()
-            taken(seats)
+            taken(endpoints)
 
         world.service.names.on_list = on_list
         with self.assertRaises(RuntimeError):
@@ -153,7 +153,7 @@
         self.assertEqual(world.service.names.number, 1)
         world.list(2, DRAINING, SERVING)
         self.assertEqual(world.service.names.number, 2)
-        self.assertEqual(world.service.link.seats["s-0"].life, Life.DRAINING)
+        self.assertEqual(world.service.adapter.endpoints["s-0"].life, Life.DRAINING)
 
     def test_a_question_that_twisted_would_drop_in_silence_is_counted(self) -> None:
         for error in (errno.ECONNREFUSED, errno.EMSGSIZE):
@@ -165,7 +165,7 @@
                 self.assertEqual(steps.service.counters.sums[f"names_not_sent_errno_{error}"], 1)
 
     def test_a_port_that_fails_in_an_unexpected_way_is_opened_again(self) -> None:
-        """Before it is the protocol's, and behind that: no half of it stays."""
+        """Before and after the port is assigned to the protocol: no half-opened port remains."""
         for behind in (False, True):
             with self.subTest(behind=behind):
                 failures = [errno.ENOBUFS, errno.ENOMEM]
@@ -190,11 +190,11 @@
                 self.assertEqual(world.service.names.numPorts, 1)
                 asked = world.count("names_asked")
                 world.go(1000)
-                self.assertEqual(world.count("names_asked"), asked + 5)  # one chain of questions, not three
+                self.assertEqual(world.count("names_asked"), asked + 5)  # one chain of queries, not three
 
     def test_questions_that_stopped_are_brought_on_again(self) -> None:
         world = World(self)
-        world.service.names.cancel_question()
+        world.service.names.cancel_query()
         asked = world.count("names_asked")
         world.go(1000)
         self.assertGreaterEqual(world.count("names_asked"), asked + 4)
@@ -213,12 +213,12 @@
         steps.reactor.removeReader(steps.service.names.transport)
         steps.list(2, 0)
         steps.go(800)
-        self.assertEqual(steps.service.link.seats["s-0"].life, Life.DRAINING)
+        self.assertEqual(steps.service.adapter.endpoints["s-0"].life, Life.DRAINING)
         self.assertEqual(steps.service.counters.sums["discovery_read_by_look"], 1)
-        steps.list(3)  # it is told of again
-        self.assertEqual(steps.service.link.seats["s-0"].life, Life.DRAINING)
-        steps.go(RETURNED)
-        self.assertEqual(steps.service.link.seats["s-0"].life, Life.READY)
+        steps.list(3)  # it is reported again
+        self.assertEqual(steps.service.adapter.endpoints["s-0"].life, Life.DRAINING)
+        steps.go(REINSTATED_MS)
+        self.assertEqual(steps.service.adapter.endpoints["s-0"].life, Life.READY)
 
     def test_a_fault_in_one_sweep_ends_no_other(self) -> None:
         world = World(self)
@@ -231,27 +231,27 @@
 
     def test_a_list_of_a_configuration_that_could_not_be_taken_is_asked_for(self) -> None:
         world = World(self, engines=2)
-        link: Any = world.service.link
-        taken, failures = link.listed, [RuntimeError("by the test")]
+        adapter: Any = world.service.adapter
+        taken, failures = adapter.apply_list, [RuntimeError("by the test")]
 
-        def listed(seats: Any) -> None:
+        def listed(endpoints: Any) -> None:
             if failures:
                 raise failures.pop()
-            taken(seats)
+            taken(endpoints)
 
-        link.listed = listed
+        adapter.apply_list = listed
         world.service.names.on_list = listed
         told = configuration(2, nameserver="127.0.8.10:5301")
         told["known"]["items"].append(
             {"no": 2, "roster": {"generation": 1, "reset": False, "instances": [instance(0) | DRAINED]}}
         )
         told["known"]["no"] = 2
-        world.service.read_again(lambda: read_configuration(json.dumps(told)))
+        world.service.reload_configuration(lambda: read_configuration(json.dumps(told)))
         self.assertEqual(world.service.counters.sums.pop("faults"), 1)
         self.assertEqual(world.service.names.address, ("127.0.8.10", 5301))
         self.assertEqual(world.service.names.number, 1)
         world.list(2, DRAINING, SERVING, source=("127.0.8.10", 5301))
-        self.assertEqual(world.service.link.seats["s-0"].life, Life.DRAINING)
+        self.assertEqual(world.service.adapter.endpoints["s-0"].life, Life.DRAINING)
 
     def test_a_file_that_cannot_be_read_is_read_until_it_can(self) -> None:
         world, reads = World(self), list[float]()
@@ -260,15 +260,15 @@
             reads.append(world.now())
             raise Unreadable("config.json", OSError(errno.EMFILE, "no descriptor"))
 
-        world.service.read_again(read)
+        world.service.reload_configuration(read)
         world.go(60_000)
         self.assertGreater(len(reads), 20)
         self.assertLess(len(reads), 30)
         self.assertEqual(world.count("configurations_given_up"), 0)
 
 
-class StandingStill(unittest.TestCase):
-    """The process does not run for seconds: what it has to send waits for the list."""
+class ProcessPauses(unittest.TestCase):
+    """The process doesn't run for seconds: attempts wait until the list is confirmed."""
 
     def sent(self, world: World) -> int:
         return world.count("trips_written")
@@ -281,13 +281,13 @@
         world.peer().up().say(1, "200", "parts=1", b"a\t1\tx\n")
         self.assertEqual(self.sent(world), 1)
         world.names_silent = True
-        world.reactor.rightNow += 2.5  # no timer ran, no question left
+        world.reactor.rightNow += 2.5  # no timer ran, no query was sent
         caller.post(2)
         caller.post(3, "load")
         self.assertEqual(self.sent(world), 1)
         world.list(3, DRAINING, SERVING)
         world.names_silent = False
-        world.go(SETTLED)
+        world.go(LIST_SETTLED_MS)
         for place in range(len(world.reactor.tcpClients)):
             world.peer(place).up()
         world.go(60)
@@ -305,7 +305,7 @@
         world.go(300)
         self.assertEqual(world.reactor.tcpClients, [])
         world.names_silent = False
-        world.go(SETTLED)
+        world.go(LIST_SETTLED_MS)
         world.peer().up()
         self.assertEqual(self.sent(world), 1)
 
@@ -315,10 +315,12 @@
         world.reactor.rightNow += 2.5
         world.peer().up()
         self.assertEqual(self.sent(world), 0)
-        seats = ((f"s-{n}.east.hosts", f"127.0.9.{n}:7001", 0, "kind=std cell=0 started=0") for n in (0, 1))
-        world.list(2, *seats)
+        endpoints = (
+            (f"s-{n}.east.hosts", f"127.0.9.{n}:7001", 0, "kind=std cell=0 started=0") for n in (0, 1)
+        )
+        world.list(2, *endpoints)
         world.go(60)
-        if len(world.reactor.tcpClients) > 1:  # it is dialled for at the other engine now
+        if len(world.reactor.tcpClients) > 1:  # the other engine is dialled now
             world.peer(1).up()
         self.assertEqual(self.sent(world), 1)
 
@@ -326,27 +328,27 @@
         world = World(self)
         world.names_silent = True
         world.service.names.doStop()
-        world.go(170)  # another socket is open, its question is not answered yet
+        world.go(170)  # another socket is open, its query not yet answered
         Caller(world).post(1)
         self.assertEqual(world.count("names_sockets_opened"), 2)
         self.assertEqual(world.reactor.tcpClients, [])
         world.go(3000)
         self.assertEqual(world.reactor.tcpClients, [])
         world.names_silent = False
-        world.go(SETTLED)
+        world.go(LIST_SETTLED_MS)
         world.peer().up()
         self.assertEqual(self.sent(world), 1)
 
 
 class Delayed(unittest.TestCase):
-    """What waited while calls of ours failed counts from then: engines are told what its client has left."""
+    """The time during which our system calls failed counts: engines get the time that the client has left."""
 
     def wait_told(self, steps: Steps, ident: int) -> int:
-        """What the engine is told for a request; it is answered."""
-        talk = steps.engines[0].talks[0] if steps.engines[0].talks else steps.until(steps.engines[0].accept)
-        (said,) = steps.until(talk.heard)
+        """Answer a request; returns the time limit that the engine got with it."""
+        talk = steps.engines[0].peers[0] if steps.engines[0].peers else steps.until(steps.engines[0].accept)
+        (message,) = steps.until(talk.heard)
         talk.say(ident)
-        return int(said[2].split("wait=")[1].split(",")[0])
+        return int(message[2].split("wait=")[1].split(",")[0])
 
     def told_after(self, steps: Steps, heal: Any) -> None:
         """The first request waited for 300 ms, the second for nothing."""
@@ -359,7 +361,7 @@
         steps.go(50)
         client.post(2)
         self.assertGreaterEqual(self.wait_told(steps, 2), 4900)
-        self.assertEqual(steps.service.link.loop.delays, {})
+        self.assertEqual(steps.service.adapter.loop.failing_since, {})
 
     def test_in_the_backlog_while_accept_fails(self) -> None:
         for error in (errno.ECONNABORTED, errno.ENFILE, errno.ENOBUFS, errno.EPROTO, errno.EHOSTUNREACH):
@@ -372,7 +374,7 @@
                 self.assertLess(steps.service.counters.sums[f"accept_failed_errno_{error}"], 40)  # no spin
 
     def test_behind_a_crowd_while_accept_fails(self) -> None:
-        """It counts from when it came; the crowd's next ones, after the accepts that failed, from then on."""
+        """Its time counts from its arrival, that of later ones from the accepts that failed."""
         crowd = CrowdedQueue(self)
         crowd.go(200)
         listener = crowd.steps.service.clients.port.socket
@@ -380,12 +382,12 @@
         sent_at = crowd.post(1, wait=2000)
         crowd.go(800)
         self.assertEqual(listener.real.times, 0)
-        self.assertLessEqual(crowd.expiry(1) + ANSWER_WAY - sent_at, 2000)
-        self.assertGreaterEqual(crowd.expiry(1) + ANSWER_WAY - sent_at, 2000 - 2 * ROUND)
+        self.assertLessEqual(crowd.deadline(1) + ANSWER_RETURN_TIME - sent_at, 2000)
+        self.assertGreaterEqual(crowd.deadline(1) + ANSWER_RETURN_TIME - sent_at, 2000 - 2 * ROUND)
         sent_at = crowd.post(2, wait=2000)
         crowd.go(600)
-        self.assertLessEqual(crowd.expiry(2) + ANSWER_WAY - sent_at, 2000)
-        self.assertGreaterEqual(crowd.expiry(2) + ANSWER_WAY - sent_at, 2000 - 2 * ROUND)
+        self.assertLessEqual(crowd.deadline(2) + ANSWER_RETURN_TIME - sent_at, 2000)
+        self.assertGreaterEqual(crowd.deadline(2) + ANSWER_RETURN_TIME - sent_at, 2000 - 2 * ROUND)
 
     def test_unread_while_recv_fails(self) -> None:
         steps = Steps(self)
@@ -399,7 +401,7 @@
 
     def test_unwatched_while_epoll_ctl_fails(self) -> None:
         steps = Steps(self)
-        timed: Any = steps.service.link.loop.poller
+        timed: Any = steps.service.adapter.loop.poller
         register = timed.poller.register
 
         def refuse(*_: object) -> None:
@@ -413,7 +415,7 @@
 
     def test_a_delay_without_end_dates_back_by_no_more_than_the_bound(self) -> None:
         steps = Steps(self)
-        steps.service.link.loop.delayed("a source that is not read again")
+        steps.service.adapter.loop.read_failed("a source that is not read again")
         steps.go(4000)
         steps.client().post(1, wait=8000)
         self.assertGreaterEqual(self.wait_told(steps, 1), 8000 - 100)
@@ -433,8 +435,8 @@
         failing.times = 0
         immediate.send = sending
         steps.go(20)
-        (said,) = steps.until(talk.heard)
-        self.assertLessEqual(int(said[2].split("wait=")[1].split(",")[0]), 5000 - 300 + 150)
+        (message,) = steps.until(talk.heard)
+        self.assertLessEqual(int(message[2].split("wait=")[1].split(",")[0]), 5000 - 300 + 150)
 
     def test_the_rest_of_a_request_that_came_in_a_pause_is_read(self) -> None:
         steps = Steps(self)
@@ -449,7 +451,7 @@
         self.assertEqual(steps.until(client.status), 200)
 
     def test_what_came_in_a_gap_may_be_found_by_the_next_poll_only(self) -> None:
-        """The process may have lost its core behind the system's look."""
+        """The process may have lost its core after the system polled the sockets."""
         now = [0.0]
         watch = LoopWatch(lambda: now[0], Counters(), logging.Logger("n1"))
         watch.polled()
@@ -472,7 +474,7 @@
         patient.real = ByteWise(patient.real, "none", 0)
         client.post(1)
         steps.round()
-        self.assertEqual(len(steps.service.link.by_ident), 1)
+        self.assertEqual(len(steps.service.adapter.by_ident), 1)
         self.wait_told(steps, 1)
         self.assertEqual(steps.until(client.status), 200)
 
@@ -493,16 +495,16 @@
 
     def test_the_decisions_know_when_sockets_were_polled(self) -> None:
         steps = Steps(self)
-        link: Any = steps.service.link
-        self.assertEqual(link.rules.freshness.polled_at(), link.loop.polled_at)
-        link.loop.polled_at -= 200.0
-        self.assertFalse(link.rules.freshness.followed(steps.clock()))
+        adapter: Any = steps.service.adapter
+        self.assertEqual(adapter.rules.freshness.polled_at(), adapter.loop.polled_at)
+        adapter.loop.polled_at -= 200.0
+        self.assertFalse(adapter.rules.freshness.may_be_followed(steps.clock()))
 
 
-class PlannedEnd(unittest.TestCase):
-    """A fault on the way does not keep the process from its end."""
+class GracefulShutdown(unittest.TestCase):
+    """A fault during shutdown does not keep the process from exiting."""
 
-    def test_faults_while_it_leaves_and_closes(self) -> None:
+    def test_faults_while_it_shuts_down(self) -> None:
         world = World(self)
         failures = [OSError(errno.ENOMEM, "by the test")]
         close_idle = world.service.clients.close_idle
@@ -521,7 +523,7 @@
 
 
 class OtherDatagramPorts(unittest.TestCase):
-    """Fleet and VRRP: a read that fails does not end their ports, and there is no other to be opened."""
+    """Fleet and VRRP: a failed read must not close their ports, as no replacement is opened."""
 
     def test_no_number_of_errors_ends_one(self) -> None:
         class FailingPort(DatagramPort):
@@ -535,7 +537,7 @@
                 self.reading = True
 
         clock, counters, port = Clock(), Counters(), FailingPort()
-        TolerantReading(port, clock, counters, logging.Logger("n1"), most_errors=None)
+        TolerantReading(port, clock, counters, logging.Logger("n1"), max_errors=None)
         for _ in range(100):
             port.doRead()
             self.assertFalse(port.reading)
@@ -547,7 +549,7 @@
         pair = Pair(self)
         for side in pair.sides.values():
             readers = [cast(Any, port).doRead.__self__ for port in side.station.ports]
-            self.assertEqual([(type(reader), reader.most_errors) for reader in readers], TOLERANT * 3)
+            self.assertEqual([(type(reader), reader.max_errors) for reader in readers], TOLERANT * 3)
 
     def test_a_fault_in_a_tick_of_vrrp_ends_no_later_one(self) -> None:
         pair = Pair(self)
@@ -560,10 +562,10 @@
             return tick(now)
 
         advertising.groups.tick = tick_or_fail
-        advertising.ticking.cancel()
+        advertising.timer.cancel()
         with self.assertRaises(ZeroDivisionError):
             advertising.tick()
-        self.assertTrue(advertising.ticking.active())
+        self.assertTrue(advertising.timer.active())
 
     def test_the_fleets_is_read_so(self) -> None:
         world, ports = World(self), list[Any]()
@@ -578,12 +580,12 @@
         clocks = Clocks(world.now, world.now, world.now)
         FleetStation(world.service, settings, world.reactor, clocks, world.service.log).start()
         readers = [port.doRead.__self__ for port in ports]
-        self.assertEqual([(type(reader), reader.most_errors) for reader in readers], TOLERANT)
+        self.assertEqual([(type(reader), reader.max_errors) for reader in readers], TOLERANT)
         world.service.counters.sums.clear()
 
 
 class Patience(unittest.TestCase):
-    """A connection outlives calls that fail for want of our own."""
+    """A connection survives system calls that fail because this machine lacks resources."""
 
     def test_a_client_whose_reads_and_writes_fail_for_a_moment_is_answered(self) -> None:
         for call in ("recv", "send"):
@@ -628,23 +630,23 @@
 
 
 class Connecting(unittest.TestCase):
-    """A connection that our own machine cannot make tells nothing of the engine."""
+    """A connection that fails because of this machine says nothing about the engine."""
 
     def refused_by(self, error: int) -> tuple[World, Any]:
-        """One request whose first dial fails so: the world, and the engine as the decisions see it."""
+        """Fail a request's first dial with this error; returns the world and the rules' engine."""
         world = World(self, engines=2)
         Caller(world).post(1, "load")
         peer = world.peer()
         peer.factory.clientConnectionFailed(None, Failure(ConnectError(error, "by the test")))
         world.go()
-        number = world.service.link.index.places[f"s-{peer.host.rpartition('.')[2]}"]
-        return world, world.service.link.rules.engines[number]
+        number = world.service.adapter.index.places[f"s-{peer.host.rpartition('.')[2]}"]
+        return world, world.service.adapter.rules.engines[number]
 
     def test_a_want_of_our_own_counts_against_no_engine_and_the_request_goes_on(self) -> None:
         for error in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL):
             with self.subTest(errno.errorcode[error]):
                 world, engine = self.refused_by(error)
-                self.assertEqual((engine.strikes, engine.errors), (0.0, 0.0))
+                self.assertEqual((engine.failure_score, engine.recent_errors), (0.0, 0.0))
                 self.assertEqual(world.count("dials_failed_here"), 1)
                 self.assertEqual(len(world.peer(1).up().heard()), 1)
 
@@ -652,12 +654,12 @@
         for error in (errno.EHOSTUNREACH, errno.ENETUNREACH, errno.ETIMEDOUT):
             with self.subTest(errno.errorcode[error]):
                 world, engine = self.refused_by(error)
-                self.assertEqual((engine.strikes, engine.errors), (1.0, 1.0))
+                self.assertEqual((engine.failure_score, engine.recent_errors), (1.0, 1.0))
                 self.assertEqual(world.count("dials_not_up"), 1)
 
 
 class Accepting(unittest.TestCase):
-    """Connections that the system does not hand over for a moment are not lost."""
+    """Connections that the system cannot hand over for a moment are not lost."""
 
     def test_accept_fails_as_the_dispatcher_is_about_to_end(self) -> None:
         for error in (errno.ENFILE, errno.ECONNABORTED, errno.ENOBUFS, errno.EPROTO):
@@ -669,9 +671,9 @@
                 port.socket = FailingSocket(port.socket, "accept", error, times=30)
                 client = steps.client()
                 client.post(1)
-                steps.go(60)  # the end would have come by now
-                steps.service.counters.sums.pop("unhandled", None)  # Twisted's own line of the error
-                self.assertEqual(steps.done, [])
+                steps.go(60)  # it would have exited by now
+                steps.service.counters.sums.pop("unhandled", None)  # Twisted's own report of the error
+                self.assertEqual(steps.stopped_at, [])
                 port.socket.times = 0
                 talk = steps.until(steps.engines[0].accept)
                 steps.until(talk.heard)
@@ -680,29 +682,31 @@
                 client.socket.close()
                 steps.go(200)
                 steps.service.counters.sums.pop("unhandled", None)
-                self.assertEqual(len(steps.done), 1)
+                self.assertEqual(len(steps.stopped_at), 1)
 
 
 class OneStepFails(unittest.TestCase):
-    """A fault at one engine, request or connection costs the others nothing."""
+    """A fault at one engine, request or connection does not affect the others."""
 
     def test_a_fault_at_one_engine_leaves_no_list_half_applied(self) -> None:
         world = World(self, engines=2)
         failing: Any = world.service.engines.engines[0]
-        failing.reseat = lambda seat: 1 / 0
+        failing.update_endpoint = lambda endpoint: 1 / 0
         gone = ("s-1.east.hosts", "127.0.9.1:7001", 1, "kind=std cell=0 started=0")
         world.list(2, DRAINING, gone)
         self.assertEqual(world.service.counters.sums.pop("faults"), 1)
-        self.assertEqual({seat.life for seat in world.service.link.seats.values()}, {Life.DRAINING})
-        self.assertEqual(world.service.engines.engines[1].seat.life, Life.DRAINING)
+        self.assertEqual(
+            {endpoint.life for endpoint in world.service.adapter.endpoints.values()}, {Life.DRAINING}
+        )
+        self.assertEqual(world.service.engines.engines[1].endpoint.life, Life.DRAINING)
         Caller(world).post(1)
         self.assertEqual(world.reactor.tcpClients, [])
 
-    def test_a_fault_in_a_turn_keeps_the_rest_of_the_queue(self) -> None:
+    def test_a_fault_in_a_batch_keeps_the_rest_of_the_queue(self) -> None:
         world = World(self, engines=4)
-        rules: Any = world.service.link.rules
+        rules: Any = world.service.adapter.rules
         choose = rules.choose
-        rules.choose = lambda *_, **__: None  # all wait
+        rules.choose = lambda *_, **__: None  # all are queued
         for number in range(4):
             Caller(world).post(number, "load", wait=15000)
         failures = [ZeroDivisionError("by the test")]
@@ -716,13 +720,13 @@
         world.go(300)
         self.assertEqual(world.service.counters.sums.pop("faults"), 1)
         peers = [world.peer(place).up() for place in range(len(world.reactor.tcpClients))]
-        served = [said[1] for peer in peers for said in peer.heard() if said[0] == "serve"]
+        served = [message[1] for peer in peers for message in peer.heard() if message[0] == "serve"]
         self.assertEqual(sorted(served), [f"{number:016x}" for number in (0, 2, 3)])
-        self.assertEqual([request.number for request in rules.held], [])
+        self.assertEqual([request.number for request in rules.wait_queue], [])
 
     def test_the_one_that_failed_is_answered_at_its_deadline(self) -> None:
         world = World(self)
-        rules: Any = world.service.link.rules
+        rules: Any = world.service.adapter.rules
         choose = rules.choose
         rules.choose = lambda *_, **__: None
         caller = Caller(world)
@@ -741,59 +745,59 @@
             released.extend([] if holds else [what])
             return bool(holds)
 
-        world.service.counters.must = must  # type: ignore[method-assign]
+        world.service.counters.check_invariant = must  # type: ignore[method-assign]
         world.go(2000)
         self.assertEqual(
             ([status for status, _, _ in caller.answers()], released), ([500], ["answer_in_time"])
         )
-        self.assertEqual((rules.open, world.service.link.taken), ({}, {}))
+        self.assertEqual((rules.open_requests, world.service.adapter.open_requests), ({}, {}))
 
     def test_decisions_that_send_twice_are_not_followed(self) -> None:
-        """Whatever the decisions' fault: what must not run twice has one attempt out at most."""
+        """Even if the rules are wrong, a request that must not run twice has at most one attempt out."""
         for workload, sent in (("load", 1), ("lookup", 2)):
             with self.subTest(workload):
                 world = World(self, engines=2)
-                link, missed = world.service.link, list[str]()
-                rules: Any = link.rules
+                adapter, missed = world.service.adapter, list[str]()
+                rules: Any = adapter.rules
 
                 def must(holds: object, what: str, missed: list[str] = missed) -> bool:
                     missed.extend([] if holds else [what])
                     return bool(holds)
 
-                link.counters.must = must  # type: ignore[method-assign]
+                adapter.counters.check_invariant = must  # type: ignore[method-assign]
                 caller = Caller(world)
                 caller.post(7, workload)
                 peer = world.peer().up()
-                (request,) = rules.open.values()
+                (request,) = rules.open_requests.values()
                 request.engine = rules.engines[1]
-                link.gather(lambda now, rules=rules, request=request: rules.trip_stage(request))
+                adapter.enqueue(lambda now, rules=rules, request=request: rules.attempt_stage(request))
                 world.go(50)
                 peers = [peer, *(world.peer(place).up() for place in range(1, len(world.reactor.tcpClients)))]
-                served = [said for each in peers for said in each.heard() if said[0] == "serve"]
+                served = [message for each in peers for message in each.heard() if message[0] == "serve"]
                 self.assertEqual(len(served), sent)
                 self.assertEqual(missed, ["one_attempt_at_a_time"] if sent == 1 else [])
                 peer.say(7, "200", "parts=1", b"a\t1\tx\n")
                 self.assertEqual([status for status, _, _ in caller.answers()], [200])
 
-    def test_a_fault_at_one_held_connection_keeps_the_others(self) -> None:
+    def test_a_fault_at_one_deferred_connection_keeps_the_others(self) -> None:
         written: list[str] = []
 
-        class Held:
+        class DeferredConnection:
             def __init__(self, name: str) -> None:
                 self.name = name
 
-            def write_held(self) -> None:
+            def write_deferred(self) -> None:
                 if self.name == "b":
                     raise OSError(errno.EIO, "by the test")
                 written.append(self.name)
 
         world = World(self)
         engines: Engines = world.service.engines
-        engines.held = [Held(name) for name in "abc"]  # type: ignore[misc]
+        engines.deferred = [DeferredConnection(name) for name in "abc"]  # type: ignore[misc]
         with self.assertRaises(OSError):
-            engines.write_held()
-        engines.write_held()
-        self.assertEqual((written, engines.held), (["a", "c"], []))
+            engines.write_deferred()
+        engines.write_deferred()
+        self.assertEqual((written, engines.deferred), (["a", "c"], []))
 
 
 if __name__ == "__main__":
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -1,4 +1,4 @@
-"""Stalls, shared connections, and what one turn may cost: each forced, on a clock moved by hand."""
+"""Stalls of the process, shared connections and the bound on a batch, on a clock that the test moves."""
 
 import io
 import random
@@ -13,22 +13,22 @@
 from spurdeal.net.pending import count_waiting_connections
 from spurdeal.net.watch import AcceptWatch, LoopWatch
 from tests.helpers import Caller, World
-from tests.steps import Steps, Talk, settings
+from tests.steps import PeerSocket, Steps, settings
 
 STALL = 800.0  # ms
-ANSWER_WAY = 40  # ms that the dispatcher keeps for the way back
+ANSWER_RETURN_TIME = 40  # ms that the dispatcher reserves for sending the answer back
 ACCEPTS_A_ROUND, ROUND = 2, 10.0  # ms
 WAITING_CLIENTS = 8  # in the accept queue, at all times
 LONG_CROWD = 1000.0  # ms
 
 
 def stall(steps: Steps, ms: float = STALL) -> None:
-    """The whole process stands still, as on a machine that is out of processor time."""
+    """Stall the whole process, as on a machine that is out of processor time."""
     steps.reactor.now += ms / 1000
 
 
-def wait_told(talk: Talk) -> list[int]:
-    """The time that engines were told, of each trip that has come on this connection."""
+def wait_told(talk: PeerSocket) -> list[int]:
+    """The time limit sent with each attempt on this connection."""
     return [
         int(dict(pair.split("=") for pair in said[2].split(","))["wait"])
         for said in talk.heard()
@@ -37,54 +37,56 @@
 
 
 class Stalls(unittest.TestCase):
-    """What is read after a stall may have come at its beginning: its time counts from there."""
+    """What is read after a stall may have arrived at its beginning, so its time counts from there."""
 
-    def resting(self, **more: Any) -> tuple[Steps, Talk, Talk]:
-        """A dispatcher, a client's connection and an engine's, both in use before."""
+    def resting(self, **more: Any) -> tuple[Steps, PeerSocket, PeerSocket]:
+        """A dispatcher, and idle connections of a client and an engine that were used before."""
         steps = Steps(self, **more)
         client = steps.served(1)
-        return steps, client, steps.engines[0].talks[0]
+        return steps, client, steps.engines[0].peers[0]
 
     def test_on_an_open_connection(self) -> None:
         steps, client, engine = self.resting()
         client.post(2, wait=2000)
         stall(steps)
         steps.go()
-        self.assertEqual(wait_told(engine), [2000 - int(STALL) - ANSWER_WAY])
+        self.assertEqual(wait_told(engine), [2000 - int(STALL) - ANSWER_RETURN_TIME])
 
     def test_on_a_connection_in_the_backlog(self) -> None:
         steps, _, engine = self.resting()
         steps.client().post(2, wait=2000)
         stall(steps)
         steps.go()
-        self.assertEqual(wait_told(engine), [2000 - int(STALL) - ANSWER_WAY])
+        self.assertEqual(wait_told(engine), [2000 - int(STALL) - ANSWER_RETURN_TIME])
 
     def test_behind_another_in_the_backlog(self) -> None:
-        """Where one round accepts so many and no more, the next ones were there before it too."""
+        """A round accepts a limited number; connections accepted in the next had also arrived before it."""
         steps, _, _ = self.resting()
         for ident in (2, 3, 4):
             steps.client().post(ident, wait=2000)
         steps.service.clients.port.numberAccepts = 1
         stall(steps)
         steps.go()
-        expiries = {taken.expiry for taken in steps.service.link.taken.values()}
-        self.assertEqual((len(steps.service.link.taken), len(expiries)), (3, 1))
-        self.assertAlmostEqual(expiries.pop() - steps.clock(), 2000 - STALL - ANSWER_WAY, places=3)
+        deadlines = {taken.deadline for taken in steps.service.adapter.open_requests.values()}
+        self.assertEqual((len(steps.service.adapter.open_requests), len(deadlines)), (3, 1))
+        self.assertAlmostEqual(deadlines.pop() - steps.clock(), 2000 - STALL - ANSWER_RETURN_TIME, places=3)
 
-    def test_in_a_turn(self) -> None:
+    def test_in_a_batch(self) -> None:
         steps, client, engine = self.resting()
-        rules = steps.service.link.rules
-        usual = rules.turn
+        rules = steps.service.adapter.rules
+        usual = rules.end_batch
 
-        def slow_turn(now: float) -> None:
-            rules.turn = usual  # type: ignore[method-assign]
+        def slow_batch(now: float) -> None:
+            rules.end_batch = usual  # type: ignore[method-assign]
             client.post(2, wait=2000)
             stall(steps)
             usual(now)
 
-        rules.turn = slow_turn  # type: ignore[method-assign]
+        rules.end_batch = slow_batch  # type: ignore[method-assign]
         steps.go(50)
-        self.assertEqual(wait_told(engine), [2000 - 10 - int(STALL) - ANSWER_WAY])  # polled 10 ms before it
+        self.assertEqual(
+            wait_told(engine), [2000 - 10 - int(STALL) - ANSWER_RETURN_TIME]
+        )  # polled 10 ms before it
 
     def test_what_has_no_time_left_is_shed_at_once(self) -> None:
         steps, client, engine = self.resting()
@@ -94,12 +96,14 @@
         self.assertEqual((client.status(), wait_told(engine)), (503, []))
 
     def test_at_a_closed_door(self) -> None:
-        """Accepting was paused; the one that waited there was first read after that."""
+        """Accepting was paused; a connection that waited in the backlog was read only after that."""
         steps = Steps(self)
         clients = steps.service.clients
-        clients.bound(most=4, accepts=1, memory_mb=64.0)  # so few that none is shed for being too many
+        clients.set_limits(
+            max_connections=4, accepts=1, memory_mb=64.0
+        )  # so few that no request is shed because of their number
         steps.go()
-        open_ones = [steps.client() for _ in range(clients.most)]
+        open_ones = [steps.client() for _ in range(clients.max_connections)]
         for ident, client in enumerate(open_ones, 1):
             client.post(ident, wait=4000)
         steps.go()
@@ -108,14 +112,14 @@
         steps.go(500)
         open_ones[0].socket.close()
         steps.go()
-        steps.go()  # the room that it left is seen in one round, and used in the next
-        expiry = steps.service.link.by_ident[b"%016x" % 99].expiry  # so accepting went on
-        self.assertAlmostEqual(expiry - steps.clock(), 2000 - 500 - ANSWER_WAY, places=3)
+        steps.go()  # the free slot is noticed in one round, and used in the next
+        deadline = steps.service.adapter.by_ident[b"%016x" % 99].deadline  # so accepting went on
+        self.assertAlmostEqual(deadline - steps.clock(), 2000 - 500 - ANSWER_RETURN_TIME, places=3)
 
     def test_in_a_flood_nobody_has_waited_longer_than_the_queue_is_long(self) -> None:
         """Each round accepts as many as it may, so the queue is never seen empty."""
         steps = Steps(self)
-        watch = AcceptWatch(steps.service.link.loop, queue_length=6)
+        watch = AcceptWatch(steps.service.adapter.loop, queue_length=6)
         dated = list[float]()
         for _ in range(10):
             steps.reactor.now += 0.01
@@ -123,7 +127,7 @@
             dated += [watch.accepted(2).since for _ in range(2)]
         now = steps.clock()
         self.assertAlmostEqual(now - dated[-1], 30.0, places=3)  # three rounds of two
-        self.assertLessEqual(len(watch.looks), 4)
+        self.assertLessEqual(len(watch.samples), 4)
         steps.go(10)
         steps.go(10)  # a round with no accept: it was empty
         self.assertAlmostEqual(steps.clock() - watch.accepted(2).since, 0.0, places=3)
@@ -134,7 +138,7 @@
             steps.go(pause)
             client.post(ident, wait=2000)
             steps.go()
-            self.assertEqual(wait_told(engine), [2000 - ANSWER_WAY])
+            self.assertEqual(wait_told(engine), [2000 - ANSWER_RETURN_TIME])
             engine.say(ident)
             self.assertEqual(steps.until(client.status), 200)
 
@@ -146,7 +150,7 @@
         for ident, talk in ((2, client), (3, newcomer)):
             talk.post(ident, wait=2000)
             steps.go()
-            self.assertEqual(wait_told(engine), [2000 - ANSWER_WAY])
+            self.assertEqual(wait_told(engine), [2000 - ANSWER_RETURN_TIME])
             engine.say(ident)
             self.assertEqual(steps.until(talk.status), 200)
 
@@ -163,21 +167,21 @@
 
 
 class CrowdedQueue:
-    """A dispatcher whose accept queue is never empty: in each round as many come as it accepts."""
+    """A dispatcher whose accept queue is never empty: each round, as many arrive as are accepted."""
 
     def __init__(self, case: unittest.TestCase) -> None:
         self.steps = Steps(case)
         clients = self.steps.service.clients
-        clients.bound(most=40, accepts=ACCEPTS_A_ROUND, memory_mb=64.0)
+        clients.set_limits(max_connections=40, accepts=ACCEPTS_A_ROUND, memory_mb=64.0)
         self.steps.go()
-        self.silent = deque[Talk]()
+        self.silent = deque[PeerSocket]()
         self.come(WAITING_CLIENTS)
 
     def come(self, count: int) -> None:
         self.silent.extend(self.steps.client() for _ in range(count))
 
     def go(self, ms: float) -> None:
-        """Rounds of 10 ms; who was accepted is closed by its own side, the oldest first."""
+        """Run rounds of 10 ms; accepted clients disconnect, the oldest first."""
         for _ in range(round(ms / ROUND)):
             self.come(ACCEPTS_A_ROUND)
             self.steps.reactor.now += ROUND / 1000
@@ -186,23 +190,23 @@
                 self.silent.popleft().socket.close()
 
     def post(self, ident: int, wait: int) -> float:
-        """A call on a new connection, behind all that wait; the time at which it was sent."""
+        """Send a request on a new connection at the end of the queue; returns when it was sent."""
         self.steps.client().post(ident, wait=wait)
         return self.steps.clock()
 
-    def expiry(self, ident: int) -> float:
-        return self.steps.service.link.by_ident[b"%016x" % ident].expiry
+    def deadline(self, ident: int) -> float:
+        return self.steps.service.adapter.by_ident[b"%016x" % ident].deadline
 
 
 class Backlog(unittest.TestCase):
-    """Connections wait in the accept queue behind others, which is first in, first out."""
+    """Connections wait in the accept queue, which is first in, first out."""
 
     def test_in_a_crowd_a_call_counts_from_no_earlier_than_the_queue_before_it(self) -> None:
         crowd = CrowdedQueue(self)
         crowd.go(LONG_CROWD)
         sent_at = crowd.post(1, wait=2000)
         crowd.go(100)
-        left_when_sent = crowd.expiry(1) + ANSWER_WAY - sent_at
+        left_when_sent = crowd.deadline(1) + ANSWER_RETURN_TIME - sent_at
         self.assertLessEqual(left_when_sent, 2000)
         self.assertGreaterEqual(left_when_sent, 2000 - 2 * ROUND)
 
@@ -211,9 +215,9 @@
         crowd.go(LONG_CROWD)
         sent_at = crowd.post(1, wait=2000)
         crowd.come(100)
-        crowd.steps.reactor.now += 0.09  # under the gap from which on all that is read is dated back
+        crowd.steps.reactor.now += 0.09  # below the gap from which arrival times are dated back
         crowd.go(200)
-        left_when_sent = crowd.expiry(1) + ANSWER_WAY - sent_at
+        left_when_sent = crowd.deadline(1) + ANSWER_RETURN_TIME - sent_at
         self.assertLessEqual(left_when_sent, 2000)
         self.assertGreaterEqual(left_when_sent, 2000 - 2 * ROUND)
 
@@ -224,18 +228,18 @@
         crowd.go(LONG_CROWD)
         crowd.post(1, wait=3000)
         crowd.go(100)
-        self.assertAlmostEqual(crowd.expiry(1), began + ROUND + 3000 - ANSWER_WAY, places=3)
+        self.assertAlmostEqual(crowd.deadline(1), began + ROUND + 3000 - ANSWER_RETURN_TIME, places=3)
 
     def test_the_first_count_above_0_ends_what_was_assumed_before(self) -> None:
         steps = Steps(self)
         counts = iter([0, 0, 2, 2, 2, 2, 2, 2])
-        watch = AcceptWatch(steps.service.link.loop, 1000, lambda: next(counts))
+        watch = AcceptWatch(steps.service.adapter.loop, 1000, lambda: next(counts))
         ages, kept = list[float](), list[int]()
         for _ in range(8):
             steps.reactor.now += ROUND / 1000
             steps.round()
             ages.append(round(steps.clock() - watch.accepted(1).since))
-            kept.append(len(watch.looks))
+            kept.append(len(watch.samples))
         self.assertEqual(ages, [0, 10, 20, 30, 40, 30, 30, 30])
         self.assertEqual(kept, [1, 2, 1, 2, 3, 3, 3, 3])
 
@@ -244,7 +248,7 @@
             counts = [count_waiting_connections(listener)]
             callers = [socket.create_connection(listener.getsockname()) for _ in range(3)]
             counts.append(count_waiting_connections(listener))
-            callers[0].close()  # it waits on, as an ended one
+            callers[0].close()  # it stays in the queue, closed
             counts.append(count_waiting_connections(listener))
             listener.accept()[0].close()
             counts.append(count_waiting_connections(listener))
@@ -257,9 +261,10 @@
         self.assertIsNone(count_waiting_connections(None))
 
     def test_no_connection_is_dated_later_than_the_poll_behind_its_coming(self) -> None:
-        """Random arrivals, accepts that fail and pauses, and systems that count, do not, or tell 0.
+        """Random arrivals, failing accepts and pauses, with the queue length known, unknown or reported as 0.
 
-        Between two polls of under 100 ms, what comes counts from the second, as bytes do."""
+        Connections that arrive between two polls less than 100 ms apart count from the second, as bytes do.
+        """
         for seed in range(60):
             for counts in ("true", "none", "zero"):
                 with self.subTest(seed=seed, counts=counts):
@@ -274,14 +279,14 @@
 
 
 class QueueModel:
-    """An accept queue in memory, the loop that accepts from it, and when each connection came.
+    """An in-memory accept queue, the loop that accepts from it, and when each connection arrived.
 
     Attributes:
-        accepted: Of each connection, when it came, since when it may have waited as it was told, and the last
-            look at the queue before it came.
+        accepted: For each connection, when it arrived, since when it may have waited according to the watch,
+            and when the queue was last checked before it arrived.
     """
 
-    MOST = 12  # that the queue holds
+    MOST = 12  # capacity of the queue
 
     def __init__(self, choice: random.Random, counts: str) -> None:
         self.choice, self.counts, self.now = choice, counts, 0.0
@@ -292,7 +297,7 @@
         self.accepted = list[tuple[float, float, float]]()
         self.polls = list[float]()
         self.paused = 0  # rounds
-        self.busy = False  # more come than are accepted
+        self.busy = False  # more arrive than are accepted
 
     def count_waiting(self) -> int | None:
         if self.queue and self.counts == "true":
@@ -300,7 +305,7 @@
         return {"true": len(self.queue), "none": None, "zero": 0}[self.counts]
 
     def next_poll(self, came: float) -> float:
-        """The first poll after a connection came, whether or not the listener was watched then."""
+        """The first poll after a connection arrived, whether or not the listener was watched then."""
         found = bisect_left(self.polls, came)
         return self.polls[found] if found < len(self.polls) else self.now
 
@@ -344,7 +349,7 @@
 
 
 class HeldBack(unittest.TestCase):
-    """Requests of one key that must keep an order may have waited at their client for those before them."""
+    """Ordered requests of one key may have waited at their client for earlier ones."""
 
     GRADES: ClassVar = [
         {"name": "entry", "aim": 3000, "deadline": 20000, "effect": "once", "serial_by_key": True},
@@ -358,11 +363,11 @@
         self.count = 0
 
     def time_left(self, workload: str, key: str, wait: int = 5000) -> float:
-        """What one more that comes now still has, as the dispatcher counts."""
+        """The time left of another request that arrives now, as the dispatcher counts it."""
         self.count += 1
         Caller(self.world).post(self.count, workload, wait=wait, Req_Key=key)
-        expiry = self.world.service.link.by_ident[b"%016x" % self.count].expiry
-        return round(expiry - self.world.now() + ANSWER_WAY)
+        deadline = self.world.service.adapter.by_ident[b"%016x" % self.count].deadline
+        return round(deadline - self.world.now() + ANSWER_RETURN_TIME)
 
     def test_a_run_counts_from_its_first(self) -> None:
         left = list[float]()
@@ -385,7 +390,7 @@
         left.append(self.time_left("entry", "k1"))
         self.assertEqual(left, [5000] * 5)
 
-    def test_without_a_rest_in_the_settings_nothing_is_taken_off(self) -> None:
+    def test_without_an_order_pause_nothing_is_deducted(self) -> None:
         self.world = World(self, settings=settings() | {"grades": self.GRADES})
         left = list[float]()
         for pause in (0, 60):
@@ -394,64 +399,63 @@
         self.assertEqual(left, [5000, 5000])
 
     def test_runs_are_bounded_and_forgotten(self) -> None:
-        ordered = self.world.service.link.ordered
+        ordered = self.world.service.adapter.ordered
         for key in range(1, 5000):
-            ordered.held_back(key, 0.0, 5000.0)
+            ordered.hold_time(key, 0.0, 5000.0)
         self.assertEqual(len(ordered.runs), 1024)
-        ordered.held_back(1, 1000.0, 5000.0)
+        ordered.hold_time(1, 1000.0, 5000.0)
         self.assertEqual(list(ordered.runs), [1])
 
 
-class Turns(unittest.TestCase):
-    """The work of one turn is bounded."""
+class EventBatches(unittest.TestCase):
+    """The work of one batch is bounded."""
 
-    def test_many_events_are_handed_over_in_several_turns_in_their_order(self) -> None:
+    def test_many_events_are_delivered_in_several_batches_in_order(self) -> None:
         world = World(self)
-        link, handed, turns = world.service.link, list[int](), world.count("turns")
+        adapter, delivered, batches = world.service.adapter, list[int](), world.count("turns")
 
         def event(_: float, place: int) -> None:
-            handed.append(place)
+            delivered.append(place)
 
         for place in range(300):
-            link.gather(event, place)
-        link.turn()
-        self.assertEqual(handed, list(range(128)))
+            adapter.enqueue(event, place)
+        adapter.run_batch()
+        self.assertEqual(delivered, list(range(128)))
         world.go()
-        self.assertEqual((handed, world.count("turns") - turns), (list(range(300)), 3))
+        self.assertEqual((delivered, world.count("turns") - batches), (list(range(300)), 3))
 
-    def test_held_ones_with_keys_are_not_weighed_one_by_one(self) -> None:
-        """One that could go and finds no engine speaks for its kind; one behind another of its key is not
-        weighed at all."""
+    def test_queued_requests_with_keys_are_not_checked_one_by_one(self) -> None:
+        """One without an engine represents its workload; one behind another of its key is not checked."""
         grades = [{"name": "load", "aim": 3000, "deadline": 20000, "effect": "once", "serial_by_key": True}]
         world = World(self, limits={"sockets": 1024}, settings=settings() | {"grades": grades})
-        rules, weighed = world.service.link.rules, list[int]()
+        rules, weighed = world.service.adapter.rules, list[int]()
         rules.admits = lambda *_: False  # type: ignore[method-assign]
         callers = [Caller(world) for _ in range(60)]
         for ident, caller in enumerate(callers, 1):
             caller.post(ident, "load", Req_Key=f"k{ident % 20}")
-        self.assertEqual((len(rules.held), len(rules.lines)), (60, 20))
-        usual = rules.allowed
-        rules.allowed = lambda s: weighed.append(s.number) or usual(s)  # type: ignore[method-assign, func-returns-value]
-        rules.turn(world.now())
+        self.assertEqual((len(rules.wait_queue), len(rules.ordered_queues)), (60, 20))
+        usual = rules.eligible_engines
+        rules.eligible_engines = lambda request: weighed.append(request.number) or usual(request)  # type: ignore[method-assign, func-returns-value]
+        rules.end_batch(world.now())
         self.assertEqual(weighed, [0])
 
 
 class SharedConnections(unittest.TestCase):
-    """Several trips on one connection to an engine."""
+    """Several attempts on one connection to an engine."""
 
     BEGUN = b"*4\r\n$16\r\n%016x\r\n$3\r\n200\r\n$7\r\nparts=1\r\n$6\r\n" % 1
 
-    def two_trips(self) -> tuple[World, Caller, Caller]:
-        """Two trips on one connection; the second has 640 ms left."""
+    def two_attempts(self) -> tuple[World, Caller, Caller]:
+        """Two attempts on one connection; the second has 640 ms left."""
         world = World(self)
-        world.service.engines.most_connections = 1
+        world.service.engines.max_connections = 1
         patient, pressed = Caller(world), Caller(world)
         patient.post(1)
         pressed.post(2, wait=640)
         return world, patient, pressed
 
-    def test_an_answer_is_not_cut_for_the_sake_of_another_trip(self) -> None:
-        world, patient, pressed = self.two_trips()
+    def test_an_answer_is_not_cut_short_for_another_attempt(self) -> None:
+        world, patient, pressed = self.two_attempts()
         peer = world.peer().up()
         self.assertEqual(len(peer.heard()), 2)
         peer.raw(self.BEGUN)
@@ -461,8 +465,8 @@
         peer.say(2, "200", "parts=1", b"a\t1\tx\n")
         self.assertEqual([caller.answers()[0][0] for caller in (patient, pressed)], [200, 200])
 
-    def test_one_whose_id_has_not_come_is_bounded_by_no_single_trip(self) -> None:
-        world, _, _ = self.two_trips()
+    def test_an_answer_without_its_id_yet_is_bounded_by_the_longest_attempt(self) -> None:
+        world, _, _ = self.two_attempts()
         peer = world.peer().up()
         peer.raw(self.BEGUN[:10])
         world.go(400)
@@ -470,8 +474,8 @@
         world.go(150)
         self.assertTrue(peer.pipe.aborted)
 
-    def test_its_own_trips_time_bounds_it(self) -> None:
-        world, _, _ = self.two_trips()
+    def test_an_answer_is_bounded_by_the_time_of_its_own_attempt(self) -> None:
+        world, _, _ = self.two_attempts()
         peer = world.peer().up()
         peer.raw(self.BEGUN.replace(b"%016x" % 1, b"%016x" % 2))
         world.go(290)
