--- a/spurdeal/lab/audited/one_run.py
+++ b/spurdeal/lab/audited/one_run.py
@@ -42,4 +42,4 @@
         run.faults.end()
     if runner.fault is not None:
         return {"fault": repr(runner.fault)}
-    return run_figures(run) | {"logs": str(folder), "lab_latest_ms": round(runner.lag.most_ms, 1)}
+    return run_figures(run) | {"logs": str(folder), "lab_latest_ms": round(runner.lag.max_ms, 1)}
--- a/spurdeal/lab/cables.py
+++ b/spurdeal/lab/cables.py
@@ -8,7 +8,7 @@
 
 from twisted.internet.protocol import DatagramProtocol
 
-Place = tuple[str, int]
+HostPort = tuple[str, int]
 
 
 class End(DatagramProtocol):
@@ -16,7 +16,7 @@
 
     transport: Any
 
-    def __init__(self, cable: Cable, beyond: Place) -> None:
+    def __init__(self, cable: LossyLink, beyond: HostPort) -> None:
         self.cable, self.beyond = cable, beyond  # beyond: who listens behind this end
         self.other: End
         self.cut = False
@@ -34,11 +34,11 @@
             cable.reactor.callLater(delay / 1000, self.other.transport.write, datagram, self.beyond)
 
 
-class Cable:
+class LossyLink:
     """Between two places. Each side sends to the other's end, which has the other's host and a port of
     ours."""
 
-    def __init__(self, reactor: Any, one: Place, two: Place, shift: int, seed: int) -> None:
+    def __init__(self, reactor: Any, one: HostPort, two: HostPort, shift: int, seed: int) -> None:
         self.reactor, self.chance = reactor, random.Random(seed)
         self.loss, self.repeat, self.delay = 0.0, 0.0, 0.0  # shares, and ms at the most
         self.seen = self.lost = 0
@@ -61,8 +61,8 @@
 
     def __init__(self, clock: Any) -> None:
         self.clock = clock
-        self.table: dict[str, Place] = {}
-        self.moves: list[tuple[float, str, Place]] = []
+        self.table: dict[str, HostPort] = {}
+        self.moves: list[tuple[float, str, HostPort]] = []
         self.unreadable = 0
 
     def datagramReceived(self, datagram: bytes, address: Any) -> None:
--- a/spurdeal/lab/crowd.py
+++ b/spurdeal/lab/crowd.py
@@ -5,7 +5,7 @@
 import time
 from typing import TYPE_CHECKING
 
-from .cables import Place, Switch
+from .cables import HostPort, Switch
 from .front import AGAIN, Asked, Dial, Front
 from .rig_process import WAIT
 
@@ -47,7 +47,7 @@
         place = self.chance.choice(places)
         self.reactor.connectTCP(*place, Dial(self, asked, place), timeout=DIAL_TIMEOUT)
 
-    def lost(self, asked: Asked, place: Place, sent: bool) -> None:
+    def lost(self, asked: Asked, place: HostPort, sent: bool) -> None:
         """The connection was refused or ended: again, where the request may go again."""
         if sent:
             asked.unanswered.append(place)
--- a/spurdeal/lab/fleet_walk.py
+++ b/spurdeal/lab/fleet_walk.py
@@ -126,7 +126,7 @@
         elif failure is Failure.BLIND:
             world.nodes[target].source = False
         elif failure is Failure.OLD:
-            world.nodes[target].source_old = world.newest
+            world.nodes[target].stale_source = world.newest
         elif failure is Failure.LIAR:
             self.lie(world.nodes[target].fleet)
 
@@ -145,7 +145,7 @@
         world.cuts.clear()
         world.loss, world.repeat, world.delay = 0.0, 0.0, 1.0
         for node in world.nodes.values():
-            node.source, node.source_old = True, None
+            node.source, node.stale_source = True, None
             if not node.life:
                 world.restart(node.name)
 
--- a/spurdeal/lab/fleet_world.py
+++ b/spurdeal/lab/fleet_world.py
@@ -52,9 +52,9 @@
     fleet: Fleet
     life: int = 0
     paused_until: float = 0.0
-    unix_off: float = 0.0  # of its system's clock; what stamps are made of does not step
+    clock_offset: float = 0.0  # of its system's clock; what stamps are made of does not step
     source: bool = True  # the name service answers it
-    source_old: Version | None = None  # and says this, whatever is new
+    stale_source: Version | None = None  # and says this, whatever is new
     waiting: list[tuple[Address, bytes]] = field(default_factory=list)
     had: dict[Version, float] = field(default_factory=dict)  # when each list came into force
 
@@ -112,7 +112,7 @@
 
     def start(self, node: Node) -> None:
         node.life = self.next()
-        version = node.source_old or self.newest
+        version = node.stale_source or self.newest
         node.fleet.in_force(Artifact.LIST, version, self.lists[version])
         node.had[version] = self.now
         self.at(self.now + self.chance.uniform(0.0, TICK), self.tick, node, node.life)
@@ -120,7 +120,7 @@
 
     def unix(self, node: Node | None) -> float:
         if node is not None:
-            node.fleet.skew = node.unix_off
+            node.fleet.skew = node.clock_offset
         return UNIX + self.now
 
     # Time.
@@ -165,7 +165,7 @@
         self.at(self.now + ASK_EVERY, self.ask_source, node, life)
         if node.source and self.now >= node.paused_until:
             node.fleet.source_answered(self.now)
-            version = node.source_old or self.newest
+            version = node.stale_source or self.newest
             if node.fleet.in_force(Artifact.LIST, version, self.lists[version]):
                 node.had[version] = self.now
 
--- a/spurdeal/lab/front.py
+++ b/spurdeal/lab/front.py
@@ -11,7 +11,7 @@
 from twisted.internet.protocol import ClientFactory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from .cables import Place, Switch
+from .cables import HostPort, Switch
 
 AGAIN = 20.0  # ms until a front that found nobody looks again
 MOST_WAYS = 400
@@ -37,9 +37,9 @@
     cost: float
     began: float
     deadline: float
-    ways: list[Place] = field(default_factory=list)  # who had it whole, in order
+    ways: list[HostPort] = field(default_factory=list)  # who had it whole, in order
     answers: list[int] = field(default_factory=list)
-    unanswered: list[Place] = field(default_factory=list)  # whose connection ended, or time ran out, first
+    unanswered: list[HostPort] = field(default_factory=list)  # whose connection ended, or time ran out, first
     over: bool = False
 
 
@@ -91,12 +91,12 @@
             return
         self.reactor.connectTCP(*place, Dial(self, asked, place), timeout=0.2)
 
-    def lost(self, asked: Asked, place: Place, sent: bool) -> None:
+    def lost(self, asked: Asked, place: HostPort, sent: bool) -> None:
         if sent:
             asked.unanswered.append(place)
         self.reactor.callLater(AGAIN / 1000, self.send, asked)
 
-    def counts(self, excused: Callable[[Place, Asked], bool]) -> dict[str, int]:
+    def counts(self, excused: Callable[[HostPort, Asked], bool]) -> dict[str, int]:
         """excused: whoever had it was killed or stood still meanwhile, and its client may ask again."""
         counts: Counter[str] = Counter(dict.fromkeys(COUNTS, 0) | {"submissions": len(self.asked)})
         for asked in self.asked:
@@ -115,7 +115,7 @@
 class Dial(ClientFactory):
     noisy = False
 
-    def __init__(self, front: Front, asked: Asked, place: Place) -> None:
+    def __init__(self, front: Front, asked: Asked, place: HostPort) -> None:
         self.front, self.asked, self.place = front, asked, place
 
     def buildProtocol(self, addr: Any) -> Way:
@@ -130,7 +130,7 @@
 
     transport: Any
 
-    def __init__(self, front: Front, asked: Asked, place: Place) -> None:
+    def __init__(self, front: Front, asked: Asked, place: HostPort) -> None:
         self.front, self.asked, self.place = front, asked, place
         self.text, self.done = b"", False
         self.timer: Any = None
--- a/spurdeal/lab/mesh.py
+++ b/spurdeal/lab/mesh.py
@@ -9,9 +9,9 @@
 
 from twisted.internet.protocol import DatagramProtocol
 
-from .cables import Place
+from .cables import HostPort
 
-FLEET, CABLE = 7114, 7214  # ports of the dispatchers, and of their plugs
+FLEET_PORT, RELAY_PORT = 7114, 7214  # ports of the dispatchers, and of their plugs
 LARGEST_DATAGRAM = 65_535
 
 
@@ -30,14 +30,14 @@
 
     transport: Any
 
-    def __init__(self, cables: Cables, name: str) -> None:
+    def __init__(self, cables: LinkMesh, name: str) -> None:
         self.cables, self.name = cables, name
 
     def datagramReceived(self, datagram: bytes, address: Any) -> None:
         self.cables.carry(address[0], self.name, datagram)
 
 
-class Cables:
+class LinkMesh:
     """Between each two. A dispatcher advertises its plug's address, so that others send there."""
 
     def __init__(self, reactor: Any, chance: random.Random) -> None:
@@ -52,7 +52,7 @@
         """Another dispatcher: its plug on that host."""
         self.hosts[host] = name
         self.plugs[name] = Plug(self, name)
-        self.reactor.listenUDP(CABLE, self.plugs[name], interface=host, maxPacketSize=LARGEST_DATAGRAM)
+        self.reactor.listenUDP(RELAY_PORT, self.plugs[name], interface=host, maxPacketSize=LARGEST_DATAGRAM)
 
     def carry(self, host: str, to: str, datagram: bytes) -> None:
         """A datagram of `host` for that dispatcher: it arrives, late, twice, or not."""
@@ -65,7 +65,7 @@
         if link.cut or self.chance.random() < link.loss:
             self.lost += 1
             return
-        place = next(each for each, name in self.hosts.items() if name == to), FLEET
+        place = next(each for each, name in self.hosts.items() if name == to), FLEET_PORT
         for _ in range(2 if self.chance.random() < link.repeat else 1):
             if link.delay:
                 later = link.delay * self.chance.random() / 1000
@@ -73,7 +73,7 @@
             else:
                 self.deliver(sender, datagram, place)
 
-    def deliver(self, sender: str, datagram: bytes, place: Place) -> None:
+    def deliver(self, sender: str, datagram: bytes, place: HostPort) -> None:
         """It arrives from its sender's plug."""
         self.plugs[sender].transport.write(datagram, place)
 
--- a/spurdeal/lab/rig.py
+++ b/spurdeal/lab/rig.py
@@ -17,11 +17,11 @@
 from pathlib import Path
 from typing import Any
 
-from .cables import Place
+from .cables import HostPort
 from .engines import Engine, Fleet
 from .front import Asked
 from .loopback import Network
-from .mesh import CABLE, FLEET, Cables
+from .mesh import FLEET_PORT, RELAY_PORT, LinkMesh
 from .names import Endpoint, Names
 from .platform_settings import Platform
 from .rig_process import AFTER, PORT, WAIT, Process
@@ -60,7 +60,7 @@
             "shut_after": "2500ms",
         } | dict(terms or {})
         self.seed, self.chance = seed, random.Random(seed)
-        self.cables = Cables(reactor, random.Random(seed + 1))
+        self.cables = LinkMesh(reactor, random.Random(seed + 1))
         self.engines = Fleet(reactor, CORES, COLD_FOR, COLD_SHARE, MULTIPLE, WINDOW)
         self.next_engine = 0
         self.list = Names([self.new_engine(cold=False) for _ in range(engines)])
@@ -139,14 +139,14 @@
         if not self.fleet_on:
             return f"name: {process.name}\n"
         seeds = "".join(
-            f"\n    - {{name: {other.name}, at: {other.host}:{CABLE}}}"
+            f"\n    - {{name: {other.name}, at: {other.host}:{RELAY_PORT}}}"
             for other in list(self.processes.values())[:3]
         )
         terms = "".join(f"\n  {key}: {value}" for key, value in self.terms.items())
         return f"""name: {process.name}
 fleet:
-  listen: {process.host}:{FLEET}
-  advertise: {process.host}:{CABLE}
+  listen: {process.host}:{FLEET_PORT}
+  advertise: {process.host}:{RELAY_PORT}
   keys: [{{id: 1, hex: {KEY}}}]
   seeds:{seeds}{terms}
   revision: {process.revision}
@@ -228,7 +228,7 @@
 
     # What they tell.
 
-    def excused(self, place: Place, asked: Asked) -> bool:
+    def excused(self, place: HostPort, asked: Asked) -> bool:
         """Whether that dispatcher was not to be counted on while the request was open."""
         process = next(each for each in self.processes.values() if each.place == place)
         return process.outages.overlap(asked.began / 1000 - 0.05, asked.deadline / 1000 + 0.05)
--- a/spurdeal/lab/rig_process.py
+++ b/spurdeal/lab/rig_process.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from .cables import Place
+from .cables import HostPort
 from .processes import Outages, cpu_seconds, start_dispatcher
 
 PORT = 7001
@@ -37,7 +37,7 @@
     asides: list[Path] = field(default_factory=list)
 
     @property
-    def place(self) -> Place:
+    def place(self) -> HostPort:
         """Where its clients reach it."""
         return self.host, PORT
 
--- a/spurdeal/lab/scripted.py
+++ b/spurdeal/lab/scripted.py
@@ -15,14 +15,14 @@
     """How late the laboratory's own timers were: its figures are no better than that."""
 
     def __init__(self, reactor: Any) -> None:
-        self.reactor, self.most_ms, self.before = reactor, 0.0, time.monotonic()
+        self.reactor, self.max_ms, self.before = reactor, 0.0, time.monotonic()
         self.loop = LoopingCall(self.look)
         self.loop.start(LOOK_EVERY, now=False)
 
     def look(self) -> None:
         """Compare this call's moment with the one it was due at."""
         now = time.monotonic()
-        self.most_ms, self.before = max(self.most_ms, (now - self.before - LOOK_EVERY) * 1000), now
+        self.max_ms, self.before = max(self.max_ms, (now - self.before - LOOK_EVERY) * 1000), now
 
 
 class ScriptRunner:
--- a/spurdeal/lab/takeover.py
+++ b/spurdeal/lab/takeover.py
@@ -24,7 +24,7 @@
 from ..vrrp import advert
 from ..vrrp.machine import active_down_interval, skew_time
 from ..vrrp.sealed import Keys, Session
-from .cables import Cable, Switch
+from .cables import LossyLink, Switch
 from .engines import Fleet
 from .front import Asked, Front
 from .loopback import Network
@@ -80,7 +80,7 @@
         self.switch = Switch(time.time)
         reactor.listenUDP(net.switch[1], self.switch, interface=net.switch[0])
         self.cables = [
-            Cable(reactor, (net.hosts["n1"], port), (net.hosts["n2"], port), SHIFT, seed + port)
+            LossyLink(reactor, (net.hosts["n1"], port), (net.hosts["n2"], port), SHIFT, seed + port)
             for port in (ADVERTS, HANDOVER)
         ]
         self.processes = {name: Process(net, name, folder, known, guarded) for name in net.hosts}
@@ -273,12 +273,12 @@
     try:
         runner.run()
         if runner.fault is not None:
-            return {"fault": repr(runner.fault), "lab_latest_ms": round(runner.lag.most_ms, 1)}
+            return {"fault": repr(runner.fault), "lab_latest_ms": round(runner.lag.max_ms, 1)}
         found = proof.figures()
     finally:
         for process in proof.processes.values():
             process.end()
-    return found | {"logs": str(folder), "lab_latest_ms": round(runner.lag.most_ms, 1)}
+    return found | {"logs": str(folder), "lab_latest_ms": round(runner.lag.max_ms, 1)}
 
 
 RUN_TIMEOUT = 600.0  # seconds
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -295,7 +295,7 @@
     def test_members_whose_source_gives_an_old_list_fetch_the_newer_one(self) -> None:
         world = self.world()
         for node in list(world.nodes.values())[:3]:
-            node.source_old = world.newest
+            node.stale_source = world.newest
         version = world.release(4)
         self.assertIsNotNone(
             world.run_until(lambda: all(version in node.had for node in world.nodes.values()), 3000.0)
@@ -374,11 +374,11 @@
 
     def test_a_member_detects_its_own_clock_step_of_hours(self) -> None:
         world = self.world()
-        world.nodes["d5"].unix_off = 3.6e6
+        world.nodes["d5"].clock_offset = 3.6e6
         world.run(3000.0)
         self.assertIs(Standing.LAPSED, world.nodes["d5"].fleet.tracker.standing)
         self.assertEqual({"CURRENT": 5, "LAPSED": 1}, world.standings())
-        world.nodes["d5"].unix_off = 0.0
+        world.nodes["d5"].clock_offset = 0.0
         self.all_current(world, 6, 20_000.0)
 
     def test_a_graceful_shutdown_is_announced_and_suspected_by_nobody(self) -> None:
