--- a/spurdeal/lab/audited/faults.py
+++ b/spurdeal/lab/audited/faults.py
@@ -181,8 +181,8 @@
 
     def noise(self, targets: list[str]) -> Iterator[float]:
         """Datagrams are lost, repeated and late everywhere."""
-        usual = self.rig.cables.usual
-        usual.loss, usual.repeat, usual.delay = 0.2, 0.1, 30.0
+        default_link = self.rig.cables.default_link
+        default_link.loss, default_link.repeat, default_link.delay = 0.2, 0.1, 30.0
         targets += self.some(2)
         self.rig.follow(targets, False)
         self.change()
--- a/spurdeal/lab/audited/virtual.py
+++ b/spurdeal/lab/audited/virtual.py
@@ -54,10 +54,10 @@
     """For each dispatcher, ms until it has a new list that the name service tells one of them alone."""
     version = world.release(teller + 1)
     for place, node in enumerate(world.nodes.values()):
-        node.source = place == teller
+        node.source_answers = place == teller
     at = world.now
     world.run_until(partial(world.all_have, version), SPREAD_MOST)
-    return [node.had.get(version, math.inf) - at for node in world.nodes.values()]
+    return [node.in_force_since.get(version, math.inf) - at for node in world.nodes.values()]
 
 
 def same_twice() -> bool:
--- a/spurdeal/lab/emulate.py
+++ b/spurdeal/lab/emulate.py
@@ -31,7 +31,7 @@
     """All that `spurdeal lab emulate --json` prints; worlds and forms are spread over the cores."""
     checked = forms(quick)
     for form in checked:
-        say(f"{form.name}: told {form.told:.2f}, seen {form.seen:.2f} ms, Little {form.little:.4f}")
+        say(f"{form.name}: told {form.expected:.2f}, seen {form.measured:.2f} ms, Little {form.little:.4f}")
     seconds, seeds = (2.0, 4) if quick else (20.0, 8)
     with ProcessPoolExecutor() as pool:
         planted = [pool.submit(find, rule, SECONDS) for rule in range(8)]
--- a/spurdeal/lab/fleet_walk.py
+++ b/spurdeal/lab/fleet_walk.py
@@ -124,7 +124,7 @@
         elif failure is Failure.NOISE:
             world.loss, world.repeat, world.delay = 0.2, 0.2, 60.0
         elif failure is Failure.BLIND:
-            world.nodes[target].source = False
+            world.nodes[target].source_answers = False
         elif failure is Failure.OLD:
             world.nodes[target].stale_source = world.newest
         elif failure is Failure.LIAR:
@@ -145,7 +145,7 @@
         world.cuts.clear()
         world.loss, world.repeat, world.delay = 0.0, 0.0, 1.0
         for node in world.nodes.values():
-            node.source, node.stale_source = True, None
+            node.source_answers, node.stale_source = True, None
             if not node.life:
                 world.restart(node.name)
 
--- a/spurdeal/lab/fleet_world.py
+++ b/spurdeal/lab/fleet_world.py
@@ -53,10 +53,10 @@
     life: int = 0
     paused_until: float = 0.0
     clock_offset: float = 0.0  # of its system's clock; what stamps are made of does not step
-    source: bool = True  # the name service answers it
+    source_answers: bool = True  # the name service answers it
     stale_source: Version | None = None  # and says this, whatever is new
     waiting: list[tuple[Address, bytes]] = field(default_factory=list)
-    had: dict[Version, float] = field(default_factory=dict)  # when each list came into force
+    in_force_since: dict[Version, float] = field(default_factory=dict)  # when each list came into force
 
 
 class World:
@@ -114,7 +114,7 @@
         node.life = self.next()
         version = node.stale_source or self.newest
         node.fleet.in_force(Artifact.LIST, version, self.lists[version])
-        node.had[version] = self.now
+        node.in_force_since[version] = self.now
         self.at(self.now + self.chance.uniform(0.0, TICK), self.tick, node, node.life)
         self.at(self.now + self.chance.uniform(0.0, ASK_EVERY), self.ask_source, node, node.life)
 
@@ -155,7 +155,7 @@
             self.at(node.paused_until, self.tick, node, life)
             return
         node.fleet.tick(self.now, self.unix(node))
-        self.sent(node)
+        self.flush(node)
         self.at(self.now + TICK, self.tick, node, life)
 
     def ask_source(self, node: Node, life: int) -> None:
@@ -163,19 +163,19 @@
         if life != node.life:
             return
         self.at(self.now + ASK_EVERY, self.ask_source, node, life)
-        if node.source and self.now >= node.paused_until:
+        if node.source_answers and self.now >= node.paused_until:
             node.fleet.source_answered(self.now)
             version = node.stale_source or self.newest
             if node.fleet.in_force(Artifact.LIST, version, self.lists[version]):
-                node.had[version] = self.now
+                node.in_force_since[version] = self.now
 
     def brought(self, name: str, version: Version) -> None:
-        self.nodes[name].had[version] = self.now
+        self.nodes[name].in_force_since[version] = self.now
         self.counts["brought_up"] += 1
 
     # Datagrams.
 
-    def sent(self, node: Node) -> None:
+    def flush(self, node: Node) -> None:
         out, node.fleet.out = node.fleet.out, []
         for told in node.fleet.events:
             self.log.append((self.now, node.name, told.what, told.figures))
@@ -193,15 +193,15 @@
                 when = self.now + 0.2 + self.delay * self.chance.random()
                 self.at(when, self.arrives, to, node.address, datagram)
 
-    def arrives(self, to: str, source: Address, datagram: bytes) -> None:
+    def arrives(self, to: str, source_answers: Address, datagram: bytes) -> None:
         node = self.nodes[to]
         if not node.life:
             return
         if self.now < node.paused_until:
-            self.at(node.paused_until + 0.01, self.arrives, to, source, datagram)
+            self.at(node.paused_until + 0.01, self.arrives, to, source_answers, datagram)
             return
-        node.fleet.receive(self.now, self.unix(node), source, datagram)
-        self.sent(node)
+        node.fleet.receive(self.now, self.unix(node), source_answers, datagram)
+        self.flush(node)
 
     # What happens to them.
 
@@ -224,17 +224,17 @@
     def restart(self, name: str) -> None:
         node = self.nodes[name]
         node.fleet = self.fleet(name, node.address)
-        node.had.clear()
+        node.in_force_since.clear()
         self.start(node)
 
     def leave(self, name: str) -> None:
         node = self.nodes[name]
         node.fleet.leave(self.now, self.unix(node))
-        self.sent(node)
+        self.flush(node)
 
     def all_have(self, version: Version) -> bool:
         """Is that list in force at all?"""
-        return all(version in node.had for node in self.nodes.values() if node.life)
+        return all(version in node.in_force_since for node in self.nodes.values() if node.life)
 
     def introduce(self) -> None:
         """All know all, as long after a start: no news is left of it."""
--- a/spurdeal/lab/forms.py
+++ b/spurdeal/lab/forms.py
@@ -16,13 +16,13 @@
     """What is checked, what the form says and what the model did; mean times in ms."""
 
     name: str
-    told: float
-    seen: float
+    expected: float
+    measured: float
     little: float  # of jobs in the engine over rate times mean time; 1 by Little's law
 
     @property
     def error(self) -> float:
-        return max(abs(self.seen / self.told - 1), abs(self.little - 1))
+        return max(abs(self.measured / self.expected - 1), abs(self.little - 1))
 
 
 def run(
@@ -47,8 +47,8 @@
             engine.start(now, Job(arrived, draw(chance)))
             arrived += 1
             arrival = now + chance.expovariate(rate)
-    seen = total / (ended - warm)
-    return seen, (engine.area - area_at) / (now - time_at) / ((ended - warm) / (now - time_at) * seen)
+    measured = total / (ended - warm)
+    return measured, (engine.area - area_at) / (now - time_at) / ((ended - warm) / (now - time_at) * measured)
 
 
 def erlang_c(servers: int, load: float) -> float:
@@ -66,8 +66,8 @@
     return 10.0
 
 
-def check(name: str, cores: int, load: float, even: bool, told: float, jobs: int, seed: int) -> Form:
-    return Form(name, told, *run(cores, load, 10.0, constant if even else exponential, jobs, seed))
+def check(name: str, cores: int, load: float, even: bool, expected: float, jobs: int, seed: int) -> Form:
+    return Form(name, expected, *run(cores, load, 10.0, constant if even else exponential, jobs, seed))
 
 
 def forms(quick: bool) -> list[Form]:
--- a/spurdeal/lab/mesh.py
+++ b/spurdeal/lab/mesh.py
@@ -45,7 +45,7 @@
         self.plugs: dict[str, Plug] = {}
         self.hosts: dict[str, str] = {}
         self.links: dict[tuple[str, str], Link] = {}
-        self.usual = Link()
+        self.default_link = Link()
         self.seen = self.lost = self.bytes = 0
 
     def add(self, name: str, host: str) -> None:
@@ -61,7 +61,7 @@
             return
         self.seen += 1
         self.bytes += len(datagram)
-        link = self.links.get((sender, to), self.usual)
+        link = self.links.get((sender, to), self.default_link)
         if link.cut or self.chance.random() < link.loss:
             self.lost += 1
             return
@@ -87,4 +87,4 @@
     def heal(self) -> None:
         """All cables are whole."""
         self.links.clear()
-        self.usual = Link()
+        self.default_link = Link()
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -298,7 +298,9 @@
             node.stale_source = world.newest
         version = world.release(4)
         self.assertIsNotNone(
-            world.run_until(lambda: all(version in node.had for node in world.nodes.values()), 3000.0)
+            world.run_until(
+                lambda: all(version in node.in_force_since for node in world.nodes.values()), 3000.0
+            )
         )
         self.all_current(world, 6, 3000.0)
 
@@ -306,11 +308,13 @@
         world = self.world()
         names = list(world.nodes)
         for name in names[1:]:
-            world.nodes[name].source = False
+            world.nodes[name].source_answers = False
         world.cut({names[0]}, set(names[2:]))  # only the second hears the first
         version = world.release(4)
         self.assertIsNotNone(
-            world.run_until(lambda: all(version in node.had for node in world.nodes.values()), 4000.0)
+            world.run_until(
+                lambda: all(version in node.in_force_since for node in world.nodes.values()), 4000.0
+            )
         )
 
     def test_the_second_process_with_a_name_yields_it(self) -> None:
@@ -410,7 +414,9 @@
         self.assertGreaterEqual(world.standings()["CURRENT"], 7)
         version = world.release(1)
         self.assertIsNotNone(
-            world.run_until(lambda: all(version in node.had for node in world.nodes.values()), 3000.0)
+            world.run_until(
+                lambda: all(version in node.in_force_since for node in world.nodes.values()), 3000.0
+            )
         )
 
     def test_the_same_seed_gives_the_same_bytes(self) -> None:
@@ -469,16 +475,16 @@
         """The datagrams that a member sends to d0 within a second."""
         found: list[tuple[object, bytes]] = []
         fleet, target = world.nodes[name].fleet, world.nodes["d0"].address
-        send = world.sent
+        send = world.flush
 
         def sent(node: object) -> None:
             if node is world.nodes[name]:
                 found.extend(each for each in fleet.out if each[0] == target)
             send(node)  # type: ignore[arg-type]
 
-        world.sent = sent  # type: ignore[method-assign]
+        world.flush = sent  # type: ignore[method-assign]
         world.run(1000.0)
-        world.sent = send  # type: ignore[method-assign]
+        world.flush = send  # type: ignore[method-assign]
         return found
 
 
