--- a/spurdeal/lab/address_model.py
+++ b/spurdeal/lab/address_model.py
@@ -1,4 +1,4 @@
-"""The model of who holds the virtual address: VRRP's state machine as it runs, advertisements, and faults."""
+"""Model of which dispatcher holds the virtual address: VRRP's state machine, advertisements and faults."""
 
 from __future__ import annotations
 
@@ -8,28 +8,29 @@
 from typing import Any, NamedTuple
 
 from ..vrrp.machine import NEVER, Action, GroupSettings, State, StateMachine, active_down_interval
-from .model_check import Found, Invariant, check, replaced
+from .model_check import CheckResult, Invariant, check, replace_at
 
-STEP, INTERVAL = 25.0, 100.0  # ms; ranks are such that each Skew_Time is a whole number of steps
-RANKS = (192, 128, 64)
-FAR = 500.0  # ms: what lies further back makes no difference
-LIVE, DOWN, STILL = "live", "down", "still"
+# Milliseconds. The priorities are chosen so that each Skew_Time is a whole number of steps.
+STEP, INTERVAL = 25.0, 100.0
+PRIORITIES = (192, 128, 64)
+MAX_AGE = 500.0  # ms: moments further in the past are treated alike, which keeps the state space finite
+LIVE, DOWN, PAUSED = "live", "down", "still"
 
 
 class MachineState(NamedTuple):
-    """A machine, with moments relative to now."""
+    """A snapshot of a state machine, with times relative to now."""
 
     state: str
     priority: int
     sender_interval: float
     due: float
     seen: float
-    barred: bool
+    awaiting_sync: bool
     preempt_at: float
 
 
 class Advertisement(NamedTuple):
-    """One in flight."""
+    """An advertisement in flight; a `delayed` one was late or repeated already."""
 
     sender: int
     target: int
@@ -38,14 +39,16 @@
 
 
 class AddressState(NamedTuple):
-    """The state of all dispatchers and of what lies between them.
+    """The state of all dispatchers and of the advertisements between them.
 
     Attributes:
-        fares: How each is: LIVE, DOWN or STILL.
-        faults: How many may still happen.
-        calm: Steps since anything last went wrong.
-        unheld: For how many steps each has lived with the address unheld.
-        seen: What was seen to break in the last step.
+        machines: A snapshot of each dispatcher's state machine.
+        fares: The status of each dispatcher: LIVE, DOWN or PAUSED.
+        flight: Advertisements in flight.
+        faults: Number of faults that may still happen.
+        calm: Steps since the last fault, loss, delay or repetition.
+        unheld: For each dispatcher, the number of steps it has been live while nobody held the address.
+        seen: The anomaly observed in the last step, or an empty string.
     """
 
     machines: tuple[MachineState, ...]
@@ -57,255 +60,279 @@
     seen: str
 
 
-class Turn(NamedTuple):
-    """A fault of one dispatcher, or its end. spent: whether it is one that makes things worse."""
+class NodeEvent(NamedTuple):
+    """A fault of one dispatcher, a recovery or a synchronization; `harmful` marks crashes and pauses."""
 
     label: str
-    fare: str
+    status: str
     machine: MachineState
-    spent: bool = False
+    harmful: bool = False
 
 
 class StepResult(NamedTuple):
-    """What a step of time gives: `seen` as in AddressState."""
+    """The outcome of a time step; `seen` is as in AddressState."""
 
     machines: tuple[MachineState, ...]
     flight: tuple[Advertisement, ...]
     seen: str
 
 
-def frozen(machine: StateMachine, now: float) -> MachineState:
-    """A machine's state, relative to now."""
+def capture(machine: StateMachine, now: float) -> MachineState:
+    """Take a snapshot of a state machine, with times relative to now."""
 
-    def ago(moment: float) -> float:
-        return moment if moment in (NEVER, -NEVER) else max(-FAR, moment - now)
+    def relative(moment: float) -> float:
+        return moment if moment in (NEVER, -NEVER) else max(-MAX_AGE, moment - now)
 
     return MachineState(
         machine.state.value,
         machine.priority,
         machine.sender_interval,
-        ago(machine.due),
-        ago(machine.seen),
+        relative(machine.due),
+        relative(machine.seen),
         machine.awaiting_sync,
-        ago(machine.preempt_at),
+        relative(machine.preempt_at),
     )
 
 
-def fresh(kind: type[StateMachine], place: int) -> StateMachine:
-    """A machine that has not started yet."""
-    return kind(GroupSettings(1, RANKS[place], INTERVAL, ip_address(f"127.0.0.{place + 1}")))
+def fresh(machine_type: type[StateMachine], index: int) -> StateMachine:
+    """Create a state machine that has not been started."""
+    return machine_type(GroupSettings(1, PRIORITIES[index], INTERVAL, ip_address(f"127.0.0.{index + 1}")))
 
 
-def thawed(kind: type[StateMachine], place: int, snapshot: MachineState) -> StateMachine:
-    """The machine of that state, at time 0."""
-    machine = fresh(kind, place)
+def restore(machine_type: type[StateMachine], index: int, snapshot: MachineState) -> StateMachine:
+    """Create the state machine that a snapshot describes, at time 0."""
+    machine = fresh(machine_type, index)
     machine.state = State(snapshot.state)
     machine.priority, machine.sender_interval = snapshot.priority, snapshot.sender_interval
     machine.due, machine.seen = snapshot.due, snapshot.seen
-    machine.awaiting_sync, machine.preempt_at = snapshot.barred, snapshot.preempt_at
+    machine.awaiting_sync, machine.preempt_at = snapshot.awaiting_sync, snapshot.preempt_at
     return machine
 
 
 class TimeStep:
-    """One step of time: what arrives is heard first, then timers. What they send arrives a step later."""
+    """One step of time: deliveries first, then timers; anything sent in the step arrives one step later."""
 
-    def __init__(self, kind: type[StateMachine], state: AddressState) -> None:
+    def __init__(self, machine_type: type[StateMachine], state: AddressState) -> None:
         self.fares = state.fares
-        self.machines = [thawed(kind, place, machine) for place, machine in enumerate(state.machines)]
-        both = zip(state.fares, self.machines, strict=True)
-        self.active = [fare == LIVE and machine.state is State.ACTIVE for fare, machine in both]
-        self.silence = [STEP - machine.seen for machine in self.machines]
+        self.machines = [
+            restore(machine_type, index, machine) for index, machine in enumerate(state.machines)
+        ]
+        pairs = zip(state.fares, self.machines, strict=True)
+        self.active = [status == LIVE and machine.state is State.ACTIVE for status, machine in pairs]
+        self.since_advert = [STEP - machine.seen for machine in self.machines]
         self.flight: list[Advertisement] = []
-        self.takers: list[int] = []
+        self.took_address: list[int] = []
         self.seen = ""
 
-    def run(self, flight: tuple[Advertisement, ...], fates: tuple[str, ...]) -> StepResult:
-        """fates: what becomes of each advertisement in flight: taken, lost, late or twice."""
-        for each, fate in zip(flight, fates, strict=True):
-            self.arrive(each, fate)
-        for place, machine in enumerate(self.machines):
-            if self.fares[place] == LIVE and machine.due <= STEP:
-                self.carry_out(place, machine.tick(STEP))
-        if len(self.takers) > 1:
+    def run(self, flight: tuple[Advertisement, ...], outcomes: tuple[str, ...]) -> StepResult:
+        """Run the step; `outcomes` tells for each advertisement in flight: taken, lost, late or twice."""
+        for each, outcome in zip(flight, outcomes, strict=True):
+            self.deliver(each, outcome)
+        for index, machine in enumerate(self.machines):
+            if self.fares[index] == LIVE and machine.due <= STEP:
+                self.apply_actions(index, machine.tick(STEP))
+        if len(self.took_address) > 1:
             self.seen = "two at once"
-        machines = tuple(frozen(machine, STEP) for machine in self.machines)
+        machines = tuple(capture(machine, STEP) for machine in self.machines)
         return StepResult(machines, tuple(sorted(set(self.flight))), self.seen)
 
-    def arrive(self, each: Advertisement, fate: str) -> None:
-        """One advertisement meets its fate."""
+    def deliver(self, each: Advertisement, outcome: str) -> None:
+        """Deliver, delay, repeat or lose one advertisement."""
         sender, target, priority, _ = each
-        if fate in ("late", "twice"):
+        if outcome in ("late", "twice"):
             self.flight.append(Advertisement(sender, target, priority, True))
-        if fate in ("taken", "twice") and self.fares[target] == LIVE:
+        if outcome in ("taken", "twice") and self.fares[target] == LIVE:
             address = ip_address(f"127.0.0.{sender + 1}")
-            self.carry_out(target, self.machines[target].advert_received(STEP, priority, INTERVAL, address))
-
-    def carry_out(self, place: int, acts: list[Action]) -> None:
-        """What a machine has decided."""
-        for act in acts:
-            if act is Action.ADVERTISE:
-                self.advertise(place, self.machines[place].priority)
-            elif act is Action.RESIGN:
-                self.advertise(place, 0)
-            elif act is Action.TAKE and not self.active[place]:
-                self.take(place)
-
-    def advertise(self, place: int, priority: int) -> None:
-        """To all others."""
-        others = (other for other in range(len(self.machines)) if other != place)
-        self.flight.extend(Advertisement(place, other, priority, False) for other in others)
-
-    def take(self, place: int) -> None:
-        """One takes the address. If its timer ran out although it heard an Active one, that is a
-        preemption."""
-        self.takers.append(place)
-        heard = self.silence[place] < 2 * INTERVAL and any(replaced(tuple(self.active), place, False))
-        if self.machines[place].awaiting_sync and heard:
+            self.apply_actions(
+                target, self.machines[target].advert_received(STEP, priority, INTERVAL, address)
+            )
+
+    def apply_actions(self, index: int, actions: list[Action]) -> None:
+        """Carry out the actions that a state machine has returned."""
+        for action in actions:
+            if action is Action.ADVERTISE:
+                self.advertise(index, self.machines[index].priority)
+            elif action is Action.RESIGN:
+                self.advertise(index, 0)
+            elif action is Action.TAKE and not self.active[index]:
+                self.take_address(index)
+
+    def advertise(self, index: int, priority: int) -> None:
+        """Send an advertisement to all other dispatchers."""
+        others = (other for other in range(len(self.machines)) if other != index)
+        self.flight.extend(Advertisement(index, other, priority, False) for other in others)
+
+    def take_address(self, index: int) -> None:
+        """Record that a dispatcher takes the address.
+
+        If it takes it while it still hears an Active dispatcher, this is a preemption, which is not allowed
+        before it has synchronized the engine list.
+        """
+        self.took_address.append(index)
+        heard = self.since_advert[index] < 2 * INTERVAL and any(replace_at(tuple(self.active), index, False))
+        if self.machines[index].awaiting_sync and heard:
             self.seen = "barred"
 
 
 class AddressModel:
-    """Dispatchers, their advertisements in flight, and what may go wrong.
+    """Dispatchers, their advertisements in flight, and the faults that may happen.
 
     Args:
-        count: Dispatchers, at most as many as RANKS.
-        kind: The machine that is checked.
-        faults: How many may happen.
-        loss: Whether advertisements may be lost, late or repeated.
-        pause: Whether a dispatcher may stand still.
+        count: Number of dispatchers, at most the number of PRIORITIES.
+        machine_type: The state machine that is checked.
+        faults: Number of faults that may happen.
+        loss: Whether advertisements may be lost, delayed or repeated.
+        pause: Whether a dispatcher's process may be paused.
     """
 
     def __init__(
         self,
         count: int,
-        kind: type[StateMachine] = StateMachine,
+        machine_type: type[StateMachine] = StateMachine,
         faults: int = 1,
         loss: bool = True,
         pause: bool = True,
     ) -> None:
-        self.count, self.kind, self.faults, self.loss, self.pause = count, kind, faults, loss, pause
-        lowest = RANKS[count - 1]
-        # Until the last Backup has waited its time out, and one preemption after it.
+        self.count, self.machine_type, self.faults, self.loss, self.pause = (
+            count,
+            machine_type,
+            faults,
+            loss,
+            pause,
+        )
+        lowest = PRIORITIES[count - 1]
+        # Steps until the lowest-priority Backup has timed out, and one preemption after that.
         self.bound = int((active_down_interval(lowest, INTERVAL) + 2 * INTERVAL) / STEP) + 2
-        self.heals = 2 * self.bound
+        self.recovery_bound = 2 * self.bound
 
     def initial(self) -> AddressState:
-        """The first has just said that it is Active, and the others have heard it."""
+        """The initial state: the first dispatcher is Active, and the others have just heard it."""
         machines = []
-        for place in range(self.count):
-            machine = fresh(self.kind, place)
+        for index in range(self.count):
+            machine = fresh(self.machine_type, index)
             machine.start(0.0)
-            if place == 0:
+            if index == 0:
                 machine.become_active(0.0, "settled")
             else:
-                machine.advert_received(0.0, RANKS[0], INTERVAL, ip_address("127.0.0.1"))
-            machines.append(frozen(machine, 0.0))
+                machine.advert_received(0.0, PRIORITIES[0], INTERVAL, ip_address("127.0.0.1"))
+            machines.append(capture(machine, 0.0))
         unheld = (0,) * self.count
         return AddressState(tuple(machines), (LIVE,) * self.count, (), self.faults, 0, unheld, "")
 
     def steps(self, state: AddressState) -> Iterator[tuple[str, AddressState]]:
-        """All that can happen next."""
+        """Yield the labelled successors of a state."""
         if state.faults:
-            yield from self.faulty(state)
-        for fates in product(*(self.fates(each) for each in state.flight)):
-            yield "step " + " ".join(fates), self.after_time(state, fates)
+            yield from self.fault_steps(state)
+        for outcomes in product(*(self.outcomes(each) for each in state.flight)):
+            yield "step " + " ".join(outcomes), self.advance(state, outcomes)
 
-    def fates(self, each: Advertisement) -> tuple[str, ...]:
-        """What may become of an advertisement; one that is late comes or is lost."""
+    def outcomes(self, each: Advertisement) -> tuple[str, ...]:
+        """The possible outcomes of an advertisement; a delayed one can only be delivered or lost."""
         if not self.loss:
             return ("taken",)
         return ("taken", "lost") if each.delayed else ("taken", "lost", "late", "twice")
 
-    def after_time(self, state: AddressState, fates: tuple[str, ...]) -> AddressState:
-        """The state a step of time on."""
-        machines, flight, seen = TimeStep(self.kind, state).run(state.flight, fates)
-        both = zip(machines, state.fares, strict=True)
-        held = any(fare == LIVE and machine.state == "active" for machine, fare in both)
-        calm = 0 if any(fate != "taken" for fate in fates) else min(self.heals, state.calm + 1)
+    def advance(self, state: AddressState, outcomes: tuple[str, ...]) -> AddressState:
+        """The state after one time step."""
+        machines, flight, seen = TimeStep(self.machine_type, state).run(state.flight, outcomes)
+        pairs = zip(machines, state.fares, strict=True)
+        held = any(status == LIVE and machine.state == "active" for machine, status in pairs)
+        calm = (
+            0 if any(outcome != "taken" for outcome in outcomes) else min(self.recovery_bound, state.calm + 1)
+        )
         unheld = tuple(
-            0 if held or fare != LIVE else min(self.bound + 1, steps + 1)
-            for fare, steps in zip(state.fares, state.unheld, strict=True)
+            0 if held or status != LIVE else min(self.bound + 1, steps + 1)
+            for status, steps in zip(state.fares, state.unheld, strict=True)
         )
         return AddressState(machines, state.fares, flight, state.faults, calm, unheld, seen)
 
-    def faulty(self, state: AddressState) -> Iterator[tuple[str, AddressState]]:
-        """All faults that may happen next."""
-        away = any(fare != LIVE for fare in state.fares)
-        for place in range(self.count):
-            for turn in self.turns(state, place):
-                if turn.spent and state.faults < 2 and away:
-                    continue  # the last fault left is for who is away to come back
+    def fault_steps(self, state: AddressState) -> Iterator[tuple[str, AddressState]]:
+        """Yield the successors by a fault, a recovery or a synchronization."""
+        any_down = any(status != LIVE for status in state.fares)
+        for index in range(self.count):
+            for event in self.node_events(state, index):
+                if event.harmful and state.faults < 2 and any_down:
+                    continue  # the last fault is reserved for the recovery of a dispatcher that is down
                 after = state._replace(
-                    machines=replaced(state.machines, place, turn.machine),
-                    fares=replaced(state.fares, place, turn.fare),
+                    machines=replace_at(state.machines, index, event.machine),
+                    fares=replace_at(state.fares, index, event.status),
                     faults=state.faults - 1,
                     calm=0,
-                    unheld=replaced(state.unheld, place, 0),
+                    unheld=replace_at(state.unheld, index, 0),
                     seen="",
                 )
-                yield turn.label, after
+                yield event.label, after
 
-    def turns(self, state: AddressState, place: int) -> Iterator[Turn]:
-        """What may befall one dispatcher."""
-        fare, snapshot = state.fares[place], state.machines[place]
-        if fare == LIVE:
-            yield Turn(f"crash {place}", DOWN, snapshot, spent=True)
+    def node_events(self, state: AddressState, index: int) -> Iterator[NodeEvent]:
+        """Yield what may happen to one dispatcher."""
+        status, snapshot = state.fares[index], state.machines[index]
+        if status == LIVE:
+            yield NodeEvent(f"crash {index}", DOWN, snapshot, harmful=True)
             if self.pause:
-                yield Turn(f"pause {place}", STILL, snapshot, spent=True)
-            if snapshot.barred:
-                machine = thawed(self.kind, place, snapshot)
+                yield NodeEvent(f"pause {index}", PAUSED, snapshot, harmful=True)
+            if snapshot.awaiting_sync:
+                machine = restore(self.machine_type, index, snapshot)
                 machine.end_sync_wait()
-                yield Turn(f"list {place}", LIVE, frozen(machine, 0.0))
-        elif fare == STILL:
-            yield Turn(f"resume {place}", LIVE, snapshot)
+                yield NodeEvent(f"list {index}", LIVE, capture(machine, 0.0))
+        elif status == PAUSED:
+            yield NodeEvent(f"resume {index}", LIVE, snapshot)
         else:
-            machine = fresh(self.kind, place)
+            machine = fresh(self.machine_type, index)
             machine.start(0.0, awaiting_sync=True)
-            yield Turn(f"return {place}", LIVE, frozen(machine, 0.0))
+            yield NodeEvent(f"return {index}", LIVE, capture(machine, 0.0))
 
     @staticmethod
     def holders(state: dict[str, Any]) -> int:
-        """How many that live hold the address."""
-        both = zip(state["machines"], state["fares"], strict=True)
-        return sum(machine.state == "active" for machine, fare in both if fare == LIVE)
+        """Number of live dispatchers that hold the address."""
+        pairs = zip(state["machines"], state["fares"], strict=True)
+        return sum(machine.state == "active" for machine, status in pairs if status == LIVE)
 
-    def check(self, name: str, most: int) -> Found:
-        """Search up to so many states."""
+    def check(self, name: str, max_states: int) -> CheckResult:
+        """Check the invariants over at most `max_states` states."""
         invariants: dict[str, Invariant] = {
             "one holder once all arrives": lambda state: (
-                state["calm"] < self.heals or LIVE not in state["fares"] or self.holders(state) == 1
+                state["calm"] < self.recovery_bound or LIVE not in state["fares"] or self.holders(state) == 1
             ),
             "never unheld for longer than the bound": lambda state: max(state["unheld"]) <= self.bound,
             "no preemption without a list": lambda state: state["seen"] != "barred",
         }
-        if not self.loss and self.faults == 1:  # one that starts meanwhile may time out at the same moment
+        # With more faults, a dispatcher that starts meanwhile may time out at the same moment as another.
+        if not self.loss and self.faults == 1:
             invariants["no two take it at once"] = lambda state: state["seen"] != "two at once"
-        return check(name, AddressState._fields, self.initial(), self.steps, invariants, most)
+        return check(name, AddressState._fields, self.initial(), self.steps, invariants, max_states)
 
 
 def check_address(
-    name: str, count: int, kind: type[StateMachine], faults: int, loss: bool, pause: bool, most: int
-) -> Found:
-    """One check of the address, as AddressModel describes it."""
-    return AddressModel(count, kind, faults, loss, pause).check(name, most)
+    name: str,
+    count: int,
+    machine_type: type[StateMachine],
+    faults: int,
+    loss: bool,
+    pause: bool,
+    max_states: int,
+) -> CheckResult:
+    """Run one check of AddressModel with these arguments."""
+    return AddressModel(count, machine_type, faults, loss, pause).check(name, max_states)
 
 
-# Faults planted in the machine: each must be found.
+# Planted faults of the state machine: the checks must find each of them.
 
 
 class NoSkew(StateMachine):
-    """All Backups wait alike."""
+    """Planted fault: all Backups use the same timeout, without Skew_Time."""
 
     def heard_in_backup(self, now: float, priority: int, interval: float) -> None:
+        """See the base class."""
         super().heard_in_backup(now, priority, interval)
         if priority >= self.priority:
             self.due = now + 3 * interval
 
 
-class NoBar(StateMachine):
-    """Takes its address back without a list."""
+class PreemptsWithoutSync(StateMachine):
+    """Planted fault: preempts before it has synchronized the engine list."""
 
     def may_preempt(self, now: float) -> bool:
+        """See the base class."""
         self.awaiting_sync = False
         try:
             return super().may_preempt(now)
@@ -313,17 +340,19 @@
             self.awaiting_sync = True
 
 
-class NeverGivesWay(StateMachine):
-    """An Active one that hears a higher priority goes on."""
+class IgnoresHigherPriority(StateMachine):
+    """Planted fault: an Active dispatcher that hears a higher priority stays Active."""
 
     def advert_received(self, now: float, priority: int, interval: float, sender: Any) -> list[Action]:
+        """See the base class."""
         if self.state is State.ACTIVE:
             return []
         return super().advert_received(now, priority, interval, sender)
 
 
-class DeafTimer(StateMachine):
-    """Any datagram, also of priority 0 or lower, puts its timer off for long."""
+class AnyAdvertResetsTimer(StateMachine):
+    """Planted fault: any advertisement, even of priority 0 or a lower one, postpones the timer for long."""
 
     def heard_in_backup(self, now: float, priority: int, interval: float) -> None:
+        """See the base class."""
         self.due = now + 10 * active_down_interval(self.priority, interval)
--- a/spurdeal/lab/fleet_model.py
+++ b/spurdeal/lab/fleet_model.py
@@ -1,7 +1,9 @@
-"""Model checks of the fleet: the very classes that run, not a copy of them.
+"""Model checks of the fleet, run on the production classes themselves.
 
-The lease and the inquiry are enumerated and walked (`lease_model`), whole fleets are walked by failures
-(`fleet_walk`). Faults planted in subclasses must each be found, or the checks are worth nothing."""
+The lease and the inquiry are enumerated and explored by random schedules (`lease_model`); whole fleets are
+run through random failures (`fleet_walk`). Every planted fault (a deliberately broken subclass) must be
+found, or the checks prove nothing.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +25,7 @@
 
 
 class Backwards(VersionRegistry):
-    """A book that takes what is older."""
+    """Planted fault: a registry that accepts older versions."""
 
     def put_in_force(self, artifact: Artifact, version: Version, by_source: bool = True) -> bool:
         self.in_force[artifact] = version
@@ -31,7 +33,7 @@
 
 
 def backwards() -> bool:
-    """Whether the check of versions sees a book that takes what is older."""
+    """Whether the check tells a registry that accepts older versions from the production class."""
     found = []
     for kind in (VersionRegistry, Backwards):
         registry = kind("d")
@@ -42,34 +44,40 @@
 
 
 def figures(quick: bool) -> dict[str, Any]:
-    """States looked at, violations, planted faults and how many were found; ready for JSON."""
+    """Run all checks and return states, violations and planted faults found, ready for JSON."""
     stops = Stops(Kinds(), 3).search(QUICK_STATES if quick else FULL_STATES)
-    walked, broken = stops_walked(Kinds(), QUICK_STOP_WALKS if quick else FULL_STOP_WALKS)
-    seen, wrong = walks(Fleet, QUICK_FLEETS if quick else FULL_FLEETS, FLEET_SIZE, FAILURES)
+    walk_steps, lease_trace = stops_walked(Kinds(), QUICK_STOP_WALKS if quick else FULL_STOP_WALKS)
+    fleet_states, fleet_violations = walks(
+        Fleet, QUICK_FLEETS if quick else FULL_FLEETS, FLEET_SIZE, FAILURES
+    )
     in_fleets = IN_FLEETS[:1] if quick else IN_FLEETS
     missed = missed_in_the_lease() + missed_in_fleets(in_fleets)
     missed += [] if backwards() else [Backwards.__name__]
     planted = len(IN_THE_LEASE) + len(in_fleets) + 1
     return {
-        "states": stops.states + walked + seen,
-        "violations": len(stops.violated) + bool(broken) + sum(wrong.values()),
+        "states": stops.states + walk_steps + fleet_states,
+        "violations": len(stops.violated) + bool(lease_trace) + sum(fleet_violations.values()),
         "planted": planted,
         "planted_found": planted - len(missed),
         "depth": stops.depth,
-        "walks": dict(wrong),
+        "walks": dict(fleet_violations),
         "missed": missed,
     }
 
 
 def missed_in_the_lease() -> list[str]:
-    """Planted faults of the lease that no walk finds."""
+    """Names of the planted faults of the lease that no schedule finds."""
     missed = [kinds for kinds in IN_THE_LEASE if not stops_walked(kinds, PLANTED_STOP_WALKS)[1]]
     return [
-        next(kind.__name__ for kind, usual in zip(kinds, Kinds(), strict=True) if kind is not usual)
+        next(kind.__name__ for kind, default in zip(kinds, Kinds(), strict=True) if kind is not default)
         for kinds in missed
     ]
 
 
 def missed_in_fleets(in_fleets: tuple[type[Fleet], ...]) -> list[str]:
-    """Planted faults of whole fleets that no walk finds."""
-    return [made.__name__ for made in in_fleets if not walks(made, PLANTED_FLEETS, FLEET_SIZE, FAILURES)[1]]
+    """Names of the planted faults of whole fleets that no schedule finds."""
+    return [
+        fleet_type.__name__
+        for fleet_type in in_fleets
+        if not walks(fleet_type, PLANTED_FLEETS, FLEET_SIZE, FAILURES)[1]
+    ]
--- a/spurdeal/lab/fleet_walk.py
+++ b/spurdeal/lab/fleet_walk.py
@@ -1,4 +1,4 @@
-"""Whole fleets in virtual time, walked by seeded schedules of failures; each state is looked at."""
+"""Whole fleets in virtual time under seeded random failures, with invariants checked in each state."""
 
 from __future__ import annotations
 
@@ -16,19 +16,19 @@
 
 
 class Failure(StrEnum):
-    """What may go wrong. The order is that of the draws: seeds give other walks where it changes."""
+    """Failures to inject. Their order matters: a seed gives another schedule when it changes."""
 
     PAUSE = "pause"
     KILL = "kill"
     CUT = "cut"
-    DEAF = "deaf"  # hears nobody
-    MUTE = "mute"  # is heard by nobody
-    SPLIT = "split"  # two halves
-    NOISE = "noise"  # loss, repeats and delay everywhere
+    DEAF = "deaf"  # receives nothing
+    MUTE = "mute"  # nothing that it sends arrives
+    SPLIT = "split"  # partition into two halves
+    NOISE = "noise"  # loss, repetition and delay on all links
     BLIND = "blind"  # its name service does not answer
-    OLD = "old"  # its name service goes on with the list of now
-    RELEASE = "release"  # nothing but a newer list
-    LIAR = "liar"  # claims a version that nobody released
+    OLD = "old"  # its name service keeps returning the present list
+    RELEASE = "release"  # no failure, only a newer list
+    LIAR = "liar"  # advertises a list version that nobody released
 
 
 PARTITIONS = (Failure.CUT, Failure.DEAF, Failure.MUTE, Failure.SPLIT)
@@ -36,15 +36,16 @@
 
 
 class Walk:
-    """One world through failures by chance; `broken` counts what was seen that must not be."""
+    """Runs one simulated fleet through random failures; `violations` counts broken invariants by name."""
 
-    def __init__(self, seed: int, count: int, made: Callable[..., Fleet] = Fleet) -> None:
+    def __init__(self, seed: int, count: int, fleet_factory: Callable[..., Fleet] = Fleet) -> None:
         self.chance = random.Random(seed)
-        self.world = World(count, seed, made=made, engine_count=8)
-        self.broken: Counter[str] = Counter()
+        self.world = World(count, seed, fleet_factory=fleet_factory, engine_count=8)
+        self.violations: Counter[str] = Counter()
         self.states = 0
 
-    def look(self) -> None:
+    def check_invariants(self) -> None:
+        """Count the invariants that the present state violates."""
         world = self.world
         self.states += 1
         live = {name: node.fleet for name, node in world.nodes.items() if node.life}
@@ -54,25 +55,27 @@
             for other in live.values():
                 found = other.stops.inquiries.get(name)
                 if found is not None and found.boot == fleet.boot and other.stopped(world.now, name):
-                    self.broken["acts while another relies on its stop"] += 1
+                    self.violations["acts while another relies on its stop"] += 1
         for fleet in live.values():
             own = fleet.registry.in_force[Artifact.LIST]
             if own.number < world.newest.number - 1_000_000 or own.number > world.newest.number + 1:
-                self.broken["acts on a version that nobody released"] += 1
+                self.violations["acts on a version that nobody released"] += 1
             if fleet.rows and len(fleet.rows) < world.engines // 2:
-                self.broken["acts on a list without its engines"] += 1
+                self.violations["acts on a list without its engines"] += 1
 
     def run(self, ms: float) -> None:
+        """Advance the virtual time, and check the invariants every 20 ms."""
         until = self.world.now + ms
         while self.world.now < until:
             self.world.run(20.0)
-            self.look()
+            self.check_invariants()
 
     def walk(self, failures: int) -> Counter[str]:
+        """Inject a number of failures, heal, and require that the fleet recovers."""
         world = self.world
         if world.run_until(lambda: world.standings()["CURRENT"] == len(world.nodes), 8000.0) is None:
-            self.broken["not current after a start"] += 1
-            return self.broken
+            self.violations["not current after a start"] += 1
+            return self.violations
         for _ in range(failures):
             self.fail()
             self.run(self.chance.choice((300.0, 900.0, 2500.0)))
@@ -84,25 +87,25 @@
         world.release(self.chance.randrange(8))
         self.run(1500.0)
         if world.run_until(lambda: world.standings() == {"CURRENT": len(world.nodes)}, 25_000.0) is None:
-            self.broken["not all current again once all is well"] += 1
+            self.violations["not all current again once all is well"] += 1
         if not world.all_have(world.newest):
-            self.broken["not all on the newest list"] += 1
-        return self.broken
+            self.violations["not all on the newest list"] += 1
+        return self.violations
 
     def fail(self) -> None:
-        """One failure by chance; a newer list comes with some of them."""
+        """Inject one random failure; some of them come with a newer list."""
         names = list(self.world.nodes)
         target = self.chance.choice(names)
         failure = self.chance.choice(tuple(Failure))
         if failure in PARTITIONS:
             self.partition(failure, target, names)
         else:
-            self.disturb(failure, target)
+            self.inject(failure, target)
         if failure in WITH_RELEASE:
             self.world.release(self.chance.randrange(8))
 
     def partition(self, failure: Failure, target: str, names: list[str]) -> None:
-        """Cut links of one, or between two halves."""
+        """Cut the links of one member, or those between two halves of the fleet."""
         world, rest = self.world, set(names) - {target}
         if failure is Failure.CUT:
             world.cut({target}, rest)
@@ -114,8 +117,8 @@
             half = set(self.chance.sample(names, len(names) // 2))
             world.cut(half, set(names) - half)
 
-    def disturb(self, failure: Failure, target: str) -> None:
-        """Whatever else goes wrong."""
+    def inject(self, failure: Failure, target: str) -> None:
+        """Inject a failure that is not a partition."""
         world = self.world
         if failure is Failure.PAUSE:
             world.pause(target, self.chance.choice((500.0, 2000.0, 4000.0)))
@@ -128,10 +131,10 @@
         elif failure is Failure.OLD:
             world.nodes[target].stale_source = world.newest
         elif failure is Failure.LIAR:
-            self.lie(world.nodes[target].fleet)
+            self.publish_false_list(world.nodes[target].fleet)
 
-    def lie(self, fleet: Fleet) -> None:
-        """One claims, in the right form, a list with hardly an engine, one number on."""
+    def publish_false_list(self, fleet: Fleet) -> None:
+        """Let a member advertise a well-formed, empty list as the next version."""
         number = self.world.newest.number + 1
         before, rows = fleet.registry.in_force[Artifact.LIST], dict[str, Row]()
         claimed = Version(0, number, list_digest(rows))
@@ -141,6 +144,7 @@
         fleet.registry.in_force[Artifact.LIST] = before
 
     def heal(self) -> None:
+        """End all failures, and restart the members that were killed."""
         world = self.world
         world.cuts.clear()
         world.loss, world.repeat, world.delay = 0.0, 0.0, 1.0
@@ -150,71 +154,90 @@
                 world.restart(node.name)
 
 
-# Planted in whole fleets: each must be found.
+# Planted faults of whole fleets: the checks must find each of those in IN_FLEETS.
 
 
 class NeverLooksAgain(Fleet):
-    """What may be sent is what the last timer found: one that stood still acts on it."""
+    """What may be sent is decided only by the last timer: a member acts on it after a pause."""
 
     def allowed(self, now: float) -> Allowed:
+        """See the base class."""
         return self.tracker.allowed
 
 
 class TakesAnyList(Fleet):
-    """One witness may take all engines away."""
+    """One witness may remove all engines from the list."""
 
     def begin(self, now: float) -> None:
+        """See the base class."""
         super().begin(now)
         self.list_sync.max_single_drop = 2.0
 
 
 class NeverJoinsAgain(Fleet):
-    """Whoever has lapsed stays so."""
+    """A member whose standing has lapsed never recovers."""
 
     def update_standing(self, now: float) -> None:
+        """See the base class."""
         before = self.tracker.standing
         super().update_standing(now)
         if before in (Standing.LAPSED, Standing.SHUT):
             self.tracker.standing = before
 
 
-class IdleListSync(ListSync):
+class NoListSync(ListSync):
+    """A list synchronization that does nothing."""
+
     def tick(self, now: float, unix: float) -> None:
+        """See the base class."""
         return
 
 
 class AsksNobody(Fleet):
-    """Nobody is brought up by a peer, and its name service may never answer: found where it stays away."""
+    """No member gets the list from a peer: found only where its name service never answers."""
 
     def begin(self, now: float) -> None:
+        """See the base class."""
         super().begin(now)
-        self.list_sync = IdleListSync(self, now)
+        self.list_sync = NoListSync(self, now)
+
 
+class IgnoresGoneMembers(Members):
+    """Ignores all further records of a member that is considered gone."""
 
-class Deaf(Members):
     def merge(self, now: float, record: Record, by: str) -> None:
+        """See the base class."""
         known = self.others.get(record.name)
         if known is None or known.life < Life.GONE:
             super().merge(now, record, by)
 
 
 class DeafToRefutation(Fleet):
-    """One that was held for gone stays gone for this one."""
+    """A member that was once considered gone stays gone."""
 
     def begin(self, now: float) -> None:
+        """See the base class."""
         super().begin(now)
-        self.members = Deaf(self.members.own, self.shared.period, self.shared.forget, self.chance, now)
+        self.members = IgnoresGoneMembers(
+            self.members.own, self.shared.period, self.shared.forget, self.chance, now
+        )
 
 
 IN_FLEETS = (NeverLooksAgain, TakesAnyList, NeverJoinsAgain, DeafToRefutation)
 
 
-def walks(made: Callable[..., Fleet], seeds: range, count: int, failures: int) -> tuple[int, Counter[str]]:
-    states, broken = 0, Counter[str]()
+def walks(
+    fleet_factory: Callable[..., Fleet], seeds: range, count: int, failures: int
+) -> tuple[int, Counter[str]]:
+    """Run one schedule per seed: the states checked, and the violations by name.
+
+    Stops at the first violation, unless the production class is checked.
+    """
+    states, violations = 0, Counter[str]()
     for seed in seeds:
-        walk = Walk(seed, count, made)
-        broken += walk.walk(failures)
+        walk = Walk(seed, count, fleet_factory)
+        violations += walk.walk(failures)
         states += walk.states
-        if broken and made is not Fleet:
+        if violations and fleet_factory is not Fleet:
             break
-    return states, broken
+    return states, violations
--- a/spurdeal/lab/handover_walk.py
+++ b/spurdeal/lab/handover_walk.py
@@ -1,6 +1,7 @@
-"""Seeded schedules of the handover: no non-idempotent request runs twice where it is told ahead.
+"""Seeded random schedules of the handover: an announced non-idempotent request never runs twice.
 
-Its numbers only grow, so that it cannot be enumerated."""
+The handover's counters grow without bound, so its state space cannot be enumerated.
+"""
 
 from __future__ import annotations
 
@@ -12,22 +13,22 @@
 from ..vrrp.marks import Admission, IdempotencyTable
 from ..vrrp.sealed import Keys, RefusedError
 from ..vrrp.tenure import BudgetShares
-from .model_check import Found
+from .model_check import CheckResult
 
 KEYS = Keys({1: b"model model model"})
 SETTINGS = HandoverSettings(ahead=True, ahead_wait=40.0, alone_after=None, sync_timeout=1e9)
 FACTS = DispatcherState(1, (), (), ())
 IDENT = b"x"
-WAYS = 4  # how often the front sends the request
+MAX_SENDS = 4  # how often the front proxy sends the request
 DEADLINE = 2000.0  # ms
-MAX_FLIGHT = 12
-# What happens, by the number drawn: each is the upper bound; beyond the last, a crash.
-TELLS, TELLS_AHEAD, ARRIVES, SUBMITS, WAITS = 0.3, 0.4, 0.75, 0.85, 0.97
-TAKEN_OUT, DELIVERED = 0.8, 0.85  # chances that a datagram comes once, and that this copy is not lost
+MAX_IN_FLIGHT = 12
+# Events by the random number drawn: each value is the upper bound of its range; above the last, a crash.
+SENDS, ANNOUNCES, DELIVERS, REQUESTS, WAITS = 0.3, 0.4, 0.75, 0.85, 0.97
+NOT_REPEATED, NOT_LOST = 0.8, 0.85  # probabilities
 
 
 class Datagram(NamedTuple):
-    """One in flight."""
+    """A datagram in flight."""
 
     sender: str
     target: str
@@ -35,26 +36,27 @@
 
 
 class Walk:
-    """Two dispatchers, one request that a front sends up to four times, and a network that does what it
-    likes."""
+    """One schedule: two dispatchers, a request that the front proxy sends repeatedly, and a lossy network."""
 
-    def __init__(self, seed: int, kind: type[Handover], crashes: int) -> None:
-        self.chance, self.kind, self.crashes = random.Random(seed), kind, crashes
-        self.now, self.boots, self.ways = 0.0, 0, WAYS
+    def __init__(self, seed: int, handover_type: type[Handover], crashes: int) -> None:
+        self.chance, self.handover_type, self.crashes = random.Random(seed), handover_type, crashes
+        self.now, self.boots, self.sends_left = 0.0, 0, MAX_SENDS
         self.sides = {"a": self.fresh("a"), "b": self.fresh("b")}
         self.flight: list[Datagram] = []
         self.runs: list[str] = []
-        self.shapes: set[int] = set()
+        self.distinct_states: set[int] = set()
 
     def fresh(self, name: str) -> Handover:
-        """A new start of one side."""
+        """Create the handover of a dispatcher that starts now."""
         self.boots += 1
         peer = "b" if name == "a" else "a"
-        tenure, marks = BudgetShares(2, 1500, 1000, self.now), IdempotencyTable(8, 60_000.0)
-        return self.kind(Membership(name, (peer,), self.boots, KEYS), SETTINGS, tenure, marks, self.now)
+        shares, marks = BudgetShares(2, 1500, 1000, self.now), IdempotencyTable(8, 60_000.0)
+        return self.handover_type(
+            Membership(name, (peer,), self.boots, KEYS), SETTINGS, shares, marks, self.now
+        )
 
-    def carry_out(self, name: str, verdicts: list[Verdict]) -> None:
-        """The request runs, or is known not to have run."""
+    def apply_verdicts(self, name: str, verdicts: list[Verdict]) -> None:
+        """Record that the request runs, or report that it never ran."""
         for verdict in verdicts:
             if verdict.go:
                 self.runs.append(name)
@@ -62,74 +64,74 @@
                 self.sides[name].finish(IDENT, never_ran=True)
 
     def step(self) -> None:
-        """One thing happens, by chance."""
+        """Let one randomly drawn event happen."""
         name = self.chance.choice("ab")
         peer = "b" if name == "a" else "a"
-        drawn = self.chance.random()
-        if drawn < TELLS:
+        draw = self.chance.random()
+        if draw < SENDS:
             text = self.sides[name].compose(self.now, peer, FACTS, idle=False)
             self.flight.append(Datagram(name, peer, text))
-        elif drawn < TELLS_AHEAD:
-            self.tell_ahead(name, peer)
-        elif drawn < ARRIVES and self.flight:
+        elif draw < ANNOUNCES:
+            self.announce(name, peer)
+        elif draw < DELIVERS and self.flight:
             self.arrive()
-        elif drawn < SUBMITS:
+        elif draw < REQUESTS:
             self.submit(name)
-        elif drawn < WAITS:
+        elif draw < WAITS:
             self.wait()
         else:
             self.crash(name, peer)
-        del self.flight[:-MAX_FLIGHT]
-        self.shapes.add(self.shape())
+        del self.flight[:-MAX_IN_FLIGHT]
+        self.distinct_states.add(self.state_hash())
 
-    def tell_ahead(self, name: str, peer: str) -> None:
-        """What one is to tell before it sends, if anything."""
+    def announce(self, name: str, peer: str) -> None:
+        """Send the announcement that must precede a send, if one is due."""
         text = self.sides[name].compose_urgent(self.now, peer)
         if text is not None:
             self.flight.append(Datagram(name, peer, text))
 
     def arrive(self) -> None:
-        """A datagram arrives, in any order; it may come again, or be lost."""
-        place = self.chance.randrange(len(self.flight))
-        datagram = self.flight[place]
-        if self.chance.random() < TAKEN_OUT:
-            del self.flight[place]
-        if self.chance.random() < DELIVERED:
+        """Pick any datagram in flight; it is delivered or lost, and may arrive again later."""
+        index = self.chance.randrange(len(self.flight))
+        datagram = self.flight[index]
+        if self.chance.random() < NOT_REPEATED:
+            del self.flight[index]
+        if self.chance.random() < NOT_LOST:
             self.deliver(datagram)
 
     def deliver(self, datagram: Datagram) -> None:
-        """The target takes it, or greets a start that it does not know."""
+        """Hand a datagram to its target, which greets a sender whose start it does not know."""
         sender, target, text = datagram
         side = self.sides[target]
         try:
-            self.carry_out(target, side.receive(self.now, sender, text))
-        except RefusedError as fault:
-            if fault.reason == "unproven":
+            self.apply_verdicts(target, side.receive(self.now, sender, text))
+        except RefusedError as error:
+            if error.reason == "unproven":
                 greeting = side.sessions[sender].greet(self.now, text)
                 self.flight.append(Datagram(target, sender, greeting))
 
     def submit(self, name: str) -> None:
-        """The front sends the request to that side."""
+        """Let the front proxy send the request to that dispatcher."""
         side = self.sides[name]
-        if self.ways and side.check_admission(self.now, IDENT) is Admission.ALLOWED:
-            self.ways -= 1
+        if self.sends_left and side.check_admission(self.now, IDENT) is Admission.ALLOWED:
+            self.sends_left -= 1
             verdict = side.prepare_send(self.now, IDENT, self.now + DEADLINE, object())
-            self.carry_out(name, [verdict] if verdict else [])
+            self.apply_verdicts(name, [verdict] if verdict else [])
 
     def wait(self) -> None:
-        """Time passes."""
+        """Advance the virtual time and run the timers."""
         self.now += self.chance.choice((5.0, 20.0, 50.0))
         for name, side in self.sides.items():
-            self.carry_out(name, side.tick(self.now))
+            self.apply_verdicts(name, side.tick(self.now))
 
     def crash(self, name: str, peer: str) -> None:
-        """One side starts anew, where the other has read its marks."""
+        """Restart a dispatcher, if its peer has synchronized the idempotency table."""
         if self.crashes and self.sides[peer].is_synchronized(self.now):
             self.crashes -= 1
             self.sides[name] = self.fresh(name)
 
-    def shape(self) -> int:
-        """The state but for its numbers, to count different ones."""
+    def state_hash(self) -> int:
+        """A hash of the state without its growing counters, to count distinct states."""
         sides = tuple(
             (tuple(side.records.by_id.items()), len(side.waiting), len(side.synced))
             for side in self.sides.values()
@@ -137,40 +139,45 @@
         return hash((*sides, len(self.runs), len(self.flight)))
 
 
-def walk(name: str, kind: type[Handover], walks: int, length: int, crashes: int) -> Found:
-    """So many seeded schedules of so many steps; stops at the first in which it runs twice."""
-    shapes: set[int] = set()
-    ran = 0
+def walk(name: str, handover_type: type[Handover], walks: int, length: int, crashes: int) -> CheckResult:
+    """Run `walks` seeded schedules of `length` steps; stop at the first in which the request runs twice."""
+    distinct_states: set[int] = set()
+    runs = 0
     for seed in range(walks):
-        one = Walk(seed, kind, crashes)
+        schedule = Walk(seed, handover_type, crashes)
         for _ in range(length):
-            one.step()
-        shapes |= one.shapes
-        ran += len(one.runs)
-        if len(one.runs) > 1:
-            trace = (f"seed {seed}", *one.runs)
-            return Found(name, len(shapes), length, False, ("runs once at most",), trace)
-    assert ran, "no walk let it run: the check would see nothing"
-    return Found(name, len(shapes), length, False, (), ())
+            schedule.step()
+        distinct_states |= schedule.distinct_states
+        runs += len(schedule.runs)
+        if len(schedule.runs) > 1:
+            trace = (f"seed {seed}", *schedule.runs)
+            return CheckResult(name, len(distinct_states), length, False, ("runs once at most",), trace)
+    assert runs, "the request ran in no schedule: the check would find nothing"
+    return CheckResult(name, len(distinct_states), length, False, (), ())
 
 
-# Faults planted in the handover: each must be found.
+# Planted faults of the handover: the checks must find each of them.
 
 
-class SendsAtOnce(Handover):
-    """Tells ahead, and does not wait for the answer."""
+class SendsWithoutReply(Handover):
+    """Planted fault: announces a send and does not wait for the reply."""
 
     def prepare_send(self, now: float, ident: bytes, deadline: float, token: object) -> Any:
+        """See the base class."""
         verdict = super().prepare_send(now, ident, deadline, token)
         if verdict is None:
             self.waiting.pop(token, None)
         return Verdict(token, True)
 
 
-class OldWord(Handover):
-    """What is said of an earlier telling counts for a later one of the same id: as it was at first."""
+class AcceptsStaleReply(Handover):
+    """Planted fault: a reply to an earlier announcement counts for a later one of the same id.
+
+    An earlier version of Handover had this fault.
+    """
 
     def receive(self, now: float, peer: str, datagram: bytes) -> Any:
+        """See the base class."""
         clears = self.records.remove_from_peer
         self.records.remove_from_peer = lambda peer, ident, announcement: clears(peer, ident, NEVER)  # type: ignore[method-assign]
         try:
@@ -179,6 +186,7 @@
             del self.records.remove_from_peer
 
     def replies_received(self, peer: str, replies: Any) -> list[Any]:
+        """See the base class."""
         verdicts = []
         for _, ok in replies:
             for waiting in list(self.waiting.values()):
@@ -186,11 +194,13 @@
         return verdicts
 
 
-class OpensUnread(Handover):
-    """A new start lets requests in before it has the peers' marks."""
+class AdmitsBeforeSync(Handover):
+    """Planted fault: a restarted dispatcher admits requests before it has its peers' idempotency tables."""
 
     def is_synchronized(self, now: float) -> bool:
+        """See the base class."""
         return True
 
     def required_peers(self, now: float) -> list[str]:
+        """See the base class."""
         return []
--- a/spurdeal/lab/lease_faults.py
+++ b/spurdeal/lab/lease_faults.py
@@ -1,56 +1,67 @@
-"""Faults planted in the lease and the inquiry: each must be found by the model."""
+"""Planted faults of the lease, the grantor and the inquiry: random schedules of the model must find each."""
 
 from __future__ import annotations
 
 from ..fleet.lease import NEVER, Grantor, Inquiry, Lease, Reply, StopReport, Term
-from .lease_model import FAR, Kinds
+from .lease_model import MAX_AGE, Kinds
 
 
 class CountsFromTheAnswer(Lease):
+    """The lease counts from the arrival of the answer instead of from the request."""
+
     def answered(self, now: float, name: str, asked: float, heard_of: int, granted: bool) -> None:
+        """See the base class."""
         super().answered(now, name, max(asked, now), heard_of, granted)
 
 
 class TellsNobody(Lease):
-    """A new term counts though the old grantors do not know of it."""
+    """A new term counts although the grantors of the old one do not know of it."""
 
     def answered(self, now: float, name: str, asked: float, heard_of: int, granted: bool) -> None:
+        """See the base class."""
         if self.proposed is not None and heard_of >= self.proposed.number:
             self.proposal_acked_by |= set(self.term.grantors)
         super().answered(now, name, asked, heard_of, granted)
 
 
 class AnswersThoughBarred(Grantor):
+    """A grantor ignores its bar and goes on granting to the subject."""
+
     def on_request(self, now: float, name: str, boot: int, term: Term, proposed: Term | None) -> Reply:
+        """See the base class."""
         if name in self.grants:
             self.grants[name] = self.grants[name]._replace(barred_until=NEVER)
         return super().on_request(now, name, boot, term, proposed)
 
 
 class ForgetsItsRest(Grantor):
-    """A new start answers at once, whatever the one before has said."""
+    """A restarted grantor grants at once, although grants of its earlier start may still be valid."""
 
     def on_request(self, now: float, name: str, boot: int, term: Term, proposed: Term | None) -> Reply:
+        """See the base class."""
         self.silent_until = NEVER
         return super().on_request(now, name, boot, term, proposed)
 
 
 class SaysNothingLeft(Grantor):
-    """Its answers may still count, and it does not say so."""
+    """A grantor reports that no grant remains although its grants may still be valid."""
 
     def report_stop(self, now: float, name: str, boot: int) -> StopReport | None:
+        """See the base class."""
         found = super().report_stop(now, name, boot)
         return None if found is None else found._replace(remaining=0.0)
 
 
 class RefusesNothing(Grantor):
-    """Says that it refuses, and goes on to answer."""
+    """A grantor reports that it refuses the subject, and goes on granting."""
 
     def refuse(self, name: str, boot: int) -> None:
+        """See the base class."""
         super().refuse(name, boot)
         self.lying = True
 
     def on_request(self, now: float, name: str, boot: int, term: Term, proposed: Term | None) -> Reply:
+        """See the base class."""
         if name in self.grants:
             known = self.grants[name]
             heard, _ = super().on_request(now, name, boot, term, proposed)
@@ -60,30 +71,36 @@
 
 
 class OneWordIsEnough(Inquiry):
+    """The report of a single grantor is enough."""
+
     def stopped(self, now: float) -> bool:
+        """See the base class."""
         return any(ends <= now < until for ends, until in self.reports.values())
 
 
 class ForgetsNoWord(Inquiry):
-    """A word counts for ever."""
+    """A report never expires."""
 
     def add_report(self, now: float, asked: float, name: str, report: StopReport) -> None:
+        """See the base class."""
         super().add_report(now, asked, name, report)
-        self.reports = {each: (ends, 10 * FAR) for each, (ends, _) in self.reports.items()}
+        self.reports = {each: (ends, 10 * MAX_AGE) for each, (ends, _) in self.reports.items()}
 
 
 class KeepsToTheOldTerm(Inquiry):
-    """It is not led on to newer grantors."""
+    """The inquiry does not follow the subject to the grantors of newer terms."""
 
     def note_terms(self, term: Term, proposed: Term | None = None) -> None:
+        """See the base class."""
         if not self.terms:
             super().note_terms(term)
 
 
 class BelievesWhatIsProposed(Inquiry):
-    """A term that was proposed counts as in force, as ours did until the walks found it."""
+    """A proposed term counts as in force: a former fault of Inquiry, which the random schedules found."""
 
     def note_terms(self, term: Term, proposed: Term | None = None) -> None:
+        """See the base class."""
         super().note_terms(proposed or term)
 
 
--- a/spurdeal/lab/lease_model.py
+++ b/spurdeal/lab/lease_model.py
@@ -1,9 +1,11 @@
-"""The model of the lease and of the inquiry into one that stopped: the classes that run, not a copy of them.
+"""Model of the lease and of the inquiry into a stopped member, run on the production classes themselves.
 
-Enumerated breadth first, with relative times, and walked by seeded schedules far beyond that. A state has one
-subject, its grantors, one who wants to rely on its stop, and answers in flight, which are taken in any order,
-late, or never; grantors hold the subject for gone when they like, lose their memory, and are replaced. That
-the subject stands still is that it does nothing while time goes on."""
+The state space is enumerated breadth first, with times relative to now, and explored far deeper by seeded
+random schedules. A state consists of one subject, its grantors, an inquirer that wants to rely on the
+subject's stop, and answers in flight, which are delivered in any order, late, or never. Grantors may consider
+the subject gone at any time, lose their memory in a restart, and be replaced. A pause of the subject needs no
+step of its own: the subject does nothing while time advances.
+"""
 
 from __future__ import annotations
 
@@ -15,23 +17,23 @@
 from typing import Any, NamedTuple
 
 from ..fleet.lease import Grant, Grantor, Inquiry, Lease, StopReport, Term
-from .model_check import Found, check
+from .model_check import CheckResult, check
 
-STEP, LEASE, PART = 100.0, 300.0, 0.5
+STEP, LEASE, QUORUM_PART = 100.0, 300.0, 0.5  # ms, ms, fraction of the grantors
 SUBJECT, BOOT = "d", 7
-SETS = (("a", "b"), ("b", "c"))
-MOST_FLIGHT, MOST_TERMS = 2, 3
-FAR = 500.0
+GRANTOR_SETS = (("a", "b"), ("b", "c"))
+MAX_IN_FLIGHT, MAX_TERMS = 2, 3
+MAX_AGE = 500.0  # ms: moments further in the past are treated alike, which keeps the state space finite
 WALK_LENGTH, WALK_FAULTS, WALK_SEED = 45, 6, 5
 
 
-def ago(moment: float, now: float) -> float:
-    """Relative; what lies further back than FAR makes no difference, and NEVER stays."""
-    return moment if math.isinf(moment) else max(-FAR, round(moment - now, 3))
+def relative(moment: float, now: float) -> float:
+    """A moment relative to now, at least -MAX_AGE; infinite values such as NEVER stay as they are."""
+    return moment if math.isinf(moment) else max(-MAX_AGE, round(moment - now, 3))
 
 
 class Kinds(NamedTuple):
-    """The classes that are checked; planted faults replace one."""
+    """The classes under check; a planted fault replaces one of them."""
 
     lease: type[Lease] = Lease
     grantor: type[Grantor] = Grantor
@@ -39,31 +41,31 @@
 
 
 class MoveKind(StrEnum):
-    """What can happen next."""
+    """Kind of a step."""
 
     TIME = "time"
-    ASK = "ask"  # the subject asks a grantor for its lease
-    QUERY = "query"  # a grantor is asked about the subject's stop
+    ASK = "ask"  # the subject asks a grantor for a grant
+    QUERY = "query"  # the inquirer asks a grantor whether the subject has stopped
     FAULT = "fault"
 
 
-Times = tuple[tuple[str, float], ...]
+TimesByName = tuple[tuple[str, float], ...]
 
 
 class LeaseState(NamedTuple):
-    """The subject's lease, with moments relative to now."""
+    """A snapshot of the subject's lease, with times relative to now."""
 
     term: Term
-    asked: Times
+    asked: TimesByName
     proposed: Term | None
-    proposed_grants: Times
+    proposed_grants: TimesByName
     proposal_acked_by: tuple[str, ...]
     refused: tuple[str, ...]
     held: bool
 
 
 class GrantState(NamedTuple):
-    """What a grantor knows of the subject, with moments relative to now."""
+    """A snapshot of a grantor's grant to the subject, with times relative to now."""
 
     term: Term
     proposed: Term | None
@@ -73,14 +75,20 @@
 
 
 class GrantorState(NamedTuple):
-    """One grantor, with moments relative to now."""
+    """A snapshot of a grantor, with times relative to now."""
 
     silent_until: float
     grant: GrantState | None
 
 
 class InquiryState(NamedTuple):
-    """The inquiry into the subject. reports: name, when its answers end, until when its report counts."""
+    """A snapshot of the inquiry into the subject.
+
+    Attributes:
+        in_force: Number of the term in force.
+        terms: The terms that may be in force.
+        reports: For each grantor, its name, when its grants expire, and until when its report is valid.
+    """
 
     in_force: int
     terms: tuple[Term, ...]
@@ -88,20 +96,29 @@
 
 
 class Answer(NamedTuple):
-    """A grantor's answer in flight, to what was asked at `asked`."""
+    """A grantor's answer in flight, to a request sent at `asked`."""
 
     kind: MoveKind
     grantor: str
     asked: float
-    told: tuple[Any, ...]
+    content: tuple[Any, ...]
 
     def order(self) -> str:
-        """One order of all that is in flight, as it comes in any."""
-        return str((self.kind.value, self.grantor, self.asked, *self.told))
+        """Sort key that makes states equal whose answers in flight differ only in their order."""
+        return str((self.kind.value, self.grantor, self.asked, *self.content))
 
 
 class StopState(NamedTuple):
-    """The whole. both: it holds its lease while another relies on its stop."""
+    """The state of the model.
+
+    Attributes:
+        lease: The subject's lease.
+        grantors: The grantors, in the order of their names.
+        inquiry: The inquiry into the subject.
+        flight: Answers in flight.
+        faults: Number of faults that may still happen.
+        both: Whether the subject holds its lease while the inquirer relies on its stop: the violation.
+    """
 
     lease: LeaseState
     grantors: tuple[GrantorState, ...]
@@ -111,8 +128,8 @@
     both: bool
 
 
-class Parts(NamedTuple):
-    """The objects of a state, at time 0."""
+class Components(NamedTuple):
+    """The live objects of a state, at time 0."""
 
     lease: Lease
     grantors: dict[str, Grantor]
@@ -120,46 +137,46 @@
 
 
 class Move(NamedTuple):
-    """One thing that can happen next, and the state after it."""
+    """A possible step; `after` computes the state that it leads to."""
 
     kind: MoveKind
     label: str
     after: Callable[[], StopState]
 
 
-def frozen_lease(lease: Lease) -> LeaseState:
-    """The lease's state at time 0."""
+def capture_lease(lease: Lease) -> LeaseState:
+    """Take a snapshot of the lease at time 0."""
     return LeaseState(
         lease.term,
-        relative(lease.grants),
+        relative_times(lease.grants),
         lease.proposed,
-        relative(lease.proposed_grants),
+        relative_times(lease.proposed_grants),
         tuple(sorted(lease.proposal_acked_by)),
         tuple(sorted(lease.refused_by)),
         lease.held,
     )
 
 
-def relative(times: dict[str, float]) -> Times:
-    """Moments by name, relative to time 0."""
-    return tuple(sorted((name, ago(at, 0.0)) for name, at in times.items()))
+def relative_times(times: dict[str, float]) -> TimesByName:
+    """Moments by name, relative to time 0, in a canonical order."""
+    return tuple(sorted((name, relative(at, 0.0)) for name, at in times.items()))
 
 
-def frozen_grantor(grantor: Grantor) -> GrantorState:
-    """A grantor's state at time 0."""
-    rests, found = ago(grantor.silent_until, 0.0), grantor.grants.get(SUBJECT)
+def capture_grantor(grantor: Grantor) -> GrantorState:
+    """Take a snapshot of a grantor at time 0."""
+    silent_until, found = relative(grantor.silent_until, 0.0), grantor.grants.get(SUBJECT)
     if found is None:
-        return GrantorState(rests, None)
-    until, barred_until = ago(found.valid_until, 0.0), ago(found.barred_until, 0.0)
+        return GrantorState(silent_until, None)
+    until, barred_until = relative(found.valid_until, 0.0), relative(found.barred_until, 0.0)
     return GrantorState(
-        rests, GrantState(found.term, found.proposed, until, found.refused_term, barred_until)
+        silent_until, GrantState(found.term, found.proposed, until, found.refused_term, barred_until)
     )
 
 
-def frozen_inquiry(inquiry: Inquiry) -> InquiryState:
-    """The inquiry's state at time 0; words that count no more are left out."""
+def capture_inquiry(inquiry: Inquiry) -> InquiryState:
+    """Take a snapshot of the inquiry at time 0, without reports that are no longer valid."""
     reports = sorted(
-        (name, ago(ends, 0.0), ago(until, 0.0))
+        (name, relative(ends, 0.0), relative(until, 0.0))
         for name, (ends, until) in inquiry.reports.items()
         if until > 0
     )
@@ -167,55 +184,56 @@
 
 
 class Stops:
-    """A subject, its grantors and one who relies on its stop.
+    """The model: a subject, its grantors and an inquirer that relies on the subject's stop.
 
     Args:
-        faults: How many may happen.
+        kinds: The classes under check.
+        faults: Number of faults that may happen.
     """
 
     def __init__(self, kinds: Kinds, faults: int) -> None:
         self.kinds, self.faults = kinds, faults
-        self.names = sorted({*SETS[0], *SETS[1]})
+        self.names = sorted({*GRANTOR_SETS[0], *GRANTOR_SETS[1]})
 
-    # States and objects.
+    # Conversion between states and objects.
 
     def initial(self) -> StopState:
-        """The subject holds its lease from all of its first grantors."""
-        lease = self.kinds.lease(LEASE, PART)
-        lease.propose(SETS[0])
+        """The initial state: the subject holds its lease from all grantors of the first set."""
+        lease = self.kinds.lease(LEASE, QUORUM_PART)
+        lease.propose(GRANTOR_SETS[0])
         grantors = {name: self.kinds.grantor(LEASE, -10 * LEASE) for name in self.names}
-        for name in SETS[0]:
+        for name in GRANTOR_SETS[0]:
             heard, granted = grantors[name].on_request(0.0, SUBJECT, BOOT, lease.term, lease.proposed)
             lease.answered(0.0, name, 0.0, heard, granted)
-        inquiry = self.kinds.inquiry(SUBJECT, BOOT, PART, LEASE)
+        inquiry = self.kinds.inquiry(SUBJECT, BOOT, QUORUM_PART, LEASE)
         inquiry.note_terms(lease.term)
-        return self.frozen(Parts(lease, grantors, inquiry), (), self.faults)
+        return self.capture(Components(lease, grantors, inquiry), (), self.faults)
 
-    def frozen(self, parts: Parts, flight: tuple[Answer, ...], faults: int) -> StopState:
-        """The state of these objects at time 0."""
-        both = parts.lease.holds(0.0) and parts.inquiry.stopped(0.0)
+    def capture(self, components: Components, flight: tuple[Answer, ...], faults: int) -> StopState:
+        """Take a snapshot of the objects at time 0."""
+        both = components.lease.holds(0.0) and components.inquiry.stopped(0.0)
         return StopState(
-            frozen_lease(parts.lease),
-            tuple(frozen_grantor(parts.grantors[name]) for name in self.names),
-            frozen_inquiry(parts.inquiry),
+            capture_lease(components.lease),
+            tuple(capture_grantor(components.grantors[name]) for name in self.names),
+            capture_inquiry(components.inquiry),
             tuple(sorted(flight, key=Answer.order)),
             faults,
             both,
         )
 
-    def thawed(self, state: StopState, shift: float = 0.0) -> Parts:
-        """The objects of that state at time 0; shift: so much time has gone by."""
+    def restore(self, state: StopState, shift: float = 0.0) -> Components:
+        """Create the objects that a state describes, `shift` ms later."""
         both = zip(self.names, state.grantors, strict=True)
-        grantors = {name: self.thawed_grantor(each, shift) for name, each in both}
-        inquiry = self.kinds.inquiry(SUBJECT, BOOT, PART, LEASE)
+        grantors = {name: self.restore_grantor(each, shift) for name, each in both}
+        inquiry = self.kinds.inquiry(SUBJECT, BOOT, QUORUM_PART, LEASE)
         inquiry.in_force = state.inquiry.in_force
         inquiry.terms = {each.number: each for each in state.inquiry.terms}
         inquiry.reports = {name: (ends - shift, until - shift) for name, ends, until in state.inquiry.reports}
-        return Parts(self.thawed_lease(state.lease, shift), grantors, inquiry)
+        return Components(self.restore_lease(state.lease, shift), grantors, inquiry)
 
-    def thawed_lease(self, state: LeaseState, shift: float) -> Lease:
-        """The subject's lease of that state."""
-        lease = self.kinds.lease(LEASE, PART)
+    def restore_lease(self, state: LeaseState, shift: float) -> Lease:
+        """Create the subject's lease from its snapshot, `shift` ms later."""
+        lease = self.kinds.lease(LEASE, QUORUM_PART)
         lease.sole_member, lease.held = False, state.held
         lease.term, lease.proposed = state.term, state.proposed
         lease.grants = {name: at - shift for name, at in state.asked}
@@ -223,8 +241,8 @@
         lease.proposal_acked_by, lease.refused_by = set(state.proposal_acked_by), set(state.refused)
         return lease
 
-    def thawed_grantor(self, state: GrantorState, shift: float) -> Grantor:
-        """A grantor of that state."""
+    def restore_grantor(self, state: GrantorState, shift: float) -> Grantor:
+        """Create a grantor from its snapshot, `shift` ms later."""
         grantor = self.kinds.grantor(LEASE, 0.0)
         grantor.silent_until = state.silent_until - shift
         if state.grant is not None:
@@ -237,114 +255,118 @@
     # Steps.
 
     def steps(self, state: StopState) -> Iterator[tuple[str, StopState]]:
-        """All that can happen next, and the state after it."""
+        """Yield the labelled successors of a state."""
         for move in self.moves(state):
             yield move.label, move.after()
 
     def moves(self, state: StopState) -> Iterator[Move]:
-        """A question is answered at once, or its answer is under way for as long as it likes, or it never
-        comes."""
-        yield Move(MoveKind.TIME, "time", partial(self.later, state))
-        yield from self.questions(state)
-        for place, each in enumerate(state.flight):
-            rest = state.flight[:place] + state.flight[place + 1 :]
+        """Yield all possible steps.
+
+        A request is answered immediately, or its answer stays in flight for any time, or is lost.
+        """
+        yield Move(MoveKind.TIME, "time", partial(self.advance, state))
+        yield from self.request_moves(state)
+        for index, each in enumerate(state.flight):
+            remaining = state.flight[:index] + state.flight[index + 1 :]
             label = f"{each.kind} {each.grantor}"
-            yield Move(each.kind, f"{label} answered", partial(self.answered, state, each, rest))
-            if each.asked <= -FAR:
-                yield Move(each.kind, f"{label} never", partial(state._replace, flight=rest))
+            yield Move(each.kind, f"{label} answered", partial(self.receive_answer, state, each, remaining))
+            if each.asked <= -MAX_AGE:
+                yield Move(each.kind, f"{label} never", partial(state._replace, flight=remaining))
         if state.faults:
-            yield from self.faulty(state)
+            yield from self.fault_moves(state)
 
-    def questions(self, state: StopState) -> Iterator[Move]:
-        """Grantors are asked."""
-        lease, _, inquiry = self.thawed(state)
+    def request_moves(self, state: StopState) -> Iterator[Move]:
+        """Yield the requests that the subject and the inquirer may send to grantors."""
+        lease, _, inquiry = self.restore(state)
         flight = state.flight
         for kind, names in (
             (MoveKind.ASK, lease.grantors_to_ask()),
             (MoveKind.QUERY, inquiry.grantors_to_ask()),
         ):
             for name in names:
-                yield Move(kind, f"{kind} {name}", partial(self.asked, state, kind, name, False))
+                yield Move(kind, f"{kind} {name}", partial(self.ask, state, kind, name, False))
                 under_way = any((each.kind, each.grantor) == (kind, name) for each in flight)
-                if len(flight) < MOST_FLIGHT and not under_way:
-                    late = partial(self.asked, state, kind, name, True)
+                if len(flight) < MAX_IN_FLIGHT and not under_way:
+                    late = partial(self.ask, state, kind, name, True)
                     yield Move(kind, f"{kind} {name}, late", late)
 
-    def later(self, state: StopState) -> StopState:
-        """A step of time on."""
-        flight = tuple(each._replace(asked=max(-FAR, each.asked - STEP)) for each in state.flight)
-        return self.frozen(self.thawed(state, STEP), flight, state.faults)
+    def advance(self, state: StopState) -> StopState:
+        """The state after one time step."""
+        flight = tuple(each._replace(asked=max(-MAX_AGE, each.asked - STEP)) for each in state.flight)
+        return self.capture(self.restore(state, STEP), flight, state.faults)
 
-    def asked(self, state: StopState, kind: MoveKind, name: str, late: bool) -> StopState:
-        """The grantor has the question now. late: its answer is in flight."""
-        parts = self.thawed(state)
-        told: tuple[Any, ...] | None
+    def ask(self, state: StopState, kind: MoveKind, name: str, late: bool) -> StopState:
+        """The state after a grantor gets a request; with `late`, its answer stays in flight."""
+        components = self.restore(state)
+        content: tuple[Any, ...] | None
         if kind is MoveKind.ASK:
-            told = parts.grantors[name].on_request(0.0, SUBJECT, BOOT, parts.lease.term, parts.lease.proposed)
+            content = components.grantors[name].on_request(
+                0.0, SUBJECT, BOOT, components.lease.term, components.lease.proposed
+            )
         else:
-            told = parts.grantors[name].report_stop(0.0, SUBJECT, BOOT)
+            content = components.grantors[name].report_stop(0.0, SUBJECT, BOOT)
         flight = state.flight
-        if told is not None:
-            answer = Answer(kind, name, 0.0, tuple(told))
+        if content is not None:
+            answer = Answer(kind, name, 0.0, tuple(content))
             if late:
                 flight = (*flight, answer)
             else:
-                self.deliver(parts, answer)
-        return self.frozen(parts, flight, state.faults)
+                self.deliver(components, answer)
+        return self.capture(components, flight, state.faults)
 
-    def answered(self, state: StopState, answer: Answer, rest: tuple[Answer, ...]) -> StopState:
-        """An answer arrives."""
-        parts = self.thawed(state)
-        self.deliver(parts, answer)
-        return self.frozen(parts, rest, state.faults)
+    def receive_answer(self, state: StopState, answer: Answer, remaining: tuple[Answer, ...]) -> StopState:
+        """The state after an answer in flight arrives."""
+        components = self.restore(state)
+        self.deliver(components, answer)
+        return self.capture(components, remaining, state.faults)
 
     @staticmethod
-    def deliver(parts: Parts, answer: Answer) -> None:
-        """Whoever asked has the answer now."""
+    def deliver(components: Components, answer: Answer) -> None:
+        """Hand an answer to the lease or to the inquiry that asked for it."""
         if answer.kind is MoveKind.ASK:
-            parts.lease.answered(0.0, answer.grantor, answer.asked, *answer.told)
+            components.lease.answered(0.0, answer.grantor, answer.asked, *answer.content)
         else:
-            parts.inquiry.add_report(0.0, answer.asked, answer.grantor, StopReport(*answer.told))
+            components.inquiry.add_report(0.0, answer.asked, answer.grantor, StopReport(*answer.content))
 
-    def faulty(self, state: StopState) -> Iterator[Move]:
-        """Grantors hold the subject for gone, start anew, or are replaced."""
+    def fault_moves(self, state: StopState) -> Iterator[Move]:
+        """Yield the faults: a grantor considers the subject gone, restarts, or is replaced."""
         fault = MoveKind.FAULT
         for name, each in zip(self.names, state.grantors, strict=True):
             if each.grant is not None:
                 gone = partial(self.grantor_fails, state, name, False)
                 yield Move(fault, f"{name} holds it for gone", gone)
                 yield Move(fault, f"{name} restarts", partial(self.grantor_fails, state, name, True))
-        lease = self.thawed(state).lease
+        lease = self.restore(state).lease
         newest = lease.proposed or lease.term
-        for grantors in SETS:
-            if newest.number < MOST_TERMS and (newest.grantors != grantors or lease.refused_by):
+        for grantors in GRANTOR_SETS:
+            if newest.number < MAX_TERMS and (newest.grantors != grantors or lease.refused_by):
                 label = f"grantors {' '.join(grantors)}"
-                yield Move(fault, label, partial(self.replaced, state, grantors))
+                yield Move(fault, label, partial(self.propose_grantors, state, grantors))
 
     def grantor_fails(self, state: StopState, name: str, restarts: bool) -> StopState:
-        """A grantor starts anew, or refuses the subject."""
-        parts = self.thawed(state)
+        """The state after a grantor restarts, or refuses the subject because it considers it gone."""
+        components = self.restore(state)
         if restarts:
-            parts.grantors[name] = self.kinds.grantor(LEASE, 0.0)
+            components.grantors[name] = self.kinds.grantor(LEASE, 0.0)
         else:
-            parts.grantors[name].refuse(SUBJECT, BOOT)
-        return self.frozen(parts, state.flight, state.faults - 1)
+            components.grantors[name].refuse(SUBJECT, BOOT)
+        return self.capture(components, state.flight, state.faults - 1)
 
-    def replaced(self, state: StopState, grantors: tuple[str, ...]) -> StopState:
-        """The subject proposes other grantors."""
-        parts = self.thawed(state)
-        parts.lease.propose(grantors)
-        return self.frozen(parts, state.flight, state.faults - 1)
+    def propose_grantors(self, state: StopState, grantors: tuple[str, ...]) -> StopState:
+        """The state after the subject proposes another set of grantors."""
+        components = self.restore(state)
+        components.lease.propose(grantors)
+        return self.capture(components, state.flight, state.faults - 1)
 
     # Checks.
 
-    def search(self, most: int) -> Found:
-        """Breadth first, as far as `most` states go."""
+    def search(self, max_states: int) -> CheckResult:
+        """Check the invariant breadth first over at most `max_states` states."""
         invariants = {"it acts while another relies on its stop": lambda state: not state["both"]}
-        return check("stops", StopState._fields, self.initial(), self.steps, invariants, most)
+        return check("stops", StopState._fields, self.initial(), self.steps, invariants, max_states)
 
     def walk(self, chance: random.Random, length: int) -> tuple[int, list[str]]:
-        """One schedule far beyond what breadth first reaches: steps, and the labels where it breaks."""
+        """Run one random schedule, far deeper than breadth-first search: steps, and a violation's trace."""
         state, labels = self.initial(), list[str]()
         for step in range(length):
             kinds: dict[MoveKind, list[Move]] = {}
@@ -359,7 +381,7 @@
 
 
 def stops_walked(kinds: Kinds, walks: int, seed: int = WALK_SEED) -> tuple[int, list[str]]:
-    """Steps of all walks up to the first that breaks, and its labels."""
+    """Run random schedules up to the first violation: the steps of all, and the trace of the violation."""
     chance, model, steps = random.Random(seed), Stops(kinds, WALK_FAULTS), 0
     for _ in range(walks):
         count, labels = model.walk(chance, WALK_LENGTH)
--- a/spurdeal/lab/loopback.py
+++ b/spurdeal/lab/loopback.py
@@ -1,4 +1,4 @@
-"""Loopback addresses of a run, told apart from those of other runs on the same machine."""
+"""Loopback addresses of a run, distinct from those of other runs on the same machine."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 class Network:
     """The addresses of 127.0.0.0/8 with this second octet.
 
-    The process that runs a proof or a test module owns a network; processes that it starts are told their
-    addresses and never derive them. Two runs share a network only where their process ids are equal modulo
+    The process that runs a laboratory check or a test module owns a network; its child processes are given
+    their addresses and never derive them. Two runs share a network only if their process ids are equal modulo
     NETWORKS.
     """
 
@@ -21,9 +21,9 @@
 
     @classmethod
     def of_this_process(cls) -> Network:
-        """The one that this process owns."""
+        """The network that this process owns."""
         return cls(FIRST_NETWORK + os.getpid() % NETWORKS)
 
     def host(self, subnet: int, host: int) -> str:
-        """An address, by its third and its fourth octet."""
+        """The address with this third and fourth octet."""
         return f"127.{self.number}.{subnet}.{host}"
--- a/spurdeal/lab/mesh.py
+++ b/spurdeal/lab/mesh.py
@@ -1,4 +1,4 @@
-"""Cables between each two of many dispatchers, which can lose, delay, repeat or be cut, one way or both."""
+"""Emulated links between each two dispatchers, which lose, delay, repeat or cut datagrams per direction."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 from .cables import HostPort
 
-FLEET_PORT, RELAY_PORT = 7114, 7214  # ports of the dispatchers, and of their plugs
-LARGEST_DATAGRAM = 65_535
+FLEET_PORT, RELAY_PORT = 7114, 7214  # ports of the dispatchers, and of their relay ports
+MAX_DATAGRAM = 65_535
 
 
 @dataclass(slots=True)
 class Link:
-    """One direction between two dispatchers. Shares, and ms at the most."""
+    """One direction between two dispatchers: probabilities of loss and repetition, maximum delay in ms."""
 
     loss: float = 0.0
     repeat: float = 0.0
@@ -25,37 +25,41 @@
     cut: bool = False
 
 
-class Plug(DatagramProtocol):
-    """Where all others send what is for one dispatcher; it goes on under the sender's own plug's address."""
+class RelayPort(DatagramProtocol):
+    """The port to which all others send their datagrams for one dispatcher.
+
+    They are forwarded from the relay port of the sender, so that a sender keeps one address.
+    """
 
     transport: Any
 
-    def __init__(self, cables: LinkMesh, name: str) -> None:
-        self.cables, self.name = cables, name
+    def __init__(self, mesh: LinkMesh, name: str) -> None:
+        self.mesh, self.name = mesh, name
 
     def datagramReceived(self, datagram: bytes, address: Any) -> None:
-        self.cables.carry(address[0], self.name, datagram)
+        """Relay a datagram to this port's dispatcher."""
+        self.mesh.relay(address[0], self.name, datagram)
 
 
 class LinkMesh:
-    """Between each two. A dispatcher advertises its plug's address, so that others send there."""
+    """The links between all dispatchers, each of which advertises the address of its relay port."""
 
     def __init__(self, reactor: Any, chance: random.Random) -> None:
         self.reactor, self.chance = reactor, chance
-        self.plugs: dict[str, Plug] = {}
+        self.relays: dict[str, RelayPort] = {}
         self.hosts: dict[str, str] = {}
         self.links: dict[tuple[str, str], Link] = {}
         self.default_link = Link()
         self.seen = self.lost = self.bytes = 0
 
     def add(self, name: str, host: str) -> None:
-        """Another dispatcher: its plug on that host."""
+        """Add a dispatcher: open its relay port on that host."""
         self.hosts[host] = name
-        self.plugs[name] = Plug(self, name)
-        self.reactor.listenUDP(RELAY_PORT, self.plugs[name], interface=host, maxPacketSize=LARGEST_DATAGRAM)
+        self.relays[name] = RelayPort(self, name)
+        self.reactor.listenUDP(RELAY_PORT, self.relays[name], interface=host, maxPacketSize=MAX_DATAGRAM)
 
-    def carry(self, host: str, to: str, datagram: bytes) -> None:
-        """A datagram of `host` for that dispatcher: it arrives, late, twice, or not."""
+    def relay(self, host: str, to: str, datagram: bytes) -> None:
+        """Deliver, delay, repeat or drop a datagram from `host` to a dispatcher."""
         sender = self.hosts.get(host)
         if sender is None:
             return
@@ -65,26 +69,26 @@
         if link.cut or self.chance.random() < link.loss:
             self.lost += 1
             return
-        place = next(each for each, name in self.hosts.items() if name == to), FLEET_PORT
+        destination = next(each for each, name in self.hosts.items() if name == to), FLEET_PORT
         for _ in range(2 if self.chance.random() < link.repeat else 1):
             if link.delay:
-                later = link.delay * self.chance.random() / 1000
-                self.reactor.callLater(later, self.deliver, sender, datagram, place)
+                delay = link.delay * self.chance.random() / 1000
+                self.reactor.callLater(delay, self.deliver, sender, datagram, destination)
             else:
-                self.deliver(sender, datagram, place)
+                self.deliver(sender, datagram, destination)
 
-    def deliver(self, sender: str, datagram: bytes, place: HostPort) -> None:
-        """It arrives from its sender's plug."""
-        self.plugs[sender].transport.write(datagram, place)
+    def deliver(self, sender: str, datagram: bytes, destination: HostPort) -> None:
+        """Send a datagram on from its sender's relay port."""
+        self.relays[sender].transport.write(datagram, destination)
 
     def cut(self, senders: Sequence[str], receivers: Sequence[str]) -> None:
-        """One way; call it twice for both."""
+        """Cut the links from senders to receivers, in this direction only."""
         for sender in senders:
             for receiver in receivers:
                 if sender != receiver:
                     self.links[sender, receiver] = Link(cut=True)
 
     def heal(self) -> None:
-        """All cables are whole."""
+        """Restore all links."""
         self.links.clear()
         self.default_link = Link()
--- a/spurdeal/lab/model.py
+++ b/spurdeal/lab/model.py
@@ -1,8 +1,9 @@
-"""Model checks of VRRP's state machine, tenure and handover: the very classes that run, not a copy of them.
+"""Model checks of VRRP's state machine, budget shares and handover, run on the production classes themselves.
 
-Each reachable state of the first two is enumerated breadth first, with relative times, so that the space is
-finite. Handover's numbers only grow, so the third is walked by seeded schedules. Faults planted in subclasses
-must each be found, or the checks are worth nothing."""
+The reachable states of the first two are enumerated breadth first; times are relative to now, which keeps the
+state space finite. The handover's counters grow without bound, so it is explored by seeded random schedules
+instead. Every planted fault (a deliberately broken subclass) must be found, or the checks prove nothing.
+"""
 
 from __future__ import annotations
 
@@ -14,89 +15,116 @@
 from ..vrrp.handover import Handover
 from ..vrrp.machine import StateMachine
 from ..vrrp.tenure import BudgetShares
-from .address_model import DeafTimer, NeverGivesWay, NoBar, NoSkew, check_address
-from .budget_model import BorrowsAtOnce, ForgetsLoans, LendsAndUses, LongLoan, NoRest, check_budget
-from .handover_walk import OldWord, OpensUnread, SendsAtOnce, walk
-from .model_check import Found
+from .address_model import (
+    AnyAdvertResetsTimer,
+    IgnoresHigherPriority,
+    NoSkew,
+    PreemptsWithoutSync,
+    check_address,
+)
+from .budget_model import (
+    BorrowsAtStart,
+    LoanFromArrival,
+    NoWaitAfterLoan,
+    UsesLentShare,
+    UsesShareAtStart,
+    check_budget,
+)
+from .handover_walk import AcceptsStaleReply, AdmitsBeforeSync, SendsWithoutReply, walk
+from .model_check import CheckResult
 
 QUICK_STATES, FULL_STATES, PLANTED_STATES = 20_000, 250_000, 120_000
 QUICK_WALKS, FULL_WALKS, WALK_LENGTH = 400, 20_000, 120
-TRACE_SHOWN = 40  # steps
+MAX_TRACE_STEPS = 40  # of a counterexample, in the report
 
 
 class Job(NamedTuple):
-    """A check: what is called with its name and the arguments."""
+    """A check to run: `call` gets the name and the arguments."""
 
     name: str
-    call: Callable[..., Found]
+    call: Callable[..., CheckResult]
     arguments: tuple[Any, ...]
 
 
 def real_checks(quick: bool) -> list[Job]:
-    """What runs in service: nothing may be violated."""
-    most, walks, faults = (QUICK_STATES, QUICK_WALKS, 2) if quick else (FULL_STATES, FULL_WALKS, 4)
+    """Checks of the production classes: no invariant may be violated."""
+    max_states, walks, faults = (QUICK_STATES, QUICK_WALKS, 2) if quick else (FULL_STATES, FULL_WALKS, 4)
     return [
-        Job("address: two, loss and faults", check_address, (2, StateMachine, faults, True, True, most)),
-        Job("address: three, a crash", check_address, (3, StateMachine, 1, False, False, most)),
-        Job("address: three, faults", check_address, (3, StateMachine, faults, False, True, most)),
-        Job("address: three, loss and a fault", check_address, (3, StateMachine, 1, True, True, most)),
-        Job("parts: two, one lends", check_budget, (2, BudgetShares, 0, (1,), 1, most)),
-        Job("parts: two, one lends, a new start", check_budget, (2, BudgetShares, 1, (1,), 1, most)),
-        Job("parts: two, both lend, a new start", check_budget, (2, BudgetShares, 1, (0, 1), 2, most)),
-        Job("parts: three, two lend, a new start", check_budget, (3, BudgetShares, 1, (1, 2), 1, most)),
+        Job(
+            "address: two, loss and faults", check_address, (2, StateMachine, faults, True, True, max_states)
+        ),
+        Job("address: three, a crash", check_address, (3, StateMachine, 1, False, False, max_states)),
+        Job("address: three, faults", check_address, (3, StateMachine, faults, False, True, max_states)),
+        Job("address: three, loss and a fault", check_address, (3, StateMachine, 1, True, True, max_states)),
+        Job("parts: two, one lends", check_budget, (2, BudgetShares, 0, (1,), 1, max_states)),
+        Job("parts: two, one lends, a new start", check_budget, (2, BudgetShares, 1, (1,), 1, max_states)),
+        Job("parts: two, both lend, a new start", check_budget, (2, BudgetShares, 1, (0, 1), 2, max_states)),
+        Job("parts: three, two lend, a new start", check_budget, (3, BudgetShares, 1, (1, 2), 1, max_states)),
         Job("ahead: two, a crash", walk, (Handover, walks, WALK_LENGTH, 1)),
     ]
 
 
 def planted() -> list[Job]:
-    """Each must be violated."""
-    most, length = PLANTED_STATES, WALK_LENGTH
+    """Checks of the planted faults: each must violate an invariant."""
+    max_states, walk_length = PLANTED_STATES, WALK_LENGTH
     return [
-        Job("planted: no skew", check_address, (3, NoSkew, 1, False, False, most)),
-        Job("planted: preemption without list", check_address, (2, NoBar, 2, False, False, most)),
-        Job("planted: never gives way", check_address, (2, NeverGivesWay, 1, True, True, most)),
-        Job("planted: a timer put off", check_address, (2, DeafTimer, 1, True, True, most)),
-        Job("planted: a budget doubled", check_budget, (2, LendsAndUses, 0, (1,), 1, most)),
-        Job("planted: no rest between users", check_budget, (2, NoRest, 0, (1,), 1, most)),
-        Job("planted: loans forgotten at a start", check_budget, (2, ForgetsLoans, 1, (1,), 1, most)),
-        Job("planted: a new start borrows at once", check_budget, (2, BorrowsAtOnce, 1, (1,), 1, most)),
-        Job("planted: a loan counted from its arrival", check_budget, (2, LongLoan, 0, (1,), 1, most)),
-        Job("planted: sent without the peer's word", walk, (SendsAtOnce, 400, length, 1)),
-        Job("planted: an old word counts", walk, (OldWord, 4000, length, 1)),
-        Job("planted: open before the marks are read", walk, (OpensUnread, 400, length, 1)),
+        Job("planted: no skew", check_address, (3, NoSkew, 1, False, False, max_states)),
+        Job(
+            "planted: preemption without list",
+            check_address,
+            (2, PreemptsWithoutSync, 2, False, False, max_states),
+        ),
+        Job("planted: never gives way", check_address, (2, IgnoresHigherPriority, 1, True, True, max_states)),
+        Job("planted: a timer put off", check_address, (2, AnyAdvertResetsTimer, 1, True, True, max_states)),
+        Job("planted: a budget doubled", check_budget, (2, UsesLentShare, 0, (1,), 1, max_states)),
+        Job("planted: no rest between users", check_budget, (2, NoWaitAfterLoan, 0, (1,), 1, max_states)),
+        Job(
+            "planted: loans forgotten at a start", check_budget, (2, UsesShareAtStart, 1, (1,), 1, max_states)
+        ),
+        Job(
+            "planted: a new start borrows at once", check_budget, (2, BorrowsAtStart, 1, (1,), 1, max_states)
+        ),
+        Job(
+            "planted: a loan counted from its arrival",
+            check_budget,
+            (2, LoanFromArrival, 0, (1,), 1, max_states),
+        ),
+        Job("planted: sent without the peer's word", walk, (SendsWithoutReply, 400, walk_length, 1)),
+        Job("planted: an old word counts", walk, (AcceptsStaleReply, 4000, walk_length, 1)),
+        Job("planted: open before the marks are read", walk, (AdmitsBeforeSync, 400, walk_length, 1)),
     ]
 
 
-def carry_out(jobs: list[Job]) -> list[Found]:
-    """Each in a process of its own, as many at once as there are cores."""
+def run_checks(jobs: list[Job]) -> list[CheckResult]:
+    """Run each check in its own process, as many at a time as there are cores."""
     with ProcessPoolExecutor() as pool:
         running = [pool.submit(job.call, job.name, *job.arguments) for job in jobs]
         return [each.result() for each in running]
 
 
 def figures(quick: bool, say: Callable[[str], None] = lambda _: None) -> dict[str, Any]:
-    """States, violations and planted faults found, each check by name; ready for JSON."""
+    """Run all checks and return states, violations, planted faults found and each check, ready for JSON."""
     began = time.monotonic()
-    jobs, broken = real_checks(quick), planted()
-    found = carry_out(jobs + broken)
-    real, spoilt = found[: len(jobs)], found[len(jobs) :]
+    jobs, planted_jobs = real_checks(quick), planted()
+    found = run_checks(jobs + planted_jobs)
+    real_results, planted_results = found[: len(jobs)], found[len(jobs) :]
     return {
-        "states": sum(each.states for each in real),
-        "violations": sum(len(each.violated) for each in real),
-        "planted": len(broken),
-        "planted_found": sum(bool(each.violated) for each in spoilt),
+        "states": sum(each.states for each in real_results),
+        "violations": sum(len(each.violated) for each in real_results),
+        "planted": len(planted_jobs),
+        "planted_found": sum(bool(each.violated) for each in planted_results),
         "seconds": round(time.monotonic() - began, 1),
         "checks": [check_figures(each) for each in found],
     }
 
 
-def check_figures(found: Found) -> dict[str, Any]:
-    """One check, ready for JSON."""
+def check_figures(found: CheckResult) -> dict[str, Any]:
+    """One check's result, ready for JSON."""
     return {
         "name": found.name,
         "states": found.states,
-        "whole": found.whole,
+        "whole": found.exhaustive,
         "depth": found.depth,
         "violated": list(found.violated),
-        "trace": list(found.trace[:TRACE_SHOWN]),
+        "trace": list(found.trace[:MAX_TRACE_STEPS]),
     }
--- a/spurdeal/lab/model_check.py
+++ b/spurdeal/lab/model_check.py
@@ -1,4 +1,4 @@
-"""Breadth-first model checking of safety, by `minicheck`: shortest traces come for free."""
+"""Breadth-first model checking of safety properties with `minicheck`: counterexamples are shortest traces."""
 
 from __future__ import annotations
 
@@ -12,28 +12,28 @@
 Invariant = Callable[[dict[str, Any]], bool]
 
 
-class Found(NamedTuple):
-    """What one check has seen.
+class CheckResult(NamedTuple):
+    """The result of one check.
 
     Attributes:
-        states: How many different ones.
-        depth: Steps from the first state to the furthest.
-        whole: Whether that was all that can be reached.
-        violated: Invariants that do not hold.
-        trace: Labels of the steps to the first violation.
+        name: Of the check.
+        states: Number of distinct states visited.
+        depth: Steps from the initial state to the furthest one.
+        exhaustive: Whether all reachable states were visited.
+        violated: Names of the invariants that do not hold.
+        trace: Labels of the steps from the initial state to the first violation.
     """
 
     name: str
     states: int
     depth: int
-    whole: bool
+    exhaustive: bool
     violated: tuple[str, ...]
     trace: tuple[str, ...]
 
 
 class Search(Generic[State]):
-    """Wraps a model's steps and invariants, so that the search ends at the first violation and knows its
-    depth."""
+    """Wraps a model's steps and invariants, to end the search at the first violation and to record depths."""
 
     def __init__(self, initial: State, steps: Steps[State], invariants: dict[str, Invariant]) -> None:
         self.steps, self.invariants = steps, invariants
@@ -41,7 +41,7 @@
         self.violated = False
 
     def transitions(self, state: State) -> list[tuple[str, State]]:
-        """All steps from a state; none once an invariant is violated."""
+        """All labelled successors of a state; none once an invariant is violated, which ends the search."""
         if self.violated:
             return []
         after = list(self.steps(state))
@@ -49,11 +49,11 @@
             self.depths.setdefault(each, self.depths[state] + 1)
         return after
 
-    def watched(self, key: str) -> Invariant:
-        """That invariant, noting its violation."""
+    def tracked(self, invariant: str) -> Invariant:
+        """The invariant of that name, wrapped to record its violation."""
 
         def holds(state: dict[str, Any]) -> bool:
-            if self.invariants[key](state):
+            if self.invariants[invariant](state):
                 return True
             self.violated = True
             return False
@@ -61,9 +61,9 @@
         return holds
 
 
-def replaced(row: tuple[Any, ...], place: int, value: Any) -> tuple[Any, ...]:
-    """A tuple with another value in one place."""
-    return (*row[:place], value, *row[place + 1 :])
+def replace_at(values: tuple[Any, ...], index: int, value: Any) -> tuple[Any, ...]:
+    """Return a copy of a tuple with the value at one index replaced."""
+    return (*values[:index], value, *values[index + 1 :])
 
 
 def check(
@@ -72,17 +72,17 @@
     initial: State,
     steps: Steps[State],
     invariants: dict[str, Invariant],
-    most: int,
-) -> Found:
-    """Search breadth first, up to the first violation: one is enough, and its trace is a shortest one.
+    max_states: int,
+) -> CheckResult:
+    """Search breadth first up to the first violation, whose trace is a shortest one.
 
     Args:
-        name: Of the model, in its report.
-        fields: Names of a state's parts; invariants get them as a dictionary.
-        initial: Where the search begins.
-        steps: Labels and successors of a state.
-        invariants: By name, what holds in every state.
-        most: States at which the search ends, though there are more.
+        name: Of the model, in the report.
+        fields: Names of a state's fields; invariants get a state as a dictionary with these keys.
+        initial: The initial state.
+        steps: Yields the labelled successors of a state.
+        invariants: Predicates that must hold in every state, by name.
+        max_states: Number of states at which the search ends even if more are reachable.
     """
     search = Search(initial, steps, invariants)
     model = Protocol(
@@ -91,14 +91,16 @@
         fields=fields,
         initial=initial,
         transitions=search.transitions,
-        invariants={key: search.watched(key) for key in invariants},
+        invariants={invariant: search.tracked(invariant) for invariant in invariants},
     )
-    result = check_safety(model, max_states=most)
+    result = check_safety(model, max_states=max_states)
     properties = result["properties"]
-    violated = tuple(key for key, told in properties.items() if told["holds"] is False)
+    violated = tuple(invariant for invariant, outcome in properties.items() if outcome["holds"] is False)
     trace = tuple(
-        str(step["label"]) for key in violated[:1] for step in properties[key]["counterexample"][1:]
+        str(step["label"])
+        for invariant in violated[:1]
+        for step in properties[invariant]["counterexample"][1:]
     )
-    whole = bool(result["exhaustive"]) and not violated
+    exhaustive = bool(result["exhaustive"]) and not violated
     depth = max(search.depths.values())
-    return Found(name, int(result["reachable_states"]), depth, whole, violated, trace)
+    return CheckResult(name, int(result["reachable_states"]), depth, exhaustive, violated, trace)
--- a/spurdeal/lab/scripted.py
+++ b/spurdeal/lab/scripted.py
@@ -1,4 +1,4 @@
-"""Running a script on Twisted's reactor: a generator that yields the seconds to wait."""
+"""Runs a script on Twisted's reactor: a generator that yields the seconds to wait until its next step."""
 
 from __future__ import annotations
 
@@ -8,29 +8,32 @@
 
 from twisted.internet.task import LoopingCall
 
-LOOK_EVERY = 0.01  # seconds between two looks at how late timers are
+SAMPLE_INTERVAL = 0.01  # seconds between two samples of the timer lag
 
 
 class TimerLag:
-    """How late the laboratory's own timers were: its figures are no better than that."""
+    """The maximum lag of the laboratory's own timers, which limits the accuracy of its figures."""
 
     def __init__(self, reactor: Any) -> None:
-        self.reactor, self.max_ms, self.before = reactor, 0.0, time.monotonic()
-        self.loop = LoopingCall(self.look)
-        self.loop.start(LOOK_EVERY, now=False)
+        self.reactor, self.max_ms, self.last_sample = reactor, 0.0, time.monotonic()
+        self.loop = LoopingCall(self.sample)
+        self.loop.start(SAMPLE_INTERVAL, now=False)
 
-    def look(self) -> None:
-        """Compare this call's moment with the one it was due at."""
+    def sample(self) -> None:
+        """Compare the time of this call with the time it was due."""
         now = time.monotonic()
-        self.max_ms, self.before = max(self.max_ms, (now - self.before - LOOK_EVERY) * 1000), now
+        self.max_ms, self.last_sample = (
+            max(self.max_ms, (now - self.last_sample - SAMPLE_INTERVAL) * 1000),
+            now,
+        )
 
 
 class ScriptRunner:
     """Runs one script from the reactor's start to the script's end, and stops the reactor then.
 
     Attributes:
-        fault: What the script raised, if it did.
-        lag: How late timers were meanwhile.
+        fault: The exception that the script raised, if any.
+        lag: The maximum lag of timers during the run.
     """
 
     def __init__(self, reactor: Any, script: Iterator[float]) -> None:
@@ -39,12 +42,12 @@
         self.lag = TimerLag(reactor)
 
     def run(self) -> None:
-        """Returns once the script has ended or raised. The reactor cannot be run again in this process."""
+        """Return once the script has ended or raised. The reactor cannot be run again in this process."""
         self.reactor.callWhenRunning(self.step)
         self.reactor.run()
 
     def step(self) -> None:
-        """On to the script's next wait."""
+        """Resume the script up to its next wait."""
         try:
             self.reactor.callLater(next(self.script), self.step)
         except StopIteration:
--- a/spurdeal/lab/spread.py
+++ b/spurdeal/lab/spread.py
@@ -1,15 +1,15 @@
-"""How values of one kind spread: percentiles for the laboratory's figures."""
+"""Percentiles of measured values for the laboratory's figures."""
 
 from __future__ import annotations
 
 from hdrh.histogram import HdrHistogram
 
-MAX_VALUE = 600_000  # tenths of a ms
-DIGITS = 3  # significant ones that the histogram keeps
+MAX_VALUE = 600_000  # in tenths of a ms
+DIGITS = 3  # significant digits of the histogram
 
 
 def spread(values: list[float]) -> dict[str, float]:
-    """The count, p50, p99 and the most of values in ms, to a tenth; empty without values."""
+    """Count, p50, p99 and maximum of values in ms, rounded to a tenth; empty without values."""
     if not values:
         return {}
     histogram = HdrHistogram(1, MAX_VALUE, DIGITS)
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -1,4 +1,4 @@
-"""Several real dispatchers with faults between them: what must be zero is zero, what was planted is found."""
+"""Real dispatchers under injected faults, and model checks: no violation, each planted fault is found."""
 
 import json
 import subprocess
