--- a/spurdeal/lab/address_model.py
+++ b/spurdeal/lab/address_model.py
@@ -94,14 +94,14 @@
     )
 
 
-def fresh(machine_type: type[StateMachine], index: int) -> StateMachine:
+def new_machine(machine_type: type[StateMachine], index: int) -> StateMachine:
     """Create a state machine that has not been started."""
     return machine_type(GroupSettings(1, PRIORITIES[index], INTERVAL, ip_address(f"127.0.0.{index + 1}")))
 
 
 def restore(machine_type: type[StateMachine], index: int, snapshot: MachineState) -> StateMachine:
     """Create the state machine that a snapshot describes, at time 0."""
-    machine = fresh(machine_type, index)
+    machine = new_machine(machine_type, index)
     machine.state = State(snapshot.state)
     machine.priority, machine.sender_interval = snapshot.priority, snapshot.sender_interval
     machine.due, machine.seen = snapshot.due, snapshot.seen
@@ -209,7 +209,7 @@
         """The initial state: the first dispatcher is Active, and the others have just heard it."""
         machines = []
         for index in range(self.count):
-            machine = fresh(self.machine_type, index)
+            machine = new_machine(self.machine_type, index)
             machine.start(0.0)
             if index == 0:
                 machine.become_active(0.0, "settled")
@@ -277,7 +277,7 @@
         elif status == PAUSED:
             yield NodeEvent(f"resume {index}", LIVE, snapshot)
         else:
-            machine = fresh(self.machine_type, index)
+            machine = new_machine(self.machine_type, index)
             machine.start(0.0, awaiting_sync=True)
             yield NodeEvent(f"return {index}", LIVE, capture(machine, 0.0))
 
--- a/spurdeal/lab/budget_model.py
+++ b/spurdeal/lab/budget_model.py
@@ -130,13 +130,13 @@
             max_in_flight,
         )
 
-    def fresh(self) -> BudgetShares:
+    def new_shares(self) -> BudgetShares:
         """The budget shares of a dispatcher that starts at time 0."""
         return self.kind(self.count, WINDOW, LEASE, 0.0)
 
     def restore(self, snapshot: SharesState) -> BudgetShares:
         """Create the budget shares that a snapshot describes, at time 0."""
-        shares = self.fresh()
+        shares = self.new_shares()
         shares.own_usable_from, shares.borrowing_from, shares.last_use = snapshot[:3]
         shares.lent_until = dict(snapshot.lent)
         shares.loans = {loan.peer: Loan(loan.share, loan.since, loan.until) for loan in snapshot.loans}
@@ -144,7 +144,7 @@
 
     def initial(self) -> BudgetState:
         """The initial state: all dispatchers have been running for long."""
-        shares = self.fresh()
+        shares = self.new_shares()
         shares.own_usable_from = shares.borrowing_from = 0.0
         shares.last_use = -WINDOW
         heard = tuple((None,) * self.count for _ in range(self.count))
@@ -210,7 +210,7 @@
 
     def restart(self, state: BudgetState, index: int) -> BudgetState:
         """The state after a dispatcher restarts, with nothing heard of its peers."""
-        after = self.with_shares(state, index, self.fresh())
+        after = self.with_shares(state, index, self.new_shares())
         return without_expired(
             after._replace(
                 boots=replace_at(state.boots, index, state.boots[index] + 1),
--- a/spurdeal/lab/handover_walk.py
+++ b/spurdeal/lab/handover_walk.py
@@ -17,7 +17,7 @@
 
 KEYS = Keys({1: b"model model model"})
 SETTINGS = HandoverSettings(ahead=True, ahead_wait=40.0, alone_after=None, sync_timeout=1e9)
-FACTS = DispatcherState(1, (), (), ())
+DISPATCHER_STATE = DispatcherState(1, (), (), ())
 IDENT = b"x"
 MAX_SENDS = 4  # how often the front proxy sends the request
 DEADLINE = 2000.0  # ms
@@ -32,7 +32,7 @@
 
     sender: str
     target: str
-    text: bytes
+    payload: bytes
 
 
 class Walk:
@@ -41,12 +41,12 @@
     def __init__(self, seed: int, handover_type: type[Handover], crashes: int) -> None:
         self.chance, self.handover_type, self.crashes = random.Random(seed), handover_type, crashes
         self.now, self.boots, self.sends_left = 0.0, 0, MAX_SENDS
-        self.sides = {"a": self.fresh("a"), "b": self.fresh("b")}
+        self.sides = {"a": self.new_handover("a"), "b": self.new_handover("b")}
         self.flight: list[Datagram] = []
         self.runs: list[str] = []
         self.distinct_states: set[int] = set()
 
-    def fresh(self, name: str) -> Handover:
+    def new_handover(self, name: str) -> Handover:
         """Create the handover of a dispatcher that starts now."""
         self.boots += 1
         peer = "b" if name == "a" else "a"
@@ -69,8 +69,8 @@
         peer = "b" if name == "a" else "a"
         draw = self.chance.random()
         if draw < SENDS:
-            text = self.sides[name].compose(self.now, peer, FACTS, idle=False)
-            self.flight.append(Datagram(name, peer, text))
+            payload = self.sides[name].compose(self.now, peer, DISPATCHER_STATE, idle=False)
+            self.flight.append(Datagram(name, peer, payload))
         elif draw < ANNOUNCES:
             self.announce(name, peer)
         elif draw < DELIVERS and self.flight:
@@ -78,7 +78,7 @@
         elif draw < REQUESTS:
             self.submit(name)
         elif draw < WAITS:
-            self.wait()
+            self.advance()
         else:
             self.crash(name, peer)
         del self.flight[:-MAX_IN_FLIGHT]
@@ -86,9 +86,9 @@
 
     def announce(self, name: str, peer: str) -> None:
         """Send the announcement that must precede a send, if one is due."""
-        text = self.sides[name].compose_urgent(self.now, peer)
-        if text is not None:
-            self.flight.append(Datagram(name, peer, text))
+        payload = self.sides[name].compose_urgent(self.now, peer)
+        if payload is not None:
+            self.flight.append(Datagram(name, peer, payload))
 
     def arrive(self) -> None:
         """Pick any datagram in flight; it is delivered or lost, and may arrive again later."""
@@ -101,13 +101,13 @@
 
     def deliver(self, datagram: Datagram) -> None:
         """Hand a datagram to its target, which greets a sender whose start it does not know."""
-        sender, target, text = datagram
+        sender, target, payload = datagram
         side = self.sides[target]
         try:
-            self.apply_verdicts(target, side.receive(self.now, sender, text))
+            self.apply_verdicts(target, side.receive(self.now, sender, payload))
         except RefusedError as error:
             if error.reason == "unproven":
-                greeting = side.sessions[sender].greet(self.now, text)
+                greeting = side.sessions[sender].greet(self.now, payload)
                 self.flight.append(Datagram(target, sender, greeting))
 
     def submit(self, name: str) -> None:
@@ -118,7 +118,7 @@
             verdict = side.prepare_send(self.now, IDENT, self.now + DEADLINE, object())
             self.apply_verdicts(name, [verdict] if verdict else [])
 
-    def wait(self) -> None:
+    def advance(self) -> None:
         """Advance the virtual time and run the timers."""
         self.now += self.chance.choice((5.0, 20.0, 50.0))
         for name, side in self.sides.items():
@@ -128,7 +128,7 @@
         """Restart a dispatcher, if its peer has synchronized the idempotency table."""
         if self.crashes and self.sides[peer].is_synchronized(self.now):
             self.crashes -= 1
-            self.sides[name] = self.fresh(name)
+            self.sides[name] = self.new_handover(name)
 
     def state_hash(self) -> int:
         """A hash of the state without its growing counters, to count distinct states."""
--- a/spurdeal/lab/lease_model.py
+++ b/spurdeal/lab/lease_model.py
@@ -56,11 +56,11 @@
     """A snapshot of the subject's lease, with times relative to now."""
 
     term: Term
-    asked: TimesByName
+    grants: TimesByName
     proposed: Term | None
     proposed_grants: TimesByName
     proposal_acked_by: tuple[str, ...]
-    refused: tuple[str, ...]
+    refused_by: tuple[str, ...]
     held: bool
 
 
@@ -69,8 +69,8 @@
 
     term: Term
     proposed: Term | None
-    until: float
-    refused: int
+    valid_until: float
+    refused_term: int
     barred_until: float
 
 
@@ -167,9 +167,9 @@
     silent_until, found = relative(grantor.silent_until, 0.0), grantor.grants.get(SUBJECT)
     if found is None:
         return GrantorState(silent_until, None)
-    until, barred_until = relative(found.valid_until, 0.0), relative(found.barred_until, 0.0)
+    valid_until, barred_until = relative(found.valid_until, 0.0), relative(found.barred_until, 0.0)
     return GrantorState(
-        silent_until, GrantState(found.term, found.proposed, until, found.refused_term, barred_until)
+        silent_until, GrantState(found.term, found.proposed, valid_until, found.refused_term, barred_until)
     )
 
 
@@ -223,8 +223,8 @@
 
     def restore(self, state: StopState, shift: float = 0.0) -> Components:
         """Create the objects that a state describes, `shift` ms later."""
-        both = zip(self.names, state.grantors, strict=True)
-        grantors = {name: self.restore_grantor(each, shift) for name, each in both}
+        pairs = zip(self.names, state.grantors, strict=True)
+        grantors = {name: self.restore_grantor(each, shift) for name, each in pairs}
         inquiry = self.kinds.inquiry(SUBJECT, BOOT, QUORUM_PART, LEASE)
         inquiry.in_force = state.inquiry.in_force
         inquiry.terms = {each.number: each for each in state.inquiry.terms}
@@ -236,9 +236,9 @@
         lease = self.kinds.lease(LEASE, QUORUM_PART)
         lease.sole_member, lease.held = False, state.held
         lease.term, lease.proposed = state.term, state.proposed
-        lease.grants = {name: at - shift for name, at in state.asked}
+        lease.grants = {name: at - shift for name, at in state.grants}
         lease.proposed_grants = {name: at - shift for name, at in state.proposed_grants}
-        lease.proposal_acked_by, lease.refused_by = set(state.proposal_acked_by), set(state.refused)
+        lease.proposal_acked_by, lease.refused_by = set(state.proposal_acked_by), set(state.refused_by)
         return lease
 
     def restore_grantor(self, state: GrantorState, shift: float) -> Grantor:
@@ -246,9 +246,9 @@
         grantor = self.kinds.grantor(LEASE, 0.0)
         grantor.silent_until = state.silent_until - shift
         if state.grant is not None:
-            term, proposed, until, refused, barred_until = state.grant
+            term, proposed, valid_until, refused_term, barred_until = state.grant
             grantor.grants[SUBJECT] = Grant(
-                BOOT, term, proposed, until - shift, refused, barred_until - shift
+                BOOT, term, proposed, valid_until - shift, refused_term, barred_until - shift
             )
         return grantor
 
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -22,7 +22,7 @@
 
 
 class Processes(unittest.TestCase):
-    def test_four_under_a_kill_a_deaf_one_a_pause_and_a_clash(self) -> None:
+    def test_four_dispatchers_under_kill_deafness_pause_and_name_clash(self) -> None:
         done = subprocess.run(
             [sys.executable, "-m", "spurdeal.lab.audited", "fleet", "small", "5"],
             capture_output=True,
@@ -42,15 +42,15 @@
 
 
 class Models(unittest.TestCase):
-    def test_the_lease_as_far_as_breadth_first_goes(self) -> None:
+    def test_lease_invariant_holds_in_breadth_first_search(self) -> None:
         self.assertEqual((), Stops(Kinds(), 2).search(4000).violated)
 
-    def test_schedules_find_what_is_planted_in_the_lease_and_nothing_else(self) -> None:
+    def test_random_schedules_find_only_the_planted_lease_faults(self) -> None:
         self.assertEqual([], stops_walked(Kinds(), 300)[1])
         for kinds in IN_THE_LEASE:
             with self.subTest(kinds):
                 self.assertTrue(stops_walked(kinds, 20_000)[1])
 
-    def test_fleets_walked_by_failures(self) -> None:
+    def test_fleets_recover_from_random_failures_and_a_planted_fault_is_found(self) -> None:
         self.assertEqual({}, dict(walks(Fleet, range(3), 4, 5)[1]))
         self.assertTrue(walks(IN_FLEETS[0], range(40), 4, 6)[1])
