--- a/spurdeal/lab/asking.py
+++ b/spurdeal/lab/asking.py
@@ -22,12 +22,12 @@
 from typing import Any
 from urllib.request import urlopen
 
-from .engines import Fleet
+from .engines import EngineFleet
 from .loopback import Network
-from .names import Endpoint, Names
+from .names import Endpoint, NameServer
 from .platform_settings import Platform
 from .processes import Outages, cpu_seconds, run_module, start_dispatcher
-from .proxy import Asked, Proxy
+from .proxy import ClientRequest, Proxy
 from .spread import spread
 
 PORT, ASK, NAMES_PORT = 7001, 7443, 5300
@@ -155,7 +155,7 @@
 
     loop: Any = reactor
     endpoints = addresses.endpoints()
-    fleet, names = Fleet(loop, CORES, 8000, 0.3, 2.0, 1500), Names(endpoints)
+    fleet, names = EngineFleet(loop, CORES, 8000, 0.3, 2.0, 1500), NameServer(endpoints)
     for endpoint in endpoints:
         fleet.start(endpoint.ident, endpoint.host, endpoint.port, cold=False)
     loop.listenUDP(NAMES_PORT, names, interface=addresses.names)
@@ -164,18 +164,18 @@
     print(json.dumps({ident.decode(): count for ident, count in fleet.runs.items()}), flush=True)
 
 
-async def by_http(host: str, asked: Asked, wait: float) -> int:
+async def by_http(host: str, request: ClientRequest, wait: float) -> int:
     """The HTTP front, on a connection of its own; as Proxy.go."""
-    asked.ways.append("http")
-    workload, body = "load" if asked.non_idempotent else "lookup", f"SELECT 1 /* cost={asked.cost:.2f} */"
+    request.sent_to.append("http")
+    workload, body = "load" if request.non_idempotent else "lookup", f"SELECT 1 /* cost={request.cost:.2f} */"
     try:
         reader, writer = await asyncio.open_connection(host, PORT)
     except OSError:
         return -1
     try:
         writer.write(
-            f"POST /ops/{workload} HTTP/1.1\r\nHost: x\r\nReq-Id: {asked.ident}\r\nReq-Wait-Ms: "
-            f"{wait:.0f}\r\nReq-Cost: {asked.cost:.2f}\r\nContent-Length: {len(body)}\r\n"
+            f"POST /ops/{workload} HTTP/1.1\r\nHost: x\r\nReq-Id: {request.ident}\r\nReq-Wait-Ms: "
+            f"{wait:.0f}\r\nReq-Cost: {request.cost:.2f}\r\nContent-Length: {len(body)}\r\n"
             f"Connection: close\r\n\r\n{body}".encode()
         )
         text = await asyncio.wait_for(reader.read(), wait / 1000 + 0.3)
@@ -198,20 +198,22 @@
         )
         assert self.engines.stdout is not None
         self.engines.stdout.readline()  # they listen
-        self.dispatcher = Dispatcher(self.addresses, folder, Names(self.addresses.endpoints()).known())
+        self.dispatcher = Dispatcher(self.addresses, folder, NameServer(self.addresses.endpoints()).known())
         self.runs: Counter[str] = Counter()
         self.proxies: list[Proxy] = []
-        self.asked: list[Asked] = []
+        self.requests: list[ClientRequest] = []
         self.missing = self.shed_though_run = self.second_paths = 0
 
-    def new(self) -> Asked:
+    def new(self) -> ClientRequest:
         """Another request."""
         heavy = self.chance.random() < HEAVY
-        asked = Asked(f"{self.chance.getrandbits(64):016x}", heavy, COST * self.chance.uniform(0.5, 1.5))
-        self.asked.append(asked)
-        return asked
+        request = ClientRequest(
+            f"{self.chance.getrandbits(64):016x}", heavy, COST * self.chance.uniform(0.5, 1.5)
+        )
+        self.requests.append(request)
+        return request
 
-    async def paced(self, count: int, rate: float, one: Callable[[Asked], Any]) -> None:
+    async def paced(self, count: int, rate: float, one: Callable[[ClientRequest], Any]) -> None:
         """Open loop: calls are due at fixed times, whatever became of the others."""
         loop = asyncio.get_running_loop()
         began, tasks = loop.time(), []
@@ -220,13 +222,13 @@
             tasks.append(loop.create_task(one(self.new())))
         await asyncio.gather(*tasks)
 
-    async def clean(self, count: int, rate: float, one: Callable[[Asked], Any]) -> float:
+    async def clean(self, count: int, rate: float, one: Callable[[ClientRequest], Any]) -> float:
         """Calls per CPU second of the dispatcher."""
         before = self.dispatcher.cpu()
         await self.paced(count, rate, one)
         return count / max(0.01, self.dispatcher.cpu() - before)
 
-    async def chaos(self, asked: Asked) -> None:
+    async def chaos(self, request: ClientRequest) -> None:
         """A client behind two proxies: it tries the same id by another way while nobody has told it an
         end."""
         loop = asyncio.get_running_loop()
@@ -239,10 +241,10 @@
                 break
             began = time.time()
             if attempt and self.chance.random() < 0.4:
-                status = await by_http(self.addresses.dispatcher, asked, left)
+                status = await by_http(self.addresses.dispatcher, request, left)
             else:
                 before = proxy.counts["caller_timeouts"], proxy.counts["timeouts_injected"]
-                status = await proxy.go(asked, left)
+                status = await proxy.go(request, left)
                 timed_out = proxy.counts["caller_timeouts"] - before[0]
                 if (
                     status == 504
@@ -259,7 +261,7 @@
             else:
                 attempt += 1
                 self.second_paths += attempt < RETRIES
-        asked.answers.append(status if status > 0 else 504)
+        request.answers.append(status if status > 0 else 504)
         if self.chance.random() < 0.002:
             await proxy.cut()
 
@@ -274,11 +276,11 @@
         for proxy in plain:
             proxy.dial()
 
-        async def ask(asked: Asked) -> None:
-            asked.answers.append(await plain[len(self.asked) % 2].go(asked, WAIT))
+        async def ask(request: ClientRequest) -> None:
+            request.answers.append(await plain[len(self.requests) % 2].go(request, WAIT))
 
-        async def forward(asked: Asked) -> None:
-            asked.answers.append(await by_http(self.addresses.dispatcher, asked, WAIT))
+        async def forward(request: ClientRequest) -> None:
+            request.answers.append(await by_http(self.addresses.dispatcher, request, WAIT))
 
         await self.paced(200, rate, ask)  # warm: imports, connections
         unledgered = await self.clean(count, rate, ask)
@@ -324,21 +326,22 @@
         counts: Counter[str] = Counter()
         for proxy in plain + self.proxies:
             counts.update(proxy.counts)
-        loads = [asked for asked in self.asked if asked.non_idempotent]
-        statuses = Counter(answer for asked in self.asked for answer in asked.answers)
+        loads = [request for request in self.requests if request.non_idempotent]
+        statuses = Counter(answer for request in self.requests for answer in request.answers)
         decided = sorted(ms for proxy in plain for ms in proxy.decided)
         return {
             "calls": counts["calls"],
-            "submissions": len(self.asked),
+            "submissions": len(self.requests),
             "timeouts_injected": counts["timeouts_injected"],
             "second_paths": self.second_paths,
             "kills": kills,
-            "answers_missing": self.missing + sum(not asked.answers for asked in self.asked),
-            "answers_double": counts["answers_double"] + sum(len(asked.answers) > 1 for asked in self.asked),
+            "answers_missing": self.missing + sum(not request.answers for request in self.requests),
+            "answers_double": counts["answers_double"]
+            + sum(len(request.answers) > 1 for request in self.requests),
             "irreversible_sent": len(loads),
-            "irreversible_run": sum(runs[asked.ident] > 0 for asked in loads),
-            "irreversible_run_twice": sum(runs[asked.ident] > 1 for asked in loads),
-            "refused_unproven": sum(runs[asked.ident] > 0 for asked in loads if asked.answers == [503]),
+            "irreversible_run": sum(runs[request.ident] > 0 for request in loads),
+            "irreversible_run_twice": sum(runs[request.ident] > 1 for request in loads),
+            "refused_unproven": sum(runs[request.ident] > 0 for request in loads if request.answers == [503]),
             "decide_ms": spread(decided),
             "decisions_per_cpu_second": round(decisions),
             "ledger_cpu_share": round(1 - decisions / unledgered, 3),
--- a/spurdeal/lab/audited/faults.py
+++ b/spurdeal/lab/audited/faults.py
@@ -135,7 +135,7 @@
         self.change()
         yield 2.0
         self.rig.cables.heal()
-        self.rig.follow(targets, False)  # its name service says what is old: peers must bring it up
+        self.rig.set_following(targets, False)  # its name service says what is old: peers must bring it up
         self.rig.names[targets[0]].silent = False
         self.isolated.append(Span(targets[0], began, time.time()))
         yield 1.5
@@ -172,7 +172,7 @@
         began = time.time()
         self.rig.cables.cut(rest, targets)
         self.rig.cables.cut(targets, rest)
-        self.rig.follow(targets, False)
+        self.rig.set_following(targets, False)
         self.change()
         yield 2.0
         self.rig.cables.heal()
@@ -184,14 +184,14 @@
         usual = self.rig.cables.usual
         usual.loss, usual.repeat, usual.delay = 0.2, 0.1, 30.0
         targets += self.some(2)
-        self.rig.follow(targets, False)
+        self.rig.set_following(targets, False)
         self.change()
         yield 2.5
 
     def old_half(self, targets: list[str]) -> Iterator[float]:
         """The name service goes on telling half of the fleet an old list."""
         targets += self.some(len(self.processes) // 2)
-        self.rig.follow(targets, False)
+        self.rig.set_following(targets, False)
         self.change()
         yield 2.0
 
@@ -208,7 +208,7 @@
         targets += self.some(1)
         self.rig.kill(targets[0])
         if self.processes[targets[0]].disk.exists():
-            self.rig.set_disk_aside(targets[0])
+            self.rig.replace_disk(targets[0])
         self.rig.start(targets[0])
         yield 1.5
 
@@ -217,7 +217,7 @@
         targets += self.some(1)
         self.rig.kill(targets[0])
         if targets[0] in self.old_disks:
-            self.rig.set_disk_aside(targets[0], self.old_disks[targets[0]])
+            self.rig.replace_disk(targets[0], self.old_disks[targets[0]])
         self.rig.start(targets[0])
         yield 1.5
 
@@ -293,24 +293,24 @@
         """One is told other content under the number that all others get."""
         targets += self.some(1)
         names = self.rig.names[targets[0]]
-        self.rig.follow(targets, False)
+        self.rig.set_following(targets, False)
         names.endpoints, names.serial = list(self.rig.list.endpoints[:-1]), self.rig.list.serial + 1
         yield 0.4
         self.change()
         self.clashes += 1
         yield 1.2
         self.change()  # the next number ends it
-        self.rig.follow(targets, True)
+        self.rig.set_following(targets, True)
         yield 0.5
 
     def liar(self, targets: list[str]) -> Iterator[float]:
         """One acts on a number that cannot be; it is put right by a new start."""
         targets += self.some(1)
         names = self.rig.names[targets[0]]
-        self.rig.follow(targets, False)
+        self.rig.set_following(targets, False)
         names.serial = self.rig.list.serial + 5_000_000
         yield 1.5
-        self.rig.follow(targets, True)
+        self.rig.set_following(targets, True)
         self.rig.kill(targets[0])
         self.rig.start(targets[0])
         yield 1.0
@@ -321,7 +321,7 @@
             targets.append(f"d{number}")
             if targets[-1] not in self.processes:
                 self.rig.add(number)
-            self.rig.tell(targets[-1])
+            self.rig.publish_list(targets[-1])
             self.rig.start(targets[-1])
         yield 2.0
         self.change()
@@ -338,7 +338,7 @@
         targets += self.some(2)
         rest = [name for name in self.processes if name not in targets]
         began = time.time()
-        self.rig.follow(targets, False)
+        self.rig.set_following(targets, False)
         self.rig.cables.cut(rest, targets[:1])
         self.rig.cables.cut(targets[:1], rest)
         self.change()
--- a/spurdeal/lab/audited/judging.py
+++ b/spurdeal/lab/audited/judging.py
@@ -39,16 +39,16 @@
     """All figures of a run, ready for JSON."""
     rig = run.rig
     counts = run.crowd.counts(rig.excused)
-    runs = Counter(ident for _, _, _, ident in rig.engines.ran)
+    runs = Counter(ident for _, _, _, ident in rig.engines.run_log)
     found: dict[str, Any] = {
         "processes": rig.count,
         "faults": len(run.injected),
         "seed": rig.seed,
         **counts,
         "irreversible_run_twice": sum(
-            runs[asked.ident.encode()] > 1 for asked in run.crowd.asked if asked.non_idempotent
+            runs[asked.ident.encode()] > 1 for asked in run.crowd.requests if asked.non_idempotent
         ),
-        "cold_budget_used_max": round(rig.engines.budget_used_most(), 3),
+        "cold_budget_used_max": round(rig.engines.max_budget_used(), 3),
         "sent_to_drained": sent_to_drained(rig),
         "delivered_part": round(counts["delivered"] / counts["submissions"], 4),
         "missing": missing(run)[:MAX_MISSING],
@@ -61,7 +61,7 @@
     """Each answer that is owed and did not come: to whom it was sent, and during which fault."""
     return [
         f"{asked.ident} at {place[0]} during {fault_at(run, asked.began / 1000)}; answers {asked.answers}"
-        for asked in run.crowd.asked
+        for asked in run.crowd.requests
         for place in asked.unanswered
         if not run.rig.excused(place, asked)
     ]
@@ -78,7 +78,7 @@
 def sent_to_drained(rig: Rig) -> int:
     """By the engines' own log: what reached one that drains or has gone, a second after that or later."""
     since = {ident: at for at, _, ident in reversed(rig.released)}
-    return sum(at > since.get(engine, math.inf) + DRAIN_GRACE for at, _, engine, _ in rig.engines.ran)
+    return sum(at > since.get(engine, math.inf) + DRAIN_GRACE for at, _, engine, _ in rig.engines.run_log)
 
 
 def fleet_figures(run: Run) -> dict[str, Any]:
@@ -125,7 +125,7 @@
     return [
         path
         for process in [*rig.processes.values(), *faults.twins]
-        for path in (process.disk, *process.asides)
+        for path in (process.disk, *process.replaced_disks)
         if path.exists()
     ]
 
@@ -166,7 +166,7 @@
 def unaccounted(rig: Rig, sends: Sequence[Entry], lost: int) -> int:
     """Runs that an engine has logged and no dispatcher has; those that a log tells it lost are told."""
     known = Counter((entry.record.engine, entry.record.ident) for entry in sends)
-    ran = Counter((engine, ident.decode()) for _, _, engine, ident in rig.engines.ran)
+    ran = Counter((engine, ident.decode()) for _, _, engine, ident in rig.engines.run_log)
     return max(0, sum((ran - known).values()) - lost)
 
 
@@ -225,7 +225,7 @@
             for whose in doubtful.get((engine, ident.decode()), ())
             for began, ended in spans.get(whose, ())
         )
-        for at, _, engine, ident in rig.engines.ran
+        for at, _, engine, ident in rig.engines.run_log
     )
 
 
--- a/spurdeal/lab/audited/run.py
+++ b/spurdeal/lab/audited/run.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 from urllib.request import urlopen
 
-from ..crowd import Crowd
+from ..crowd import FleetLoad
 from ..rig import Rig
 from ..rig_process import PORT, WAIT
 from .faults import KINDS, QUICK, Faults
@@ -49,7 +49,7 @@
     def __init__(self, rig: Rig, say: Callable[[str], None]) -> None:
         self.rig, self.say = rig, say
         self.faults = Faults(rig, rig.seed + 2)
-        self.crowd = Crowd(rig, rig.seed + 3, RATE, IRREVERSIBLE)
+        self.crowd = FleetLoad(rig, rig.seed + 3, RATE, IRREVERSIBLE)
         self.injected: list[Injected] = []
         self.idle_cpu: dict[str, float] = {}  # cores, by dispatcher
         self.counters: dict[str, dict[str, int]] = {}
@@ -83,7 +83,7 @@
         self.injected.append(Injected(kind, began, time.time(), tuple(targets)))
         self.say(f"{kind}: {' '.join(targets)} in {time.time() - began:.1f} s")
         rig.cables.heal()
-        rig.follow(list(rig.names), True)
+        rig.set_following(list(rig.names), True)
         for name, process in rig.processes.items():
             if not process.runs() and process.number < rig.count:
                 rig.start(name)
--- a/spurdeal/lab/capacity/dispatcher.py
+++ b/spurdeal/lab/capacity/dispatcher.py
@@ -10,9 +10,9 @@
 from typing import Any, NamedTuple
 from urllib.request import urlopen
 
-from ..engines import Fleet
+from ..engines import EngineFleet
 from ..loopback import Network
-from ..names import Endpoint, Names
+from ..names import Endpoint, NameServer
 from . import design
 from .request_path import CORES, SETTINGS
 
@@ -43,11 +43,11 @@
     """Engines and a name service, on the given reactor."""
 
     def __init__(self, reactor: Any, place: Place, engines: int) -> None:
-        self.fleet = Fleet(reactor, CORES, 0.0, 1.0, 1.0, 1.0)
+        self.fleet = EngineFleet(reactor, CORES, 0.0, 1.0, 1.0, 1.0)
         endpoints = [Endpoint(f"s-{number}", place.engine(number), PORT) for number in range(engines)]
         for endpoint in endpoints:
             self.fleet.start(endpoint.ident, endpoint.host, endpoint.port, cold=False)
-        self.names = Names(endpoints)
+        self.names = NameServer(endpoints)
         self.listening = reactor.listenUDP(
             NAMES_PORT, self.names, interface=place.dispatcher, maxPacketSize=65_535
         )
@@ -62,7 +62,7 @@
 class RunningDispatcher:
     """The process. The design's share of engines falls to it, whatever their number here."""
 
-    def __init__(self, place: Place, folder: Path, names: Names, engines: int, sockets: int) -> None:
+    def __init__(self, place: Place, folder: Path, names: NameServer, engines: int, sockets: int) -> None:
         self.place = place
         file = folder / "dispatcher.json"
         file.write_text(json.dumps(configuration(place, names, engines, sockets)))
@@ -95,7 +95,7 @@
         self.child.wait()
 
 
-def configuration(place: Place, names: Names, engines: int, sockets: int) -> dict[str, Any]:
+def configuration(place: Place, names: NameServer, engines: int, sockets: int) -> dict[str, Any]:
     """As many dispatchers to an engine as the design has."""
     dispatchers = max(1, engines * design.DISPATCHERS // design.ENGINES)
     return {
--- a/spurdeal/lab/cold_ramp.py
+++ b/spurdeal/lab/cold_ramp.py
@@ -18,7 +18,7 @@
 from ..interface import Adapter, Deployment, Ending, ListedEngine, Rules, Workload
 from ..rules import Dispatcher
 from .model_engine import Engine, Kind
-from .planted import site
+from .planted import sample_deployment
 from .virtual import Failure, Load, OpenRequest, VirtualAdapter, World
 
 RulesFactory = Callable[[Deployment, int, Adapter, float], Rules]
@@ -114,7 +114,7 @@
 def deployment(scenario: Scenario, dispatchers: int) -> Deployment:
     """The settings of the bench's site, with the true number of dispatchers."""
     return replace(
-        site(dispatchers),
+        sample_deployment(dispatchers),
         workloads=tuple(
             Workload(1_200.0, 1.5, 6_000.0, 1.0, 0.3, threads=threads) for threads in scenario.mix.threads
         ),
@@ -212,8 +212,8 @@
             Load(self.peak_rate(), scenario.mix.shares, scenario.mix.work),
             (),
             seed,
-            lambda site, chance, adapter, now: make(
-                replace(site, dispatchers=declared), chance, adapter, now
+            lambda sample_deployment, chance, adapter, now: make(
+                replace(sample_deployment, dispatchers=declared), chance, adapter, now
             ),
             ToldAdapter,
         )
--- a/spurdeal/lab/demo.py
+++ b/spurdeal/lab/demo.py
@@ -143,7 +143,7 @@
         """What each engine received, and when."""
         engines = self.cluster.fleet.engines
         received: dict[str, list[float]] = {engine.ident: [] for engine in engines}
-        for moment, _, ident, _ in self.cluster.fleet.ran:
+        for moment, _, ident, _ in self.cluster.fleet.run_log:
             received[ident].append(moment - self.began)
         return [
             EngineRecord(
@@ -151,7 +151,7 @@
                 self.events.get(engine.ident, ""),
                 received[engine.ident],
                 self.quiet_from(engine.ident),
-                engine.used_most if engine.warm_at else None,
+                engine.max_budget_used if engine.warm_at else None,
             )
             for engine in engines
         ]
--- a/spurdeal/lab/demo_cluster.py
+++ b/spurdeal/lab/demo_cluster.py
@@ -17,8 +17,8 @@
 
 from .demo_load import RequestClass
 from .demo_reactor import Reactor
-from .engines import Engine, Fleet
-from .names import Endpoint, Names
+from .engines import Engine, EngineFleet
+from .names import Endpoint, NameServer
 
 CORES = 2
 ENGINES = 8
@@ -49,7 +49,7 @@
     raise OSError("no loopback address to listen on")
 
 
-class RecordingNames(Names):
+class RecordingNames(NameServer):
     """A name service that notes when each version of its list was first told."""
 
     def __init__(self, endpoints: Sequence[Endpoint], clock: Callable[[], float]) -> None:
@@ -69,7 +69,7 @@
     def __init__(self, reactor: Reactor, clock: Callable[[], float]) -> None:
         self.clock = clock
         self.host, _ = free_address()
-        self.fleet = Fleet(reactor, CORES, COLD_FOR, COLD_SHARE, COLD_MULTIPLE, COLD_WINDOW)
+        self.fleet = EngineFleet(reactor, CORES, COLD_FOR, COLD_SHARE, COLD_MULTIPLE, COLD_WINDOW)
         self.names = RecordingNames([self.start_engine(cold=False) for _ in range(ENGINES)], clock)
         port = reactor.listenUDP(0, self.names, interface=self.host, maxPacketSize=65_535)
         self.name_server = f"{self.host}:{port.getHost().port}"
--- a/spurdeal/lab/emulate.py
+++ b/spurdeal/lab/emulate.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from .forms import forms
-from .planted import find, world
+from .planted import build_world, count_violations
 
 LARGE = (100, 40)  # dispatchers, engines
 SECONDS = 8.0  # of virtual time for a planted fault: all of planted.ROUGH lies in it
@@ -17,13 +17,13 @@
 def large(seed: int, dispatchers: int, engines: int, seconds: float) -> tuple[str, float, int, int]:
     """Of one world: its trace, wall seconds, requests, and rules broken."""
     began = time.monotonic()
-    made = world(dispatchers, engines, 0.8, seed)
+    made = build_world(dispatchers, engines, 0.8, seed)
     made.run(seconds)
     return (
         made.trace.hexdigest(),
         time.monotonic() - began,
         made.counts["submissions"],
-        sum(made.observer.broken.values()),
+        sum(made.observer.violations.values()),
     )
 
 
@@ -34,7 +34,7 @@
         say(f"{form.name}: told {form.told:.2f}, seen {form.seen:.2f} ms, Little {form.little:.4f}")
     seconds, seeds = (2.0, 4) if quick else (20.0, 8)
     with ProcessPoolExecutor() as pool:
-        planted = [pool.submit(find, rule, SECONDS) for rule in range(8)]
+        planted = [pool.submit(count_violations, rule, SECONDS) for rule in range(8)]
         clean, *found = [each.result() for each in planted]
         began = time.monotonic()
         worlds = [pool.submit(large, seed, *LARGE, seconds) for seed in [0, *range(seeds)]]
--- a/spurdeal/lab/engines.py
+++ b/spurdeal/lab/engines.py
@@ -17,7 +17,7 @@
 ROW = b"a\t1\tx\n"
 
 
-class Fleet:
+class EngineFleet:
     """What all engines share: the figures of the rules, and what ran where, by id."""
 
     def __init__(
@@ -27,7 +27,7 @@
         self.multiple, self.window = multiple, window
         self.runs: Counter[bytes] = Counter()
         self.sent_by: Counter[tuple[str, str]] = Counter()
-        self.ran: list[tuple[float, str, str, bytes]] = []  # Unix s, whose, on which engine, id
+        self.run_log: list[tuple[float, str, str, bytes]] = []  # Unix s, whose, on which engine, id
         self.engines: list[Engine] = []
 
     def now(self) -> float:
@@ -38,9 +38,9 @@
         self.engines.append(engine)
         return engine
 
-    def budget_used_most(self) -> float:
+    def max_budget_used(self) -> float:
         """1 is the rule's limit, over all dispatchers together and over all engines that ever were cold."""
-        return max((engine.used_most for engine in self.engines), default=0.0)
+        return max((engine.max_budget_used for engine in self.engines), default=0.0)
 
     def fallen(self) -> int:
         return sum(engine.down for engine in self.engines if engine.fell)
@@ -49,11 +49,11 @@
 class Engine:
     """One engine: it runs all that it is sent at once, slower the more there is."""
 
-    def __init__(self, fleet: Fleet, ident: str, host: str, port: int, cold: bool) -> None:
+    def __init__(self, fleet: EngineFleet, ident: str, host: str, port: int, cold: bool) -> None:
         self.fleet, self.ident, self.host, self.port = fleet, ident, host, port
         self.began = fleet.now()
         self.warm_at = self.began + fleet.cold_for if cold else 0.0
-        self.running, self.used_most, self.down, self.fell = 0, 0.0, False, False
+        self.running, self.max_budget_used, self.down, self.fell = 0, 0.0, False, False
         self.pressure: deque[tuple[float, float]] = deque()
         self.connections: set[Talk] = set()
         self.hang = False
@@ -77,7 +77,7 @@
             self.pressure.popleft()
         most = self.fleet.multiple * self.capacity() * self.fleet.window
         used = sum(each for _, each in self.pressure) / most
-        self.used_most = max(self.used_most, used)
+        self.max_budget_used = max(self.max_budget_used, used)
         if used > 1.0:
             self.fell = True
             self.stop()
@@ -139,7 +139,7 @@
         self.engine.fleet.runs[ident] += 1
         host = self.transport.getPeer().host
         self.engine.fleet.sent_by[host, self.engine.ident] += 1
-        self.engine.fleet.ran.append((time.time(), host, self.engine.ident, ident))
+        self.engine.fleet.run_log.append((time.time(), host, self.engine.ident, ident))
         self.engine.arrives(cost)
         if self.engine.down:
             return
--- a/spurdeal/lab/front.py
+++ b/spurdeal/lab/front.py
@@ -14,7 +14,7 @@
 from .cables import Place, Switch
 
 AGAIN = 20.0  # ms until a front that found nobody looks again
-MOST_WAYS = 400
+MAX_SENDS = 400
 COUNTS = (
     "submissions",
     "answers_missing",
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class ClientRequest:
     """One request, from its first byte to the end of its time."""
 
     ident: str
@@ -37,13 +37,13 @@
     cost: float
     began: float
     deadline: float
-    ways: list[Place] = field(default_factory=list)  # who had it whole, in order
+    sent_to: list[Place] = field(default_factory=list)  # who had it whole, in order
     answers: list[int] = field(default_factory=list)
     unanswered: list[Place] = field(default_factory=list)  # whose connection ended, or time ran out, first
     over: bool = False
 
 
-class Front:
+class OpenLoopLoad:
     """Sends at a rate, and the same request with the same id again where its connection was lost."""
 
     def __init__(
@@ -61,8 +61,8 @@
         self.reactor, self.clock, self.switch, self.address = reactor, clock, switch, address
         self.chance, self.rate, self.wait = random.Random(seed), rate, wait
         self.non_idempotent, self.cost, self.running = non_idempotent, cost, False
-        self.asked: list[Asked] = []
-        self.connections: set[Way] = set()
+        self.requests: list[ClientRequest] = []
+        self.connections: set[ClientConnection] = set()
 
     def start(self) -> None:
         self.running = True
@@ -74,86 +74,86 @@
             heavy = self.chance.random() < self.non_idempotent
             cost = self.cost * (4.0 if heavy else 1.0) * self.chance.uniform(0.5, 1.5)
             now = self.clock()
-            asked = Asked(f"{self.chance.getrandbits(64):016x}", heavy, cost, now, now + self.wait)
-            self.asked.append(asked)
-            self.send(asked)
+            request = ClientRequest(f"{self.chance.getrandbits(64):016x}", heavy, cost, now, now + self.wait)
+            self.requests.append(request)
+            self.send(request)
 
-    def send(self, asked: Asked) -> None:
+    def send(self, request: ClientRequest) -> None:
         now = self.clock()
-        if asked.over:
+        if request.over:
             return
-        if now >= asked.deadline - 1 or len(asked.ways) >= MOST_WAYS:
-            asked.over = True
+        if now >= request.deadline - 1 or len(request.sent_to) >= MAX_SENDS:
+            request.over = True
             return
         place = self.switch.table.get(self.address)
         if place is None:
-            self.reactor.callLater(AGAIN / 1000, self.send, asked)
+            self.reactor.callLater(AGAIN / 1000, self.send, request)
             return
-        self.reactor.connectTCP(*place, Dial(self, asked, place), timeout=0.2)
+        self.reactor.connectTCP(*place, ConnectionFactory(self, request, place), timeout=0.2)
 
-    def lost(self, asked: Asked, place: Place, sent: bool) -> None:
+    def lost(self, request: ClientRequest, place: Place, sent: bool) -> None:
         if sent:
-            asked.unanswered.append(place)
-        self.reactor.callLater(AGAIN / 1000, self.send, asked)
+            request.unanswered.append(place)
+        self.reactor.callLater(AGAIN / 1000, self.send, request)
 
-    def counts(self, excused: Callable[[Place, Asked], bool]) -> dict[str, int]:
+    def counts(self, excused: Callable[[Place, ClientRequest], bool]) -> dict[str, int]:
         """excused: whoever had it was killed or stood still meanwhile, and its client may ask again."""
-        counts: Counter[str] = Counter(dict.fromkeys(COUNTS, 0) | {"submissions": len(self.asked)})
-        for asked in self.asked:
-            statuses = asked.answers
+        counts: Counter[str] = Counter(dict.fromkeys(COUNTS, 0) | {"submissions": len(self.requests)})
+        for request in self.requests:
+            statuses = request.answers
             counts["answers_double"] += max(0, len(statuses) - 1)
-            for place in asked.unanswered:
-                counts["held_by_killed" if excused(place, asked) else "answers_missing"] += 1
+            for place in request.unanswered:
+                counts["held_by_killed" if excused(place, request) else "answers_missing"] += 1
             counts["delivered"] += 200 in statuses
             counts["shed"] += 503 in statuses
             counts["broken_off"] += 500 in statuses
-            counts["irreversible_sent"] += asked.non_idempotent
+            counts["irreversible_sent"] += request.non_idempotent
             counts["never_answered"] += not statuses
         return dict(counts)
 
 
-class Dial(ClientFactory):
+class ConnectionFactory(ClientFactory):
     noisy = False
 
-    def __init__(self, front: Front, asked: Asked, place: Place) -> None:
-        self.front, self.asked, self.place = front, asked, place
+    def __init__(self, front: OpenLoopLoad, request: ClientRequest, place: Place) -> None:
+        self.front, self.request, self.place = front, request, place
 
-    def buildProtocol(self, addr: Any) -> Way:
-        return Way(self.front, self.asked, self.place)
+    def buildProtocol(self, addr: Any) -> ClientConnection:
+        return ClientConnection(self.front, self.request, self.place)
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        self.front.lost(self.asked, self.place, sent=False)
+        self.front.lost(self.request, self.place, sent=False)
 
 
-class Way(Protocol):
+class ClientConnection(Protocol):
     """One call on one connection."""
 
     transport: Any
 
-    def __init__(self, front: Front, asked: Asked, place: Place) -> None:
-        self.front, self.asked, self.place = front, asked, place
+    def __init__(self, front: OpenLoopLoad, request: ClientRequest, place: Place) -> None:
+        self.front, self.request, self.place = front, request, place
         self.text, self.done = b"", False
         self.timer: Any = None
 
     def connectionMade(self) -> None:
-        front, asked = self.front, self.asked
-        left = asked.deadline - front.clock()
-        workload = "load" if asked.non_idempotent else "lookup"
-        body = f"SELECT a FROM s_1.t /* cost={asked.cost:.2f} */"
+        front, request = self.front, self.request
+        left = request.deadline - front.clock()
+        workload = "load" if request.non_idempotent else "lookup"
+        body = f"SELECT a FROM s_1.t /* cost={request.cost:.2f} */"
         self.transport.setTcpNoDelay(True)
         self.transport.write(
-            f"POST /ops/{workload} HTTP/1.1\r\nHost: front\r\nReq-Id: {asked.ident}\r\n"
-            f"Req-Wait-Ms: {max(1.0, left):.0f}\r\nReq-Cost: {asked.cost:.2f}\r\n"
+            f"POST /ops/{workload} HTTP/1.1\r\nHost: front\r\nReq-Id: {request.ident}\r\n"
+            f"Req-Wait-Ms: {max(1.0, left):.0f}\r\nReq-Cost: {request.cost:.2f}\r\n"
             f"Content-Length: {len(body)}\r\nConnection: close\r\n\r\n{body}".encode()
         )
-        asked.ways.append(self.place)
+        request.sent_to.append(self.place)
         front.connections.add(self)
         self.timer = front.reactor.callLater(max(0.0, left + 50) / 1000, self.out_of_time)
 
     def out_of_time(self) -> None:
         if not self.done:
-            self.done = self.asked.over = True
-            self.asked.unanswered.append(self.place)
+            self.done = self.request.over = True
+            self.request.unanswered.append(self.place)
             self.transport.abortConnection()
 
     def dataReceived(self, data: bytes) -> None:
@@ -163,10 +163,10 @@
             return
         size = next(int(line.split(b":")[1]) for line in head.split(b"\r\n") if line.startswith(b"Content-L"))
         if len(body) >= size and not self.done:
-            self.done = self.asked.over = True
-            self.asked.answers.append(int(head.split()[1]))
+            self.done = self.request.over = True
+            self.request.answers.append(int(head.split()[1]))
             if len(body) > size:
-                self.asked.answers.append(0)  # bytes beyond one answer
+                self.request.answers.append(0)  # bytes beyond one answer
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         self.front.connections.discard(self)
@@ -174,4 +174,4 @@
             self.timer.cancel()
         if not self.done:
             self.done = True
-            self.front.lost(self.asked, self.place, sent=True)
+            self.front.lost(self.request, self.place, sent=True)
--- a/spurdeal/lab/names.py
+++ b/spurdeal/lab/names.py
@@ -25,7 +25,7 @@
     kind: str = "std"
     cell: int = 0
 
-    def told(self) -> dict[str, Any]:
+    def instance_entry(self) -> dict[str, Any]:
         """As the configuration's list of the start has it."""
         return {
             "instanceId": self.ident,
@@ -98,7 +98,7 @@
     return bytes(message)
 
 
-class Names(DatagramProtocol):
+class NameServer(DatagramProtocol):
     """Answers each question with the list as it stands."""
 
     transport: Any
@@ -119,7 +119,7 @@
                     "roster": {
                         "generation": 1,
                         "reset": True,
-                        "instances": [endpoint.told() for endpoint in self.endpoints],
+                        "instances": [endpoint.instance_entry() for endpoint in self.endpoints],
                     },
                 }
             ],
--- a/spurdeal/lab/observer.py
+++ b/spurdeal/lab/observer.py
@@ -53,13 +53,13 @@
         self.rests: dict[tuple[int, int], float] = {}
         self.taken_at: dict[int, deque[float]] = {}
         self.further_at: dict[int, deque[float]] = {}
-        self.broken: Counter[int] = Counter()
-        self.seen: dict[int, list[str]] = {}
-        self.used_most = 0.0
+        self.violations: Counter[int] = Counter()
+        self.violation_lines: dict[int, list[str]] = {}
+        self.max_budget_used = 0.0
 
     def breaks(self, rule: int, now: float, what: str) -> None:
-        self.broken[rule] += 1
-        lines = self.seen.setdefault(rule, [])
+        self.violations[rule] += 1
+        lines = self.violation_lines.setdefault(rule, [])
         if len(lines) < MOST_KEPT:
             lines.append(f"{now:.1f} {what}")
 
@@ -213,7 +213,7 @@
         while times[0][0] <= now - self.site.cold_window:
             times.popleft()
         used = sum(each for _, each in times) / self.budget
-        self.used_most = max(self.used_most, used)
+        self.max_budget_used = max(self.max_budget_used, used)
         if used > 1.0:
             self.breaks(4, now, f"engine {engine}: {used:.2f} of what it bears")
 
--- a/spurdeal/lab/planted.py
+++ b/spurdeal/lab/planted.py
@@ -11,7 +11,7 @@
 from .virtual import Failure, Load, OpenRequest, VirtualAdapter, World
 
 
-def site(dispatchers: int) -> Deployment:
+def sample_deployment(dispatchers: int) -> Deployment:
     """Five workloads that bring all seven rules to bear."""
     return Deployment(
         index=0,
@@ -80,7 +80,7 @@
     return Load(of_capacity * engines * KIND.cores * 1000 / mean, SHARES, WORK, groups=30)
 
 
-def world(
+def build_world(
     dispatchers: int,
     engines: int,
     of_capacity: float,
@@ -88,7 +88,9 @@
     make: Callable[[Deployment, int, Any, float], Any] = Dispatcher,
     failures: Sequence[Failure] = ROUGH,
 ) -> World:
-    return World(site(dispatchers), KIND, engines, load(engines, of_capacity), failures, seed, make)
+    return World(
+        sample_deployment(dispatchers), KIND, engines, load(engines, of_capacity), failures, seed, make
+    )
 
 
 class AnswersTwice(VirtualAdapter):
@@ -174,12 +176,14 @@
 }
 
 
-def find(rule: int, seconds: float) -> tuple[int, int]:
+def count_violations(rule: int, seconds: float) -> tuple[int, int]:
     """How often the planted rule was seen broken, and how often any other; rule 0 plants nothing."""
     made: World
     if rule == 1:
-        made = World(site(3), KIND, 6, load(6, 1.3), ROUGH, 5, adapters=AnswersTwice)
+        made = World(sample_deployment(3), KIND, 6, load(6, 1.3), ROUGH, 5, adapters=AnswersTwice)
     else:
-        made = world(3, 6, 0.9, 5, PLANTED.get(rule, Dispatcher))
+        made = build_world(3, 6, 0.9, 5, PLANTED.get(rule, Dispatcher))
     made.run(seconds)
-    return made.observer.broken[rule], sum(made.observer.broken.values()) - made.observer.broken[rule]
+    return made.observer.violations[rule], sum(made.observer.violations.values()) - made.observer.violations[
+        rule
+    ]
--- a/spurdeal/lab/proxy.py
+++ b/spurdeal/lab/proxy.py
@@ -20,28 +20,28 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class ClientRequest:
     """One request: what its client was told at last, and each way that it went."""
 
     ident: str
     non_idempotent: bool
     cost: float
-    ways: list[str] = field(default_factory=list)
+    sent_to: list[str] = field(default_factory=list)
     answers: list[int] = field(default_factory=list)
 
 
-def request(asked: Asked, wait: float) -> Any:
+def request(client_request: ClientRequest, wait: float) -> Any:
     told = pb.ProcessingRequest()
-    workload = "load" if asked.non_idempotent else "lookup"
+    workload = "load" if client_request.non_idempotent else "lookup"
     for key, value in (
         (":method", "POST"),
         (":path", f"/ops/{workload}"),
         (":authority", "origin"),
-        ("req-id", asked.ident),
+        ("req-id", client_request.ident),
         ("req-wait-ms", f"{wait:.0f}"),
-        ("req-cost", f"{asked.cost:.2f}"),
+        ("req-cost", f"{client_request.cost:.2f}"),
         ("user-agent", "lab"),
-        ("x-request-id", asked.ident * 2),
+        ("x-request-id", client_request.ident * 2),
     ):
         header = told.request_headers.headers.headers.add()
         header.key, header.raw_value = key, value.encode()
@@ -59,21 +59,21 @@
 class Forwarder:
     """RESP to the engines: one connection a call, as a proxy's pool would be too kind to failures."""
 
-    async def send(self, place: str, asked: Asked, wait: float) -> tuple[int, bool]:
+    async def send(self, place: str, client_request: ClientRequest, wait: float) -> tuple[int, bool]:
         """Status and whether it is known that nothing ran."""
         host, _, port = place.rpartition(":")
         try:
             reader, writer = await asyncio.wait_for(asyncio.open_connection(host, int(port)), 0.25)
         except (OSError, TimeoutError):
             return 503, True  # refused, or never up: not a byte has left
-        parser, workload = ArrayParser(), b"load" if asked.non_idempotent else b"lookup"
+        parser, workload = ArrayParser(), b"load" if client_request.non_idempotent else b"lookup"
         try:
             writer.write(
                 command(
                     b"serve",
-                    asked.ident.encode(),
+                    client_request.ident.encode(),
                     b"class=%b,wait=%d" % (workload, int(wait)),
-                    b"SELECT 1 /* cost=%.2f */" % asked.cost,
+                    b"SELECT 1 /* cost=%.2f */" % client_request.cost,
                 )
             )
             until = asyncio.get_running_loop().time() + wait / 1000
@@ -118,10 +118,10 @@
         self.dial()
         await asyncio.wait_for(old.close(), 2.0)
 
-    async def go(self, asked: Asked, wait: float) -> int:
+    async def go(self, client_request: ClientRequest, wait: float) -> int:
         """One way for one request; 0 where nobody can know what became of it, -1 where the processor is
         away."""
-        asked.ways.append(self.name)
+        client_request.sent_to.append(self.name)
         loop = asyncio.get_running_loop()
         began = loop.time()
         self.counts["calls"] += 1
@@ -132,7 +132,7 @@
             self.counts["timeouts_injected"] += 1
         call = self.stub.Process()
         try:
-            await asyncio.wait_for(call.write(request(asked, wait)), timeout)
+            await asyncio.wait_for(call.write(request(client_request, wait)), timeout)
             answer = await asyncio.wait_for(call.read(), timeout)
             while answer is not grpc.aio.EOF and answer.HasField("override_message_timeout"):
                 more = answer.override_message_timeout
@@ -155,16 +155,18 @@
             option.header.key: option.header.raw_value.decode()
             for option in answer.request_headers.response.header_mutation.set_headers
         }
-        return await self.forward(call, asked, told, fault, wait - (loop.time() - began) * 1000)
+        return await self.forward(call, client_request, told, fault, wait - (loop.time() - began) * 1000)
 
-    async def forward(self, call: Any, asked: Asked, told: dict[str, str], fault: float, wait: float) -> int:
+    async def forward(
+        self, call: Any, client_request: ClientRequest, told: dict[str, str], fault: float, wait: float
+    ) -> int:
         if self.faults < fault < 1.5 * self.faults:  # granted, and cancelled before it was used
             self.counts["unused"] += 1
             call.cancel()
             return 0
         self.counts["forwarded"] += 1
         limit = min(float(told["x-spurdeal-wait-ms"]), wait)
-        status, proof = await self.forwarder.send(told["x-spurdeal-to"], asked, max(1.0, limit))
+        status, proof = await self.forwarder.send(told["x-spurdeal-to"], client_request, max(1.0, limit))
         if 1.5 * self.faults < fault < 2 * self.faults:  # its outcome is never told
             self.counts["untold"] += 1
             call.cancel()
--- a/spurdeal/lab/rig.py
+++ b/spurdeal/lab/rig.py
@@ -18,11 +18,11 @@
 from typing import Any
 
 from .cables import Place
-from .engines import Engine, Fleet
-from .front import Asked
+from .engines import Engine, EngineFleet
+from .front import ClientRequest
 from .loopback import Network
 from .mesh import CABLE, FLEET, Cables
-from .names import Endpoint, Names
+from .names import Endpoint, NameServer
 from .platform_settings import Platform
 from .rig_process import AFTER, PORT, WAIT, Process
 
@@ -61,12 +61,12 @@
         } | dict(terms or {})
         self.seed, self.chance = seed, random.Random(seed)
         self.cables = Cables(reactor, random.Random(seed + 1))
-        self.engines = Fleet(reactor, CORES, COLD_FOR, COLD_SHARE, MULTIPLE, WINDOW)
+        self.engines = EngineFleet(reactor, CORES, COLD_FOR, COLD_SHARE, MULTIPLE, WINDOW)
         self.next_engine = 0
-        self.list = Names([self.new_engine(cold=False) for _ in range(engines)])
+        self.list = NameServer([self.new_engine(cold=False) for _ in range(engines)])
         self.known_first = self.list.known()
-        self.names: dict[str, Names] = {}
-        self.follows: dict[str, bool] = {}  # does its name service tell it what is new?
+        self.names: dict[str, NameServer] = {}
+        self.following: dict[str, bool] = {}  # does its name service tell it what is new?
         self.processes: dict[str, Process] = {}
         self.count = count
         self.released: list[tuple[float, int, str]] = []  # Unix s, number, which engine went or drains
@@ -92,7 +92,7 @@
         name, host = f"d{number}", self.network.host(self.subnet, number + 1)
         process = self.processes[name] = Process(name, host, self.folder, number)
         self.cables.add(name, host)
-        self.names[name], self.follows[name] = Names(self.list.endpoints), True
+        self.names[name], self.following[name] = NameServer(self.list.endpoints), True
         self.names[name].serial = self.list.serial
         self.reactor.listenUDP(NAMES, self.names[name], interface=host, maxPacketSize=65_535)
         return process
@@ -117,20 +117,20 @@
         self.list.change(endpoints)
         self.released.append((time.time(), self.list.serial, whom.ident))
         for name in self.names:
-            if self.follows[name]:
-                self.tell(name)
+            if self.following[name]:
+                self.publish_list(name)
         return whom.ident
 
-    def tell(self, name: str) -> None:
+    def publish_list(self, name: str) -> None:
         """The dispatcher's name service tells the list of now."""
         self.names[name].endpoints, self.names[name].serial = list(self.list.endpoints), self.list.serial
 
-    def follow(self, names: Sequence[str], follows: bool) -> None:
+    def set_following(self, names: Sequence[str], following: bool) -> None:
         """Whether the name service tells these what is new; those that it does are told at once."""
         for name in names:
-            self.follows[name] = follows
-            if follows:
-                self.tell(name)
+            self.following[name] = following
+            if following:
+                self.publish_list(name)
 
     # The dispatchers.
 
@@ -208,11 +208,11 @@
         """Its Unix time is so far on from here."""
         self.processes[name].step_clock(ms)
 
-    def set_disk_aside(self, name: str, back: Path | None = None) -> Path:
+    def replace_disk(self, name: str, back: Path | None = None) -> Path:
         """As Process.set_disk_aside."""
-        return self.processes[name].set_disk_aside(back)
+        return self.processes[name].replace_disk(back)
 
-    def front_knows(self) -> list[Process]:
+    def presumed_up(self) -> list[Process]:
         """Those that the front takes for up: it notices a death after a while."""
         now = time.time()
         return [
@@ -228,10 +228,10 @@
 
     # What they tell.
 
-    def excused(self, place: Place, asked: Asked) -> bool:
+    def excused(self, place: Place, request: ClientRequest) -> bool:
         """Whether that dispatcher was not to be counted on while the request was open."""
         process = next(each for each in self.processes.values() if each.place == place)
-        return process.outages.overlap(asked.began / 1000 - 0.05, asked.deadline / 1000 + 0.05)
+        return process.outages.overlap(request.began / 1000 - 0.05, request.deadline / 1000 + 0.05)
 
     def lines(self, name: str, event: str) -> list[tuple[float, dict[str, str]]]:
         """Log lines of an event: Unix s, and their pairs."""
--- a/spurdeal/lab/rig_process.py
+++ b/spurdeal/lab/rig_process.py
@@ -34,7 +34,7 @@
     child: subprocess.Popen[bytes] | None = None
     revision: int = 0
     outages: Outages = field(default_factory=Outages)
-    asides: list[Path] = field(default_factory=list)
+    replaced_disks: list[Path] = field(default_factory=list)
 
     @property
     def place(self) -> Place:
@@ -110,13 +110,13 @@
         fresh.write_text(f"{ms}")
         fresh.rename(self.clock)
 
-    def set_disk_aside(self, back: Path | None = None) -> Path:
+    def replace_disk(self, back: Path | None = None) -> Path:
         """The disk is empty at its next start, or as it was when `back` was copied. What was there is
         kept, in the folder that is returned."""
-        aside = self.folder / "aside" / f"{self.name}-{len(self.asides)}"
+        aside = self.folder / "aside" / f"{self.name}-{len(self.replaced_disks)}"
         aside.parent.mkdir(exist_ok=True)
         shutil.move(self.disk, aside)
-        self.asides.append(aside)
+        self.replaced_disks.append(aside)
         if back is not None:
             shutil.copytree(back, self.disk)
         return aside
--- a/spurdeal/lab/takeover.py
+++ b/spurdeal/lab/takeover.py
@@ -25,11 +25,11 @@
 from ..vrrp.machine import active_down_interval, skew_time
 from ..vrrp.sealed import Keys, Session
 from .cables import Cable, Switch
-from .engines import Fleet
-from .front import Asked, Front
+from .engines import EngineFleet
+from .front import ClientRequest, OpenLoopLoad
 from .loopback import Network
 from .model import figures as models
-from .names import Endpoint, Names
+from .names import Endpoint, NameServer
 from .processes import run_module
 from .scripted import ScriptRunner
 from .spread import spread
@@ -72,9 +72,9 @@
         self, reactor: Any, net: Net, folder: Path, guarded: bool, seed: int, say: Callable[[str], None]
     ) -> None:
         self.reactor, self.net, self.say, self.chance = reactor, net, say, random.Random(seed)
-        self.fleet = Fleet(reactor, CORES, COLD_FOR, COLD_SHARE, MULTIPLE, WINDOW)
+        self.fleet = EngineFleet(reactor, CORES, COLD_FOR, COLD_SHARE, MULTIPLE, WINDOW)
         self.next_engine = 0
-        self.names = Names([self.new_engine(cold=False) for _ in range(ENGINES)])
+        self.names = NameServer([self.new_engine(cold=False) for _ in range(ENGINES)])
         known = self.names.known()
         reactor.listenUDP(net.names[1], self.names, interface=net.names[0], maxPacketSize=65535)
         self.switch = Switch(time.time)
@@ -84,7 +84,7 @@
             for port in (ADVERTS, HANDOVER)
         ]
         self.processes = {name: Process(net, name, folder, known, guarded) for name in net.hosts}
-        self.front = Front(
+        self.front = OpenLoopLoad(
             reactor, lambda: time.time() * 1000, self.switch, net.address, seed, RATE, WAIT, HEAVY, COST
         )
         self.takeovers: list[Takeover] = []
@@ -222,12 +222,16 @@
     def figures(self) -> dict[str, Any]:
         by_place = {process.place: process for process in self.processes.values()}
 
-        def excused(place: tuple[str, int], asked: Asked) -> bool:
-            return by_place[place].outages.overlap(asked.began / 1000 - 0.05, asked.deadline / 1000 + 0.05)
+        def excused(place: tuple[str, int], request: ClientRequest) -> bool:
+            return by_place[place].outages.overlap(
+                request.began / 1000 - 0.05, request.deadline / 1000 + 0.05
+            )
 
         counts = self.front.counts(excused)
         twice = sum(
-            self.fleet.runs[asked.ident.encode()] > 1 for asked in self.front.asked if asked.non_idempotent
+            self.fleet.runs[request.ident.encode()] > 1
+            for request in self.front.requests
+            if request.non_idempotent
         )
         one, two = (list(self.processes[name].held()) for name in self.net.hosts)
         both = [min(a[1], b[1]) - max(a[0], b[0]) for a in one for b in two]
@@ -248,7 +252,7 @@
                 "max": round(1000 * max([0.0, *both]), 1),
             },
             "irreversible_run_twice": twice,
-            "cold_budget_used_max": round(self.fleet.budget_used_most(), 3),
+            "cold_budget_used_max": round(self.fleet.max_budget_used(), 3),
             "cold_nodes": sum(engine.warm_at > 0 for engine in self.fleet.engines),
             "cold_nodes_fallen": self.fleet.fallen(),
             "malformed_tried": self.tried,
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -22,15 +22,15 @@
 STAND_INS = """
 import sys
 from twisted.internet import reactor
-from spurdeal.lab.engines import Fleet
-from spurdeal.lab.names import Names, Endpoint
+from spurdeal.lab.engines import EngineFleet
+from spurdeal.lab.names import NameServer, Endpoint
 engine_host, names_host, first_port, engines, names_port = sys.argv[1:]
 endpoints = [Endpoint(f"s-{n}", engine_host, int(first_port) + n) for n in range(int(engines))]
-fleet = Fleet(reactor, 8, 1000.0, 0.3, 2.0, 1500.0)
+fleet = EngineFleet(reactor, 8, 1000.0, 0.3, 2.0, 1500.0)
 for endpoint in endpoints:
     fleet.start(endpoint.ident, endpoint.host, endpoint.port, cold=False)
 if int(names_port):
-    reactor.listenUDP(int(names_port), Names(endpoints), interface=names_host)
+    reactor.listenUDP(int(names_port), NameServer(endpoints), interface=names_host)
 reactor.callWhenRunning(print, "ready", flush=True)
 reactor.callLater(120, reactor.stop)
 reactor.run()
--- a/tests/soak/process.py
+++ b/tests/soak/process.py
@@ -56,7 +56,7 @@
         roster = {
             "generation": 1,
             "reset": True,
-            "instances": [endpoint.told() for endpoint in soak.names.endpoints],
+            "instances": [endpoint.instance_entry() for endpoint in soak.names.endpoints],
         }
         known = {"no": soak.names.number, "items": [{"no": soak.names.number, "roster": roster}]}
         told = configuration(
--- a/tests/stations.py
+++ b/tests/stations.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-from spurdeal.lab.names import Endpoint, Names
+from spurdeal.lab.names import Endpoint, NameServer
 from spurdeal.net.link import Answer
 from spurdeal.net.logs import logger
 from spurdeal.net.start import Service, read_configuration
@@ -133,7 +133,7 @@
         self.priorities = {"n1": 200, "n2": 100} | more.get("priorities", {})
         self.intervals = {"n1": "100ms", "n2": "100ms"} | more.get("intervals", {})
         self.plan = more.get("plan", PLAN)
-        self.names = Names([Endpoint(f"s-{number}", f"127.0.9.{number}", 7001) for number in range(3)])
+        self.names = NameServer([Endpoint(f"s-{number}", f"127.0.9.{number}", 7001) for number in range(3)])
         self.known, self.dead, self.boots = self.names.known(), set[str](), 0
         self.ether.listenUDP(5300, self.names, "127.0.8.9")
         self.ether.drops = lambda source, target: source[0] in self.dead
--- a/tests/test_answer_orders.py
+++ b/tests/test_answer_orders.py
@@ -36,7 +36,11 @@
 
 def in_force(serial: int, endpoints: list[names.Endpoint]) -> dict[str, Any]:
     """Encodes a list as in the configuration."""
-    roster = {"generation": 1, "reset": True, "instances": [endpoint.told() for endpoint in endpoints]}
+    roster = {
+        "generation": 1,
+        "reset": True,
+        "instances": [endpoint.instance_entry() for endpoint in endpoints],
+    }
     return {"no": serial, "items": [{"no": serial, "roster": roster}]}
 
 
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -21,7 +21,7 @@
 from envoy.service.ext_proc.v3 import external_processor_pb2_grpc as service
 
 from spurdeal.lab.loopback import Network
-from spurdeal.lab.proxy import Asked, request
+from spurdeal.lab.proxy import ClientRequest, request
 from tests.helpers import configuration
 
 NETWORK = Network.of_this_process()
@@ -122,7 +122,7 @@
                     answered = threading.Event()
 
                     def messages(answered: threading.Event = answered) -> Iterator[Any]:
-                        yield request(Asked(f"{number:016x}", False, 10.0), 1000)
+                        yield request(ClientRequest(f"{number:016x}", False, 10.0), 1000)
                         answered.wait(5)  # the stream stays open while the call is queued
 
                     answers = service.ExternalProcessorStub(channel).Process(messages(), timeout=2)
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -189,7 +189,7 @@
         self.names.change(
             lambda endpoint: endpoint._replace(started=unix_ms if endpoint.ident == ident else 0)
         )
-        instances = [endpoint.told() for endpoint in self.names.endpoints]
+        instances = [endpoint.instance_entry() for endpoint in self.names.endpoints]
         roster = {"generation": 1, "reset": True, "instances": instances}
         known = {"no": self.names.serial, "items": [{"no": self.names.serial, "roster": roster}]}
         rules = SETTINGS["rules"] | {"tip_after": WINDOW * 1000}
--- a/tests/test_extproc.py
+++ b/tests/test_extproc.py
@@ -38,7 +38,7 @@
 from spurdeal.extproc.grants import ENDINGS, GrantEvent, Grants, GrantStage
 from spurdeal.extproc.server import METHOD, Runtime, Server, ServerSettings
 from spurdeal.interface import NEVER_RAN, Ending, Life
-from spurdeal.lab.proxy import Asked, request, response
+from spurdeal.lab.proxy import ClientRequest, request, response
 from spurdeal.net.link import at_most_once
 from spurdeal.store.guard import GuardRuntime, GuardSettings, LedgerGuard
 from spurdeal.store.ledger import Ledger, LedgerSettings
@@ -221,7 +221,8 @@
     ) -> int:
         stream = self.open(more)
         self.send(
-            stream, request(Asked(f"{number:016x}", workload == "load", 20.0), wait).SerializeToString()
+            stream,
+            request(ClientRequest(f"{number:016x}", workload == "load", 20.0), wait).SerializeToString(),
         )
         self.flush()
         return stream
@@ -375,7 +376,9 @@
         proxy = Proxy(self)
         streams = [proxy.open(), proxy.open()]
         for stream in streams:
-            proxy.send(stream, request(Asked("00000000000000aa", True, 20.0), 2000).SerializeToString())
+            proxy.send(
+                stream, request(ClientRequest("00000000000000aa", True, 20.0), 2000).SerializeToString()
+            )
         proxy.flush()
         answers = [proxy.answer(stream) for stream in streams]
         self.assertEqual(sum(isinstance(answer, str) for answer in answers), 1)
@@ -480,7 +483,9 @@
         proxy.flush()
         self.assertEqual(proxy.status[truncated], "3")
         unknown = proxy.open()
-        extra = request(Asked(f"{9:016x}", False, 20.0), 2000).SerializeToString() + b"\xa2\x06\x03abc"
+        extra = (
+            request(ClientRequest(f"{9:016x}", False, 20.0), 2000).SerializeToString() + b"\xa2\x06\x03abc"
+        )
         proxy.send(unknown, extra)
         proxy.flush()
         self.assertIsInstance(proxy.answer(unknown), str)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -6,7 +6,7 @@
 from spurdeal.lab.forms import check, erlang_c
 from spurdeal.lab.model_engine import Engine, Job, Kind
 from spurdeal.lab.observer import Observer
-from spurdeal.lab.planted import KIND, find, site, world
+from spurdeal.lab.planted import KIND, build_world, count_violations, sample_deployment
 
 
 def line(engine: int, life: Life = Life.READY, zone: int = 0, cell: int = 0) -> ListedEngine:
@@ -60,7 +60,7 @@
 
 class Rules(unittest.TestCase):
     def observer(self) -> Observer:
-        made = Observer(site(1), 1000.0)
+        made = Observer(sample_deployment(1), 1000.0)
         made.listed(0.0, 0, [line(0), line(1, cell=1), line(2, zone=1)])
         return made
 
@@ -93,18 +93,18 @@
                         for attempt in range(5 if broken else 4):
                             seen.sent(1.0 + attempt, 0, 1, attempt, attempt % 2)
                             seen.ended(1.5 + attempt, 0, 1, attempt, Ending.FULL)
-                    self.assertEqual(dict(seen.broken), {rule: 1} if broken else {}, seen.seen)
+                    self.assertEqual(dict(seen.violations), {rule: 1} if broken else {}, seen.violation_lines)
 
     def test_planted_in_the_rules_and_in_a_link_they_are_found(self) -> None:
         for rule in (1, 3, 5, 6):
             with self.subTest(rule):
-                self.assertGreater(find(rule, 4.0)[0], 0)
-        self.assertEqual(find(0, 4.0), (0, 0))
+                self.assertGreater(count_violations(rule, 4.0)[0], 0)
+        self.assertEqual(count_violations(0, 4.0), (0, 0))
 
     def test_the_same_seed_gives_the_same_bytes_and_another_does_not(self) -> None:
         traces = []
         for seed in (3, 3, 4):
-            made = world(2, 4, 0.7, seed)
+            made = build_world(2, 4, 0.7, seed)
             made.run(3.0)
             traces.append(made.trace.hexdigest())
             counts = made.counts
@@ -112,4 +112,4 @@
             self.assertLess(counts["submissions"] - ended, 200)
         self.assertEqual(traces[0], traces[1])
         self.assertNotEqual(traces[0], traces[2])
-        self.assertEqual(KIND.multiple, site(1).cold_multiple)
+        self.assertEqual(KIND.multiple, sample_deployment(1).cold_multiple)
