--- a/spurdeal/lab/audited/judging.py
+++ b/spurdeal/lab/audited/judging.py
@@ -38,7 +38,7 @@
 def run_figures(run: Run) -> dict[str, Any]:
     """All figures of a run, ready for JSON."""
     rig = run.rig
-    counts = run.crowd.counts(rig.excused)
+    counts = run.crowd.counts(rig.in_outage)
     runs = Counter(ident for _, _, _, ident in rig.engines.run_log)
     found: dict[str, Any] = {
         "processes": rig.count,
@@ -63,7 +63,7 @@
         f"{asked.ident} at {place[0]} during {fault_at(run, asked.began / 1000)}; answers {asked.answers}"
         for asked in run.crowd.requests
         for place in asked.unanswered
-        if not run.rig.excused(place, asked)
+        if not run.rig.in_outage(place, asked)
     ]
 
 
--- a/spurdeal/lab/front.py
+++ b/spurdeal/lab/front.py
@@ -96,14 +96,14 @@
             request.unanswered.append(place)
         self.reactor.callLater(AGAIN / 1000, self.send, request)
 
-    def counts(self, excused: Callable[[Place, ClientRequest], bool]) -> dict[str, int]:
+    def counts(self, in_outage: Callable[[Place, ClientRequest], bool]) -> dict[str, int]:
         """excused: whoever had it was killed or stood still meanwhile, and its client may ask again."""
         counts: Counter[str] = Counter(dict.fromkeys(COUNTS, 0) | {"submissions": len(self.requests)})
         for request in self.requests:
             statuses = request.answers
             counts["answers_double"] += max(0, len(statuses) - 1)
             for place in request.unanswered:
-                counts["held_by_killed" if excused(place, request) else "answers_missing"] += 1
+                counts["held_by_killed" if in_outage(place, request) else "answers_missing"] += 1
             counts["delivered"] += 200 in statuses
             counts["shed"] += 503 in statuses
             counts["broken_off"] += 500 in statuses
--- a/spurdeal/lab/rig.py
+++ b/spurdeal/lab/rig.py
@@ -228,7 +228,7 @@
 
     # What they tell.
 
-    def excused(self, place: Place, request: ClientRequest) -> bool:
+    def in_outage(self, place: Place, request: ClientRequest) -> bool:
         """Whether that dispatcher was not to be counted on while the request was open."""
         process = next(each for each in self.processes.values() if each.place == place)
         return process.outages.overlap(request.began / 1000 - 0.05, request.deadline / 1000 + 0.05)
--- a/spurdeal/lab/takeover.py
+++ b/spurdeal/lab/takeover.py
@@ -222,12 +222,12 @@
     def figures(self) -> dict[str, Any]:
         by_place = {process.place: process for process in self.processes.values()}
 
-        def excused(place: tuple[str, int], request: ClientRequest) -> bool:
+        def in_outage(place: tuple[str, int], request: ClientRequest) -> bool:
             return by_place[place].outages.overlap(
                 request.began / 1000 - 0.05, request.deadline / 1000 + 0.05
             )
 
-        counts = self.front.counts(excused)
+        counts = self.front.counts(in_outage)
         twice = sum(
             self.fleet.runs[request.ident.encode()] > 1
             for request in self.front.requests
