--- a/spurdeal/lab/crowd.py
+++ b/spurdeal/lab/crowd.py
@@ -1,4 +1,4 @@
-"""Clients of all dispatchers of a rig together: open-loop load."""
+"""Open-loop load on all dispatchers of a rig."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 from typing import TYPE_CHECKING
 
 from .cables import Place, Switch
-from .front import AGAIN, ClientRequest, ConnectionFactory, OpenLoopLoad
+from .front import RETRY_DELAY, ClientRequest, ConnectionFactory, OpenLoopLoad
 from .rig_process import WAIT
 
 if TYPE_CHECKING:
     from .rig import Rig
 
-COST = 12.0  # ms of work of a request, in the middle
+COST = 12.0  # ms of work of a request on average
 MAX_SENDS = 8
 DIAL_TIMEOUT = 0.5  # seconds
 
 
 class FleetLoad(OpenLoopLoad):
-    """Clients of all dispatchers together."""
+    """Clients that may use each dispatcher of a rig."""
 
     def __init__(self, rig: Rig, seed: int, rate: float, non_idempotent: float) -> None:
         super().__init__(
@@ -35,23 +35,23 @@
         self.rig = rig
 
     def send(self, request: ClientRequest) -> None:
-        """To one of the dispatchers that are up and have not had it; later, where there is none."""
+        """Send to a random dispatcher that is presumed up and has not had the request, or try later."""
         now = self.clock()
-        if request.over or now >= request.deadline - 1 or len(request.sent_to) >= MAX_SENDS:
-            request.over = True
+        if request.finished or now >= request.deadline - 1 or len(request.sent_to) >= MAX_SENDS:
+            request.finished = True
             return
         places = [each.place for each in self.rig.presumed_up() if each.place not in request.sent_to]
         if not places:
-            self.reactor.callLater(AGAIN / 1000, self.send, request)
+            self.reactor.callLater(RETRY_DELAY / 1000, self.send, request)
             return
         place = self.chance.choice(places)
         self.reactor.connectTCP(*place, ConnectionFactory(self, request, place), timeout=DIAL_TIMEOUT)
 
-    def lost(self, request: ClientRequest, place: Place, sent: bool) -> None:
-        """The connection was refused or ended: again, where the request may go again."""
+    def on_connection_lost(self, request: ClientRequest, place: Place, sent: bool) -> None:
+        """A connection failed: try again, unless the request may have run and is non-idempotent."""
         if sent:
             request.unanswered.append(place)
-            if request.non_idempotent:  # it may have run: a client that cares does not ask again
-                request.over = True
+            if request.non_idempotent:  # it may have run, so it is not sent again
+                request.finished = True
                 return
-        self.reactor.callLater(AGAIN / 1000, self.send, request)
+        self.reactor.callLater(RETRY_DELAY / 1000, self.send, request)
--- a/spurdeal/lab/emulate.py
+++ b/spurdeal/lab/emulate.py
@@ -1,4 +1,4 @@
-"""The proof of the emulator: closed forms, planted faults, and the same bytes twice at large size."""
+"""Checks the emulator: closed-form queueing results, planted faults, and reproducible large runs."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from .planted import build_world, count_violations
 
 LARGE = (100, 40)  # dispatchers, engines
-SECONDS = 8.0  # of virtual time for a planted fault: all of planted.ROUGH lies in it
+SECONDS = 8.0  # of virtual time for a planted fault: covers all of planted.FAILURES
 
 
 def large(seed: int, dispatchers: int, engines: int, seconds: float) -> tuple[str, float, int, int]:
-    """Of one world: its trace, wall seconds, requests, and rules broken."""
+    """Run one world; its trace digest, wall-clock seconds, requests and violations."""
     began = time.monotonic()
     made = build_world(dispatchers, engines, 0.8, seed)
     made.run(seconds)
@@ -28,10 +28,10 @@
 
 
 def figures(quick: bool, say: Callable[[str], None] = lambda _: None) -> dict[str, Any]:
-    """All that `spurdeal lab emulate --json` prints; worlds and forms are spread over the cores."""
+    """The figures of `spurdeal lab emulate --json`; the worlds run in a pool of processes."""
     checked = forms(quick)
     for form in checked:
-        say(f"{form.name}: told {form.told:.2f}, seen {form.seen:.2f} ms, Little {form.little:.4f}")
+        say(f"{form.name}: expected {form.told:.2f}, measured {form.seen:.2f} ms, Little {form.little:.4f}")
     seconds, seeds = (2.0, 4) if quick else (20.0, 8)
     with ProcessPoolExecutor() as pool:
         planted = [pool.submit(count_violations, rule, SECONDS) for rule in range(8)]
--- a/spurdeal/lab/engines.py
+++ b/spurdeal/lab/engines.py
@@ -1,4 +1,4 @@
-"""Stand-in engines speaking RESP, with cold starts, a fall when pushed, and a log of every run."""
+"""Stand-in engines that speak RESP, start cold, crash when overloaded while cold, and log every run."""
 
 from __future__ import annotations
 
@@ -18,7 +18,16 @@
 
 
 class EngineFleet:
-    """What all engines share: the figures of the rules, and what ran where, by id."""
+    """All engines of a run, with their common settings and the log of what ran where. Times in ms.
+
+    Attributes:
+        cold_for: How long an engine is cold after its start.
+        cold_share: The share of its capacity that a cold engine has.
+        multiple: How many times its capacity a cold engine may get in one window, from all dispatchers.
+        runs: The number of runs by request id.
+        sent_by: The number of requests by dispatcher's host and engine.
+        run_log: For each run its Unix time in s, the dispatcher's host, the engine and the request id.
+    """
 
     def __init__(
         self, reactor: Any, cores: int, cold_for: float, cold_share: float, multiple: float, window: float
@@ -27,87 +36,101 @@
         self.multiple, self.window = multiple, window
         self.runs: Counter[bytes] = Counter()
         self.sent_by: Counter[tuple[str, str]] = Counter()
-        self.run_log: list[tuple[float, str, str, bytes]] = []  # Unix s, whose, on which engine, id
+        self.run_log: list[tuple[float, str, str, bytes]] = []
         self.engines: list[Engine] = []
 
     def now(self) -> float:
+        """The reactor's time in ms."""
         return float(self.reactor.seconds()) * 1000
 
     def start(self, ident: str, host: str, port: int, cold: bool) -> Engine:
+        """Start an engine that listens on this address."""
         engine = Engine(self, ident, host, port, cold)
         self.engines.append(engine)
         return engine
 
     def max_budget_used(self) -> float:
-        """1 is the rule's limit, over all dispatchers together and over all engines that ever were cold."""
+        """The largest share of a cold engine's budget that all dispatchers together used; the limit is 1."""
         return max((engine.max_budget_used for engine in self.engines), default=0.0)
 
-    def fallen(self) -> int:
-        return sum(engine.down for engine in self.engines if engine.fell)
+    def collapsed_count(self) -> int:
+        """How many engines have crashed because they were overloaded while cold."""
+        return sum(engine.down for engine in self.engines if engine.collapsed)
 
 
 class Engine:
-    """One engine: it runs all that it is sent at once, slower the more there is."""
+    """One engine: it runs all requests at the same time, each the slower the more there are.
+
+    Attributes:
+        warm_at: When it ceases to be cold; 0 for one that was warm at its start.
+        running: The number of requests that run.
+        down: Whether it has stopped.
+        collapsed: Whether it stopped because it was overloaded while cold.
+        recent_arrivals: The time and cost of what arrived in the current window, while it is cold.
+        hang: Whether it runs requests without answering them.
+    """
 
     def __init__(self, fleet: EngineFleet, ident: str, host: str, port: int, cold: bool) -> None:
         self.fleet, self.ident, self.host, self.port = fleet, ident, host, port
         self.began = fleet.now()
         self.warm_at = self.began + fleet.cold_for if cold else 0.0
-        self.running, self.max_budget_used, self.down, self.fell = 0, 0.0, False, False
-        self.pressure: deque[tuple[float, float]] = deque()
-        self.connections: set[Talk] = set()
+        self.running, self.max_budget_used, self.down, self.collapsed = 0, 0.0, False, False
+        self.recent_arrivals: deque[tuple[float, float]] = deque()
+        self.connections: set[EngineConnection] = set()
         self.hang = False
-        factory = Factory.forProtocol(Talk)
+        factory = Factory.forProtocol(EngineConnection)
         factory.engine = self  # type: ignore[attr-defined]
         factory.noisy = False
         self.listening: Any = fleet.reactor.listenTCP(port, factory, backlog=512, interface=host)
 
     def capacity(self) -> float:
-        """Cores' worth of work that it does now."""
+        """Its capacity now, in cores."""
         cold = self.fleet.now() < self.warm_at
         return self.fleet.cores * (self.fleet.cold_share if cold else 1.0)
 
-    def arrives(self, cost: float) -> None:
-        """Rule 4: what reaches a cold engine in any window, against what it bears."""
+    def record_arrival(self, cost: float) -> None:
+        """Count what a cold engine gets in this window; it crashes if that exceeds its budget (rule 4)."""
         now = self.fleet.now()
         if now >= self.warm_at:
             return
-        self.pressure.append((now, cost))
-        while self.pressure[0][0] <= now - self.fleet.window:
-            self.pressure.popleft()
-        most = self.fleet.multiple * self.capacity() * self.fleet.window
-        used = sum(each for _, each in self.pressure) / most
+        self.recent_arrivals.append((now, cost))
+        while self.recent_arrivals[0][0] <= now - self.fleet.window:
+            self.recent_arrivals.popleft()
+        limit = self.fleet.multiple * self.capacity() * self.fleet.window
+        used = sum(each for _, each in self.recent_arrivals) / limit
         self.max_budget_used = max(self.max_budget_used, used)
         if used > 1.0:
-            self.fell = True
+            self.collapsed = True
             self.stop()
 
     def stop(self) -> None:
-        """The process is no more: connections are reset, new ones refused."""
+        """Stop as a process does that has ended: connections are reset, new ones refused."""
         if not self.down:
             self.down = True
             self.listening.stopListening()
-            for talk in list(self.connections):
-                talk.transport.abortConnection()
+            for connection in list(self.connections):
+                connection.transport.abortConnection()
 
     def run(self, cost: float, done: Callable[[], None]) -> Any:
+        """Run a request of this cost in ms and call `done` at its end."""
         self.running += 1
         took = cost * max(1.0, self.running / self.capacity())
 
-        def over() -> None:
+        def finished() -> None:
             self.running -= 1
             done()
 
-        return self.fleet.reactor.callLater(took / 1000, over)
+        return self.fleet.reactor.callLater(took / 1000, finished)
 
 
-class Talk(Protocol):
-    """One dispatcher's connection."""
+class EngineConnection(Protocol):
+    """A connection from a dispatcher."""
 
     transport: Any
     factory: Any
 
     def connectionMade(self) -> None:
+        """Register the connection with its engine."""
         self.engine: Engine = self.factory.engine
         self.parser = ArrayParser()
         self.open: dict[bytes, Any] = {}
@@ -115,32 +138,35 @@
         self.transport.setTcpNoDelay(True)
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """What runs runs on, and is answered to nobody."""
+        """Requests of this connection run on; their results are discarded."""
         self.engine.connections.discard(self)
 
     def dataReceived(self, data: bytes) -> None:
+        """Handle the complete commands; abort on malformed data."""
         self.parser.feed(data)
         try:
             while (parts := self.parser.take()) is not None:
-                self.said([bytes(part) for part in parts])
+                self.handle_command([bytes(part) for part in parts])
         except BadAnswer:
             self.transport.abortConnection()
 
-    def said(self, parts: list[bytes]) -> None:
+    def handle_command(self, parts: list[bytes]) -> None:
+        """Handle one command; unknown ones are ignored."""
         if parts[0] == b"serve" and len(parts) == 4:
             self.serve(*parts[1:])
         elif parts[0] == b"cancel":
-            self.open.pop(parts[1], None)  # a stand-in does not stop what runs
+            self.open.pop(parts[1], None)  # the request runs on unanswered
 
     def serve(self, ident: bytes, fields: bytes, body: bytes) -> None:
+        """Run a request and answer it, unless it is cancelled or the connection ends meanwhile."""
         found = COST.search(body)
         cost = float(found[1]) if found else 10.0
-        # Before the fall: what makes an engine fall has reached it, and has run.
+        # Counted before the overload check: the request that crashes the engine counts as run.
         self.engine.fleet.runs[ident] += 1
         host = self.transport.getPeer().host
         self.engine.fleet.sent_by[host, self.engine.ident] += 1
         self.engine.fleet.run_log.append((time.time(), host, self.engine.ident, ident))
-        self.engine.arrives(cost)
+        self.engine.record_arrival(cost)
         if self.engine.down:
             return
         self.open[ident] = None
--- a/spurdeal/lab/front.py
+++ b/spurdeal/lab/front.py
@@ -1,4 +1,4 @@
-"""A stand-in front: open-loop load on an address that moves, each request's answers counted."""
+"""An open-loop load generator for an address that moves between dispatchers; it counts the answers."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 from .cables import Place, Switch
 
-AGAIN = 20.0  # ms until a front that found nobody looks again
+RETRY_DELAY = 20.0  # ms until a request without a connection is tried again
 MAX_SENDS = 400
 COUNTS = (
     "submissions",
@@ -30,21 +30,33 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """One request, from its first byte to the end of its time."""
+    """One request of a client; times in ms.
+
+    Attributes:
+        sent_to: The dispatchers that were sent the whole request, in order.
+        answers: The statuses it got; 0 for bytes beyond an answer.
+        unanswered: The dispatchers whose connection ended, or did not answer in time.
+        finished: Whether it is not sent again.
+    """
 
     ident: str
     non_idempotent: bool
     cost: float
     began: float
     deadline: float
-    sent_to: list[Place] = field(default_factory=list)  # who had it whole, in order
+    sent_to: list[Place] = field(default_factory=list)
     answers: list[int] = field(default_factory=list)
-    unanswered: list[Place] = field(default_factory=list)  # whose connection ended, or time ran out, first
-    over: bool = False
+    unanswered: list[Place] = field(default_factory=list)
+    finished: bool = False
 
 
 class OpenLoopLoad:
-    """Sends at a rate, and the same request with the same id again where its connection was lost."""
+    """Sends requests at a rate; one whose connection failed is sent again with the same id.
+
+    Attributes:
+        non_idempotent: The share of non-idempotent requests, which cost four times as much.
+        cost: Of an idempotent request on average, in ms of work.
+    """
 
     def __init__(
         self,
@@ -65,39 +77,50 @@
         self.connections: set[ClientConnection] = set()
 
     def start(self) -> None:
+        """Start sending."""
         self.running = True
-        self.next()
+        self.send_next()
 
-    def next(self) -> None:
+    def send_next(self) -> None:
+        """Send a new request and schedule the one after it, with exponential gaps."""
         if self.running:
-            self.reactor.callLater(self.chance.expovariate(self.rate), self.next)
-            heavy = self.chance.random() < self.non_idempotent
-            cost = self.cost * (4.0 if heavy else 1.0) * self.chance.uniform(0.5, 1.5)
+            self.reactor.callLater(self.chance.expovariate(self.rate), self.send_next)
+            non_idempotent = self.chance.random() < self.non_idempotent
+            cost = self.cost * (4.0 if non_idempotent else 1.0) * self.chance.uniform(0.5, 1.5)
             now = self.clock()
-            request = ClientRequest(f"{self.chance.getrandbits(64):016x}", heavy, cost, now, now + self.wait)
+            request = ClientRequest(
+                f"{self.chance.getrandbits(64):016x}", non_idempotent, cost, now, now + self.wait
+            )
             self.requests.append(request)
             self.send(request)
 
     def send(self, request: ClientRequest) -> None:
+        """Send to the holder of the address, or try later if there is none."""
         now = self.clock()
-        if request.over:
+        if request.finished:
             return
         if now >= request.deadline - 1 or len(request.sent_to) >= MAX_SENDS:
-            request.over = True
+            request.finished = True
             return
         place = self.switch.table.get(self.address)
         if place is None:
-            self.reactor.callLater(AGAIN / 1000, self.send, request)
+            self.reactor.callLater(RETRY_DELAY / 1000, self.send, request)
             return
         self.reactor.connectTCP(*place, ConnectionFactory(self, request, place), timeout=0.2)
 
-    def lost(self, request: ClientRequest, place: Place, sent: bool) -> None:
+    def on_connection_lost(self, request: ClientRequest, place: Place, sent: bool) -> None:
+        """A connection failed, before or after the request was `sent`: try again after a delay."""
         if sent:
             request.unanswered.append(place)
-        self.reactor.callLater(AGAIN / 1000, self.send, request)
+        self.reactor.callLater(RETRY_DELAY / 1000, self.send, request)
 
     def counts(self, in_outage: Callable[[Place, ClientRequest], bool]) -> dict[str, int]:
-        """excused: whoever had it was killed or stood still meanwhile, and its client may ask again."""
+        """The counts of all requests.
+
+        Args:
+            in_outage: Whether the dispatcher was killed or paused while the request was open; its answer
+                is then not counted as missing.
+        """
         counts: Counter[str] = Counter(dict.fromkeys(COUNTS, 0) | {"submissions": len(self.requests)})
         for request in self.requests:
             statuses = request.answers
@@ -113,31 +136,36 @@
 
 
 class ConnectionFactory(ClientFactory):
+    """Connects to a dispatcher for one attempt of a request."""
+
     noisy = False
 
-    def __init__(self, front: OpenLoopLoad, request: ClientRequest, place: Place) -> None:
-        self.front, self.request, self.place = front, request, place
+    def __init__(self, load: OpenLoopLoad, request: ClientRequest, place: Place) -> None:
+        self.load, self.request, self.place = load, request, place
 
     def buildProtocol(self, addr: Any) -> ClientConnection:
-        return ClientConnection(self.front, self.request, self.place)
+        """The connection that sends the request."""
+        return ClientConnection(self.load, self.request, self.place)
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        self.front.lost(self.request, self.place, sent=False)
+        """Report that nothing was sent."""
+        self.load.on_connection_lost(self.request, self.place, sent=False)
 
 
 class ClientConnection(Protocol):
-    """One call on one connection."""
+    """One attempt of a request, on a connection of its own."""
 
     transport: Any
 
-    def __init__(self, front: OpenLoopLoad, request: ClientRequest, place: Place) -> None:
-        self.front, self.request, self.place = front, request, place
-        self.text, self.done = b"", False
+    def __init__(self, load: OpenLoopLoad, request: ClientRequest, place: Place) -> None:
+        self.load, self.request, self.place = load, request, place
+        self.received, self.done = b"", False
         self.timer: Any = None
 
     def connectionMade(self) -> None:
-        front, request = self.front, self.request
-        left = request.deadline - front.clock()
+        """Send the request and start its timeout."""
+        load, request = self.load, self.request
+        left = request.deadline - load.clock()
         workload = "load" if request.non_idempotent else "lookup"
         body = f"SELECT a FROM s_1.t /* cost={request.cost:.2f} */"
         self.transport.setTcpNoDelay(True)
@@ -147,31 +175,34 @@
             f"Content-Length: {len(body)}\r\nConnection: close\r\n\r\n{body}".encode()
         )
         request.sent_to.append(self.place)
-        front.connections.add(self)
-        self.timer = front.reactor.callLater(max(0.0, left + 50) / 1000, self.out_of_time)
+        load.connections.add(self)
+        self.timer = load.reactor.callLater(max(0.0, left + 50) / 1000, self.on_timeout)
 
-    def out_of_time(self) -> None:
+    def on_timeout(self) -> None:
+        """Give up a request that has no answer 50 ms after its deadline."""
         if not self.done:
-            self.done = self.request.over = True
+            self.done = self.request.finished = True
             self.request.unanswered.append(self.place)
             self.transport.abortConnection()
 
     def dataReceived(self, data: bytes) -> None:
-        self.text += data
-        head, mark, body = self.text.partition(b"\r\n\r\n")
-        if not mark:
+        """Record the answer once it is complete."""
+        self.received += data
+        head, separator, body = self.received.partition(b"\r\n\r\n")
+        if not separator:
             return
         size = next(int(line.split(b":")[1]) for line in head.split(b"\r\n") if line.startswith(b"Content-L"))
         if len(body) >= size and not self.done:
-            self.done = self.request.over = True
+            self.done = self.request.finished = True
             self.request.answers.append(int(head.split()[1]))
             if len(body) > size:
                 self.request.answers.append(0)  # bytes beyond one answer
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self.front.connections.discard(self)
+        """Report a connection that ended without a complete answer."""
+        self.load.connections.discard(self)
         if self.timer.active():
             self.timer.cancel()
         if not self.done:
             self.done = True
-            self.front.lost(self.request, self.place, sent=True)
+            self.load.on_connection_lost(self.request, self.place, sent=True)
--- a/spurdeal/lab/names.py
+++ b/spurdeal/lab/names.py
@@ -1,4 +1,4 @@
-"""A stand-in name service: the whole list by DNS (RFC 1035), which can be changed, silenced or held back."""
+"""A stand-in name service: it serves the engine list by DNS (RFC 1035) and can be changed or silenced."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Endpoint(NamedTuple):
-    """What the list tells of one engine; started is Unix ms, 0 for long ago."""
+    """An engine's entry in the list; `started` is in Unix ms, 0 for an engine that has long been warm."""
 
     ident: str
     host: str
@@ -26,7 +26,7 @@
     cell: int = 0
 
     def instance_entry(self) -> dict[str, Any]:
-        """As the configuration's list of the start has it."""
+        """The entry as the initial list in the configuration has it."""
         return {
             "instanceId": self.ident,
             "hostPort": f"{self.host}:{self.port}",
@@ -39,6 +39,7 @@
         }
 
     def record(self) -> tuple[str, str, int, str]:
+        """The entry as `answer` takes it: target, address, priority and text."""
         return (
             f"{self.ident}.{self.zone}.hosts",
             f"{self.host}:{self.port}",
@@ -54,8 +55,15 @@
     compressed: bool = True,
     flags: int = 0x8400,
 ) -> bytes:
-    """Endpoints are target, address, priority, text; names are compressed or not at all. A dot within a label
-    of a target is written as `\\.`."""
+    r"""Encode the answer to an SRV query.
+
+    Args:
+        question: The query datagram; its id is copied.
+        serial: The list's version, in the SOA record.
+        endpoints: Target, address, priority and text of each; a dot within a label of a target is `\.`.
+        compressed: Whether names are compressed where they can be.
+        flags: The header's flags.
+    """
     message = bytearray(struct.pack("!2s5H", question[:2], flags, 1, len(endpoints), 1, 2 * len(endpoints)))
     known: dict[str, int] = {}
 
@@ -83,7 +91,7 @@
         message_head = struct.pack("!3H", priority, 40, port)
 
         def service_data(head: bytes = message_head, target: str = target) -> bytes:
-            message.extend(head)  # a name's place counts from the message's start
+            message.extend(head)  # compression offsets count from the start of the message
             text = name(target)
             del message[-len(head) :]
             return head + text
@@ -99,7 +107,7 @@
 
 
 class NameServer(DatagramProtocol):
-    """Answers each question with the list as it stands."""
+    """Answers each query with the current list, unless it is silent; `answered` counts its answers."""
 
     transport: Any
 
@@ -107,10 +115,11 @@
         self.endpoints, self.serial, self.silent, self.answered = list(endpoints), 1, False, 0
 
     def change(self, endpoints: Sequence[Endpoint]) -> None:
+        """Publish another version of the list."""
         self.endpoints, self.serial = list(endpoints), self.serial + 1
 
     def known(self) -> dict[str, Any]:
-        """The list as a configuration tells it at a start."""
+        """The current list, as a configuration gives it to a dispatcher at its start."""
         return {
             "no": self.serial,
             "items": [
@@ -126,6 +135,7 @@
         }
 
     def datagramReceived(self, datagram: bytes, address: Any) -> None:
+        """Answer a query."""
         if not self.silent:
             self.answered += 1
             self.transport.write(
--- a/spurdeal/lab/observer.py
+++ b/spurdeal/lab/observer.py
@@ -1,8 +1,9 @@
-"""Checks the seven rules from what crosses the wire, apart from the code under test. Free of I/O; times are
-ms.
+"""Checks the seven rules of a deployment from the events on the wire, independently of the code under test.
 
-It is told of lists, requests, sends, ends and answers as they happen, and keeps what is broken: the rule's
-number and a line of what was seen. It knows each workload's terms and nothing of how a choice came about."""
+The harness reports lists, requests, sends, attempt ends and answers as they happen; the observer records each
+violation: the rule's number and a line that describes the event. It knows each workload's settings and
+nothing about how the rules choose. No I/O; times are ms.
+"""
 
 from __future__ import annotations
 
@@ -12,21 +13,28 @@
 
 from ..interface import NEVER_RAN, Deployment, Effect, Ending, Life, ListedEngine, Reach
 
-UNSURE = (Ending.TIME_OUT, Ending.RESET, Ending.CALLED_OFF)
-SLACK = 1.0  # ms: two ends of one event
-MOST_KEPT = 20  # lines of what was seen, for each rule
+MAY_STILL_RUN = (Ending.TIME_OUT, Ending.RESET, Ending.CALLED_OFF)
+TOLERANCE = 1.0  # ms: an event may be timed differently at its two ends
+MAX_LINES = 20  # lines kept for each rule
 
 
 @dataclass(slots=True)
 class Attempt:
+    """One send of a request to an engine; its ending is None while it is in flight."""
+
     engine: int
     sent: float
     ending: Ending | None = None
 
 
 @dataclass(slots=True)
-class Seen:
-    """One request at one dispatcher."""
+class ObservedRequest:
+    """One request at one dispatcher, kept until it is answered and none of its attempts is in flight.
+
+    Attributes:
+        kind: The index of its workload.
+        key: Its ordering key; 0 where the workload is unordered.
+    """
 
     kind: int
     key: int
@@ -37,188 +45,223 @@
 
 
 class Observer:
-    """One for a whole fleet."""
+    """Checks all dispatchers and engines of a fleet together.
+
+    Attributes:
+        budget: The most work, in ms, that a cold engine may get from all dispatchers in one window.
+        left: Since when a dispatcher has known that an engine drains or is gone.
+        recent_work: The time and ms of work of what reached a cold engine in the current window.
+        lines: For each dispatcher and ordering key, the unfinished requests in order.
+        key_paused_until: For each dispatcher and ordering key, the end of the pause after an attempt that
+            may still run.
+        violations: The number of violations of each rule.
+        violation_lines: The first descriptions for each rule.
+        max_budget_used: The largest share of the budget that was used in any window.
+    """
 
     def __init__(self, site: Deployment, budget: float) -> None:
-        self.site, self.budget = site, budget  # what a cold engine bears in a window, in ms of work, by all
-        self.open: dict[tuple[int, int], Seen] = {}
+        self.site, self.budget = site, budget
+        self.open: dict[tuple[int, int], ObservedRequest] = {}
         self.lists: dict[int, dict[int, ListedEngine]] = {}
-        self.places: dict[
+        self.listed_engines: dict[
             int, ListedEngine
-        ] = {}  # of every engine ever listed: those that left have places, too
-        self.left: dict[tuple[int, int], float] = {}  # when this dispatcher was told so
-        self.pressure: dict[int, deque[tuple[float, float]]] = {}
+        ] = {}  # every engine ever listed: rule 2 also needs the zone and cell of one that has left
+        self.left: dict[tuple[int, int], float] = {}
+        self.recent_work: dict[int, deque[tuple[float, float]]] = {}
         self.cold_until: dict[int, float] = {}
-        self.lines: dict[tuple[int, int], list[int]] = {}  # of one key: who is in it, in order
-        self.rests: dict[tuple[int, int], float] = {}
-        self.taken_at: dict[int, deque[float]] = {}
-        self.further_at: dict[int, deque[float]] = {}
+        self.lines: dict[tuple[int, int], list[int]] = {}
+        self.key_paused_until: dict[tuple[int, int], float] = {}
+        self.received_at: dict[int, deque[float]] = {}
+        self.retried_at: dict[int, deque[float]] = {}
         self.violations: Counter[int] = Counter()
         self.violation_lines: dict[int, list[str]] = {}
         self.max_budget_used = 0.0
 
-    def breaks(self, rule: int, now: float, what: str) -> None:
+    def report_violation(self, rule: int, now: float, what: str) -> None:
+        """Count a violation and keep its description, up to MAX_LINES for each rule."""
         self.violations[rule] += 1
         lines = self.violation_lines.setdefault(rule, [])
-        if len(lines) < MOST_KEPT:
+        if len(lines) < MAX_LINES:
             lines.append(f"{now:.1f} {what}")
 
-    # What is told.
+    # Events.
 
     def listed(self, now: float, dispatcher: int, lines: Sequence[ListedEngine]) -> None:
-        """The whole list, as this dispatcher was told it now."""
-        told = {line.engine: line for line in lines}
-        self.places.update(told)
-        for engine, line in (self.lists.get(dispatcher, {}) | told).items():
-            ready = engine in told and line.life == Life.READY
+        """A dispatcher has received this list; it is complete."""
+        listed = {line.engine: line for line in lines}
+        self.listed_engines.update(listed)
+        for engine, line in (self.lists.get(dispatcher, {}) | listed).items():
+            ready = engine in listed and line.life == Life.READY
             if ready:
                 self.left.pop((dispatcher, engine), None)
             else:
                 self.left.setdefault((dispatcher, engine), now)
-        self.lists[dispatcher] = told
+        self.lists[dispatcher] = listed
 
     def restarted(self, dispatcher: int) -> None:
-        """What it held is no longer its duty, and its counts begin anew."""
-        self.open = {key: seen for key, seen in self.open.items() if key[0] != dispatcher}
+        """A dispatcher has restarted: its open requests and its retry counts are void."""
+        self.open = {key: request for key, request in self.open.items() if key[0] != dispatcher}
         self.lines = {key: line for key, line in self.lines.items() if key[0] != dispatcher}
-        for kept in (self.taken_at, self.further_at):
+        for kept in (self.received_at, self.retried_at):
             kept.pop(dispatcher, None)
 
     def started(self, engine: int, until: float) -> None:
+        """An engine has started; it is cold until then."""
         self.cold_until[engine] = until
 
     def taken(self, now: float, dispatcher: int, number: int, kind: int, key: int, deadline: float) -> None:
+        """A dispatcher has received a request."""
         ordered = key if self.site.workloads[kind].in_order else 0
-        self.open[dispatcher, number] = Seen(kind, ordered, now, deadline)
-        self.taken_at.setdefault(dispatcher, deque()).append(now)
+        self.open[dispatcher, number] = ObservedRequest(kind, ordered, now, deadline)
+        self.received_at.setdefault(dispatcher, deque()).append(now)
         if ordered:
             self.lines.setdefault((dispatcher, ordered), []).append(number)
 
     def withdrawn(self, dispatcher: int, number: int) -> None:
-        seen = self.open.get((dispatcher, number))
-        if seen is not None:
-            seen.answers += 1
-            self.settled(dispatcher, number, seen)
+        """The client has cancelled its request, which needs no answer any more."""
+        request = self.open.get((dispatcher, number))
+        if request is not None:
+            request.answers += 1
+            self.forget_if_finished(dispatcher, number, request)
 
     def sent(self, now: float, dispatcher: int, number: int, attempt: int, engine: int) -> None:
-        what = f"dispatcher {dispatcher} submission {number} trip {attempt} engine {engine}"
-        seen = self.open.get((dispatcher, number))
-        if seen is None or seen.answers:
-            self.breaks(1, now, f"{what}: sent after its answer")
+        """A dispatcher has sent a request to an engine: check rules 1, 2, 3, 5, 6 and 7."""
+        what = f"dispatcher {dispatcher} request {number} attempt {attempt} engine {engine}"
+        request = self.open.get((dispatcher, number))
+        if request is None or request.answers:
+            self.report_violation(1, now, f"{what}: sent after its answer")
             return
-        w = self.site.workloads[seen.kind]
+        w = self.site.workloads[request.kind]
         line = self.lists.get(dispatcher, {}).get(engine)
-        self.repeated(now, what, dispatcher, seen, engine)
-        told = self.left.get((dispatcher, engine))
-        if line is None or (told is not None and now > told + self.site.drain_grace + SLACK):
-            self.breaks(3, now, f"{what}: told {told} that it drains or is gone")
+        self.check_repeat(now, what, dispatcher, request, engine)
+        left = self.left.get((dispatcher, engine))
+        if line is None or (left is not None and now > left + self.site.drain_grace + TOLERANCE):
+            self.report_violation(3, now, f"{what}: not listed, or draining or gone since {left}")
         if line is not None and (
             (w.zones is not None and line.zone not in w.zones)
             or (w.kinds is not None and line.kind not in w.kinds)
         ):
-            self.breaks(6, now, f"{what}: not among its places")
-        if seen.key:
-            self.ordered(now, what, dispatcher, number, seen)
-        if seen.attempts:
-            self.further(now, what, dispatcher)
-        seen.attempts[attempt] = Attempt(engine, now)
-
-    def repeated(self, now: float, what: str, dispatcher: int, seen: Seen, engine: int) -> None:
-        """Rule 2, before a further send."""
-        w = self.site.workloads[seen.kind]
-        if not self.site.second_copies and any(attempt.ending is None for attempt in seen.attempts.values()):
-            self.breaks(2, now, f"{what}: a second copy")
-        ran = [attempt for attempt in seen.attempts.values() if attempt.ending not in NEVER_RAN]
+            self.report_violation(6, now, f"{what}: not among the engines allowed for its workload")
+        if request.key:
+            self.check_order(now, what, dispatcher, number, request)
+        if request.attempts:
+            self.check_retry_budget(now, what, dispatcher)
+        request.attempts[attempt] = Attempt(engine, now)
+
+    def check_repeat(
+        self, now: float, what: str, dispatcher: int, request: ObservedRequest, engine: int
+    ) -> None:
+        """Rule 2: whether the request may be sent again, to this engine."""
+        w = self.site.workloads[request.kind]
+        if not self.site.second_copies and any(
+            attempt.ending is None for attempt in request.attempts.values()
+        ):
+            self.report_violation(2, now, f"{what}: another attempt is in flight")
+        ran = [attempt for attempt in request.attempts.values() if attempt.ending not in NEVER_RAN]
         if not ran or w.effect == Effect.IDEMPOTENT:
             return
         if w.effect == Effect.NON_IDEMPOTENT:
-            self.breaks(2, now, f"{what}: irreversible, and it may have run")
+            self.report_violation(2, now, f"{what}: non-idempotent, and it may have run")
             return
         first = ran[0]
-        before, after = self.places.get(first.engine), self.places.get(engine)
+        before, after = self.listed_engines.get(first.engine), self.listed_engines.get(engine)
         same = w.reach == Reach.ALL or (
             before is not None
             and after is not None
             and (before.zone == after.zone if w.reach == Reach.ZONE else before.cell == after.cell)
         )
-        if not same or now > first.sent + w.key_retention + SLACK:
-            self.breaks(2, now, f"{what}: labelled, and its mark is not known there")
+        if not same or now > first.sent + w.key_retention + TOLERANCE:
+            self.report_violation(2, now, f"{what}: idempotent by key, and the engine does not know its key")
 
-    def ordered(self, now: float, what: str, dispatcher: int, number: int, seen: Seen) -> None:
-        line = self.lines.get((dispatcher, seen.key), [])
+    def check_order(
+        self, now: float, what: str, dispatcher: int, number: int, request: ObservedRequest
+    ) -> None:
+        """Rule 5: requests with one key go in order, with a pause after an attempt that may still run."""
+        line = self.lines.get((dispatcher, request.key), [])
         if line and line[0] != number:
-            self.breaks(5, now, f"{what}: {line[0]} of its key is not over")
-        elif now < self.rests.get((dispatcher, seen.key), 0.0) - SLACK and not seen.attempts:
-            self.breaks(5, now, f"{what}: its key rests")
+            self.report_violation(5, now, f"{what}: request {line[0]} with the same key is unfinished")
+        elif (
+            now < self.key_paused_until.get((dispatcher, request.key), 0.0) - TOLERANCE
+            and not request.attempts
+        ):
+            self.report_violation(5, now, f"{what}: sent within the pause of its key")
 
-    def further(self, now: float, what: str, dispatcher: int) -> None:
+    def check_retry_budget(self, now: float, what: str, dispatcher: int) -> None:
+        """Rule 7: retries in the window are at most the floor plus a share of the requests received in it."""
         window = self.site.retry_window
         if not window:
             return
-        times, taken = self.further_at.setdefault(dispatcher, deque()), self.taken_at.get(dispatcher, deque())
+        times, taken = (
+            self.retried_at.setdefault(dispatcher, deque()),
+            self.received_at.get(dispatcher, deque()),
+        )
         times.append(now)
         for kept in (times, taken):
             while kept and kept[0] <= now - window:
                 kept.popleft()
         most = (self.site.retry_floor or 0.0) + (self.site.retry_ratio or 0.0) * len(taken)
         if len(times) > most:
-            self.breaks(7, now, f"{what}: {len(times)} further trips of {most:.1f}")
+            self.report_violation(7, now, f"{what}: {len(times)} retries, {most:.1f} allowed")
 
     def ended(self, now: float, dispatcher: int, number: int, attempt: int, ending: Ending) -> None:
-        seen = self.open.get((dispatcher, number))
-        if seen is None or attempt not in seen.attempts:
+        """An attempt has ended."""
+        request = self.open.get((dispatcher, number))
+        if request is None or attempt not in request.attempts:
             return
-        seen.attempts[attempt].ending = ending
-        if ending == Ending.MOOT and self.further_at.get(dispatcher) and attempt:
-            self.further_at[dispatcher].pop()  # it was never sent, and does not count
-        if seen.key and ending in UNSURE:
-            self.rests[dispatcher, seen.key] = now + (self.site.order_pause or 0.0)
-        self.settled(dispatcher, number, seen)
+        request.attempts[attempt].ending = ending
+        if ending == Ending.MOOT and self.retried_at.get(dispatcher) and attempt:
+            self.retried_at[dispatcher].pop()  # it was never sent, so it is no retry
+        if request.key and ending in MAY_STILL_RUN:
+            self.key_paused_until[dispatcher, request.key] = now + (self.site.order_pause or 0.0)
+        self.forget_if_finished(dispatcher, number, request)
 
     def answered(self, now: float, dispatcher: int, number: int, shed: bool) -> None:
-        what = f"dispatcher {dispatcher} submission {number}"
-        seen = self.open.get((dispatcher, number))
-        if seen is None or seen.answers:
-            self.breaks(1, now, f"{what}: a second answer")
+        """A dispatcher has answered a request: check rule 1, and rule 2 for a rejection."""
+        what = f"dispatcher {dispatcher} request {number}"
+        request = self.open.get((dispatcher, number))
+        if request is None or request.answers:
+            self.report_violation(1, now, f"{what}: a second answer")
             return
-        seen.answers += 1
-        if now > seen.deadline + SLACK:
-            self.breaks(1, now, f"{what}: answered {now - seen.deadline:.0f} ms after its expiry")
-        w = self.site.workloads[seen.kind]
-        ran = any(attempt.ending not in NEVER_RAN for attempt in seen.attempts.values())
+        request.answers += 1
+        if now > request.deadline + TOLERANCE:
+            self.report_violation(
+                1, now, f"{what}: answered {now - request.deadline:.0f} ms after its deadline"
+            )
+        w = self.site.workloads[request.kind]
+        ran = any(attempt.ending not in NEVER_RAN for attempt in request.attempts.values())
         harmless = w.effect == Effect.IDEMPOTENT or (
             w.effect == Effect.IDEMPOTENT_BY_KEY and w.reach == Reach.ALL
         )
         if shed and ran and not harmless:
-            self.breaks(2, now, f"{what}: shed, and it may have run")
-        self.settled(dispatcher, number, seen)
+            self.report_violation(2, now, f"{what}: shed, and it may have run")
+        self.forget_if_finished(dispatcher, number, request)
 
-    def settled(self, dispatcher: int, number: int, seen: Seen) -> None:
-        """Over and without an attempt that is out: nothing is kept of it."""
-        if not seen.answers or any(attempt.ending is None for attempt in seen.attempts.values()):
+    def forget_if_finished(self, dispatcher: int, number: int, request: ObservedRequest) -> None:
+        """Forget a request that is answered and has no attempt in flight."""
+        if not request.answers or any(attempt.ending is None for attempt in request.attempts.values()):
             return
         self.open.pop((dispatcher, number), None)
-        line = self.lines.get((dispatcher, seen.key))
+        line = self.lines.get((dispatcher, request.key))
         if line is not None and number in line:
             line.remove(number)
             if not line:
-                del self.lines[dispatcher, seen.key]
+                del self.lines[dispatcher, request.key]
 
     def reached(self, now: float, engine: int, work: float) -> None:
-        """Rule 4: work that reaches an engine, from whomever."""
+        """Rule 4: work from any dispatcher has reached an engine; a cold one has a budget for each window."""
         if now >= self.cold_until.get(engine, 0.0):
             return
-        times = self.pressure.setdefault(engine, deque())
+        times = self.recent_work.setdefault(engine, deque())
         times.append((now, work))
         while times[0][0] <= now - self.site.cold_window:
             times.popleft()
         used = sum(each for _, each in times) / self.budget
         self.max_budget_used = max(self.max_budget_used, used)
         if used > 1.0:
-            self.breaks(4, now, f"engine {engine}: {used:.2f} of what it bears")
+            self.report_violation(4, now, f"engine {engine}: {used:.2f} of its slow-start budget")
 
     def overdue(self, now: float) -> None:
-        """At the end of a run: what should have been answered by now."""
-        for (dispatcher, number), seen in self.open.items():
-            if not seen.answers and now > seen.deadline + SLACK:
-                self.breaks(1, now, f"dispatcher {dispatcher} submission {number}: never answered")
+        """At the end of a run: report requests whose deadline has passed unanswered."""
+        for (dispatcher, number), request in self.open.items():
+            if not request.answers and now > request.deadline + TOLERANCE:
+                self.report_violation(1, now, f"dispatcher {dispatcher} request {number}: never answered")
--- a/spurdeal/lab/planted.py
+++ b/spurdeal/lab/planted.py
@@ -1,4 +1,4 @@
-"""Dispatchers that each break one rule, so that the observer is known to see it."""
+"""Fault injection: dispatchers that each violate one rule, to prove that the observer detects it."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def sample_deployment(dispatchers: int) -> Deployment:
-    """Five workloads that bring all seven rules to bear."""
+    """Five workloads that exercise all seven rules."""
     return Deployment(
         index=0,
         dispatchers=dispatchers,
@@ -64,7 +64,7 @@
 
 KIND = Kind(multiple=1.2)
 SHARES, WORK = (0.5, 0.1, 0.15, 0.15, 0.1), (40.0, 160.0, 60.0, 50.0, 60.0)
-ROUGH = (
+FAILURES = (
     Failure(1500, "crash", 0),
     Failure(2500, "replace", 1),
     Failure(3000, "drain", 2),
@@ -76,6 +76,7 @@
 
 
 def load(engines: int, of_capacity: float) -> Load:
+    """A mix of the five workloads that asks for this share of the engines' capacity."""
     mean = sum(share * work for share, work in zip(SHARES, WORK, strict=True))
     return Load(of_capacity * engines * KIND.cores * 1000 / mean, SHARES, WORK, groups=30)
 
@@ -86,24 +87,26 @@
     of_capacity: float,
     seed: int,
     make: Callable[[Deployment, int, Any, float], Any] = Dispatcher,
-    failures: Sequence[Failure] = ROUGH,
+    failures: Sequence[Failure] = FAILURES,
 ) -> World:
+    """A world in virtual time with this load; `make` builds its dispatchers."""
     return World(
         sample_deployment(dispatchers), KIND, engines, load(engines, of_capacity), failures, seed, make
     )
 
 
 class AnswersTwice(VirtualAdapter):
-    """Rule 1: a refusal is written twice."""
+    """Violates rule 1: a rejection is written twice."""
 
     def write(self, request: OpenRequest, what: str) -> None:
+        """Write the answer, a rejection twice."""
         super().write(request, what)
         if what == "shed":
             super().write(request, what)
 
 
 class RunsTwice(Dispatcher):
-    """Rule 2: every workload counts as idempotent, whatever may have run."""
+    """Violates rule 2: every workload counts as idempotent, even if an attempt may have run."""
 
     def __init__(self, told: Deployment, seed: int, adapter: Adapter, now: float) -> None:
         super().__init__(told, seed, adapter, now)
@@ -113,28 +116,31 @@
 
 
 class ForgetsDrains(Dispatcher):
-    """Rule 3: what drains stays in use."""
+    """Violates rule 3: draining engines stay in use."""
 
     def list_changed(self, now: float, lines: Sequence[ListedEngine], whole: bool) -> None:
+        """Treat each listed engine as ready."""
         super().list_changed(now, [line._replace(life=Life.READY) for line in lines], False)
 
 
 class ForgetsCold(Dispatcher):
-    """Rule 4: a cold engine is sent its full part."""
+    """Violates rule 4: a cold engine gets a full share of the load."""
 
     def fits_slow_start(self, engine: Engine, work: float) -> bool:
+        """Always true."""
         return True
 
 
 class ForgetsOrder(Dispatcher):
-    """Rule 5: keys wait for nobody."""
+    """Violates rule 5: a request does not wait for an earlier one with its key."""
 
     def is_next_for_key(self, request: Request) -> bool:
+        """Always true."""
         return True
 
 
-class ForgetsPlaces(Dispatcher):
-    """Rule 6: any engine will do."""
+class ForgetsZones(Dispatcher):
+    """Violates rule 6: any engine is allowed for every workload."""
 
     def __init__(self, told: Deployment, seed: int, adapter: Adapter, now: float) -> None:
         super().__init__(told, seed, adapter, now)
@@ -144,9 +150,10 @@
 
 
 class ForgetsBudget(Dispatcher):
-    """Rule 7: further attempts as it likes, and each error is one."""
+    """Violates rule 7: retries are not limited by the budget."""
 
     def may_retry(self) -> bool:
+        """Always true."""
         return True
 
     def attempt_ended(
@@ -162,27 +169,28 @@
         memory: float,
         report: Sequence[float],
     ) -> None:
+        """Refill the retry budget, then handle the end of the attempt as usual."""
         self.retry_budget = 30.0
         super().attempt_ended(now, number, attempt, engine, ending, took, final, work, memory, report)
 
 
-PLANTED: dict[int, type[Dispatcher]] = {
+FAULTY_DISPATCHERS: dict[int, type[Dispatcher]] = {
     2: RunsTwice,
     3: ForgetsDrains,
     4: ForgetsCold,
     5: ForgetsOrder,
-    6: ForgetsPlaces,
+    6: ForgetsZones,
     7: ForgetsBudget,
 }
 
 
 def count_violations(rule: int, seconds: float) -> tuple[int, int]:
-    """How often the planted rule was seen broken, and how often any other; rule 0 plants nothing."""
+    """Plant a fault in this rule, none for 0; the violations of this rule, and of all others."""
     made: World
     if rule == 1:
-        made = World(sample_deployment(3), KIND, 6, load(6, 1.3), ROUGH, 5, adapters=AnswersTwice)
+        made = World(sample_deployment(3), KIND, 6, load(6, 1.3), FAILURES, 5, adapters=AnswersTwice)
     else:
-        made = build_world(3, 6, 0.9, 5, PLANTED.get(rule, Dispatcher))
+        made = build_world(3, 6, 0.9, 5, FAULTY_DISPATCHERS.get(rule, Dispatcher))
     made.run(seconds)
     return made.observer.violations[rule], sum(made.observer.violations.values()) - made.observer.violations[
         rule
--- a/spurdeal/lab/platform_settings.py
+++ b/spurdeal/lab/platform_settings.py
@@ -1,4 +1,4 @@
-"""What the platform tells a dispatcher in the laboratory's proofs: its configuration."""
+"""The platform's configuration of a dispatcher in the lab's experiments."""
 
 from __future__ import annotations
 
@@ -6,18 +6,22 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-AIMS = {"lookup": 800, "load": 1500}  # ms
+OBJECTIVES = {"lookup": 800, "load": 1500}  # ms
 DIAL_TIMEOUT, MAX_RETRY_AFTER = 250, 500  # ms
 MEMORY_MB = 192
 
 
 @dataclass(frozen=True)
 class Platform:
-    """The common part of the configuration. Times in ms.
+    """The settings that an experiment chooses. Times in ms.
 
     Attributes:
+        balancers: The number of dispatchers.
         wait: Each workload's deadline.
-        index: Which of the balancers it is, where that is told.
+        window: In which the budget of a cold engine is counted.
+        index: The dispatcher's index, left out of the configuration where None.
+        sockets: The limit of open sockets.
+        extra: More entries of the section of that name.
     """
 
     balancers: int
@@ -35,13 +39,13 @@
     def configuration(
         self, name: str, listen: str, seed: str, nameserver: str, known: Mapping[str, Any]
     ) -> dict[str, Any]:
-        """The whole, ready for JSON.
+        """The whole configuration, ready for JSON.
 
         Args:
-            name: Of the dispatcher.
+            name: The dispatcher's name.
             listen: Its address for clients, with the port.
             nameserver: The name service's address, with the port.
-            seed: Of its chance, in hexadecimal digits.
+            seed: The seed of its random choices, in hexadecimal digits.
             known: The list of engines that it starts with.
         """
         return {
@@ -55,10 +59,10 @@
         }
 
     def settings(self) -> dict[str, Any]:
-        """The site: workloads, limits and the rules' figures."""
+        """The deployment's settings: workloads, limits and the parameters of the rules."""
         index = {} if self.index is None else {"index": self.index}
-        lookup = {"name": "lookup", "aim": AIMS["lookup"], "deadline": self.wait, "late_worth": 0.5}
-        load = {"name": "load", "aim": AIMS["load"], "deadline": self.wait, "effect": "once"}
+        lookup = {"name": "lookup", "aim": OBJECTIVES["lookup"], "deadline": self.wait, "late_worth": 0.5}
+        load = {"name": "load", "aim": OBJECTIVES["load"], "deadline": self.wait, "effect": "once"}
         return {
             "balancers": self.balancers,
             **index,
--- a/spurdeal/lab/processes.py
+++ b/spurdeal/lab/processes.py
@@ -1,4 +1,4 @@
-"""Processes of the laboratory: dispatchers of the real program, and modules that print figures."""
+"""Child processes of the lab: real dispatchers, and modules that print their figures as JSON."""
 
 from __future__ import annotations
 
@@ -14,30 +14,30 @@
 
 
 class RunFailed(RuntimeError):
-    """A module that was run for its figures gave none."""
+    """A module that was run for its figures returned none."""
 
 
 class Outages:
-    """When a process was not to be counted on: spans of Unix s, the last of which may go on."""
+    """When a process was killed or paused: spans in Unix s, the last of which may be open."""
 
     def __init__(self) -> None:
         self.spans: list[tuple[float, float]] = []
 
     def begin(self, margin: float = 0.0) -> None:
-        """From now on, or so many seconds before."""
+        """Begin an outage now, or `margin` seconds ago."""
         self.spans.append((time.time() - margin, math.inf))
 
     def end(self, margin: float = 0.0) -> None:
-        """Until now, or so many seconds later, where one goes on."""
+        """End the open outage, if any, now or in `margin` seconds."""
         if self.spans and self.spans[-1][1] == math.inf:
             self.spans[-1] = (self.spans[-1][0], time.time() + margin)
 
     def add(self, began: float, ended: float) -> None:
-        """One that is over."""
+        """Add an outage that has ended."""
         self.spans.append((began, ended))
 
     def overlap(self, began: float, ended: float) -> bool:
-        """Whether one was on at any time between."""
+        """Whether any outage overlaps this span."""
         return any(start < ended and began < end for start, end in self.spans)
 
 
@@ -47,8 +47,8 @@
     """Start a dispatcher; its standard error is appended to `log`.
 
     Args:
-        settings: The operator's file.
-        configuration: What the platform tells it, by ROUTER_CONFIG.
+        settings: The operator's settings file.
+        configuration: The platform's configuration file, passed in ROUTER_CONFIG.
         log: The file for its standard error.
         command: The sub-command of `spurdeal`.
     """
@@ -74,19 +74,19 @@
 def run_module(
     module: str, arguments: Sequence[str], timeout: float, say: Callable[[str], None]
 ) -> dict[str, Any]:
-    """Run a module in a process of its own, as Twisted's reactor runs once.
+    """Run a module in a process of its own, as Twisted's reactor cannot be restarted.
 
     Args:
         module: Its dotted name.
-        arguments: What it gets on its command line.
+        arguments: Its command-line arguments.
         timeout: Seconds until it is killed.
         say: Called with each line that it printed before its figures.
 
     Returns:
-        The figures: its last line, an object in JSON.
+        The figures: its last line of output, a JSON object.
 
     Raises:
-        RunFailed: It ended with another code than 0, without figures, or with a "fault" among them.
+        RunFailed: It exited with a code other than 0, without figures, or with a "fault" among them.
         subprocess.TimeoutExpired: It took too long.
     """
     done = subprocess.run([sys.executable, "-m", module, *arguments], stdout=subprocess.PIPE, timeout=timeout)
@@ -95,5 +95,5 @@
         say(line)
     found: dict[str, Any] = json.loads(lines[-1]) if lines else {"fault": f"code {done.returncode}"}
     if done.returncode or "fault" in found:
-        raise RunFailed(f"the run ended with {found.get('fault', done.returncode)}")
+        raise RunFailed(f"the run failed: {found.get('fault', done.returncode)}")
     return found
--- a/spurdeal/lab/proxy.py
+++ b/spurdeal/lab/proxy.py
@@ -1,8 +1,8 @@
-"""A stand-in proxy: asks the external processor by `grpcio` with published messages, and forwards as it is
-told.
+"""A stand-in proxy: it calls the external processor by `grpcio` with Envoy's messages, and forwards.
 
-It times out, cancels, cuts its connection, retries through a second path, and speaks RESP to the engines
-itself."""
+It speaks RESP to the engines itself. Its injected faults are timeouts, cancelled calls, cut connections and
+outcomes that are never reported.
+"""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class ClientRequest:
-    """One request: what its client was told at last, and each way that it went."""
+    """One request of a client: the paths it was sent by, and the statuses the client got."""
 
     ident: str
     non_idempotent: bool
@@ -31,7 +31,8 @@
 
 
 def request(client_request: ClientRequest, wait: float) -> Any:
-    told = pb.ProcessingRequest()
+    """The message with the request's headers; the client waits so many ms."""
+    message = pb.ProcessingRequest()
     workload = "load" if client_request.non_idempotent else "lookup"
     for key, value in (
         (":method", "POST"),
@@ -43,29 +44,30 @@
         ("user-agent", "lab"),
         ("x-request-id", client_request.ident * 2),
     ):
-        header = told.request_headers.headers.headers.add()
+        header = message.request_headers.headers.headers.add()
         header.key, header.raw_value = key, value.encode()
-    return told
+    return message
 
 
 def response(status: int, proof: bool) -> Any:
-    told = pb.ProcessingRequest()
+    """The message with the response's headers; `proof`: it is known that nothing ran."""
+    message = pb.ProcessingRequest()
     for key, value in ((":status", str(status)), *((("x-never-ran", "1"),) if proof else ())):
-        header = told.response_headers.headers.headers.add()
+        header = message.response_headers.headers.headers.add()
         header.key, header.raw_value = key, value.encode()
-    return told
+    return message
 
 
 class Forwarder:
-    """RESP to the engines: one connection a call, as a proxy's pool would be too kind to failures."""
+    """Sends requests to engines by RESP, each on a new connection, as a pool would hide failures."""
 
     async def send(self, place: str, client_request: ClientRequest, wait: float) -> tuple[int, bool]:
-        """Status and whether it is known that nothing ran."""
+        """The status, and whether it is known that nothing ran."""
         host, _, port = place.rpartition(":")
         try:
             reader, writer = await asyncio.wait_for(asyncio.open_connection(host, int(port)), 0.25)
         except (OSError, TimeoutError):
-            return 503, True  # refused, or never up: not a byte has left
+            return 503, True  # refused, or did not come up: nothing was sent
         parser, workload = ArrayParser(), b"load" if client_request.non_idempotent else b"lookup"
         try:
             writer.write(
@@ -92,17 +94,26 @@
 
 
 class Proxy:
-    """One proxy with a channel to each processor that it knows."""
+    """One proxy with a channel to the external processor.
+
+    Attributes:
+        timeout: Of a message, in ms.
+        faults: The share of calls with an injected timeout; a cancelled grant and an unreported outcome each
+            have half of it.
+        counts: What happened, by name.
+        decision_ms: How long the processor took to decide.
+    """
 
     def __init__(self, name: str, target: str, seed: int, message_timeout: float, faults: float) -> None:
         self.name, self.target, self.chance = name, target, random.Random(seed)
         self.timeout, self.faults = message_timeout, faults
         self.forwarder = Forwarder()
         self.counts: Counter[str] = Counter()
-        self.decided: list[float] = []
+        self.decision_ms: list[float] = []
         self.channel: Any = None
 
-    def dial(self) -> None:
+    def connect(self) -> None:
+        """Open a channel to the processor."""
         options = [
             ("grpc.initial_reconnect_backoff_ms", 50),
             ("grpc.max_reconnect_backoff_ms", 100),
@@ -113,21 +124,24 @@
         self.stub = service.ExternalProcessorStub(self.channel)
 
     async def cut(self) -> None:
-        """The connection to the processor is lost, with all that is open on it."""
+        """Replace the channel; all calls on the old one fail."""
         old = self.channel
-        self.dial()
+        self.connect()
         await asyncio.wait_for(old.close(), 2.0)
 
-    async def go(self, client_request: ClientRequest, wait: float) -> int:
-        """One way for one request; 0 where nobody can know what became of it, -1 where the processor is
-        away."""
+    async def handle(self, client_request: ClientRequest, wait: float) -> int:
+        """Ask the processor about a request, and forward it if it is granted.
+
+        Returns:
+            The status; 0 if the outcome is unknown, -1 if the processor is unreachable.
+        """
         client_request.sent_to.append(self.name)
         loop = asyncio.get_running_loop()
         began = loop.time()
         self.counts["calls"] += 1
         fault = self.chance.random()
         timeout = self.timeout / 1000
-        if fault < self.faults:  # gives up long before: while it is being decided
+        if fault < self.faults:  # gives up early, while the processor decides
             timeout = self.chance.choice((0.0005, 0.002, 0.01))
             self.counts["timeouts_injected"] += 1
         call = self.stub.Process()
@@ -139,7 +153,7 @@
                 self.counts["asked_for_time"] += 1
                 answer = await asyncio.wait_for(call.read(), more.seconds + more.nanos / 1e9)
         except TimeoutError:
-            call.cancel()  # an answer that crosses this is never read: it is not forwarded
+            call.cancel()  # a grant that crosses the cancel is not read, so nothing is forwarded
             self.counts["caller_timeouts"] += 1
             return 504
         except (grpc.aio.AioRpcError, asyncio.InvalidStateError, asyncio.CancelledError):
@@ -147,27 +161,30 @@
             return -1
         if answer is grpc.aio.EOF:
             return -1
-        self.decided.append((loop.time() - began) * 1000)
+        self.decision_ms.append((loop.time() - began) * 1000)
         if answer.HasField("immediate_response"):
             call.cancel()
             return int(answer.immediate_response.status.code)
-        told = {
+        mutations = {
             option.header.key: option.header.raw_value.decode()
             for option in answer.request_headers.response.header_mutation.set_headers
         }
-        return await self.forward(call, client_request, told, fault, wait - (loop.time() - began) * 1000)
+        return await self.forward_granted(
+            call, client_request, mutations, fault, wait - (loop.time() - began) * 1000
+        )
 
-    async def forward(
-        self, call: Any, client_request: ClientRequest, told: dict[str, str], fault: float, wait: float
+    async def forward_granted(
+        self, call: Any, client_request: ClientRequest, mutations: dict[str, str], fault: float, wait: float
     ) -> int:
-        if self.faults < fault < 1.5 * self.faults:  # granted, and cancelled before it was used
+        """Forward a granted request and report its outcome; the status, 0 if the outcome is unknown."""
+        if self.faults < fault < 1.5 * self.faults:  # granted, but cancelled before use
             self.counts["unused"] += 1
             call.cancel()
             return 0
         self.counts["forwarded"] += 1
-        limit = min(float(told["x-spurdeal-wait-ms"]), wait)
-        status, proof = await self.forwarder.send(told["x-spurdeal-to"], client_request, max(1.0, limit))
-        if 1.5 * self.faults < fault < 2 * self.faults:  # its outcome is never told
+        limit = min(float(mutations["x-spurdeal-wait-ms"]), wait)
+        status, proof = await self.forwarder.send(mutations["x-spurdeal-to"], client_request, max(1.0, limit))
+        if 1.5 * self.faults < fault < 2 * self.faults:  # the outcome is never reported
             self.counts["untold"] += 1
             call.cancel()
             return status if proof or status == 200 else 0
--- a/spurdeal/lab/rig.py
+++ b/spurdeal/lab/rig.py
@@ -1,10 +1,10 @@
-"""A rig of many processes: dispatchers of the real program on loopback, with what lies between and around
-them.
+"""A rig of many real dispatcher processes on loopback, with stand-ins for everything around them.
 
-Each has its own name service, its own disk and its own clock, and a cable to each other that can lose, delay,
-repeat or be cut, one way or both. Engines keep their own log of what ran. The load is open loop: a request
-whose connection was refused goes to another dispatcher; one whose connection was lost goes again only where
-it may. All chance comes from one seed, which is printed."""
+Each dispatcher has its own name service, disk and clock, and a simulated link to each other that can lose,
+delay, repeat or cut datagrams in one direction or both. Engines log what ran. The load is open loop: a
+request whose connection was refused is sent to another dispatcher; one whose connection was lost is sent
+again only if it is idempotent. All random choices come from one seed, which is printed.
+"""
 
 from __future__ import annotations
 
@@ -30,14 +30,25 @@
 CORES, COLD_FOR, COLD_SHARE, MULTIPLE, WINDOW = 4, 6000, 0.3, 2.0, 1500
 GRACE = 250.0  # ms
 KEY = "5f" * 32
-NOTICED = 1.0  # seconds until the front knows that one is dead
+DETECTION_DELAY = 1.0  # seconds until clients know that a dispatcher is down
 
 
 class Rig:
-    """All of it, in the loopback network of this process; `fleet` off is the baseline.
+    """Dispatcher processes, engines, name services and links in this process's loopback network.
+
+    Without `fleet` the dispatchers know nothing of each other: the baseline of the figures.
 
     Attributes:
-        subnet: Of the dispatchers; the engines have the next.
+        subnet: The dispatchers' subnet; the engines have the next one.
+        terms: Settings of the fleet section.
+        list: The newest version of the engine list.
+        initial_list: The list that dispatchers start with.
+        names: The name service of each dispatcher.
+        following: Whether a dispatcher's name service gets new versions of the list.
+        released: For each change of the list its Unix time in s, the list's number and the engine that left
+            or drains.
+        dead_since: When a dispatcher was killed, in Unix s; DETECTION_DELAY earlier if it was stopped, as
+            clients notice that at once.
     """
 
     def __init__(
@@ -64,31 +75,31 @@
         self.engines = EngineFleet(reactor, CORES, COLD_FOR, COLD_SHARE, MULTIPLE, WINDOW)
         self.next_engine = 0
         self.list = NameServer([self.new_engine(cold=False) for _ in range(engines)])
-        self.known_first = self.list.known()
+        self.initial_list = self.list.known()
         self.names: dict[str, NameServer] = {}
-        self.following: dict[str, bool] = {}  # does its name service tell it what is new?
+        self.following: dict[str, bool] = {}
         self.processes: dict[str, Process] = {}
         self.count = count
-        self.released: list[tuple[float, int, str]] = []  # Unix s, number, which engine went or drains
+        self.released: list[tuple[float, int, str]] = []
         self.dead_since: dict[str, float] = {}
         for number in range(count):
             self.add(number)
 
-    # Around the dispatchers.
+    # Engines, name services and links.
 
     def new_engine(self, cold: bool) -> Endpoint:
-        """Start another engine; its entry for the list."""
+        """Start another engine; return its entry for the list."""
         number, self.next_engine = self.next_engine, self.next_engine + 1
         host = self.network.host(self.subnet + 1, number % 250 + 1)
         self.engines.start(f"s-{number}", host, PORT, cold)
         return Endpoint(f"s-{number}", host, PORT, started=int(time.time() * 1000) if cold else 0)
 
     def engine(self, ident: str) -> Engine:
-        """The engine of that name."""
+        """The engine with this name."""
         return next(each for each in self.engines.engines if each.ident == ident)
 
     def add(self, number: int) -> Process:
-        """Its places on the net; it is not started yet."""
+        """Set up a dispatcher's link and name service, without starting it."""
         name, host = f"d{number}", self.network.host(self.subnet, number + 1)
         process = self.processes[name] = Process(name, host, self.folder, number)
         self.cables.add(name, host)
@@ -98,35 +109,39 @@
         return process
 
     def release(self, change: str) -> str:
-        """The list changes: an engine drains, or goes and a cold one comes. Whose name service follows is
-        told."""
+        """Publish a new list to the name services that follow, and return the engine that changed.
+
+        Args:
+            change: "drain" marks an engine as draining; anything else replaces one by a cold engine, a
+                draining one if there is any.
+        """
         endpoints = list(self.list.endpoints)
         ready = [endpoint for endpoint in endpoints if not endpoint.draining]
-        whom = ready[0]
+        changed = ready[0]
         if change == "drain":
             endpoints = [
-                endpoint._replace(draining=endpoint.draining or endpoint is whom) for endpoint in endpoints
+                endpoint._replace(draining=endpoint.draining or endpoint is changed) for endpoint in endpoints
             ]
         else:
-            drained = next((endpoint for endpoint in endpoints if endpoint.draining), whom)
-            whom = drained
+            drained = next((endpoint for endpoint in endpoints if endpoint.draining), changed)
+            changed = drained
             endpoints = [endpoint for endpoint in endpoints if endpoint is not drained] + [
                 self.new_engine(cold=True)
             ]
             self.reactor.callLater(2.0, self.engine(drained.ident).stop)
         self.list.change(endpoints)
-        self.released.append((time.time(), self.list.serial, whom.ident))
+        self.released.append((time.time(), self.list.serial, changed.ident))
         for name in self.names:
             if self.following[name]:
                 self.publish_list(name)
-        return whom.ident
+        return changed.ident
 
     def publish_list(self, name: str) -> None:
-        """The dispatcher's name service tells the list of now."""
+        """Give the newest list to a dispatcher's name service."""
         self.names[name].endpoints, self.names[name].serial = list(self.list.endpoints), self.list.serial
 
     def set_following(self, names: Sequence[str], following: bool) -> None:
-        """Whether the name service tells these what is new; those that it does are told at once."""
+        """Set whether these dispatchers' name services get new lists; if so, they get the newest now."""
         for name in names:
             self.following[name] = following
             if following:
@@ -135,7 +150,7 @@
     # The dispatchers.
 
     def installation(self, process: Process) -> str:
-        """The operator's file of that dispatcher."""
+        """The operator's settings file of a dispatcher, as text."""
         if not self.fleet_on:
             return f"name: {process.name}\n"
         seeds = "".join(
@@ -155,7 +170,7 @@
 """
 
     def configuration(self, process: Process) -> dict[str, Any]:
-        """What the platform tells that dispatcher."""
+        """The platform's configuration of a dispatcher."""
         platform = Platform(
             self.count,
             WAIT,
@@ -172,67 +187,67 @@
             f"{process.host}:{PORT}",
             f"{zlib.crc32(f'{process.name} {self.seed}'.encode()):08x}",
             f"{process.host}:{NAMES}",
-            self.known_first,
+            self.initial_list,
         )
 
     def start(self, name: str) -> None:
-        """Start it, anew too; it is there again as soon as it can be."""
+        """Start a dispatcher, or restart it; its outage ends with a margin for the start."""
         process = self.processes[name]
         self.launch(process, name)
         process.outages.end(AFTER)
         self.dead_since.pop(name, None)
 
     def launch(self, process: Process, file: str) -> None:
-        """Start a process with its files, so named."""
+        """Start a process with its two files, named after `file`."""
         process.launch(json.dumps(self.configuration(process)), self.installation(process), file)
 
     def kill(self, name: str) -> None:
-        """SIGKILL."""
+        """Kill a dispatcher with SIGKILL."""
         self.processes[name].kill()
         self.dead_since[name] = time.time()
 
     def stop(self, name: str) -> None:
-        """SIGTERM: it answers what it has, and ends."""
+        """Stop a dispatcher with SIGTERM: it answers its open requests and exits."""
         self.processes[name].running().send_signal(signal.SIGTERM)
-        self.dead_since[name] = time.time() - NOTICED
+        self.dead_since[name] = time.time() - DETECTION_DELAY
 
     def pause(self, name: str) -> None:
-        """It stands still."""
+        """Pause a dispatcher with SIGSTOP."""
         self.processes[name].pause()
 
     def resume(self, name: str) -> None:
-        """It goes on."""
+        """Resume a paused dispatcher."""
         self.processes[name].resume()
 
     def step_clock(self, name: str, ms: float) -> None:
-        """Its Unix time is so far on from here."""
+        """Shift a dispatcher's wall clock by so many ms from the true time."""
         self.processes[name].step_clock(ms)
 
     def replace_disk(self, name: str, back: Path | None = None) -> Path:
-        """As Process.set_disk_aside."""
+        """Replace a dispatcher's audit log, as Process.replace_disk."""
         return self.processes[name].replace_disk(back)
 
     def presumed_up(self) -> list[Process]:
-        """Those that the front takes for up: it notices a death after a while."""
+        """The dispatchers that clients take for up; they notice a failure after DETECTION_DELAY."""
         now = time.time()
         return [
             process
             for name, process in self.processes.items()
-            if process.child is not None and now - self.dead_since.get(name, now) < NOTICED
+            if process.child is not None and now - self.dead_since.get(name, now) < DETECTION_DELAY
         ]
 
     def end(self) -> None:
-        """Kill all that run."""
+        """Kill all running dispatchers."""
         for process in self.processes.values():
             process.end()
 
-    # What they tell.
+    # Results.
 
     def in_outage(self, place: Place, request: ClientRequest) -> bool:
-        """Whether that dispatcher was not to be counted on while the request was open."""
+        """Whether a dispatcher had an outage while the request was open, with a margin of 50 ms."""
         process = next(each for each in self.processes.values() if each.place == place)
         return process.outages.overlap(request.began / 1000 - 0.05, request.deadline / 1000 + 0.05)
 
     def lines(self, name: str, event: str) -> list[tuple[float, dict[str, str]]]:
-        """Log lines of an event: Unix s, and their pairs."""
+        """A dispatcher's log lines of an event: their Unix time in s and their fields."""
         return self.processes[name].lines(event)
--- a/spurdeal/lab/rig_process.py
+++ b/spurdeal/lab/rig_process.py
@@ -1,4 +1,4 @@
-"""One real dispatcher of a rig: its starts and ends, its files, and when it was not to be counted on."""
+"""One real dispatcher process of a rig: its life cycle, files and outages."""
 
 from __future__ import annotations
 
@@ -12,19 +12,20 @@
 from .processes import Outages, cpu_seconds, start_dispatcher
 
 PORT = 7001
-WAIT = 2500.0  # ms until a client gives up
-BEFORE, AFTER = 0.02, 0.3  # seconds that an outage is taken for longer than it was seen to be
+WAIT = 2500.0  # ms: the deadline of clients
+BEFORE, AFTER = 0.02, 0.3  # seconds by which an outage is extended at its start and at its end
 
 
 @dataclass
 class Process:
-    """A dispatcher by name, on a loopback address of its own.
+    """A dispatcher on a loopback address of its own.
 
     Attributes:
-        number: Its place among the balancers.
-        revision: Of its configuration.
-        outages: When it was killed or stood still.
-        asides: Audit logs that were taken away from it.
+        folder: Where its files are.
+        number: Its index among the dispatchers.
+        revision: The revision of its configuration.
+        outages: When it was killed or paused.
+        replaced_disks: Former folders of its audit log.
     """
 
     name: str
@@ -38,65 +39,65 @@
 
     @property
     def place(self) -> Place:
-        """Where its clients reach it."""
+        """Its address for clients."""
         return self.host, PORT
 
     @property
     def log(self) -> Path:
-        """Its log lines."""
+        """The file of its log lines."""
         return self.folder / f"{self.name}.log"
 
     @property
     def disk(self) -> Path:
-        """Its audit log's folder."""
+        """The folder of its audit log."""
         return self.folder / "audit" / self.name
 
     @property
     def clock(self) -> Path:
-        """The file that shifts its clock."""
+        """The file that shifts its wall clock."""
         return self.folder / f"{self.name}.clock"
 
     def running(self) -> subprocess.Popen[bytes]:
-        """The process itself; it was started."""
+        """The process; it must have been started."""
         assert self.child is not None
         return self.child
 
     def runs(self) -> bool:
-        """Whether it was started and has not ended; one that stands still runs."""
+        """Whether it was started and has not ended; a paused process counts as running."""
         return self.child is not None and self.child.poll() is None
 
     def launch(self, configuration: str, installation: str, file: str) -> None:
-        """Start it with these files' contents; `file` names them."""
-        told, settings = self.folder / f"{file}.json", self.folder / f"{file}.yaml"
-        told.write_text(configuration)
+        """Write its configuration and settings to files named after `file`, and start it."""
+        platform, settings = self.folder / f"{file}.json", self.folder / f"{file}.yaml"
+        platform.write_text(configuration)
         settings.write_text(installation)
-        self.child = start_dispatcher(settings, told, self.log)
+        self.child = start_dispatcher(settings, platform, self.log)
 
     def kill(self) -> None:
-        """SIGKILL."""
+        """Kill it with SIGKILL; an outage begins."""
         self.running().kill()
         self.running().wait()
         self.outages.begin(BEFORE)
 
     def pause(self) -> None:
-        """It stands still."""
+        """Pause it with SIGSTOP; an outage begins."""
         self.running().send_signal(signal.SIGSTOP)
         self.outages.begin(BEFORE)
 
     def resume(self) -> None:
-        """It goes on in the middle of whatever it did."""
+        """Resume it with SIGCONT; its outage ends after a margin."""
         self.running().send_signal(signal.SIGCONT)
         self.outages.end(AFTER)
 
     def end(self) -> None:
-        """At the end of all, also where it stands still."""
+        """Kill it if it runs or is paused; no outage is recorded."""
         if self.runs():
             self.running().send_signal(signal.SIGCONT)
             self.running().kill()
             self.running().wait()
 
     def cpu(self) -> float:
-        """Seconds of a core that this start has used."""
+        """CPU seconds that the current process has used; 0 if there is none."""
         if self.child is None:
             return 0.0
         try:
@@ -105,14 +106,17 @@
             return 0.0
 
     def step_clock(self, ms: float) -> None:
-        """Its Unix time is so far on from here."""
+        """Shift its wall clock by so many ms from the true time."""
         fresh = self.clock.with_suffix(".new")
         fresh.write_text(f"{ms}")
         fresh.rename(self.clock)
 
     def replace_disk(self, back: Path | None = None) -> Path:
-        """The disk is empty at its next start, or as it was when `back` was copied. What was there is
-        kept, in the folder that is returned."""
+        """Move the audit log away, so that the next start finds none, or the older copy `back`.
+
+        Returns:
+            The folder that the log was moved to.
+        """
         aside = self.folder / "aside" / f"{self.name}-{len(self.replaced_disks)}"
         aside.parent.mkdir(exist_ok=True)
         shutil.move(self.disk, aside)
@@ -122,7 +126,7 @@
         return aside
 
     def lines(self, event: str) -> list[tuple[float, dict[str, str]]]:
-        """Its log lines of an event: Unix s, and their pairs."""
+        """Its log lines of an event: their Unix time in s and their fields."""
         if not self.log.exists():
             return []
         found = []
--- a/spurdeal/lab/takeover_process.py
+++ b/spurdeal/lab/takeover_process.py
@@ -1,4 +1,4 @@
-"""One of the two real dispatchers of the takeover proof: its files, its starts and its ends."""
+"""One of the two real dispatcher processes of the failover experiment: its files and life cycle."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 LINE = re.compile(r"t=([0-9.]+) .*event=(address_taken|address_left|ready|stopped)\b")
 
 
-class Net:
+class RunAddresses:
     """Loopback addresses of one run: a subnet for the dispatchers, the next for the engines."""
 
     def __init__(self, network: Network, subnet: int) -> None:
@@ -35,12 +35,12 @@
         self.address = network.host(subnet, 100)
 
     def engine(self, number: int) -> str:
-        """The host of that engine."""
+        """The host of an engine."""
         return self.network.host(self.engines_subnet, number % 250 + 1)
 
 
-def installation(net: Net, name: str, guarded: bool) -> str:
-    """The operator's file, with the cables' ends in place of the peer's own ports."""
+def installation(net: RunAddresses, name: str, guarded: bool) -> str:
+    """The operator's settings file; the peer's ports are those of the simulated links."""
     other = "n2" if name == "n1" else "n1"
     host, far = net.hosts[name], net.hosts[other]
     handover = (
@@ -79,8 +79,8 @@
 """
 
 
-def configuration(net: Net, name: str, known: dict[str, Any]) -> dict[str, Any]:
-    """What the platform tells that dispatcher."""
+def configuration(net: RunAddresses, name: str, known: dict[str, Any]) -> dict[str, Any]:
+    """The platform's configuration of a dispatcher."""
     index = int(name[1:]) - 1
     platform = Platform(2, WAIT, CORES, DRAIN_GRACE, COLD_FOR, COLD_SHARE, MULTIPLE, WINDOW, index=index)
     return platform.configuration(
@@ -93,24 +93,26 @@
 
 
 class Process:
-    """One real dispatcher, its starts and its ends."""
+    """One real dispatcher process."""
 
-    def __init__(self, net: Net, name: str, folder: Path, known: dict[str, Any], guarded: bool) -> None:
+    def __init__(
+        self, net: RunAddresses, name: str, folder: Path, known: dict[str, Any], guarded: bool
+    ) -> None:
         self.net, self.name, self.folder, self.known, self.guarded = net, name, folder, known, guarded
         self.place = (net.hosts[name], PORT)
         self.child: subprocess.Popen[bytes] | None = None
         self.log = folder / f"{name}.log"
-        self.outages = Outages()  # killed, or standing still
+        self.outages = Outages()  # while it was killed or paused
 
     def start(self) -> None:
-        """Start it, anew too."""
-        told, file = self.folder / f"{self.name}.json", self.folder / f"{self.name}.yaml"
-        told.write_text(json.dumps(configuration(self.net, self.name, self.known)))
-        file.write_text(installation(self.net, self.name, self.guarded))
-        self.child = start_dispatcher(file, told, self.log)
+        """Write its files and start it, also after an earlier run."""
+        platform, settings = self.folder / f"{self.name}.json", self.folder / f"{self.name}.yaml"
+        platform.write_text(json.dumps(configuration(self.net, self.name, self.known)))
+        settings.write_text(installation(self.net, self.name, self.guarded))
+        self.child = start_dispatcher(settings, platform, self.log)
 
     def signal(self, number: int) -> None:
-        """Send it a signal; a kill and a stop begin an outage, SIGCONT ends it."""
+        """Send it a signal; SIGKILL and SIGSTOP begin an outage, SIGCONT ends it."""
         assert self.child is not None
         self.child.send_signal(number)
         if number in (signal.SIGKILL, signal.SIGSTOP):
@@ -119,24 +121,24 @@
             self.outages.end()
 
     def ended(self) -> bool:
-        """Whether it does not run."""
+        """Whether it is not running."""
         return self.child is None or self.child.poll() is not None
 
     def end(self) -> None:
-        """At the end of all."""
+        """Kill it if it runs; no outage is recorded."""
         if self.child is not None and self.child.poll() is None:
             self.child.kill()
             self.child.wait()
 
-    def held(self) -> Iterator[tuple[float, float]]:
-        """From when to when it believed that it held the address, as its own lines tell; Unix s."""
+    def holding_spans(self) -> Iterator[tuple[float, float]]:
+        """The spans in which it held the address according to its own log, in Unix s."""
         since, cuts = None, [start for start, _ in self.outages.spans]
         for line in self.log.read_text().splitlines():
             found = LINE.search(line)
             if found is None:
                 continue
             at, event = float(found[1]), found[2]
-            if event == "ready" and since is not None:  # a new start: the one before was killed
+            if event == "ready" and since is not None:  # a restart after a kill
                 yield since, next((cut for cut in cuts if since < cut <= at), at)
                 since = None
             elif event == "address_taken":
--- a/tests/confined.py
+++ b/tests/confined.py
@@ -1,10 +1,12 @@
-"""Runs a module in this process, which the kernel ends (SIGSYS) at the first call that the operators' fleet
-test refuses: another program, a fork, io_uring, splice, sendfile, or a socket other than of IPv4.
+"""Run a module under a seccomp filter that kills the process (SIGSYS) at the first forbidden system call.
 
     python tests/confined.py MODULE
 
-A filter of this process alone (seccomp, Linux's Documentation/userspace-api/seccomp_filter.rst); no rights
-are needed. It holds for what libraries do as well, which no hook of the interpreter would see."""
+Forbidden is what the operators' fleet test refuses: execve, fork, io_uring, splice, sendfile, and sockets
+other than IPv4. The filter (Linux's Documentation/userspace-api/seccomp_filter.rst) applies to this process
+only and needs no privileges. It also catches calls that libraries make, which no hook of the interpreter
+would see.
+"""
 
 import ctypes
 import platform
@@ -15,10 +17,10 @@
 
 KILL, ALLOW, REFUSE = 0x80000000, 0x7FFF0000, 0x00050000
 LOAD, EQUAL, ANY_BIT, RETURN = 0x20, 0x15, 0x45, 0x06
-NUMBER, ARCHITECTURE, FIRST_WORD = 0, 4, 16  # places in what a filter sees of a call
+NUMBER, ARCHITECTURE, FIRST_WORD = 0, 4, 16  # offsets in struct seccomp_data
 CLONE_THREAD, ENOSYS = 0x10000, 38
 NO_NEW_PRIVILEGES, SET_SECCOMP, MODE_FILTER = 38, 22, 2
-TABLES = {  # of the machine: its mark, what ends the process, clone, clone3, socket
+TABLES = {  # by machine: audit architecture, forbidden calls, clone, clone3, socket
     "x86_64": (
         0xC000003E,
         {
@@ -57,12 +59,17 @@
 
 
 def program() -> list[tuple[int, int, int, int]]:
-    """The filter: operation, jumps if so and if not, operand. Of clones only threads are let through."""
-    mark, ends, clone, clone3, opened = TABLES[platform.machine()]
-    steps = [(LOAD, 0, 0, ARCHITECTURE), (EQUAL, 1, 0, mark), (RETURN, 0, 0, KILL), (LOAD, 0, 0, NUMBER)]
-    for number in ends.values():
+    """The BPF filter: operation, jump if true, jump if false, operand. Of clones only threads are allowed."""
+    architecture, forbidden, clone, clone3, opened = TABLES[platform.machine()]
+    steps = [
+        (LOAD, 0, 0, ARCHITECTURE),
+        (EQUAL, 1, 0, architecture),
+        (RETURN, 0, 0, KILL),
+        (LOAD, 0, 0, NUMBER),
+    ]
+    for number in forbidden.values():
         steps += [(EQUAL, 0, 1, number), (RETURN, 0, 0, KILL)]
-    # Its flags lie in memory, which a filter does not read: the C library then falls back to clone.
+    # A filter cannot read the flags of clone3 in memory; after ENOSYS the C library falls back to clone.
     steps += [(EQUAL, 0, 1, clone3), (RETURN, 0, 0, REFUSE | ENOSYS)]
     for number, test, word in ((clone, ANY_BIT, CLONE_THREAD), (opened, EQUAL, int(socket.AF_INET))):
         steps += [
@@ -76,13 +83,17 @@
 
 
 def confine() -> None:
-    """From here on, for all threads of this process. OSError where the kernel refuses the filter."""
+    """Install the filter for this process and its later threads.
+
+    Raises:
+        OSError: The kernel refused the filter.
+    """
     steps = program()
-    held = ctypes.create_string_buffer(b"".join(struct.pack("HBBI", *step) for step in steps))
-    told = ctypes.create_string_buffer(struct.pack("HxxxxxxP", len(steps), ctypes.addressof(held)))
+    instructions = ctypes.create_string_buffer(b"".join(struct.pack("HBBI", *step) for step in steps))
+    prog = ctypes.create_string_buffer(struct.pack("HxxxxxxP", len(steps), ctypes.addressof(instructions)))
     libc = ctypes.CDLL(None, use_errno=True)
-    if libc.prctl(NO_NEW_PRIVILEGES, 1, 0, 0, 0) or libc.prctl(SET_SECCOMP, MODE_FILTER, told, 0, 0):
-        raise OSError(ctypes.get_errno(), "no filter")
+    if libc.prctl(NO_NEW_PRIVILEGES, 1, 0, 0, 0) or libc.prctl(SET_SECCOMP, MODE_FILTER, prog, 0, 0):
+        raise OSError(ctypes.get_errno(), "the kernel refused the seccomp filter")
 
 
 if __name__ == "__main__":
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,4 +1,4 @@
-"""A dispatcher as its operators start it, in a process of its own, and the sides it talks to."""
+"""Real dispatcher processes for tests, started as operators start them, with stand-in engines and names."""
 
 import json
 import os
@@ -18,7 +18,7 @@
 
 ROOT = Path(__file__).parent.parent
 ENGINES, FIRST_ENGINE_PORT, NAMES_PORT = 2, 7001, 5300
-READY_WITHIN = 30.0  # seconds, on a busy machine
+READY_WITHIN = 30.0  # seconds: a start can be slow on a busy machine
 STAND_INS = """
 import sys
 from twisted.internet import reactor
@@ -39,9 +39,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Addresses:
-    """Where the dispatcher of one test module and its sides are.
+    """The addresses of a test module's dispatcher and its stand-ins.
 
-    Each module has a subnet of its own, and each run of the tests a network, as several may run on a machine.
+    Each module has its own subnet and each test run its own network, as several may run on one machine.
     """
 
     dispatcher: str
@@ -51,10 +51,12 @@
 
     @classmethod
     def in_subnet(cls, subnet: int) -> "Addresses":
+        """The addresses in a subnet of this process's network."""
         network = Network.of_this_process()
         return cls(network.host(subnet, 1), network.host(subnet, 9), network.host(subnet, 20))
 
     def configuration(self, **more: Any) -> dict[str, Any]:
+        """The platform's configuration with these addresses; `more` overrides entries."""
         instances = [
             instance(number, hostPort=f"{self.engines}:{FIRST_ENGINE_PORT + number}")
             for number in range(ENGINES)
@@ -69,7 +71,7 @@
 
 
 class ProcessCase(unittest.TestCase):
-    """A test with processes; those still running at its end are killed."""
+    """A test that starts processes; those still running at its end are killed."""
 
     addresses: Addresses
 
@@ -79,12 +81,13 @@
         self.configured = Path(folder.name) / "config.json"
 
     def configure(self, **more: Any) -> None:
+        """Write the configuration file."""
         self.configured.write_text(json.dumps(self.addresses.configuration(**more)))
 
     def start(
         self, *command: str, descriptors: int | None = None, environment: dict[str, str] | None = None
     ) -> subprocess.Popen[str]:
-        """Starts a command at the root, held by the kernel to so many descriptors if given."""
+        """Start a command in the repository's root, with a limit of file descriptors if given."""
 
         def limit() -> None:
             if descriptors is not None:
@@ -104,22 +107,24 @@
         return child
 
     def start_dispatcher(self, descriptors: int | None = None) -> subprocess.Popen[str]:
+        """Start a dispatcher, with a limit of file descriptors if given."""
         return self.start(sys.executable, "-O", "-m", "spurdeal", descriptors=descriptors)
 
     def start_stand_ins(self, with_names: bool = True) -> None:
-        """Starts the engines, and the name service unless the test has its own."""
-        where = self.addresses
-        figures = (FIRST_ENGINE_PORT, ENGINES, NAMES_PORT if with_names else 0)
-        arguments = (where.engines, where.names, *(str(figure) for figure in figures))
+        """Start the engines, and the name service unless the test has its own."""
+        addresses = self.addresses
+        numbers = (FIRST_ENGINE_PORT, ENGINES, NAMES_PORT if with_names else 0)
+        arguments = (addresses.engines, addresses.names, *(str(number) for number in numbers))
         stand_ins = self.start(sys.executable, "-c", STAND_INS, *arguments)
         assert stand_ins.stdout is not None
         self.assertEqual(stand_ins.stdout.readline(), "ready\n")
 
     def url(self, path: str) -> str:
+        """The dispatcher's URL of a path."""
         return f"http://{self.addresses.dispatcher}:{self.addresses.port}{path}"
 
     def await_ready(self, child: subprocess.Popen[str]) -> None:
-        """Returns once the dispatcher answers GET /alive with 200."""
+        """Wait until the dispatcher answers GET /alive with 200."""
         until = time.monotonic() + READY_WITHIN
         while True:
             try:
@@ -133,7 +138,7 @@
 
 
 def counters_at_exit(log: str) -> dict[str, int]:
-    """The counters that a dispatcher logged as it ended."""
+    """The counters that a dispatcher logged when it exited."""
     line = next(line for line in log.splitlines() if "event=counters" in line)
     pairs = dict(pair.split("=", 1) for pair in line.split())
     return {name: int(value) for name, value in pairs.items() if value.isdigit()}
--- a/tests/test_confined.py
+++ b/tests/test_confined.py
@@ -1,4 +1,4 @@
-"""One process by exec, which does nothing that the operators' fleet test refuses; on running dispatchers."""
+"""The dispatcher is a single process started by exec and makes no system call that operators forbid."""
 
 import json
 import signal
@@ -13,7 +13,7 @@
 
 from tests.processes import ROOT, Addresses, ProcessCase
 
-PLANTED = {
+FORBIDDEN = {
     "a fork": "import os; os.fork()",
     "another program": "import subprocess; subprocess.run(['true'])",
     "a program in place of this one": "import os; os.execv('/bin/true', ['true'])",
@@ -66,8 +66,8 @@
             self.assertEqual((answer.status, b'"result"' in answer.read()), (200, True))
             if number == 20:
                 child.send_signal(signal.SIGHUP)
-        with socket.create_connection((self.addresses.dispatcher, self.addresses.port)) as rude:
-            rude.sendall(b"\0\xffnothing that can be read\r\n\r\n")
+        with socket.create_connection((self.addresses.dispatcher, self.addresses.port)) as malformed:
+            malformed.sendall(b"\0\xffnothing that can be read\r\n\r\n")
         with urlopen(
             f"http://{self.addresses.dispatcher}:{self.addresses.port}/counters", timeout=5
         ) as found:
@@ -75,18 +75,18 @@
         client.close()
         self.assertEqual((counters["delivered"], counters["configurations_read"]), (40, 1))
         child.send_signal(signal.SIGTERM)
-        said = child.communicate(timeout=30)[1]
-        self.assertEqual(child.returncode, 0, said)
+        log = child.communicate(timeout=30)[1]
+        self.assertEqual(child.returncode, 0, log)
 
     def test_a_configuration_that_cannot_be_used_ends_it_the_same_way(self) -> None:
         self.configured.write_text("{")
         child = self.start(sys.executable, "-O", "tests/confined.py", "spurdeal")
-        said = child.communicate(timeout=30)[1]
-        self.assertEqual((child.returncode, said.count("\n")), (2, 1), said)
+        log = child.communicate(timeout=30)[1]
+        self.assertEqual((child.returncode, log.count("\n")), (2, 1), log)
 
     def test_each_planted_call_ends_the_process(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
-            for name, text in [*PLANTED.items(), ("what is allowed", ALLOWED)]:
+            for name, text in [*FORBIDDEN.items(), ("what is allowed", ALLOWED)]:
                 with self.subTest(name):
                     (Path(folder) / "planted.py").write_text(text)
                     done = subprocess.run(
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""The emulator: its engine, the observer of the rules with planted faults, and the same bytes twice."""
+"""The emulator: its engine model, the rule observer on planted faults, and reproducible runs."""
 
 import unittest
 
@@ -25,13 +25,13 @@
         engine.cancel(engine.at, 1)
         self.assertEqual(engine.jobs[3].rate, 4.0)
 
-    def test_past_the_knee_total_work_falls(self) -> None:
+    def test_past_the_knee_total_throughput_falls(self) -> None:
         engine = Engine(Kind(cores=4.0, knee=10, fall=0.01))
         for number in range(30):
             engine.start(0.0, Job(number, 100.0))
         self.assertAlmostEqual(sum(job.rate for job in engine.jobs.values()), 4.0 * 0.8)
 
-    def test_a_cold_one_does_part_of_its_work_and_falls_when_pushed(self) -> None:
+    def test_a_cold_engine_has_part_of_its_capacity_and_crashes_when_overloaded(self) -> None:
         kind = Kind(cores=4.0, cold_share=0.25, multiple=2.0, window=1000.0, cold_for=5000.0)
         engine = Engine(kind, began=0.0)
         self.assertEqual(engine.capacity(1.0), 1.0)
@@ -95,13 +95,13 @@
                             seen.ended(1.5 + attempt, 0, 1, attempt, Ending.FULL)
                     self.assertEqual(dict(seen.violations), {rule: 1} if broken else {}, seen.violation_lines)
 
-    def test_planted_in_the_rules_and_in_a_link_they_are_found(self) -> None:
+    def test_faults_planted_in_the_rules_and_in_an_adapter_are_found(self) -> None:
         for rule in (1, 3, 5, 6):
             with self.subTest(rule):
                 self.assertGreater(count_violations(rule, 4.0)[0], 0)
         self.assertEqual(count_violations(0, 4.0), (0, 0))
 
-    def test_the_same_seed_gives_the_same_bytes_and_another_does_not(self) -> None:
+    def test_the_same_seed_gives_the_same_trace_and_another_does_not(self) -> None:
         traces = []
         for seed in (3, 3, 4):
             made = build_world(2, 4, 0.7, seed)
