--- a/spurdeal/lab/planted.py
+++ b/spurdeal/lab/planted.py
@@ -108,8 +108,8 @@
 class RunsTwice(Dispatcher):
     """Violates rule 2: every workload counts as idempotent, even if an attempt may have run."""
 
-    def __init__(self, told: Deployment, seed: int, adapter: Adapter, now: float) -> None:
-        super().__init__(told, seed, adapter, now)
+    def __init__(self, site: Deployment, seed: int, adapter: Adapter, now: float) -> None:
+        super().__init__(site, seed, adapter, now)
         from dataclasses import replace
 
         self.workloads = tuple(replace(w, effect=Effect.IDEMPOTENT) for w in self.workloads)
@@ -142,8 +142,8 @@
 class ForgetsZones(Dispatcher):
     """Violates rule 6: any engine is allowed for every workload."""
 
-    def __init__(self, told: Deployment, seed: int, adapter: Adapter, now: float) -> None:
-        super().__init__(told, seed, adapter, now)
+    def __init__(self, site: Deployment, seed: int, adapter: Adapter, now: float) -> None:
+        super().__init__(site, seed, adapter, now)
         from dataclasses import replace
 
         self.workloads = tuple(replace(w, zones=None) for w in self.workloads)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -54,7 +54,7 @@
         self.assertAlmostEqual(erlang_c(1, 0.5), 0.5)
         form = check("M/M/1", 1, 0.5, False, 20.0, 60_000, 1)
         self.assertLess(form.error, 0.05)
-        wrong = check("told wrongly", 1, 0.5, False, 25.0, 60_000, 1)
+        wrong = check("wrong expectation", 1, 0.5, False, 25.0, 60_000, 1)
         self.assertGreater(wrong.error, 0.1)
 
 
