--- a/spurdeal/lab/processes.py
+++ b/spurdeal/lab/processes.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 
-class RunFailed(RuntimeError):
+class RunFailedError(RuntimeError):
     """A module that was run for its figures returned none."""
 
 
@@ -86,7 +86,7 @@
         The figures: its last line of output, a JSON object.
 
     Raises:
-        RunFailed: It exited with a code other than 0, without figures, or with a "fault" among them.
+        RunFailedError: It exited with a code other than 0, without figures, or with a "fault" among them.
         subprocess.TimeoutExpired: It took too long.
     """
     done = subprocess.run([sys.executable, "-m", module, *arguments], stdout=subprocess.PIPE, timeout=timeout)
@@ -95,5 +95,5 @@
         say(line)
     found: dict[str, Any] = json.loads(lines[-1]) if lines else {"fault": f"code {done.returncode}"}
     if done.returncode or "fault" in found:
-        raise RunFailed(f"the run failed: {found.get('fault', done.returncode)}")
+        raise RunFailedError(f"the run failed: {found.get('fault', done.returncode)}")
     return found
