--- a/spurdeal/lab/cold_ramp.py
+++ b/spurdeal/lab/cold_ramp.py
@@ -17,7 +17,7 @@
 
 from ..interface import Adapter, Deployment, Ending, ListedEngine, Rules, Workload
 from ..rules import Dispatcher
-from .model_engine import Engine, Kind
+from .model_engine import Engine, EngineModel
 from .planted import site
 from .virtual import Failure, Load, OpenRequest, VirtualAdapter, World
 
@@ -207,7 +207,7 @@
         declared = max(1, round(scenario.declared * dispatchers))
         super().__init__(
             deployment(scenario, dispatchers),
-            Kind(cores=CORES, multiple=NEVER_FALLS, cold_for=COLD_FOR, cold_share=COLD_SHARE),
+            EngineModel(cores=CORES, cold_multiple=NEVER_FALLS, cold_for=COLD_FOR, cold_share=COLD_SHARE),
             self.warm_engines,
             Load(self.peak_rate(), scenario.mix.shares, scenario.mix.work),
             (),
@@ -222,11 +222,11 @@
     def plan_events(self, dispatchers: int) -> None:
         scenario = self.scenario
         if scenario.half_is_told:
-            self.at(self.began + JOIN_AT, self.restart_engine, 0)
+            self.at(self.start_time + JOIN_AT, self.restart_engine, 0)
         else:
-            self.at(self.began + JOIN_AT, self.join)
+            self.at(self.start_time + JOIN_AT, self.join)
         if scenario.engine_restarts:
-            self.at(self.began + RESTART_AT, self.restart_engine, self.warm_engines)
+            self.at(self.start_time + RESTART_AT, self.restart_engine, self.warm_engines)
         restarts = list[Failure]()
         if scenario.third_restarts:
             spread = [self.chance.uniform(0.0, COLD_WINDOW) for _ in range(0, dispatchers, 3)]
@@ -236,7 +236,7 @@
         elif scenario.fleet_restarts:
             restarts = [Failure(JOIN_AT, "restart", index) for index in range(dispatchers)]
         for failure in restarts:
-            self.at(self.began + failure.at, self.fails, failure)
+            self.at(self.start_time + failure.at, self.fails, failure)
 
     # Load.
 
@@ -248,7 +248,7 @@
     def load_now(self) -> float:
         """The present phase's load over the heaviest one's."""
         phases = self.scenario.phases
-        now = self.now - self.began
+        now = self.now - self.start_time
         load = next((phase.load for phase in phases if now < phase.until), phases[-1].load)
         return load / max(phase.load for phase in phases)
 
@@ -298,7 +298,7 @@
 
     def mean_use(self) -> float:
         """Work sent to the cold engine since its start, as a share of N in each window."""
-        windows = (self.now - self.began - JOIN_AT) / COLD_WINDOW
+        windows = (self.now - self.start_time - JOIN_AT) / COLD_WINDOW
         return self.meter.total / (windows * self.meter.allowed)
 
 
--- a/spurdeal/lab/forms.py
+++ b/spurdeal/lab/forms.py
@@ -9,7 +9,7 @@
 from math import factorial
 from typing import NamedTuple
 
-from .model_engine import Engine, Job, Kind
+from .model_engine import Engine, EngineModel, Job
 
 
 class Form(NamedTuple):
@@ -31,24 +31,24 @@
     """Mean time in the engine, and Little's ratio, of one engine fed by Poisson arrivals of one-threaded
     jobs."""
     chance = random.Random(seed)
-    engine = Engine(Kind(cores=cores, knee=1e9, sessions=1 << 30))
+    engine = Engine(EngineModel(cores=cores, knee=1e9, max_sessions=1 << 30))
     rate, now, total, ended, arrived, warm = load * cores / mean, 0.0, 0.0, 0, 0, jobs // 20
     arrival = chance.expovariate(rate)
     area_at = time_at = 0.0
     while ended < jobs:
-        end = engine.next_at()
+        end = engine.next_completion_at()
         now = min(end, arrival)
         for job in engine.advance(now):
             ended += 1
             if ended == warm:
-                area_at, time_at, total = engine.area, now, 0.0
-            total += now - job.began
+                area_at, time_at, total = engine.job_time, now, 0.0
+            total += now - job.start_time
         if arrival <= now:
             engine.start(now, Job(arrived, draw(chance)))
             arrived += 1
             arrival = now + chance.expovariate(rate)
     seen = total / (ended - warm)
-    return seen, (engine.area - area_at) / (now - time_at) / ((ended - warm) / (now - time_at) * seen)
+    return seen, (engine.job_time - area_at) / (now - time_at) / ((ended - warm) / (now - time_at) * seen)
 
 
 def erlang_c(servers: int, load: float) -> float:
--- a/spurdeal/lab/planted.py
+++ b/spurdeal/lab/planted.py
@@ -7,7 +7,7 @@
 
 from ..interface import Adapter, Deployment, Effect, Ending, Life, ListedEngine, Reach, Workload
 from ..rules import Dispatcher, Engine, Request
-from .model_engine import Kind
+from .model_engine import EngineModel
 from .virtual import Failure, Load, OpenRequest, VirtualAdapter, World
 
 
@@ -62,7 +62,7 @@
     )
 
 
-KIND = Kind(multiple=1.2)
+KIND = EngineModel(cold_multiple=1.2)
 SHARES, WORK = (0.5, 0.1, 0.15, 0.15, 0.1), (40.0, 160.0, 60.0, 50.0, 60.0)
 ROUGH = (
     Failure(1500, "crash", 0),
@@ -77,7 +77,7 @@
 
 def load(engines: int, of_capacity: float) -> Load:
     mean = sum(share * work for share, work in zip(SHARES, WORK, strict=True))
-    return Load(of_capacity * engines * KIND.cores * 1000 / mean, SHARES, WORK, groups=30)
+    return Load(of_capacity * engines * KIND.cores * 1000 / mean, SHARES, WORK, table_groups=30)
 
 
 def world(
@@ -94,10 +94,10 @@
 class AnswersTwice(VirtualAdapter):
     """Rule 1: a refusal is written twice."""
 
-    def write(self, request: OpenRequest, what: str) -> None:
-        super().write(request, what)
-        if what == "shed":
-            super().write(request, what)
+    def write_response(self, request: OpenRequest, outcome: str) -> None:
+        super().write_response(request, outcome)
+        if outcome == "shed":
+            super().write_response(request, outcome)
 
 
 class RunsTwice(Dispatcher):
--- a/spurdeal/lab/virtual.py
+++ b/spurdeal/lab/virtual.py
@@ -16,7 +16,7 @@
 
 from ..interface import Deployment, Effect, Ending, EndReason, Life, ListedEngine
 from ..rules import Dispatcher
-from .model_engine import Engine, Job, Kind
+from .model_engine import Engine, EngineModel, Job
 from .observer import Observer
 
 LATENCY, JITTER = 0.4, 0.6  # ms each way, and up to so much more (choice)
@@ -30,15 +30,15 @@
     per_second: float
     shares: tuple[float, ...]
     work: tuple[float, ...]  # ms on one core
-    groups: int = 40
+    table_groups: int = 40
 
 
 class Failure(NamedTuple):
     """What happens to whom, and when."""
 
     at: float
-    what: str  # crash, hang, slow, drain, replace, restart, cut_list
-    whom: int = 0
+    fault: str  # crash, hang, slow, drain, replace, restart, cut_list
+    target: int = 0
     factor: float = 0.2
 
 
@@ -183,17 +183,17 @@
     def fail_request(self, number: int, reason: EndReason) -> None:
         self.answer(self.open_requests[number], "broken_off")
 
-    def answer(self, request: OpenRequest, what: str) -> None:
+    def answer(self, request: OpenRequest, outcome: str) -> None:
         if not request.answered:
             request.answered = True
-            self.world.counts[what] += 1
-            self.write(request, what)
+            self.world.counts[outcome] += 1
+            self.write_response(request, outcome)
             self.drop(request)
 
-    def write(self, request: OpenRequest, what: str) -> None:
+    def write_response(self, request: OpenRequest, outcome: str) -> None:
         """The answer leaves for the client."""
-        self.world.observer.answered(self.world.now, self.index, request.number, what == "shed")
-        self.world.note(what, self.index, request.number)
+        self.world.observer.answered(self.world.now, self.index, request.number, outcome == "shed")
+        self.world.note(outcome, self.index, request.number)
 
     def drop(self, request: OpenRequest) -> None:
         if request.answered and not request.out:
@@ -222,7 +222,7 @@
     def __init__(
         self,
         site: Deployment,
-        kind: Kind,
+        kind: EngineModel,
         engines: int,
         load: Load,
         failures: Sequence[Failure],
@@ -232,13 +232,13 @@
     ) -> None:
         self.site, self.kind, self.load = site, kind, load
         self.chance, self.now = random.Random(seed), 1e6  # Unix times are too coarse for ends of jobs
-        self.began = self.now
+        self.start_time = self.now
         self.heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
         self.counter = 0
         self.counts: Counter[str] = Counter()
         self.took: list[list[float]] = [[] for _ in site.workloads]
         self.trace = hashlib.sha256()
-        self.observer = Observer(site, kind.multiple * kind.cores * kind.cold_share * kind.window)
+        self.observer = Observer(site, kind.cold_multiple * kind.cores * kind.cold_share * kind.cold_window)
         self.engines: dict[int, Engine] = {}
         self.lines: dict[int, ListedEngine] = {}
         self.running: dict[int, tuple[VirtualAdapter, int, OpenRequest, int]] = {}
@@ -247,7 +247,7 @@
             self.add_engine(number, cold=False)
         self.dispatchers = [adapters(self, index, make) for index in range(site.dispatchers)]
         for failure in failures:
-            self.at(self.began + failure.at, self.fails, failure)
+            self.at(self.start_time + failure.at, self.fails, failure)
         self.arrive_next()
 
     # Time.
@@ -266,7 +266,7 @@
         self.trace.update(f"{self.now:.6f} {words}\n".encode())
 
     def run(self, seconds: float) -> None:
-        until = self.began + seconds * 1000
+        until = self.start_time + seconds * 1000
         while self.heap and self.heap[0][0] <= until:
             self.now, _, call, words = heapq.heappop(self.heap)
             self.counts["events"] += 1
@@ -284,7 +284,7 @@
         kind = self.chance.choices(range(len(self.load.shares)), self.load.shares)[0]
         adapter = self.dispatchers[self.chance.randrange(len(self.dispatchers))]
         work = self.chance.expovariate(1 / self.load.work[kind])
-        adapter.event(adapter.life, adapter.submit, kind, work, self.chance.randrange(self.load.groups))
+        adapter.event(adapter.life, adapter.submit, kind, work, self.chance.randrange(self.load.table_groups))
 
     # Engines.
 
@@ -359,7 +359,7 @@
     def plan(self, number: int) -> None:
         """When its next job ends; what was planned before counts no more."""
         self.versions[number] = version = self.next()
-        due = self.engines[number].next_at()
+        due = self.engines[number].next_completion_at()
         if due != float("inf"):
             self.at(max(self.now, due), self.due, number, version)
 
@@ -378,35 +378,35 @@
     # Failures.
 
     def fails(self, failure: Failure) -> None:
-        self.note("fails", failure.what, failure.whom)
-        engine = self.engines.get(failure.whom)
-        if failure.what == "restart":
-            adapter = self.dispatchers[failure.whom % len(self.dispatchers)]
+        self.note("fails", failure.fault, failure.target)
+        engine = self.engines.get(failure.target)
+        if failure.fault == "restart":
+            adapter = self.dispatchers[failure.target % len(self.dispatchers)]
             self.observer.restarted(adapter.index)
             self.counts["held_by_killed"] += sum(
                 not request.answered for request in adapter.open_requests.values()
             )
             adapter.start()
-        elif engine is not None and failure.what in ("crash", "replace"):
-            self.progress(failure.whom)
+        elif engine is not None and failure.fault in ("crash", "replace"):
+            self.progress(failure.target)
             for job in engine.crash(self.now):
                 self.reply(job.ident, Ending.RESET)
-            self.plan(failure.whom)
-            self.change(failure.whom, Life.GONE)
-            if failure.what == "replace":
+            self.plan(failure.target)
+            self.change(failure.target, Life.GONE)
+            if failure.fault == "replace":
                 number = max(self.engines) + 1
                 self.add_engine(number, cold=True)
                 self.tell()
-        elif engine is not None and failure.what == "drain":
-            self.change(failure.whom, Life.DRAINING)
+        elif engine is not None and failure.fault == "drain":
+            self.change(failure.target, Life.DRAINING)
         elif engine is not None:
-            self.progress(failure.whom)
+            self.progress(failure.target)
             engine.hung, engine.speed = (
-                failure.what == "hang",
-                failure.factor if failure.what == "slow" else engine.speed,
+                failure.fault == "hang",
+                failure.factor if failure.fault == "slow" else engine.speed,
             )
             engine.share(self.now)
-            self.plan(failure.whom)
+            self.plan(failure.target)
 
     def change(self, number: int, life: Life) -> None:
         if life == Life.GONE:
--- a/tests/test_cold_ramp.py
+++ b/tests/test_cold_ramp.py
@@ -148,7 +148,7 @@
         before = world.meter.total
         world.run((JOIN_AT + 1_010.0) / 1000)
         self.assertGreater(before, 0.0)
-        self.assertEqual(world.started_at, world.began + JOIN_AT + 1_000.0)
+        self.assertEqual(world.started_at, world.start_time + JOIN_AT + 1_000.0)
         self.assertGreaterEqual(world.meter.total, before)
 
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -4,7 +4,7 @@
 
 from spurdeal.interface import Ending, Life, ListedEngine
 from spurdeal.lab.forms import check, erlang_c
-from spurdeal.lab.model_engine import Engine, Job, Kind
+from spurdeal.lab.model_engine import Engine, EngineModel, Job
 from spurdeal.lab.observer import Observer
 from spurdeal.lab.planted import KIND, find, site, world
 
@@ -15,40 +15,42 @@
 
 class Engines(unittest.TestCase):
     def test_cores_are_shared_by_weight_and_no_job_has_more_than_its_threads(self) -> None:
-        engine = Engine(Kind(cores=4.0))
+        engine = Engine(EngineModel(cores=4.0))
         engine.start(0.0, Job(1, 100.0, threads=1))
         engine.start(0.0, Job(2, 100.0, threads=8, weight=1.0))
-        self.assertEqual([job.rate for job in engine.jobs.values()], [1.0, 3.0])
-        self.assertEqual(engine.next_at(), 100.0 / 3)
+        self.assertEqual([job.allocated_cores for job in engine.jobs.values()], [1.0, 3.0])
+        self.assertEqual(engine.next_completion_at(), 100.0 / 3)
         self.assertEqual([job.ident for job in engine.advance(100.0 / 3)], [2])
-        engine.start(engine.at, Job(3, 10.0, threads=8, weight=2.0))
-        engine.cancel(engine.at, 1)
-        self.assertEqual(engine.jobs[3].rate, 4.0)
+        engine.start(engine.updated_at, Job(3, 10.0, threads=8, weight=2.0))
+        engine.cancel(engine.updated_at, 1)
+        self.assertEqual(engine.jobs[3].allocated_cores, 4.0)
 
     def test_past_the_knee_total_work_falls(self) -> None:
-        engine = Engine(Kind(cores=4.0, knee=10, fall=0.01))
+        engine = Engine(EngineModel(cores=4.0, knee=10, thrashing_per_thread=0.01))
         for number in range(30):
             engine.start(0.0, Job(number, 100.0))
-        self.assertAlmostEqual(sum(job.rate for job in engine.jobs.values()), 4.0 * 0.8)
+        self.assertAlmostEqual(sum(job.allocated_cores for job in engine.jobs.values()), 4.0 * 0.8)
 
     def test_a_cold_one_does_part_of_its_work_and_falls_when_pushed(self) -> None:
-        kind = Kind(cores=4.0, cold_share=0.25, multiple=2.0, window=1000.0, cold_for=5000.0)
-        engine = Engine(kind, began=0.0)
+        kind = EngineModel(cores=4.0, cold_share=0.25, cold_multiple=2.0, cold_window=1000.0, cold_for=5000.0)
+        engine = Engine(kind, start_time=0.0)
         self.assertEqual(engine.capacity(1.0), 1.0)
         self.assertTrue(engine.start(0.0, Job(1, 1999.0)))
         engine.advance(10.0)
         self.assertFalse(engine.start(10.0, Job(2, 5.0)))
-        self.assertTrue(engine.fell and engine.down)
-        warm = Engine(kind, began=0.0, at=5000.0)
+        self.assertTrue(engine.overloaded and engine.down)
+        warm = Engine(kind, start_time=0.0, updated_at=5000.0)
         self.assertTrue(warm.start(5000.0, Job(1, 99_999.0)))
 
     def test_readers_of_a_group_wait_for_its_load_and_memory_spills(self) -> None:
-        engine = Engine(Kind(memory_mb=100.0, spill=0.5))
-        engine.start(0.0, Job(1, 80.0, memory_mb=80, group=3, holds=True))
-        engine.start(0.0, Job(2, 40.0, memory_mb=40, group=3))
-        self.assertEqual((engine.jobs[2].waits, engine.jobs[2].work, engine.jobs[2].rate), (True, 60.0, 0.0))
+        engine = Engine(EngineModel(memory_mb=100.0, spill_overhead=0.5))
+        engine.start(0.0, Job(1, 80.0, memory_mb=80, table_group=3, holds_tables=True))
+        engine.start(0.0, Job(2, 40.0, memory_mb=40, table_group=3))
+        self.assertEqual(
+            (engine.jobs[2].waiting, engine.jobs[2].work, engine.jobs[2].allocated_cores), (True, 60.0, 0.0)
+        )
         engine.advance(80.0)
-        self.assertEqual(engine.jobs[2].rate, 1.0)
+        self.assertEqual(engine.jobs[2].allocated_cores, 1.0)
 
     def test_closed_forms(self) -> None:
         self.assertAlmostEqual(erlang_c(1, 0.5), 0.5)
@@ -112,4 +114,4 @@
             self.assertLess(counts["submissions"] - ended, 200)
         self.assertEqual(traces[0], traces[1])
         self.assertNotEqual(traces[0], traces[2])
-        self.assertEqual(KIND.multiple, site(1).cold_multiple)
+        self.assertEqual(KIND.cold_multiple, site(1).cold_multiple)
