--- a/spurdeal/lab/virtual.py
+++ b/spurdeal/lab/virtual.py
@@ -1,8 +1,9 @@
-"""Many dispatchers before many engines in virtual time, in one process: the rules as they run, by a link of
-its own.
+"""Discrete-event simulation of many dispatchers and engines in virtual time, in one process.
 
-Everything comes from one heap of moments and one seed, so that a run is the same to the byte each time. What
-is ready at one moment is handed to a dispatcher in one turn. Times are ms."""
+The dispatchers run the production rules behind an adapter of their own. One event queue and one seed make
+each run reproducible to the byte. Events of one moment are handed to a dispatcher as one batch. Times are
+ms.
+"""
 
 from __future__ import annotations
 
@@ -19,132 +20,175 @@
 from .model_engine import Engine, EngineModel, Job
 from .observer import Observer
 
-LATENCY, JITTER = 0.4, 0.6  # ms each way, and up to so much more (choice)
-NOTICE = 300.0, 1200.0  # ms until a change of the list is told (choice)
-DIAL = 250.0  # ms until a connection to nobody is given up
+MIN_DELAY, JITTER = 0.4, 0.6  # ms of one-way network delay: the minimum, and the uniform addition
+LIST_DELAY = 300.0, 1200.0  # ms, at least and at most, until a dispatcher gets a changed list
+DIAL_TIMEOUT = 250.0  # ms until a connection attempt without an answer fails
 
 
 class Load(NamedTuple):
-    """What clients send: each workload's share and mean work, over all dispatchers."""
+    """The clients' requests to all dispatchers together.
+
+    Attributes:
+        per_second: Mean rate of arrivals.
+        shares: Each workload's share of all requests.
+        work: Each workload's mean work, in ms on one core.
+        table_groups: Number of groups of tables among which requests choose.
+    """
 
     per_second: float
     shares: tuple[float, ...]
-    work: tuple[float, ...]  # ms on one core
+    work: tuple[float, ...]
     table_groups: int = 40
 
 
 class Failure(NamedTuple):
-    """What happens to whom, and when."""
+    """A fault to inject.
+
+    Attributes:
+        at: Time from the start of the run.
+        fault: crash, hang, slow, drain or replace, of an engine; restart, of a dispatcher.
+        target: Number of the engine or dispatcher.
+        factor: Speed of an engine that becomes slow, as a share of its normal speed.
+    """
 
     at: float
-    fault: str  # crash, hang, slow, drain, replace, restart, cut_list
+    fault: str
     target: int = 0
     factor: float = 0.2
 
 
 @dataclass(slots=True, eq=False)
 class OpenRequest:
+    """A request that is unanswered or has attempts in flight.
+
+    Attributes:
+        number: Its number at the dispatcher.
+        kind: Index of its workload.
+        deadline: Time at which it expires.
+        work: Its work, in ms on one core.
+        group: Its group of tables.
+        answered: Whether the client has its response.
+        attempts_made: Number of attempts so far; the next attempt's number.
+        in_flight: By attempt: its engine, when it was sent, and its job.
+    """
+
     number: int
     kind: int
     deadline: float
     work: float
     group: int
     answered: bool = False
-    made: int = 0
-    out: dict[int, tuple[int, float, int]] = field(default_factory=dict)  # attempt: engine, sent, job
+    attempts_made: int = 0
+    in_flight: dict[int, tuple[int, float, int]] = field(default_factory=dict)
 
 
 class VirtualAdapter:
-    """One dispatcher's link. `make` builds the rules, or what stands in for them."""
+    """Connects one dispatcher's rules to the simulation.
 
-    def __init__(self, world: World, index: int, make: Callable[[Deployment, int, Any, float], Any]) -> None:
-        self.world, self.index, self.make = world, index, make
+    Attributes:
+        make_rules: Builds the rules, or a faulty variant of them.
+        incarnation: Identifies this start of the dispatcher; events of earlier ones are dropped.
+        numbers: Number of the next request.
+        batch_scheduled: Whether the end of the batch of this moment is scheduled.
+    """
+
+    def __init__(
+        self, world: World, index: int, make_rules: Callable[[Deployment, int, Any, float], Any]
+    ) -> None:
+        self.world, self.index, self.make_rules = world, index, make_rules
         self.start()
 
     def start(self) -> None:
-        """Also a new start: nothing is known of the last."""
+        """Starts the dispatcher, or restarts it without any state."""
         self.open_requests: dict[int, OpenRequest] = {}
-        self.life = self.world.next()
+        self.incarnation = self.world.next_id()
         self.numbers = 0
         self.batch_scheduled = False
         world = self.world
-        self.rules = self.make(world.site, world.chance.getrandbits(32), self, world.now)
+        self.rules = self.make_rules(world.deployment, world.chance.getrandbits(32), self, world.now)
         self.apply_list()
 
-    def event(self, life: int, call: Callable[..., None], *words: Any) -> None:
-        """Something for this start of it; a turn follows when all of the moment is gathered."""
-        if life != self.life:
+    def deliver(self, incarnation: int, call: Callable[..., None], *args: Any) -> None:
+        """Handles an event of this incarnation; the batch ends after all events of this moment."""
+        if incarnation != self.incarnation:
             return
-        call(*words)
+        call(*args)
         if not self.batch_scheduled:
             self.batch_scheduled = True
-            self.world.at(self.world.now, self.run_batch, life)
+            self.world.schedule(self.world.now, self.run_batch, incarnation)
 
-    def run_batch(self, life: int) -> None:
-        if life == self.life:
+    def run_batch(self, incarnation: int) -> None:
+        """Ends the batch of events of this moment."""
+        if incarnation == self.incarnation:
             self.batch_scheduled = False
             self.rules.end_batch(self.world.now)
 
-    def later(self, delay: float, call: Callable[..., None], *words: Any) -> None:
-        self.world.at(self.world.now + delay, self.event, self.life, call, *words)
+    def call_later(self, delay: float, call: Callable[..., None], *args: Any) -> None:
+        """Schedules an event of this incarnation."""
+        self.world.schedule(self.world.now + delay, self.deliver, self.incarnation, call, *args)
 
-    # What comes in.
+    # Events.
 
     def apply_list(self) -> None:
-        lines = list(self.world.lines.values())
-        self.world.observer.listed(self.world.now, self.index, lines)
-        self.rules.list_changed(self.world.now, lines, True)
-
-    def submit(self, kind: int, work: float, group: int) -> None:
-        world, w = self.world, self.world.site.workloads[kind]
+        """Hands the current list to the rules."""
+        listed_engines = list(self.world.listed_engines.values())
+        self.world.observer.listed(self.world.now, self.index, listed_engines)
+        self.rules.list_changed(self.world.now, listed_engines, True)
+
+    def receive_request(self, kind: int, work: float, group: int) -> None:
+        """Handles a request that arrives from a client."""
+        world, w = self.world, self.world.deployment.workloads[kind]
         number, deadline = self.numbers, world.now + w.deadline
         self.numbers += 1
         request = self.open_requests[number] = OpenRequest(number, kind, deadline, work, group)
         key = group + 1 if w.in_order else 0
         world.counts["submissions"] += 1
         world.observer.taken(world.now, self.index, number, kind, key, deadline)
-        self.later(w.deadline, self.expire, number)
+        self.call_later(w.deadline, self.expire, number)
         self.rules.request_received(
-            world.now, number, kind, 0, key, deadline, self.estimate(work), 0.0, group
+            world.now, number, kind, 0, key, deadline, self.estimated_work(work), 0.0, group
         )
-        world.note("in", self.index, number, request.kind)
+        world.record_trace("in", self.index, number, request.kind)
 
-    def estimate(self, work: float) -> float:
-        """Estimates are wrong (the brief)."""
+    def estimated_work(self, work: float) -> float:
+        """Returns the estimate of a request's work, which is off by up to a factor of two."""
         return work * self.world.chance.choice((0.5, 0.8, 1.0, 1.25, 2.0))
 
     def expire(self, number: int) -> None:
+        """Times out a request's attempts at its deadline."""
         request = self.open_requests.get(number)
         if request is None:
             return
-        for attempt in list(request.out):
-            self.finish(request, attempt, Ending.TIME_OUT)
+        for attempt in list(request.in_flight):
+            self.end_attempt(request, attempt, Ending.TIME_OUT)
         if not request.answered:
-            self.world.at(self.world.now, self.overdue, self.life, number)
+            self.world.schedule(self.world.now, self.expire_unanswered, self.incarnation, number)
 
-    def overdue(self, life: int, number: int) -> None:
+    def expire_unanswered(self, incarnation: int, number: int) -> None:
+        """Fails a request that the rules left unanswered at its deadline, and counts it."""
         if (
-            life == self.life
+            incarnation == self.incarnation
             and (request := self.open_requests.get(number)) is not None
             and not request.answered
         ):
             self.world.counts["not_answered_in_time"] += 1
             self.answer(request, "broken_off")
 
-    def finish(self, request: OpenRequest, attempt: int, ending: Ending) -> None:
-        found = request.out.pop(attempt, None)
+    def end_attempt(self, request: OpenRequest, attempt: int, ending: Ending) -> None:
+        """Reports the end of an attempt to the rules; a late second report is ignored."""
+        found = request.in_flight.pop(attempt, None)
         if found is None:
             return
         world, (engine, sent, job) = self.world, found
         if ending in (Ending.TIME_OUT, Ending.CALLED_OFF):
-            world.at(world.now + world.way(), world.cancel, engine, job)
+            world.schedule(world.now + world.network_delay(), world.cancel, engine, job)
         world.observer.ended(world.now, self.index, request.number, attempt, ending)
         delivered = ending == Ending.DELIVERED and not request.answered
         if delivered:
             self.answer(request, "delivered")
-            took = world.now - (request.deadline - world.site.workloads[request.kind].deadline)
-            world.took[request.kind].append(took)
-            world.counts["in_time"] += took <= world.site.workloads[request.kind].objective
+            latency = world.now - (request.deadline - world.deployment.workloads[request.kind].deadline)
+            world.latencies[request.kind].append(latency)
+            world.counts["in_time"] += latency <= world.deployment.workloads[request.kind].objective
         self.rules.attempt_ended(
             world.now,
             request.number,
@@ -157,167 +201,225 @@
             0.0,
             (),
         )
-        self.drop(request)
+        self.forget(request)
 
-    def came_back(self, number: int, attempt: int, ending: Ending) -> None:
+    def response_received(self, number: int, attempt: int, ending: Ending) -> None:
+        """Handles an engine's response."""
         if (request := self.open_requests.get(number)) is not None:
-            self.finish(request, attempt, ending)
+            self.end_attempt(request, attempt, ending)
 
-    # What the rules ask for.
+    # Calls of the rules.
 
     def send(self, number: int, engine: int, time_limit: float) -> None:
+        """Sends a request's next attempt to an engine."""
         world, request = self.world, self.open_requests[number]
-        attempt, request.made = request.made, request.made + 1
-        job = world.next()
-        request.out[attempt] = (engine, world.now, job)
+        attempt, request.attempts_made = request.attempts_made, request.attempts_made + 1
+        job = world.next_id()
+        request.in_flight[attempt] = (engine, world.now, job)
         world.observer.sent(world.now, self.index, number, attempt, engine)
-        world.note("send", self.index, number, attempt, engine)
-        world.at(world.now + world.way(), world.arrive, self, self.life, request, attempt, engine, job)
+        world.record_trace("send", self.index, number, attempt, engine)
+        world.schedule(
+            world.now + world.network_delay(),
+            world.attempt_arrived,
+            self,
+            self.incarnation,
+            request,
+            attempt,
+            engine,
+            job,
+        )
 
     def terms(self, number: int, memory: float, priority: int) -> None:
-        """Weights are not carried here."""
+        """Ignored: the simulation has no memory grants and priorities."""
 
     def shed(self, number: int, retry_after: float, reason: EndReason) -> None:
+        """Answers a request with a rejection."""
         self.answer(self.open_requests[number], "shed")
 
     def fail_request(self, number: int, reason: EndReason) -> None:
+        """Answers a request with an error."""
         self.answer(self.open_requests[number], "broken_off")
 
     def answer(self, request: OpenRequest, outcome: str) -> None:
+        """Answers a request unless it has been answered."""
         if not request.answered:
             request.answered = True
             self.world.counts[outcome] += 1
             self.write_response(request, outcome)
-            self.drop(request)
+            self.forget(request)
 
     def write_response(self, request: OpenRequest, outcome: str) -> None:
-        """The answer leaves for the client."""
+        """Sends the response to the client."""
         self.world.observer.answered(self.world.now, self.index, request.number, outcome == "shed")
-        self.world.note(outcome, self.index, request.number)
+        self.world.record_trace(outcome, self.index, request.number)
 
-    def drop(self, request: OpenRequest) -> None:
-        if request.answered and not request.out:
+    def forget(self, request: OpenRequest) -> None:
+        """Drops a request that is answered and has no attempts in flight."""
+        if request.answered and not request.in_flight:
             self.open_requests.pop(request.number, None)
 
     def cancel_attempt(self, number: int, attempt: int) -> None:
-        if (request := self.open_requests.get(number)) is not None and attempt in request.out:
-            self.later(0.0, self.came_back, number, attempt, Ending.CALLED_OFF)
+        """Cancels an attempt; its end is reported in a later batch."""
+        if (request := self.open_requests.get(number)) is not None and attempt in request.in_flight:
+            self.call_later(0.0, self.response_received, number, attempt, Ending.CALLED_OFF)
 
     def set_timer(self, delay: float, token: int) -> None:
-        self.later(delay, self.woken, token)
+        """Schedules a timer of the rules."""
+        self.call_later(delay, self.timer_due, token)
 
-    def woken(self, token: int) -> None:
+    def timer_due(self, token: int) -> None:
+        """Handles a timer of the rules."""
         self.rules.timer_fired(self.world.now, token)
 
     def watch(self) -> None:
-        """The list comes unasked."""
+        """Does nothing: changes of the list are pushed."""
 
     def log(self, line: str) -> None:
-        self.world.note("log", self.index, line)
+        """Adds a log line of the rules to the trace."""
+        self.world.record_trace("log", self.index, line)
 
 
 class World:
-    """Engines, dispatchers, clients, failures, and the observer that sees it all."""
+    """One simulation: its engines, dispatchers, clients and faults, and the observer that checks the rules.
+
+    Attributes:
+        chance: Source of all randomness.
+        now: Virtual time.
+        start_time: Virtual time at which the run started.
+        event_queue: Heap of events: time, number that breaks ties, function and arguments.
+        last_id: Last number given out by next_id.
+        counts: Events by kind; its keys are part of the reports.
+        latencies: Latencies of delivered requests, by workload.
+        trace: Digest of all that happened, by which runs are compared.
+        listed_engines: The current list.
+        running_jobs: By job: its adapter, the incarnation that sent it, its request and attempt.
+        completion_versions: By engine, the version of its scheduled completion; earlier ones are void.
+    """
 
     def __init__(
         self,
-        site: Deployment,
+        deployment: Deployment,
         kind: EngineModel,
         engines: int,
         load: Load,
         failures: Sequence[Failure],
         seed: int,
-        make: Callable[[Deployment, int, Any, float], Any] = Dispatcher,
+        make_rules: Callable[[Deployment, int, Any, float], Any] = Dispatcher,
         adapters: type[VirtualAdapter] = VirtualAdapter,
     ) -> None:
-        self.site, self.kind, self.load = site, kind, load
-        self.chance, self.now = random.Random(seed), 1e6  # Unix times are too coarse for ends of jobs
+        self.deployment, self.kind, self.load = deployment, kind, load
+        self.chance, self.now = (
+            random.Random(seed),
+            1e6,
+        )  # as a float, a Unix time in ms is too coarse for completion times
         self.start_time = self.now
-        self.heap: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
-        self.counter = 0
+        self.event_queue: list[tuple[float, int, Callable[..., None], tuple[Any, ...]]] = []
+        self.last_id = 0
         self.counts: Counter[str] = Counter()
-        self.took: list[list[float]] = [[] for _ in site.workloads]
+        self.latencies: list[list[float]] = [[] for _ in deployment.workloads]
         self.trace = hashlib.sha256()
-        self.observer = Observer(site, kind.cold_multiple * kind.cores * kind.cold_share * kind.cold_window)
+        self.observer = Observer(
+            deployment, kind.cold_multiple * kind.cores * kind.cold_share * kind.cold_window
+        )
         self.engines: dict[int, Engine] = {}
-        self.lines: dict[int, ListedEngine] = {}
-        self.running: dict[int, tuple[VirtualAdapter, int, OpenRequest, int]] = {}
-        self.versions: dict[int, int] = {}
+        self.listed_engines: dict[int, ListedEngine] = {}
+        self.running_jobs: dict[int, tuple[VirtualAdapter, int, OpenRequest, int]] = {}
+        self.completion_versions: dict[int, int] = {}
         for number in range(engines):
             self.add_engine(number, cold=False)
-        self.dispatchers = [adapters(self, index, make) for index in range(site.dispatchers)]
+        self.dispatchers = [adapters(self, index, make_rules) for index in range(deployment.dispatchers)]
         for failure in failures:
-            self.at(self.start_time + failure.at, self.fails, failure)
-        self.arrive_next()
+            self.schedule(self.start_time + failure.at, self.inject, failure)
+        self.schedule_arrival()
 
     # Time.
 
-    def at(self, when: float, call: Callable[..., None], *words: Any) -> None:
-        heapq.heappush(self.heap, (when, self.next(), call, words))
+    def schedule(self, when: float, call: Callable[..., None], *args: Any) -> None:
+        """Schedules a call at a virtual time; calls of one time run in the order of scheduling."""
+        heapq.heappush(self.event_queue, (when, self.next_id(), call, args))
 
-    def next(self) -> int:
-        self.counter += 1
-        return self.counter
+    def next_id(self) -> int:
+        """Returns a new number, for ties, jobs, incarnations and versions."""
+        self.last_id += 1
+        return self.last_id
 
-    def way(self) -> float:
-        return LATENCY + JITTER * self.chance.random()
+    def network_delay(self) -> float:
+        """Draws a one-way network delay."""
+        return MIN_DELAY + JITTER * self.chance.random()
 
-    def note(self, *words: object) -> None:
-        self.trace.update(f"{self.now:.6f} {words}\n".encode())
+    def record_trace(self, *args: object) -> None:
+        """Adds an event to the trace."""
+        self.trace.update(f"{self.now:.6f} {args}\n".encode())
 
     def run(self, seconds: float) -> None:
+        """Runs the simulation until so many virtual seconds after its start."""
         until = self.start_time + seconds * 1000
-        while self.heap and self.heap[0][0] <= until:
-            self.now, _, call, words = heapq.heappop(self.heap)
+        while self.event_queue and self.event_queue[0][0] <= until:
+            self.now, _, call, args = heapq.heappop(self.event_queue)
             self.counts["events"] += 1
-            call(*words)
+            call(*args)
         self.now = until
         self.observer.overdue(until)
 
     # Clients.
 
-    def arrive_next(self) -> None:
-        self.at(self.now + self.chance.expovariate(self.load.per_second / 1000), self.client)
+    def schedule_arrival(self) -> None:
+        """Schedules the next request, after an exponential interval."""
+        self.schedule(self.now + self.chance.expovariate(self.load.per_second / 1000), self.client_arrival)
 
-    def client(self) -> None:
-        self.arrive_next()
+    def client_arrival(self) -> None:
+        """Sends a request of a random workload to a random dispatcher."""
+        self.schedule_arrival()
         kind = self.chance.choices(range(len(self.load.shares)), self.load.shares)[0]
         adapter = self.dispatchers[self.chance.randrange(len(self.dispatchers))]
         work = self.chance.expovariate(1 / self.load.work[kind])
-        adapter.event(adapter.life, adapter.submit, kind, work, self.chance.randrange(self.load.table_groups))
+        adapter.deliver(
+            adapter.incarnation,
+            adapter.receive_request,
+            kind,
+            work,
+            self.chance.randrange(self.load.table_groups),
+        )
 
     # Engines.
 
     def add_engine(self, number: int, cold: bool) -> None:
+        """Starts an engine and lists it; the dispatchers get the list by announce_list."""
         self.engines[number] = Engine(self.kind, self.now if cold else None, self.now)
-        places = max(1, len({0, *self.site.cores}))
-        self.lines[number] = ListedEngine(
+        places = max(1, len({0, *self.deployment.cores}))
+        self.listed_engines[number] = ListedEngine(
             number, number % 2, number % places, number % 4, Life.READY, 1.0, self.now if cold else 0.0
         )
         if cold:
             self.observer.started(number, self.now + self.kind.cold_for)
 
-    def arrive(
-        self, adapter: VirtualAdapter, life: int, request: OpenRequest, attempt: int, number: int, job: int
+    def attempt_arrived(
+        self,
+        adapter: VirtualAdapter,
+        incarnation: int,
+        request: OpenRequest,
+        attempt: int,
+        number: int,
+        job: int,
     ) -> None:
-        """An attempt reaches its engine."""
+        """Handles an attempt that reaches its engine."""
         engine = self.engines[number]
         if engine.down:
-            self.at(
-                self.now + self.way(),
-                adapter.event,
-                life,
-                adapter.came_back,
+            self.schedule(
+                self.now + self.network_delay(),
+                adapter.deliver,
+                incarnation,
+                adapter.response_received,
                 request.number,
                 attempt,
                 Ending.UNREACHED,
             )
             return
         if engine.hung:
-            return  # it says nothing; the attempt's time will be up
-        self.progress(number)
+            return  # no response: the attempt will time out
+        self.advance_engine(number)
         self.observer.reached(self.now, number, request.work)
-        w = self.site.workloads[request.kind]
+        w = self.deployment.workloads[request.kind]
         made = Job(
             job,
             max(0.01, request.work),
@@ -328,57 +430,68 @@
             w.holds_tables,
         )
         if not engine.start(self.now, made):
-            self.at(
-                self.now + self.way(),
-                adapter.event,
-                life,
-                adapter.came_back,
+            self.schedule(
+                self.now + self.network_delay(),
+                adapter.deliver,
+                incarnation,
+                adapter.response_received,
                 request.number,
                 attempt,
                 Ending.FULL,
             )
         else:
-            self.running[job] = (adapter, life, request, attempt)
+            self.running_jobs[job] = (adapter, incarnation, request, attempt)
             self.counts["runs"] += 1
             if w.effect == Effect.NON_IDEMPOTENT:
                 self.counts["irreversible_runs"] += 1
-        self.plan(number)
+        self.schedule_completion(number)
 
-    def progress(self, number: int) -> None:
+    def advance_engine(self, number: int) -> None:
+        """Advances an engine to now and sends the responses of its completed jobs."""
         for job in self.engines[number].advance(self.now):
             self.reply(job.ident, Ending.DELIVERED)
 
     def reply(self, job: int, ending: Ending) -> None:
-        found = self.running.pop(job, None)
+        """Sends a job's response to its dispatcher, unless the job was cancelled."""
+        found = self.running_jobs.pop(job, None)
         if found is not None:
-            adapter, life, request, attempt = found
-            self.at(
-                self.now + self.way(), adapter.event, life, adapter.came_back, request.number, attempt, ending
+            adapter, incarnation, request, attempt = found
+            self.schedule(
+                self.now + self.network_delay(),
+                adapter.deliver,
+                incarnation,
+                adapter.response_received,
+                request.number,
+                attempt,
+                ending,
             )
 
-    def plan(self, number: int) -> None:
-        """When its next job ends; what was planned before counts no more."""
-        self.versions[number] = version = self.next()
-        due = self.engines[number].next_completion_at()
-        if due != float("inf"):
-            self.at(max(self.now, due), self.due, number, version)
+    def schedule_completion(self, number: int) -> None:
+        """Schedules the completion of an engine's next job, which replaces the one scheduled before."""
+        self.completion_versions[number] = version = self.next_id()
+        due_at = self.engines[number].next_completion_at()
+        if due_at != float("inf"):
+            self.schedule(max(self.now, due_at), self.completion_due, number, version)
 
-    def due(self, number: int, version: int) -> None:
-        if self.versions[number] == version:
-            self.progress(number)
-            self.plan(number)
+    def completion_due(self, number: int, version: int) -> None:
+        """Handles a scheduled completion unless it has been replaced."""
+        if self.completion_versions[number] == version:
+            self.advance_engine(number)
+            self.schedule_completion(number)
 
     def cancel(self, number: int, job: int) -> None:
-        self.running.pop(job, None)
+        """Cancels a job at its engine."""
+        self.running_jobs.pop(job, None)
         if not self.engines[number].down:
-            self.progress(number)
+            self.advance_engine(number)
             self.engines[number].cancel(self.now, job)
-            self.plan(number)
+            self.schedule_completion(number)
 
-    # Failures.
+    # Faults.
 
-    def fails(self, failure: Failure) -> None:
-        self.note("fails", failure.fault, failure.target)
+    def inject(self, failure: Failure) -> None:
+        """Injects a fault."""
+        self.record_trace("fails", failure.fault, failure.target)
         engine = self.engines.get(failure.target)
         if failure.fault == "restart":
             adapter = self.dispatchers[failure.target % len(self.dispatchers)]
@@ -388,34 +501,40 @@
             )
             adapter.start()
         elif engine is not None and failure.fault in ("crash", "replace"):
-            self.progress(failure.target)
+            self.advance_engine(failure.target)
             for job in engine.crash(self.now):
                 self.reply(job.ident, Ending.RESET)
-            self.plan(failure.target)
-            self.change(failure.target, Life.GONE)
+            self.schedule_completion(failure.target)
+            self.set_life(failure.target, Life.GONE)
             if failure.fault == "replace":
                 number = max(self.engines) + 1
                 self.add_engine(number, cold=True)
-                self.tell()
+                self.announce_list()
         elif engine is not None and failure.fault == "drain":
-            self.change(failure.target, Life.DRAINING)
+            self.set_life(failure.target, Life.DRAINING)
         elif engine is not None:
-            self.progress(failure.target)
+            self.advance_engine(failure.target)
             engine.hung, engine.speed = (
                 failure.fault == "hang",
                 failure.factor if failure.fault == "slow" else engine.speed,
             )
-            engine.share(self.now)
-            self.plan(failure.target)
+            engine.allocate_cores(self.now)
+            self.schedule_completion(failure.target)
 
-    def change(self, number: int, life: Life) -> None:
+    def set_life(self, number: int, life: Life) -> None:
+        """Changes an engine's state in the list, or removes it, and announces the list."""
         if life == Life.GONE:
-            self.lines.pop(number, None)
+            self.listed_engines.pop(number, None)
         else:
-            self.lines[number] = self.lines[number]._replace(life=life)
-        self.tell()
+            self.listed_engines[number] = self.listed_engines[number]._replace(life=life)
+        self.announce_list()
 
-    def tell(self) -> None:
-        """Each dispatcher learns of it a little later, by itself."""
+    def announce_list(self) -> None:
+        """Schedules the delivery of the current list, with a delay of its own for each dispatcher."""
         for adapter in self.dispatchers:
-            self.at(self.now + self.chance.uniform(*NOTICE), adapter.event, adapter.life, adapter.apply_list)
+            self.schedule(
+                self.now + self.chance.uniform(*LIST_DELAY),
+                adapter.deliver,
+                adapter.incarnation,
+                adapter.apply_list,
+            )
