--- a/spurdeal/lab/__init__.py
+++ b/spurdeal/lab/__init__.py
@@ -1,1 +1,1 @@
-"""The laboratory: stand-ins for what dispatchers talk to, all on loopback, and proofs with real processes."""
+"""The laboratory: simulated peers of dispatchers, on loopback, and experiments with real processes."""
--- a/spurdeal/lab/cold_ramp.py
+++ b/spurdeal/lab/cold_ramp.py
@@ -260,8 +260,8 @@
             Load(self.peak_rate(), scenario.mix.shares, scenario.mix.work),
             (),
             seed,
-            lambda site, chance, adapter, now: make(
-                replace(site, dispatchers=declared), chance, adapter, now
+            lambda true_deployment, chance, adapter, now: make(
+                replace(true_deployment, dispatchers=declared), chance, adapter, now
             ),
             StartAwareAdapter,
         )
--- a/spurdeal/lab/demo_cluster.py
+++ b/spurdeal/lab/demo_cluster.py
@@ -1,4 +1,4 @@
-"""What the demo runs: stand-in engines, a stand-in name service, and a real dispatcher process."""
+"""What the demo runs: simulated engines, a name server, and a real dispatcher process."""
 
 from __future__ import annotations
 
@@ -22,20 +22,20 @@
 
 CORES = 2
 ENGINES = 8
-COLD_FOR, COLD_SHARE, COLD_MULTIPLE, COLD_WINDOW = 2000.0, 0.3, 2.0, 1500.0  # ms and shares
-DRAIN_GRACE = 250.0  # ms after the list tells of a drain, until nothing more may reach that engine
-SOCKETS, MEMORY_MB = 1024, 192
+COLD_FOR, COLD_SHARE, COLD_MULTIPLE, COLD_WINDOW = 2000.0, 0.3, 2.0, 1500.0  # times in ms
+DRAIN_GRACE = 250.0  # ms from the first list that drains an engine until nothing more may reach it
+SOCKET_LIMIT, MEMORY_MB = 1024, 192
 STOP_TIMEOUT = 5.0  # s from SIGTERM until the dispatcher is killed
-COUNTERS_TIMEOUT = 2.0  # s
+COUNTERS_TIMEOUT = 2.0  # s for the request of the counters
 LAST_LOG_LINES = 5
 
 
 class DispatcherError(Exception):
-    """The dispatcher process ended by itself; the text holds its last log lines."""
+    """The dispatcher process exited by itself; the message has its last log lines."""
 
 
 def free_address() -> tuple[str, int]:
-    """A loopback address that nobody listens on; systems that know just one host of 127/8 get that one."""
+    """Returns a free loopback address; 127.0.0.1 on systems with just that address of 127/8."""
     chance = random.SystemRandom()
     hosts = (f"127.0.{chance.randrange(100, 250)}.{chance.randrange(1, 250)}", "127.0.0.1")
     for host in hosts:
@@ -50,21 +50,21 @@
 
 
 class RecordingNames(Names):
-    """A name service that notes when each version of its list was first told."""
+    """A name server that records when each version of its list was first served."""
 
     def __init__(self, endpoints: Sequence[Endpoint], clock: Callable[[], float]) -> None:
         super().__init__(endpoints)
         self.clock = clock
-        self.first_told: dict[int, float] = {}
+        self.first_served: dict[int, float] = {}
 
     def datagramReceived(self, datagram: bytes, address: tuple[str, int]) -> None:
-        """One question."""
-        self.first_told.setdefault(self.serial, self.clock())
+        """Answers a query and records the time if it is the first for this version."""
+        self.first_served.setdefault(self.serial, self.clock())
         super().datagramReceived(datagram, address)
 
 
 class Cluster:
-    """Stand-in engines and their name service in this process, on a loopback host of their own."""
+    """Simulated engines and their name server in this process, on a loopback host of their own."""
 
     def __init__(self, reactor: Reactor, clock: Callable[[], float]) -> None:
         self.clock = clock
@@ -75,65 +75,65 @@
         self.name_server = f"{self.host}:{port.getHost().port}"
 
     def start_engine(self, cold: bool) -> Endpoint:
-        """One more engine; the name service does not tell of it yet."""
+        """Starts an engine that the name server does not list yet."""
         engine = self.fleet.start(f"engine-{len(self.fleet.engines) + 1}", self.host, 0, cold)
         engine.port = engine.listening.getHost().port
         return Endpoint(engine.ident, self.host, engine.port, started=int(time.time() * 1000) if cold else 0)
 
     def kill(self, ident: str) -> None:
-        """Its connections are reset and new ones refused; the name service goes on naming it."""
+        """Resets an engine's connections and refuses new ones; the name server still lists it."""
         self.engine(ident).stop()
 
     def drain(self, ident: str) -> int:
-        """The name service says so from now on; returns the version of the list that does."""
+        """Lists an engine as draining; returns the version of that list."""
         self.names.change(
             [endpoint._replace(draining=endpoint.ident == ident) for endpoint in self.names.endpoints]
         )
         return self.names.serial
 
     def join(self) -> str:
-        """A new engine, cold, which the name service tells of; returns its name."""
+        """Starts and lists a cold engine; returns its name."""
         endpoint = self.start_engine(cold=True)
         self.names.change([*self.names.endpoints, endpoint])
         return endpoint.ident
 
     def engine(self, ident: str) -> Engine:
-        """By its name."""
+        """Returns the engine of that name."""
         return next(engine for engine in self.fleet.engines if engine.ident == ident)
 
 
 class DispatcherProcess:
-    """The real program, `python -O -m spurdeal`, with a configuration in a temporary folder."""
+    """The program itself, `python -O -m spurdeal`, with a configuration in a temporary directory."""
 
     def __init__(self, cluster: Cluster, classes: Sequence[RequestClass], seed: int) -> None:
         self.host, self.port = self.address = free_address()
         self.folder = tempfile.TemporaryDirectory(prefix="spurdeal-demo-")
         self.log = Path(self.folder.name) / "dispatcher.log"
-        self.told = Path(self.folder.name) / "config.json"
-        self.told.write_text(json.dumps(self.configuration(cluster, classes, seed)))
+        self.config_file = Path(self.folder.name) / "config.json"
+        self.config_file.write_text(json.dumps(self.configuration(cluster, classes, seed)))
         self.child: subprocess.Popen[bytes] | None = None
 
     def start(self) -> None:
-        """Starts it; it is ready a little later."""
+        """Starts the process without waiting until it is ready."""
         with open(self.log, "wb") as log:
             self.child = subprocess.Popen(
                 [sys.executable, "-O", "-m", "spurdeal"],
                 stdin=subprocess.DEVNULL,
                 stdout=log,
                 stderr=log,
-                env=os.environ | {"ROUTER_CONFIG": str(self.told)},
-                start_new_session=True,  # Ctrl-C is for the demo, which then ends it
+                env=os.environ | {"ROUTER_CONFIG": str(self.config_file)},
+                start_new_session=True,  # Ctrl-C signals only the demo, which stops the dispatcher
             )
 
     def configuration(
         self, cluster: Cluster, classes: Sequence[RequestClass], seed: int
     ) -> dict[str, object]:
-        """As README.md describes it."""
+        """Returns the configuration in the format that README.md describes."""
         return {
             "name": "demo",
             "listen": f"{self.host}:{self.port}",
             "seed": f"{abs(seed):x}",
-            "limits": {"sockets": SOCKETS, "memory_mb": MEMORY_MB},
+            "limits": {"sockets": SOCKET_LIMIT, "memory_mb": MEMORY_MB},
             "nameserver": cluster.name_server,
             "known": cluster.names.known(),
             "settings": {
@@ -169,18 +169,22 @@
 
     @property
     def pid(self) -> int | None:
-        """Its process id, once it is started."""
+        """Its process id; None before the start."""
         return None if self.child is None else self.child.pid
 
     def is_ready(self) -> bool:
-        """Whether it accepts requests; DispatcherError where it never will."""
+        """Tells whether it accepts requests.
+
+        Raises:
+            DispatcherError: The process has exited.
+        """
         text = self.log.read_text("utf-8", "replace")
         if self.child is None or self.child.poll() is not None:
             raise DispatcherError("\n".join(text.splitlines()[-LAST_LOG_LINES:]))
         return "event=ready" in text
 
     def counters(self) -> dict[str, int]:
-        """Its own counters."""
+        """Returns its counters."""
         connection = HTTPConnection(self.host, self.port, timeout=COUNTERS_TIMEOUT)
         with closing(connection):
             connection.request("GET", "/counters")
@@ -188,7 +192,7 @@
         return found
 
     def stop(self, graceful: bool) -> int | None:
-        """Ends it, by SIGTERM first where graceful, and removes its folder; its exit code."""
+        """Stops the process, by SIGTERM if graceful, and removes its directory; returns the exit code."""
         try:
             return self.end_child(self.child, graceful) if self.child is not None else None
         finally:
@@ -196,7 +200,7 @@
 
     @staticmethod
     def end_child(child: subprocess.Popen[bytes], graceful: bool) -> int:
-        """SIGKILL where SIGTERM was not enough or not asked for."""
+        """Stops the process by SIGTERM if graceful, and by SIGKILL if it still runs."""
         try:
             if graceful:
                 child.terminate()
--- a/spurdeal/lab/demo_load.py
+++ b/spurdeal/lab/demo_load.py
@@ -1,4 +1,4 @@
-"""Open-loop load on one dispatcher: Poisson arrivals of several request classes, each answer recorded."""
+"""Open-loop load generator: Poisson arrivals of several request classes; each answer is recorded."""
 
 from __future__ import annotations
 
@@ -15,14 +15,14 @@
 
 from .demo_reactor import Reactor, Timer
 
-MOST_OPEN = 300  # requests open at once; an arrival beyond that is counted and not sent
+MAX_OPEN = 300  # open requests above which arrivals are counted and not sent
 CONNECT_TIMEOUT = 1.0  # s
-ANSWER_MARGIN = 1.0  # s after its deadline at which a request without an answer counts as unanswered
-LARGEST_ANSWER = 65_536  # bytes
+ANSWER_TIMEOUT_MARGIN = 1.0  # s after its deadline until a request without an answer counts as unanswered
+MAX_ANSWER_BYTES = 65_536
 
 
 class RequestClass(NamedTuple):
-    """One class of requests: its share of all arrivals, its mean work in core-ms and its terms in ms."""
+    """One class of requests: its share of all arrivals, mean work in core-ms, and times in ms."""
 
     name: str
     share: float
@@ -33,7 +33,7 @@
 
 
 class Status(StrEnum):
-    """What became of a request, as its client saw it."""
+    """Outcome of a request as its client sees it."""
 
     SUCCEEDED = "succeeded"
     REJECTED = "rejected"
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """One request and its answer; times are seconds since the load began."""
+    """One request and its answer; times are seconds since the load started."""
 
     request_class: RequestClass
     ident: str
@@ -58,17 +58,17 @@
     answer: str = "no answer"
 
     def latency(self) -> float | None:
-        """From the arrival to the whole answer, in ms."""
+        """Returns the time from the arrival to the complete answer, in ms; None without an answer."""
         return None if self.answered_at is None else (self.answered_at - self.sent_at) * 1000
 
     def late(self) -> bool:
-        """Whether its answer came after its deadline."""
+        """Tells whether the answer came after the deadline."""
         latency = self.latency()
         return latency is not None and latency > self.request_class.deadline
 
 
 class LoadProfile(NamedTuple):
-    """What is to be sent: classes, requests per second, and the seed of all chance."""
+    """The load to generate: classes, requests per second, and the random seed."""
 
     classes: Sequence[RequestClass]
     rate: float
@@ -76,7 +76,7 @@
 
 
 class LoadGenerator:
-    """Sends requests at `rate` per second until stopped. All chance comes from the seed."""
+    """Sends requests at `rate` per second until stopped; arrivals and requests are drawn from the seed."""
 
     def __init__(
         self,
@@ -93,58 +93,58 @@
         self.running = False
 
     def start(self) -> None:
-        """The first arrival comes one interval from now."""
+        """Starts; the first arrival comes after one interval."""
         self.running = True
         self.next_at = self.clock()
-        self.schedule()
+        self.schedule_arrival()
 
     def stop(self) -> None:
-        """No more arrivals; what is open is still waited for."""
+        """Stops the arrivals; open requests still get their answers."""
         self.running = False
 
-    def schedule(self) -> None:
-        """The next arrival, an exponential interval after the last."""
+    def schedule_arrival(self) -> None:
+        """Schedules the next arrival, an exponential interval after the last."""
         self.next_at += self.chance.expovariate(self.rate)
         self.reactor.callLater(max(0.0, self.next_at - self.clock()), self.arrive)
 
     def arrive(self) -> None:
-        """One arrival: a request on a connection of its own."""
+        """Sends a request on a new connection, and schedules the next arrival."""
         if not self.running:
             return
-        self.schedule()
+        self.schedule_arrival()
         request = self.draw()
-        if self.open >= MOST_OPEN:
+        if self.open >= MAX_OPEN:
             self.skipped += 1
             return
         self.requests.append(request)
         self.open += 1
-        self.reactor.connectTCP(*self.address, Caller(self, request), timeout=CONNECT_TIMEOUT)
+        self.reactor.connectTCP(*self.address, ConnectionFactory(self, request), timeout=CONNECT_TIMEOUT)
 
     def draw(self) -> Request:
-        """A request of a class by the classes' shares, its work within half of its class's mean."""
+        """Draws a request; its work is within 50% of the mean of its class."""
         (request_class,) = self.chance.choices(self.classes, [each.share for each in self.classes])
         work = request_class.work * self.chance.uniform(0.5, 1.5)
         return Request(request_class, f"{self.chance.getrandbits(64):016x}", work, self.clock())
 
     def closed(self, request: Request, answer: Answer | None) -> None:
-        """A request's connection has ended, with an answer or without."""
+        """Records the end of a request's connection, with an answer or without."""
         self.open -= 1
         if answer is not None:
-            request.answered_at = answer.came_at
+            request.answered_at = answer.received_at
             request.status = STATUS_OF_CODE.get(answer.code, Status.FAILED)
             request.answer = answer.text
 
 
 class Answer(NamedTuple):
-    """One HTTP answer: its code, a text for people, and when it was whole."""
+    """One HTTP answer: its status code, a description, and when it was complete."""
 
     code: int
     text: str
-    came_at: float
+    received_at: float
 
 
 def read_answer(data: bytes, now: float) -> Answer | None:
-    """The answer that these bytes hold; None while some of it is still to come."""
+    """Parses an HTTP answer; returns None while it is incomplete."""
     head, separator, body = data.partition(b"\r\n\r\n")
     if not separator:
         return None
@@ -157,26 +157,26 @@
     return Answer(code, f"{code} {fault}".strip(), now)
 
 
-class Caller(ClientFactory):
-    """Connects for one request."""
+class ConnectionFactory(ClientFactory):
+    """Makes the connection of one request."""
 
     noisy = False
 
     def __init__(self, load: LoadGenerator, request: Request) -> None:
         self.load, self.request = load, request
 
-    def buildProtocol(self, addr: IAddress | None) -> Call:
-        """The connection is there."""
-        return Call(self.load, self.request)
+    def buildProtocol(self, addr: IAddress | None) -> ClientConnection:
+        """Returns the protocol of the new connection."""
+        return ClientConnection(self.load, self.request)
 
     def clientConnectionFailed(self, connector: IConnector, reason: Failure) -> None:
-        """Nothing was sent: the request has no answer."""
+        """Records that the request was not sent and has no answer."""
         self.request.answer = f"no connection: {reason.getErrorMessage()}"
         self.load.closed(self.request, None)
 
 
-class Call(Protocol):
-    """One request on one connection."""
+class ClientConnection(Protocol):
+    """The connection of one request."""
 
     transport: Any
 
@@ -187,12 +187,12 @@
         self.timeout: Timer | None = None
 
     def connectionMade(self) -> None:
-        """Sends the request, with what is left of its time."""
-        request, terms = self.request, self.request.request_class
-        left = terms.deadline / 1000 - (self.load.clock() - request.sent_at)
+        """Sends the request with its remaining time."""
+        request, request_class = self.request, self.request.request_class
+        left = request_class.deadline / 1000 - (self.load.clock() - request.sent_at)
         body = f"SELECT a FROM sales.orders /* cost={request.work:.2f} */"
         head = (
-            f"POST /demo/{terms.name} HTTP/1.1",
+            f"POST /demo/{request_class.name} HTTP/1.1",
             "Host: demo",
             f"Req-Id: {request.ident}",
             f"Req-Wait-Ms: {max(1.0, left * 1000):.0f}",
@@ -202,24 +202,24 @@
         )
         self.transport.setTcpNoDelay(True)
         self.transport.write("\r\n".join((*head, "", body)).encode())
-        self.timeout = self.load.reactor.callLater(max(0.0, left) + ANSWER_MARGIN, self.give_up)
+        self.timeout = self.load.reactor.callLater(max(0.0, left) + ANSWER_TIMEOUT_MARGIN, self.give_up)
 
     def dataReceived(self, data: bytes) -> None:
-        """Collects the answer; the connection is of no more use once it is whole."""
+        """Collects the answer, and closes the connection once it is complete."""
         self.received += data
         if self.answer is None:
             self.answer = read_answer(self.received, self.load.clock())
         if self.answer is not None:
             self.transport.loseConnection()
-        elif len(self.received) > LARGEST_ANSWER:
+        elif len(self.received) > MAX_ANSWER_BYTES:
             self.give_up()
 
     def give_up(self) -> None:
-        """No answer in time."""
+        """Aborts the connection without an answer."""
         self.transport.abortConnection()
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        """Hands over what came."""
+        """Reports the answer, if any."""
         if self.timeout is not None and self.timeout.active():
             self.timeout.cancel()
         self.load.closed(self.request, self.answer)
--- a/spurdeal/lab/demo_reactor.py
+++ b/spurdeal/lab/demo_reactor.py
@@ -1,4 +1,4 @@
-"""What the demo uses of Twisted's reactor, which has no types of its own."""
+"""Types of the parts of Twisted's reactor that the demo uses; the reactor itself is untyped."""
 
 from __future__ import annotations
 
@@ -10,33 +10,33 @@
 
 
 class Timer(Protocol):
-    """A call that is due later."""
+    """A delayed call."""
 
     def active(self) -> bool:
-        """Whether it is still to come."""
+        """Tells whether the call is still pending."""
 
     def cancel(self) -> None:
-        """It is not to come."""
+        """Cancels the call."""
 
 
 class ListeningPort(Protocol):
-    """A socket that listens."""
+    """A listening socket."""
 
     def getHost(self) -> IPv4Address:
-        """Where it listens."""
+        """Returns its address."""
 
 
 class Reactor(Protocol):
     """The event loop."""
 
-    def callLater(self, delay: float, call: Callable[..., object], *words: object) -> Timer:
-        """Calls after so many seconds."""
+    def callLater(self, delay: float, call: Callable[..., object], *args: object) -> Timer:
+        """Schedules a call after so many seconds."""
 
-    def callWhenRunning(self, call: Callable[..., object], *words: object) -> object:
-        """Calls once the loop runs."""
+    def callWhenRunning(self, call: Callable[..., object], *args: object) -> object:
+        """Schedules a call for when the loop runs."""
 
-    def callFromThread(self, call: Callable[..., object], *words: object) -> object:
-        """Calls in the loop's own time; also from a signal handler."""
+    def callFromThread(self, call: Callable[..., object], *args: object) -> object:
+        """Schedules a call from another thread or a signal handler."""
 
     def connectTCP(self, host: str, port: int, factory: ClientFactory, timeout: float) -> object:
         """Connects a client."""
@@ -50,4 +50,4 @@
         """Runs until it is stopped."""
 
     def stop(self) -> None:
-        """Ends the loop."""
+        """Stops the loop."""
--- a/spurdeal/lab/demo_report.py
+++ b/spurdeal/lab/demo_report.py
@@ -1,4 +1,4 @@
-"""Figures of a run of the demo, from the clients' and the engines' records, and a table of them."""
+"""Summary of a run of the demo, from the records of clients and engines, and its rendering as text."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 from .demo_load import Request, RequestClass, Status
 
-AT_ONCE = 25.0  # ms; an answer within that did not wait in the queue
-AT_DEADLINE = 100.0  # ms; an answer within that of its deadline had waited as long as it may
-MOST_CAUSES = 6  # lines of the table; the rest is summed up
-OUTCOMES = {  # the dispatcher's counters of how attempts ended
+IMMEDIATE_LIMIT = 25.0  # ms; an answer within this time did not wait in the queue
+DEADLINE_MARGIN = 100.0  # ms; an answer this close to its deadline had waited as long as allowed
+MAX_CAUSES = 6  # lines of the table; the others are summed up
+OUTCOMES = {  # by counter of the dispatcher: the attempt's outcome
     "trips_delivered": "succeeded",
     "trips_error": "engine error",
     "trips_full": "engine full",
@@ -27,22 +27,27 @@
 
 
 class Phase(NamedTuple):
-    """A part of the run; times are seconds since the load began."""
+    """A part of the run; times are seconds since the load started."""
 
     name: str
     start: float
     end: float
 
-    def holds(self, moment: float) -> bool:
-        """Whether this moment lies in it."""
+    def contains(self, moment: float) -> bool:
+        """Tells whether a time is in this phase."""
         return self.start <= moment < self.end
 
 
 @dataclass(frozen=True)
 class EngineRecord:
-    """What one engine received. Nothing should come after `quiet_from`, where that is set.
-
-    A cold engine bears only so much work in a time, its budget: the greatest share of it that came.
+    """What one engine received.
+
+    Attributes:
+        name: Its name.
+        event: What happened to it; empty if nothing did.
+        received_at: When it received attempts, in seconds since the load started.
+        quiet_from: From when on it must receive nothing; None without such a time.
+        budget_used: Greatest share of its slow-start budget used in any window; None for a warm engine.
     """
 
     name: str
@@ -54,7 +59,7 @@
 
 @dataclass(frozen=True)
 class Run:
-    """All that was measured."""
+    """All measurements of a run."""
 
     seconds: float
     seed: int
@@ -66,12 +71,12 @@
     engines: Sequence[EngineRecord]
     counters: dict[str, int]
     exit_code: int | None
-    latest_timer: float  # ms; how late the demo's own timers were at most
+    max_timer_delay: float  # ms; greatest delay of the demo's own timers
 
 
 @dataclass(frozen=True)
 class Latency:
-    """Percentiles of the successful requests in ms; None without any."""
+    """Latency percentiles of the successful requests in ms; None without any."""
 
     p50: float | None
     p90: float | None
@@ -81,7 +86,7 @@
 
 @dataclass(frozen=True)
 class Row:
-    """Some of the requests: by their clients' answers."""
+    """Counts and latencies of a group of requests."""
 
     name: str
     sent: int
@@ -96,7 +101,7 @@
 
 @dataclass(frozen=True)
 class Cause:
-    """Why requests did not succeed: the answer, how long they had waited for it, and when it came."""
+    """Requests that failed alike: by class, answer, wait for the answer, and phase in which it came."""
 
     request_class: str
     answer: str
@@ -107,7 +112,7 @@
 
 @dataclass(frozen=True)
 class EngineRow:
-    """Requests that an engine received, by phase; after_quiet is what came although nothing should."""
+    """Attempts that an engine received, by phase; after_quiet: those after its quiet_from."""
 
     name: str
     event: str
@@ -120,7 +125,7 @@
 
 @dataclass(frozen=True)
 class Summary:
-    """All figures of a run."""
+    """Summary of a run."""
 
     seconds: float
     seed: int
@@ -140,18 +145,18 @@
     latest_timer_ms: float
 
     def as_json(self) -> dict[str, Any]:
-        """The summary as one JSON object; the counts of all requests lie at its top."""
+        """Returns the summary as a JSON object, with the counts of all requests at its top level."""
         counts = {status.value: getattr(self.total, status.value) for status in Status}
         return {"sent": self.total.sent} | counts | asdict(self)
 
 
 def percentile(ordered: Sequence[float], percent: float) -> float:
-    """Nearest rank, of values in order."""
+    """Returns a percentile of sorted values by the nearest-rank method."""
     return ordered[max(0, ceil(len(ordered) * percent / 100) - 1)]
 
 
-def latency_of(requests: Iterable[Request]) -> Latency:
-    """Of those that succeeded."""
+def latency_percentiles(requests: Iterable[Request]) -> Latency:
+    """Returns the latency percentiles of the successful requests."""
     found = (request.latency() for request in requests if request.status is Status.SUCCEEDED)
     ordered = sorted(latency for latency in found if latency is not None)
     if not ordered:
@@ -160,8 +165,8 @@
     return Latency(p50, p90, p99, round(ordered[-1], 1))
 
 
-def row_of(name: str, requests: Sequence[Request], seconds: float) -> Row:
-    """These requests, sent within so many seconds."""
+def make_row(name: str, requests: Sequence[Request], seconds: float) -> Row:
+    """Summarises requests that were sent within so many seconds."""
     counts = Counter(request.status for request in requests)
     return Row(
         name=name,
@@ -172,47 +177,47 @@
         unanswered=counts[Status.UNANSWERED],
         sent_per_s=round(len(requests) / seconds, 1),
         succeeded_per_s=round(counts[Status.SUCCEEDED] / seconds, 1),
-        latency_ms=latency_of(requests),
+        latency_ms=latency_percentiles(requests),
     )
 
 
-def waited(request: Request) -> str:
-    """How long a client had waited for its answer, in words."""
+def describe_wait(request: Request) -> str:
+    """Describes how long a client waited for its answer."""
     latency = request.latency()
     if latency is None:
         return "never"
-    if latency <= AT_ONCE:
+    if latency <= IMMEDIATE_LIMIT:
         return "at once"
-    if latency >= request.request_class.deadline - AT_DEADLINE:
+    if latency >= request.request_class.deadline - DEADLINE_MARGIN:
         return "at its deadline"
     return "after waiting"
 
 
 def phase_of_answer(request: Request, phases: Sequence[Phase]) -> str:
-    """In which phase its answer came; that of its sending where none came."""
+    """Returns the phase in which the answer came, or in which the request was sent if none came."""
     moment = request.sent_at if request.answered_at is None else request.answered_at
-    return next(phase.name for phase in phases if phase.holds(moment))
+    return next(phase.name for phase in phases if phase.contains(moment))
 
 
-def causes_of(requests: Iterable[Request], phases: Sequence[Phase]) -> list[Cause]:
-    """Of those that did not succeed, the most frequent first."""
+def count_causes(requests: Iterable[Request], phases: Sequence[Phase]) -> list[Cause]:
+    """Counts the causes of requests that did not succeed, most frequent first."""
     counts = Counter(
-        (request.request_class.name, request.answer, waited(request), phase_of_answer(request, phases))
+        (request.request_class.name, request.answer, describe_wait(request), phase_of_answer(request, phases))
         for request in requests
         if request.status is not Status.SUCCEEDED
     )
     return [Cause(*key, count) for key, count in counts.most_common()]
 
 
-def engine_row(record: EngineRecord, phases: Sequence[Phase]) -> EngineRow:
-    """What an engine received, by phase."""
+def make_engine_row(record: EngineRecord, phases: Sequence[Phase]) -> EngineRow:
+    """Summarises what an engine received, by phase."""
     late = 0
     if record.quiet_from is not None:
         late = sum(moment >= record.quiet_from for moment in record.received_at)
     return EngineRow(
         name=record.name,
         event=record.event,
-        by_phase=[sum(phase.holds(moment) for moment in record.received_at) for phase in phases],
+        by_phase=[sum(phase.contains(moment) for moment in record.received_at) for phase in phases],
         total=len(record.received_at),
         quiet_from=None if record.quiet_from is None else round(record.quiet_from, 2),
         after_quiet=late,
@@ -221,33 +226,33 @@
 
 
 def summarise(run: Run) -> Summary:
-    """The figures of a run."""
+    """Summarises a run."""
     first = run.phases[0]
-    calm = [request for request in run.requests if first.holds(request.sent_at)]
-    work_per_ms = sum(request.work for request in calm) / ((first.end - first.start) * 1000)
+    first_phase_requests = [request for request in run.requests if first.contains(request.sent_at)]
+    work_per_ms = sum(request.work for request in first_phase_requests) / ((first.end - first.start) * 1000)
     outcomes = {OUTCOMES[name]: count for name, count in run.counters.items() if name in OUTCOMES}
     return Summary(
         seconds=run.seconds,
         seed=run.seed,
         offered_share=round(work_per_ms / run.capacity, 2),
         phase_starts=[phase.start for phase in run.phases],
-        total=row_of("all", run.requests, run.seconds),
+        total=make_row("all", run.requests, run.seconds),
         phases=[
-            row_of(
+            make_row(
                 phase.name,
-                [request for request in run.requests if phase.holds(request.sent_at)],
+                [request for request in run.requests if phase.contains(request.sent_at)],
                 min(phase.end, run.seconds) - phase.start,
             )
             for phase in run.phases
         ],
         classes=[
-            row_of(
+            make_row(
                 each.name, [request for request in run.requests if request.request_class is each], run.seconds
             )
             for each in run.classes
         ],
-        causes=causes_of(run.requests, run.phases),
-        engines=[engine_row(record, run.phases) for record in run.engines],
+        causes=count_causes(run.requests, run.phases),
+        engines=[make_engine_row(record, run.phases) for record in run.engines],
         late_answers=sum(request.late() for request in run.requests),
         skipped=run.skipped,
         attempts=sum(outcomes.values()),
@@ -256,13 +261,13 @@
             count for name, count in run.counters.items() if name == "faults" or name.startswith("must_")
         ),
         dispatcher_exit_code=run.exit_code,
-        latest_timer_ms=round(run.latest_timer, 1),
+        latest_timer_ms=round(run.max_timer_delay, 1),
     )
 
 
-# The table.
+# Rendering.
 
-ROW_HEADS = (
+ROW_HEADERS = (
     "sent",
     "per s",
     "succeeded",
@@ -277,47 +282,50 @@
 NAME_WIDTH, GAP = 16, "  "
 
 
-def figure(value: float | None) -> str:
-    """A figure as a cell; a dash for none."""
+def format_value(value: float | None) -> str:
+    """Formats a value as a cell; a dash for None."""
     return "-" if value is None else f"{value:.0f}"
 
 
 def row_cells(row: Row) -> list[str]:
-    """In the order of ROW_HEADS."""
+    """Formats a row's cells in the order of ROW_HEADERS."""
     counts = (row.sent, row.sent_per_s, row.succeeded, row.rejected, row.failed, row.unanswered)
     latency = row.latency_ms
-    return [figure(value) for value in (*counts, latency.p50, latency.p90, latency.p99, latency.max)]
+    return [format_value(value) for value in (*counts, latency.p50, latency.p90, latency.p99, latency.max)]
 
 
-def line(name: str, cells: Iterable[str], heads: Sequence[str]) -> str:
-    """One line of a table, its cells right under their heads."""
-    padded = [cell.rjust(len(head)) for cell, head in zip(cells, heads, strict=True)]
+def table_line(name: str, cells: Iterable[str], headers: Sequence[str]) -> str:
+    """Formats one line of a table, with the cells right-aligned under their headers."""
+    padded = [cell.rjust(len(head)) for cell, head in zip(cells, headers, strict=True)]
     return GAP.join((name.ljust(NAME_WIDTH), *padded)).rstrip()
 
 
 def rows_table(title: str, rows: Iterable[Row]) -> list[str]:
-    """A table of requests."""
-    return [line(title, ROW_HEADS, ROW_HEADS), *(line(row.name, row_cells(row), ROW_HEADS) for row in rows)]
+    """Formats a table of requests."""
+    return [
+        table_line(title, ROW_HEADERS, ROW_HEADERS),
+        *(table_line(row.name, row_cells(row), ROW_HEADERS) for row in rows),
+    ]
 
 
 def causes_table(causes: Sequence[Cause]) -> list[str]:
-    """What did not succeed, and why."""
+    """Formats the causes of requests that did not succeed."""
     lines = ["not succeeded, by the answer that the client got"]
     lines += [
         f"  {each.count:5}  {each.request_class:10}{each.answer}, {each.waited} (phase: {each.phase})"
-        for each in causes[:MOST_CAUSES]
+        for each in causes[:MAX_CAUSES]
     ]
-    if rest := sum(each.count for each in causes[MOST_CAUSES:]):
+    if rest := sum(each.count for each in causes[MAX_CAUSES:]):
         lines.append(f"  {rest:5}  others")
     return lines if causes else ["all succeeded"]
 
 
 def engines_table(engines: Sequence[EngineRow], phases: Sequence[Row]) -> list[str]:
-    """What each engine received."""
-    heads = [phase.name for phase in phases]
-    lines = [line("engine received", heads, heads)]
+    """Formats what each engine received."""
+    headers = [phase.name for phase in phases]
+    lines = [table_line("engine received", headers, headers)]
     for engine in engines:
-        text = line(engine.name, map(str, engine.by_phase), heads)
+        text = table_line(engine.name, map(str, engine.by_phase), headers)
         if engine.event:
             text += f"{GAP}{engine.event}"
         if engine.quiet_from is not None:
@@ -329,7 +337,7 @@
 
 
 def render(summary: Summary) -> str:
-    """At most 40 lines for people."""
+    """Formats the summary as at most 40 lines of text."""
     outcomes = ", ".join(f"{count} {name}" for name, count in summary.attempts_by_outcome.items())
     exit_code, lateness = summary.dispatcher_exit_code, summary.latest_timer_ms
     return "\n".join(
--- a/spurdeal/lab/model_engine.py
+++ b/spurdeal/lab/model_engine.py
@@ -102,7 +102,7 @@
     down: bool = False
     overloaded: bool = False
     jobs: dict[int, Job] = field(default_factory=dict)
-    peak_budget_use: float = 0.0
+    max_budget_used: float = 0.0
     completed_work: float = 0.0
     job_time: float = 0.0
     recent_arrivals: deque[tuple[float, float]] = field(default_factory=deque)
@@ -149,8 +149,8 @@
         while self.recent_arrivals[0][0] <= now - self.kind.cold_window:
             self.recent_arrivals.popleft()
         most = self.kind.cold_multiple * self.kind.cores * self.kind.cold_share * self.kind.cold_window
-        self.peak_budget_use = max(self.peak_budget_use, sum(each for _, each in self.recent_arrivals) / most)
-        if self.peak_budget_use > 1.0:
+        self.max_budget_used = max(self.max_budget_used, sum(each for _, each in self.recent_arrivals) / most)
+        if self.max_budget_used > 1.0:
             self.overloaded = True
             self.crash(now)
 
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""The demo: short runs of it as a program, what a signal leaves behind, and its report from fixed records."""
+"""The demo: short runs as a program, cleanup after a signal, and the report of fixed records."""
 
 import json
 import os
@@ -19,8 +19,8 @@
 
 ROOT = Path(__file__).parent.parent
 COMMAND = (sys.executable, "-m", "spurdeal", "lab", "demo")
-LONGEST = 60.0  # s for a run of 3 s on a busy machine
-MOST_LINES = 40
+RUN_TIMEOUT = 60.0  # s; a run of 3 s takes longer on a busy machine
+MAX_LINES = 40
 FAST = RequestClass("fast", share=0.5, work=10.0, objective=100.0, deadline=500.0)
 SLOW = RequestClass("slow", share=0.5, work=90.0, objective=1000.0, deadline=2000.0, at_most_once=True)
 PHASES = (Phase("steady", 0.0, 1.0), Phase("burst", 1.0, float("inf")))
@@ -56,7 +56,7 @@
 
 
 class ShortRun(unittest.TestCase):
-    """`spurdeal lab demo --seconds 3 --json`: two at once, on one machine."""
+    """Two runs of `spurdeal lab demo --seconds 3 --json` at once."""
 
     found: dict[str, Any]
     left_behind: list[str]
@@ -75,7 +75,7 @@
                 )
                 for _ in range(2)
             ]
-            outputs = [run.communicate(timeout=LONGEST) for run in runs]
+            outputs = [run.communicate(timeout=RUN_TIMEOUT) for run in runs]
             cls.left_behind = os.listdir(folder)
         for run, (_, errors) in zip(runs, outputs, strict=True):
             assert run.returncode == 0, errors
@@ -103,7 +103,7 @@
         received = sum(engine["total"] for engine in self.found["engines"])
         self.assertGreaterEqual(received, self.found["succeeded"])
 
-    def test_the_killed_engine_receives_nothing_after_its_end(self) -> None:
+    def test_the_killed_engine_receives_nothing_after_the_kill(self) -> None:
         killed = self.engine("killed")
         self.assertGreater(killed["by_phase"][0], 0)
         self.assertEqual((killed["after_quiet"], sum(killed["by_phase"][2:])), (0, 0))
@@ -115,7 +115,7 @@
         self.assertLess(drained["quiet_from"], 3.0)
         self.assertEqual(drained["after_quiet"], 0)
 
-    def test_the_new_engine_receives_nothing_before_it_joins_and_no_more_than_it_bears(self) -> None:
+    def test_the_new_engine_receives_nothing_before_it_joins_and_no_more_than_its_budget(self) -> None:
         joined = self.engine("joined")
         self.assertEqual(sum(joined["by_phase"][:3]), 0)
         self.assertLessEqual(joined["budget_used"], 1.0)
@@ -128,7 +128,7 @@
 
 
 class Interrupted(unittest.TestCase):
-    """A signal in the middle ends the dispatcher too, and removes its folder."""
+    """A signal during the run also stops the dispatcher, and removes its directory."""
 
     def test_each_signal_cleans_up(self) -> None:
         for number in (signal.SIGINT, signal.SIGTERM, signal.SIGHUP):
@@ -147,7 +147,7 @@
                 dispatcher = int(first_line.split()[2])
                 os.kill(dispatcher, 0)
                 run.send_signal(number)
-                output, errors = run.communicate(timeout=LONGEST)
+                output, errors = run.communicate(timeout=RUN_TIMEOUT)
                 self.assertEqual((run.returncode, output), (130, ""), errors)
                 self.assertEqual(os.listdir(folder), [])
                 self.assertRaises(ProcessLookupError, os.kill, dispatcher, 0)
@@ -161,7 +161,7 @@
 
 
 def fixed_run() -> Run:
-    """Ten requests in two phases, before four engines."""
+    """Ten requests in two phases, with four engines."""
     return Run(
         seconds=2.0,
         seed=5,
@@ -185,12 +185,12 @@
         ],
         counters={"trips_delivered": 5, "trips_reset": 1, "trips_written": 6, "faults": 1, "must_hold": 2},
         exit_code=0,
-        latest_timer=12.34,
+        max_timer_delay=12.34,
     )
 
 
 class Report(unittest.TestCase):
-    """From fixed records."""
+    """The summary and its text, from fixed records."""
 
     def test_figures(self) -> None:
         found = summarise(fixed_run()).as_json()
@@ -210,7 +210,7 @@
     def test_text(self) -> None:
         self.assertEqual(render(summarise(fixed_run())), EXPECTED)
 
-    def test_many_causes_and_engines_stay_within_the_page(self) -> None:
+    def test_many_causes_and_engines_stay_within_the_line_limit(self) -> None:
         run = fixed_run()
         phases = (*(Phase(f"phase {n}", n, n + 1) for n in range(5)), Phase("last", 5, float("inf")))
         requests = [request(FAST, 0.5, 4.0, Status.FAILED, f"500 Fault{n}") for n in range(30)]
@@ -219,7 +219,7 @@
             **(vars(run) | {"phases": phases, "requests": requests, "engines": engines, "seconds": 6.0})
         )
         text = render(summarise(large))
-        self.assertLessEqual(len(text.splitlines()), MOST_LINES)
+        self.assertLessEqual(len(text.splitlines()), MAX_LINES)
         self.assertIn("24  others", text)
 
     def test_a_run_without_losses_says_so(self) -> None:
@@ -234,9 +234,9 @@
 
 
 class Load(unittest.TestCase):
-    """The clients' side."""
+    """The load generator."""
 
-    def test_an_answer_is_read_once_it_is_whole(self) -> None:
+    def test_an_answer_is_parsed_once_it_is_complete(self) -> None:
         text = b'HTTP/1.1 503 Service Unavailable\r\nContent-Length: 20\r\n\r\n{"fault":"TryLater"}'
         for size in range(len(text)):
             self.assertIsNone(read_answer(text[:size], 1.0), text[:size])
@@ -258,7 +258,7 @@
 
 
 class Options(unittest.TestCase):
-    """What the sub-command takes."""
+    """Options of the subcommand."""
 
     def test_seconds_belong_to_the_demo_and_are_bounded(self) -> None:
         for words, said in (
