--- a/spurdeal/lab/audited/__init__.py
+++ b/spurdeal/lab/audited/__init__.py
@@ -1,8 +1,9 @@
-"""The proof of the fleet's audit and of what members that are behind may do.
+"""Experiment that checks the fleet's audit logs and the restrictions on members with outdated lists.
 
-Many real processes run under load while things go wrong; the same faults by the same seed run beside them
-with the subsystem off. The fleet's modules run in virtual time too, at sizes that no machine holds as
-processes, and in the model."""
+Many real processes run under load while faults are injected. A baseline run has the same faults, drawn from
+the same seed, without the fleet. The fleet's modules also run in virtual time, with more dispatchers than a
+machine can run as processes, and in the model.
+"""
 
 from .report import figures
 
--- a/spurdeal/lab/audited/__main__.py
+++ b/spurdeal/lab/audited/__main__.py
@@ -7,7 +7,7 @@
 
 
 def say(line: str) -> None:
-    """Print what has happened so far."""
+    """Print a progress line."""
     print(line, flush=True)
 
 
--- a/spurdeal/lab/audited/faults.py
+++ b/spurdeal/lab/audited/faults.py
@@ -37,68 +37,76 @@
     "grow",
     "chain_up",
 )
-CLOCK_STEP = 3.6e6  # ms
-FIRST_TWIN = 100  # the number of the first second process of a name
-GROWTH = 2  # dispatchers that come and go again
+CLOCK_STEP_MS = 3.6e6  # one hour
+FIRST_TWIN_NUMBER = 100  # process number of the first duplicate of a dispatcher
+JOINING_DISPATCHERS = 2  # dispatchers that join and leave in `grow`
 
 
-class Span(NamedTuple):
-    """A time of one dispatcher, Unix s."""
+class TimeSpan(NamedTuple):
+    """A span of time of one dispatcher, in Unix s."""
 
     name: str
-    began: float
-    ended: float
+    started_at: float
+    ended_at: float
 
 
 class Faults:
-    """Injects faults, and keeps what the judgement needs to know of them."""
+    """Injects faults, and records what the evaluation needs.
+
+    Attributes:
+        isolated: When dispatchers were suspended or cut off from peers, in one direction or both.
+        may_shut_out: When dispatchers may be shut out.
+        old_disks: By dispatcher, a copy of its directory from the start of the run.
+        twins: Duplicate processes of dispatchers.
+        conflicts: Number of lists injected that conflict with another of the same version.
+    """
 
     def __init__(self, rig: Rig, seed: int) -> None:
         self.rig, self.chance = rig, random.Random(seed)
         self.processes = rig.processes
-        self.isolated: list[Span] = []  # who could not be reached by anything
-        self.may_shut_out: list[Span] = []
+        self.isolated: list[TimeSpan] = []
+        self.may_shut_out: list[TimeSpan] = []
         self.old_disks: dict[str, Path] = {}
         self.twins: list[Process] = []
-        self.clashes = 0
+        self.conflicts = 0
 
     def inject(self, kind: str, targets: list[str]) -> Iterator[float]:
-        """One fault, as a script of seconds to wait.
+        """Inject one fault; yields the seconds to wait between its steps.
 
         Args:
             kind: One of KINDS.
-            targets: Filled in with the dispatchers that it hits.
+            targets: The affected dispatchers are added to it.
         """
-        script: Iterator[float] = getattr(self, kind)(targets)
-        return script
+        steps: Iterator[float] = getattr(self, kind)(targets)
+        return steps
 
-    def copy_disks(self) -> None:
-        """Keep each disk as it is now, for `old_disk`."""
+    def save_disks(self) -> None:
+        """Copy each dispatcher's directory, for `old_disk`."""
         for name, process in self.processes.items():
             if process.disk.exists():
                 self.old_disks[name] = self.rig.folder / "yesterday" / name
                 shutil.copytree(process.disk, self.old_disks[name])
 
     def end(self) -> None:
-        """Kill what the rig does not know of."""
+        """Kill the duplicate processes, which the rig does not manage."""
         for twin in self.twins:
             if twin.runs() and twin.child is not None:
                 twin.child.kill()
 
-    def some(self, count: int) -> list[str]:
-        """So many of the dispatchers that run, by chance; all where they are fewer."""
+    def pick_running(self, count: int) -> list[str]:
+        """Choose so many running dispatchers at random, or all if fewer run."""
         names = [name for name, process in self.processes.items() if process.runs()]
         return self.chance.sample(names, min(count, len(names)))
 
     def change(self) -> None:
-        """The list changes; every second time an engine that drains goes, and a cold one comes."""
+        """Change the list: drain an engine, or every second time replace the drained one by a cold one."""
         self.rig.release("drain" if len(self.rig.released) % 2 == 0 else "replace")
 
-    # The faults. Each fills in whom it hits, and leaves healing to the run.
+    # The faults. Each adds the affected dispatchers to targets; the run heals the network afterwards.
 
     def kill(self, targets: list[str]) -> Iterator[float]:
-        """It is killed and starts anew."""
-        targets += self.some(1)
+        """Kill and restart a dispatcher."""
+        targets += self.pick_running(1)
         self.rig.kill(targets[0])
         self.change()
         yield 1.5
@@ -106,19 +114,19 @@
         yield 1.0
 
     def pause(self, targets: list[str]) -> Iterator[float]:
-        """Longer than its lease, and it resumes in the middle of whatever it did."""
-        targets += self.some(1)
+        """Suspend a dispatcher for longer than its lease."""
+        targets += self.pick_running(1)
         self.rig.pause(targets[0])
-        began = time.time()
+        started_at = time.time()
         self.change()
         yield 2.5
         self.rig.resume(targets[0])
-        self.isolated.append(Span(targets[0], began, time.time()))
+        self.isolated.append(TimeSpan(targets[0], started_at, time.time()))
         yield 1.0
 
     def blip(self, targets: list[str]) -> Iterator[float]:
-        """Shorter than its lease: nothing follows."""
-        targets += self.some(2)
+        """Suspend two dispatchers for less than their lease, which must have no effect."""
+        targets += self.pick_running(2)
         for name in targets:
             self.rig.pause(name)
         yield 0.4
@@ -127,33 +135,33 @@
         yield 0.8
 
     def deaf(self, targets: list[str]) -> Iterator[float]:
-        """It is heard and hears nobody, nor its name service."""
-        targets += self.some(1)
-        began = time.time()
+        """Cut off everything that a dispatcher receives from peers and its name server."""
+        targets += self.pick_running(1)
+        started_at = time.time()
         self.rig.cables.cut(list(self.processes), targets)
         self.rig.names[targets[0]].silent = True
         self.change()
         yield 2.0
         self.rig.cables.heal()
-        self.rig.follow(targets, False)  # its name service says what is old: peers must bring it up
+        self.rig.follow(targets, False)  # its name server has an old list: it must get the new one from peers
         self.rig.names[targets[0]].silent = False
-        self.isolated.append(Span(targets[0], began, time.time()))
+        self.isolated.append(TimeSpan(targets[0], started_at, time.time()))
         yield 1.5
 
     def mute(self, targets: list[str]) -> Iterator[float]:
-        """It hears all and nobody hears it."""
-        targets += self.some(1)
-        began = time.time()
+        """Cut off everything that a dispatcher sends to its peers."""
+        targets += self.pick_running(1)
+        started_at = time.time()
         self.rig.cables.cut(targets, list(self.processes))
         yield 2.0
         self.rig.cables.heal()
-        self.isolated.append(Span(targets[0], began, time.time()))
+        self.isolated.append(TimeSpan(targets[0], started_at, time.time()))
         yield 1.0
 
     def alone(self, targets: list[str]) -> Iterator[float]:
-        """Cut off from all and from its name service, until it is shut out."""
-        targets += self.some(1)
-        began = time.time()
+        """Isolate a dispatcher from its peers and its name server until it is shut out."""
+        targets += self.pick_running(1)
+        started_at = time.time()
         self.rig.cables.cut(list(self.processes), targets)
         self.rig.cables.cut(targets, list(self.processes))
         self.rig.names[targets[0]].silent = True
@@ -161,42 +169,42 @@
         yield 4.5
         self.rig.cables.heal()
         self.rig.names[targets[0]].silent = False
-        self.isolated.append(Span(targets[0], began, time.time()))
-        self.may_shut_out.append(Span(targets[0], began + 2.0, time.time() + 1.0))
+        self.isolated.append(TimeSpan(targets[0], started_at, time.time()))
+        self.may_shut_out.append(TimeSpan(targets[0], started_at + 2.0, time.time() + 1.0))
         yield 1.2
 
     def halves(self, targets: list[str]) -> Iterator[float]:
-        """Seven to five, or as near as it goes; the smaller part's name service stops telling."""
-        targets += self.some(round(len(self.processes) * 5 / 12))
+        """Partition the fleet 7:5 or nearly so; the smaller part's name servers keep the old list."""
+        targets += self.pick_running(round(len(self.processes) * 5 / 12))
         rest = [name for name in self.processes if name not in targets]
-        began = time.time()
+        started_at = time.time()
         self.rig.cables.cut(rest, targets)
         self.rig.cables.cut(targets, rest)
         self.rig.follow(targets, False)
         self.change()
         yield 2.0
         self.rig.cables.heal()
-        self.isolated += [Span(name, began, time.time()) for name in targets]
+        self.isolated += [TimeSpan(name, started_at, time.time()) for name in targets]
         yield 2.0
 
     def noise(self, targets: list[str]) -> Iterator[float]:
-        """Datagrams are lost, repeated and late everywhere."""
+        """Lose, duplicate and delay datagrams on all links."""
         usual = self.rig.cables.usual
         usual.loss, usual.repeat, usual.delay = 0.2, 0.1, 30.0
-        targets += self.some(2)
+        targets += self.pick_running(2)
         self.rig.follow(targets, False)
         self.change()
         yield 2.5
 
     def old_half(self, targets: list[str]) -> Iterator[float]:
-        """The name service goes on telling half of the fleet an old list."""
-        targets += self.some(len(self.processes) // 2)
+        """Keep the old list at the name servers of half of the fleet."""
+        targets += self.pick_running(len(self.processes) // 2)
         self.rig.follow(targets, False)
         self.change()
         yield 2.0
 
     def away(self, targets: list[str]) -> Iterator[float]:
-        """The name service says nothing to anybody."""
+        """Silence all name servers."""
         for names in self.rig.names.values():
             names.silent = True
         yield 2.0
@@ -204,8 +212,8 @@
             names.silent = False
 
     def empty_disk(self, targets: list[str]) -> Iterator[float]:
-        """It starts anew without its audit log."""
-        targets += self.some(1)
+        """Restart a dispatcher without its audit log."""
+        targets += self.pick_running(1)
         self.rig.kill(targets[0])
         if self.processes[targets[0]].disk.exists():
             self.rig.set_disk_aside(targets[0])
@@ -213,8 +221,8 @@
         yield 1.5
 
     def old_disk(self, targets: list[str]) -> Iterator[float]:
-        """Its disk is put back as it was long ago."""
-        targets += self.some(1)
+        """Restart a dispatcher with an old copy of its directory."""
+        targets += self.pick_running(1)
         self.rig.kill(targets[0])
         if targets[0] in self.old_disks:
             self.rig.set_disk_aside(targets[0], self.old_disks[targets[0]])
@@ -222,8 +230,8 @@
         yield 1.5
 
     def disk_full(self, targets: list[str]) -> Iterator[float]:
-        """No file of it may grow: each write fails."""
-        targets += self.some(1)
+        """Make all writes of a dispatcher fail by limiting its file size."""
+        targets += self.pick_running(1)
         process = self.processes[targets[0]]
         assert process.child is not None
         free = (resource.RLIM_INFINITY, resource.RLIM_INFINITY)
@@ -233,17 +241,17 @@
         yield 0.8
 
     def clock_step(self, targets: list[str]) -> Iterator[float]:
-        """Its clock goes an hour on or back, and is put right."""
-        targets += self.some(1)
-        self.rig.step_clock(targets[0], self.chance.choice((CLOCK_STEP, -CLOCK_STEP)))
+        """Step a dispatcher's clock by an hour forwards or backwards, and back again."""
+        targets += self.pick_running(1)
+        self.rig.step_clock(targets[0], self.chance.choice((CLOCK_STEP_MS, -CLOCK_STEP_MS)))
         self.change()
         yield 2.5
         self.rig.step_clock(targets[0], 0.0)
         yield 1.0
 
     def rolling(self, targets: list[str]) -> Iterator[float]:
-        """Three in ten restart together."""
-        targets += self.some(max(1, round(0.29 * len(self.processes))))
+        """Restart three in ten dispatchers together."""
+        targets += self.pick_running(max(1, round(0.29 * len(self.processes))))
         for name in targets:
             self.rig.stop(name)
         self.change()
@@ -256,8 +264,8 @@
         yield 1.0
 
     def part_release(self, targets: list[str]) -> Iterator[float]:
-        """A new configuration got to a third of the fleet only."""
-        targets += self.some(len(self.processes) // 3)
+        """Release a new configuration to a third of the fleet only."""
+        targets += self.pick_running(len(self.processes) // 3)
         for name in targets:
             self.processes[name].revision += 1
             self.rig.kill(name)
@@ -265,8 +273,8 @@
         yield 2.0
 
     def twin(self, targets: list[str]) -> Iterator[float]:
-        """Another process under a name that is taken, on a host of its own."""
-        targets += self.some(1)
+        """Run a second process with the name of a running dispatcher, on another host."""
+        targets += self.pick_running(1)
         if not self.rig.fleet_on:
             yield 2.0
             return
@@ -275,12 +283,14 @@
         assert twin.child is not None
         twin.child.kill()
         twin.child.wait()
-        if self.rig.lines(targets[0], "fleet_name_yielded"):  # only just started: the other came first
+        if self.rig.lines(
+            targets[0], "fleet_name_yielded"
+        ):  # it had just started itself, and yielded the name to the other
             self.rig.kill(targets[0])
 
     def start_twin(self, name: str) -> Process:
-        """A second process of that name, with a plug of its own."""
-        number = FIRST_TWIN + len(self.twins)
+        """Start a second process of that name, with a network port of its own."""
+        number = FIRST_TWIN_NUMBER + len(self.twins)
         host = self.rig.network.host(self.rig.subnet, number)
         twin = Process(name, host, self.rig.folder / f"twin-{number}", number)
         twin.folder.mkdir()
@@ -290,22 +300,22 @@
         return twin
 
     def clash(self, targets: list[str]) -> Iterator[float]:
-        """One is told other content under the number that all others get."""
-        targets += self.some(1)
+        """Give one dispatcher a list with the same version as, and other content than, that of all others."""
+        targets += self.pick_running(1)
         names = self.rig.names[targets[0]]
         self.rig.follow(targets, False)
         names.endpoints, names.serial = list(self.rig.list.endpoints[:-1]), self.rig.list.serial + 1
         yield 0.4
         self.change()
-        self.clashes += 1
+        self.conflicts += 1
         yield 1.2
-        self.change()  # the next number ends it
+        self.change()  # the next version resolves the conflict
         self.rig.follow(targets, True)
         yield 0.5
 
     def liar(self, targets: list[str]) -> Iterator[float]:
-        """One acts on a number that cannot be; it is put right by a new start."""
-        targets += self.some(1)
+        """Give one dispatcher a list with an implausible version; a restart repairs it."""
+        targets += self.pick_running(1)
         names = self.rig.names[targets[0]]
         self.rig.follow(targets, False)
         names.serial = self.rig.list.serial + 5_000_000
@@ -316,8 +326,8 @@
         yield 1.0
 
     def grow(self, targets: list[str]) -> Iterator[float]:
-        """Two more come, and go again."""
-        for number in range(self.rig.count, self.rig.count + GROWTH):
+        """Let two more dispatchers join and leave."""
+        for number in range(self.rig.count, self.rig.count + JOINING_DISPATCHERS):
             targets.append(f"d{number}")
             if targets[-1] not in self.processes:
                 self.rig.add(number)
@@ -334,13 +344,13 @@
                 self.rig.kill(name)
 
     def chain_up(self, targets: list[str]) -> Iterator[float]:
-        """One that is behind hears only another, which alone hears the rest."""
-        targets += self.some(2)
+        """Let an outdated dispatcher reach only one peer, which alone reaches the others."""
+        targets += self.pick_running(2)
         rest = [name for name in self.processes if name not in targets]
-        began = time.time()
+        started_at = time.time()
         self.rig.follow(targets, False)
         self.rig.cables.cut(rest, targets[:1])
         self.rig.cables.cut(targets[:1], rest)
         self.change()
         yield 2.0
-        self.isolated.append(Span(targets[0], began, time.time()))
+        self.isolated.append(TimeSpan(targets[0], started_at, time.time()))
--- a/spurdeal/lab/audited/one_run.py
+++ b/spurdeal/lab/audited/one_run.py
@@ -1,4 +1,4 @@
-"""One run of the rig in this process, carried out and judged."""
+"""One run of the rig in this process, with its evaluation."""
 
 from __future__ import annotations
 
@@ -12,27 +12,35 @@
 from .judging import run_figures
 from .run import SIZES, Run
 
-BARE_SUBNET = 10  # the run without the fleet has its subnet so far on
+BASELINE_SUBNET_OFFSET = 10  # from the subnet of the run with the fleet to that of the baseline
 
 
 def one_run(fleet: bool, size: str, seed: int, say: Callable[[str], None]) -> dict[str, Any]:
-    """Carry out a run in this process, and judge it.
+    """Carry out and evaluate a run in this process.
 
     Args:
-        fleet: Whether the subsystem is on.
+        fleet: Whether the fleet is enabled.
         size: One of SIZES.
-        seed: Of the faults that are drawn.
+        seed: Seed of the faults.
         say: Called with a line for each fault.
 
     Returns:
-        The figures; only "fault" where the script raised.
+        The figures, or only "fault" if the script raised an exception.
     """
     from twisted.internet import reactor
 
     loop: Any = reactor
     folder = Path(tempfile.mkdtemp(prefix="spurdeal-lab-"))
     subnet, count, engines, kinds = SIZES[size]
-    rig = Rig(loop, subnet if fleet else subnet + BARE_SUBNET, folder, count, seed, fleet, engines=engines)
+    rig = Rig(
+        loop,
+        subnet if fleet else subnet + BASELINE_SUBNET_OFFSET,
+        folder,
+        count,
+        seed,
+        fleet,
+        engines=engines,
+    )
     run = Run(rig, say)
     runner = ScriptRunner(loop, run.script(kinds))
     try:
--- a/spurdeal/lab/audited/run.py
+++ b/spurdeal/lab/audited/run.py
@@ -1,4 +1,4 @@
-"""One run of the rig under load, through its faults."""
+"""One run of the rig under load, with faults."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from ..rig_process import PORT, WAIT
 from .faults import KINDS, QUICK, Faults
 
-RATE, IRREVERSIBLE = 90.0, 0.25  # requests a second; share of those that must not run twice
-READY_LOOKS, READY_EVERY = 200, 0.1  # a machine that starts many at once takes its time
-IDLE_FOR = 2.0  # seconds in which the CPU of idle dispatchers is measured
+RATE, NON_IDEMPOTENT_SHARE = 90.0, 0.25  # requests per second; share of non-idempotent ones
+READY_POLLS, READY_POLL_INTERVAL = 200, 0.1  # s between polls; many processes start at once
+IDLE_MEASURED = 2.0  # s over which the CPU use of idle dispatchers is measured
 
 
 class Size(NamedTuple):
-    """How large a run is. subnet: which loopback addresses it has in its network."""
+    """Size of a run. subnet: number of its subnet of loopback addresses."""
 
     subnet: int
     dispatchers: int
@@ -35,27 +35,33 @@
 
 
 class Injected(NamedTuple):
-    """A fault that was injected. Times are Unix s."""
+    """An injected fault; times are Unix s."""
 
     kind: str
-    began: float
-    ended: float
+    started_at: float
+    ended_at: float
     targets: tuple[str, ...]
 
 
 class Run:
-    """The script of a run, and what was measured in it."""
+    """The script of a run and its measurements.
+
+    Attributes:
+        injected: The faults so far.
+        idle_cpu: By dispatcher, its CPU use without load, in cores.
+        counters: By dispatcher, its counters at the end.
+    """
 
     def __init__(self, rig: Rig, say: Callable[[str], None]) -> None:
         self.rig, self.say = rig, say
         self.faults = Faults(rig, rig.seed + 2)
-        self.crowd = Crowd(rig, rig.seed + 3, RATE, IRREVERSIBLE)
+        self.crowd = Crowd(rig, rig.seed + 3, RATE, NON_IDEMPOTENT_SHARE)
         self.injected: list[Injected] = []
-        self.idle_cpu: dict[str, float] = {}  # cores, by dispatcher
+        self.idle_cpu: dict[str, float] = {}
         self.counters: dict[str, dict[str, int]] = {}
 
     def script(self, kinds: Sequence[str]) -> Iterator[float]:
-        """The run; each yield is how many seconds to wait."""
+        """Carry out the run; yields the seconds to wait."""
         yield from self.start()
         for kind in kinds:
             yield from self.inject(kind)
@@ -67,21 +73,21 @@
         """Start all dispatchers, then the load."""
         for name in list(self.rig.processes):
             self.rig.start(name)
-        for _ in range(READY_LOOKS):
-            yield READY_EVERY
+        for _ in range(READY_POLLS):
+            yield READY_POLL_INTERVAL
             if all(self.rig.lines(name, "ready") for name in self.rig.processes):
                 break
         yield 2.5
         self.crowd.start()
         yield 1.0
-        self.faults.copy_disks()
+        self.faults.save_disks()
 
     def inject(self, kind: str) -> Iterator[float]:
-        """One fault, and healing after it."""
-        rig, began, targets = self.rig, time.time(), list[str]()
+        """Inject one fault, and restore the network, name servers and processes afterwards."""
+        rig, started_at, targets = self.rig, time.time(), list[str]()
         yield from self.faults.inject(kind, targets)
-        self.injected.append(Injected(kind, began, time.time(), tuple(targets)))
-        self.say(f"{kind}: {' '.join(targets)} in {time.time() - began:.1f} s")
+        self.injected.append(Injected(kind, started_at, time.time(), tuple(targets)))
+        self.say(f"{kind}: {' '.join(targets)} in {time.time() - started_at:.1f} s")
         rig.cables.heal()
         rig.follow(list(rig.names), True)
         for name, process in rig.processes.items():
@@ -90,17 +96,17 @@
         yield 1.0
 
     def measure_idle(self) -> Iterator[float]:
-        """CPU without load, and each dispatcher's counters."""
+        """Measure the CPU use without load, and read each dispatcher's counters."""
         processes = self.rig.processes
         before = {name: process.cpu() for name, process in processes.items() if process.runs()}
-        yield IDLE_FOR
+        yield IDLE_MEASURED
         for name, used in before.items():
-            self.idle_cpu[name] = (processes[name].cpu() - used) / IDLE_FOR
+            self.idle_cpu[name] = (processes[name].cpu() - used) / IDLE_MEASURED
             self.counters[name] = self.counters_of(processes[name].host)
 
     @staticmethod
     def counters_of(host: str) -> dict[str, int]:
-        """A dispatcher's counters; none where it does not answer."""
+        """Read a dispatcher's counters; empty if it does not answer."""
         try:
             with urlopen(f"http://{host}:{PORT}/counters", timeout=3) as answer:
                 found: dict[str, int] = json.load(answer)
--- a/spurdeal/lab/audited/shut_out.py
+++ b/spurdeal/lab/audited/shut_out.py
@@ -1,4 +1,4 @@
-"""Who was shut out during a run, and whether more were than may be."""
+"""Figures of dispatchers that were shut out during a run."""
 
 from __future__ import annotations
 
@@ -6,47 +6,55 @@
 from typing import Any, NamedTuple
 
 from ..rig import Rig
-from .faults import Span
+from .faults import TimeSpan
 
 
-class Moment(NamedTuple):
-    """A dispatcher's standing has changed. at: Unix s."""
+class StandingChange(NamedTuple):
+    """A change of a dispatcher's standing.
+
+    Attributes:
+        at: Time in Unix s.
+        name: The dispatcher.
+        out: Whether it is shut out from then on.
+    """
 
     at: float
     name: str
     out: bool
 
 
-def shut_out(rig: Rig, allowed: Sequence[Span]) -> dict[str, Any]:
-    """How many were shut out, how many without need, and the greatest share of the fleet at one moment.
+def shut_out_figures(rig: Rig, allowed: Sequence[TimeSpan]) -> dict[str, Any]:
+    """Count the times that dispatchers were shut out, unexpectedly, and at once as a share of the fleet.
 
     Args:
         rig: The processes whose logs are read.
-        allowed: When a dispatcher may be out.
+        allowed: When dispatchers may be shut out.
     """
-    moments = [
-        Moment(at, name, pairs["standing"] == "shut")
+    changes = [
+        StandingChange(at, name, pairs["standing"] == "shut")
         for name in rig.processes
         for at, pairs in rig.lines(name, "fleet_standing")
     ]
-    out = [moment for moment in moments if moment.out]
+    out = [change for change in changes if change.out]
     return {
         "shut_out": len(out),
-        "shut_out_wrongly": sum(not within(moment, allowed) for moment in out),
-        "mass_shut_out_most": round(most_at_once(moments) / rig.count, 3),
+        "shut_out_wrongly": sum(not is_allowed(change, allowed) for change in out),
+        "mass_shut_out_most": round(max_at_once(changes) / rig.count, 3),
     }
 
 
-def within(moment: Moment, spans: Sequence[Span]) -> bool:
-    """Whether it lies in one of that dispatcher's spans."""
-    return any(moment.name == name and began <= moment.at <= ended for name, began, ended in spans)
+def is_allowed(change: StandingChange, spans: Sequence[TimeSpan]) -> bool:
+    """Tell whether a change is within one of its dispatcher's spans."""
+    return any(
+        change.name == name and started_at <= change.at <= ended_at for name, started_at, ended_at in spans
+    )
 
 
-def most_at_once(moments: Sequence[Moment]) -> int:
-    """How many were out at once, at the most."""
-    now_out: set[str] = set()
+def max_at_once(changes: Sequence[StandingChange]) -> int:
+    """Return the greatest number of dispatchers that were shut out at once."""
+    currently_out: set[str] = set()
     most = 0
-    for _, name, out in sorted(moments):
-        (now_out.add if out else now_out.discard)(name)
-        most = max(most, len(now_out))
+    for _, name, out in sorted(changes):
+        (currently_out.add if out else currently_out.discard)(name)
+        most = max(most, len(currently_out))
     return most
--- a/spurdeal/lab/audited/tampering.py
+++ b/spurdeal/lab/audited/tampering.py
@@ -1,4 +1,4 @@
-"""Tampering with copies of audit logs, each of which must be found by what the others say."""
+"""Tampers with copies of audit logs; the witness records in the other logs must reveal each change."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 from ..rig import GRACE, Rig
 
 LOGS = "audit-*.log"
-ENOUGH = 12  # copies
-PAGES_CUT = 11
+MIN_COPIES = 12  # tampered copies after which no further log is used
+PAGES_CUT = 11  # pages before the last seal at which a log is truncated
 
 
-def planted_breaks(rig: Rig, folders: Sequence[Path], chance: random.Random) -> dict[str, int]:
-    """Copies of the logs in which something was altered or cut; each must be found by what the others say."""
-    planted = found = 0
+def tampering_figures(rig: Rig, folders: Sequence[Path], chance: random.Random) -> dict[str, int]:
+    """Tamper with copies of the logs, and count the copies in which the check finds it."""
+    tampered = found = 0
     root = rig.folder / "planted"
-    kept = {folder: read_log(folder, False) for folder in folders}
-    clean = broken_words(list(kept.values()))
+    logs = {folder: read_log(folder, False) for folder in folders}
+    findings_before = chain_findings(list(logs.values()))
     for name, process in list(rig.processes.items()):
         if not process.disk.exists():
             continue
@@ -34,17 +34,17 @@
             shutil.copytree(process.disk, copy)
             if not tamper(copy, chance):
                 continue
-            planted += 1
-            says = broken_words(list((kept | {process.disk: read_log(copy, False)}).values()))
-            found += any(name in words for words in says - clean)
-        if planted >= ENOUGH:
+            tampered += 1
+            findings = chain_findings(list((logs | {process.disk: read_log(copy, False)}).values()))
+            found += any(name in text for text in findings - findings_before)
+        if tampered >= MIN_COPIES:
             break
-    return {"chain_breaks_planted": planted, "chain_breaks_found": found}
+    return {"chain_breaks_planted": tampered, "chain_breaks_found": found}
 
 
-def broken_words(logs: Sequence[DispatcherLog]) -> set[str]:
-    """What is said of logs that are not whole; what was decided in them is left out."""
-    told = [
+def chain_findings(logs: Sequence[DispatcherLog]) -> set[str]:
+    """Return the findings about the integrity of logs; records of decisions are not checked."""
+    reduced = [
         DispatcherLog(
             log.folder,
             log.name,
@@ -55,11 +55,11 @@
         )
         for log in logs
     ]
-    return {finding.text for finding in check(told, GRACE)}
+    return {finding.text for finding in check(reduced, GRACE)}
 
 
-def flip(folder: Path, chance: random.Random) -> bool:
-    """A bit in the first half of the greatest file is another."""
+def flip_bit(folder: Path, chance: random.Random) -> bool:
+    """Flip a bit in the first half of the largest file."""
     file = max(folder.glob(LOGS), key=lambda each: each.stat().st_size)
     data = bytearray(file.read_bytes())
     data[chance.randrange(len(MAGIC), max(len(MAGIC) + 1, len(data) // 2))] ^= 1 << chance.randrange(8)
@@ -68,10 +68,10 @@
 
 
 class Frame(NamedTuple):
-    """A frame in a file: where it begins and ends, and its body."""
+    """A frame in a file: its start and end offsets, and its body."""
 
-    began: int
-    ended: int
+    start: int
+    end: int
     body: bytes
 
     @property
@@ -80,34 +80,34 @@
         return self.body[FRAME_STAMP.size]
 
 
-def frames(data: bytes) -> list[Frame]:
-    """All whole frames of a file."""
+def read_frames(data: bytes) -> list[Frame]:
+    """Return all complete frames of a file."""
     found, at = list[Frame](), len(MAGIC)
     while (whole := frame_at(data, at)) is not None:
-        body, ended = whole
-        found.append(Frame(at, ended, body))
-        at = ended
+        body, end = whole
+        found.append(Frame(at, end, body))
+        at = end
     return found
 
 
-def framed(body: bytes) -> bytes:
-    """A body with its frame's head and checksum."""
+def encode_frame(body: bytes) -> bytes:
+    """Encode a body as a frame, with length and checksum."""
     return FRAME.pack(len(body), zlib.crc32(body)) + body
 
 
 def cut_tail(folder: Path, chance: random.Random) -> bool:
-    """The last file ends at a seal some pages before its end, as if nothing more had been written."""
+    """Truncate the last file at a seal some pages before its end, as if nothing more had been written."""
     file = max(folder.glob(LOGS))
     data = file.read_bytes()
-    seals = [frame.ended for frame in frames(data) if frame.kind == Kind.SEAL]
+    seals = [frame.end for frame in read_frames(data) if frame.kind == Kind.SEAL]
     if len(seals) <= PAGES_CUT:
         return False
     file.write_bytes(data[: seals[-PAGES_CUT]])
     return True
 
 
-def drop_file(folder: Path, chance: random.Random) -> bool:
-    """The second of several files is gone."""
+def delete_file(folder: Path, chance: random.Random) -> bool:
+    """Delete the second of at least three files."""
     files = sorted(folder.glob(LOGS))
     if len(files) < 3:
         return False
@@ -115,46 +115,50 @@
     return True
 
 
-def rewrite(folder: Path, chance: random.Random) -> bool:
-    """One who knows the format alters a send in the last file, and makes all checksums and seals right
-    again."""
+def rewrite_record(folder: Path, chance: random.Random) -> bool:
+    """Alter a send in the last file, and recompute all checksums and seals."""
     file = max(folder.glob(LOGS))
-    rows = frames(file.read_bytes())
+    rows = read_frames(file.read_bytes())
     sent = next((place for place, frame in enumerate(rows) if frame.kind == Kind.SENT), None)
     if sent is None:
         return False
     bodies = [frame.body for frame in rows]
     changed = bytearray(bodies[sent])
-    changed[FRAME_STAMP.size + 1] ^= 1  # the attempt's number
+    changed[FRAME_STAMP.size + 1] ^= 1  # the number of the attempt
     bodies[sent] = bytes(changed)
-    before = bytes.fromhex(log_head(rows[0].body)["before"])
-    file.write_bytes(MAGIC + sealed_anew(before, bodies))
+    before = bytes.fromhex(read_log_head(rows[0].body)["before"])
+    file.write_bytes(MAGIC + reseal(before, bodies))
     return True
 
 
-def sealed_anew(digest: bytes, bodies: Sequence[bytes]) -> bytes:
-    """Frames of these bodies, with each seal's digest as the bodies before it give it."""
+def reseal(digest: bytes, bodies: Sequence[bytes]) -> bytes:
+    """Encode bodies as frames, and recompute each seal's digest."""
     out, page = bytearray(), b""
     for body in bodies:
         if body[FRAME_STAMP.size] == Kind.SEAL:
             digest = digest_after(digest, page)
             kind, number, count = SEAL_RECORD.unpack_from(body, FRAME_STAMP.size)
-            out += framed(body[: FRAME_STAMP.size] + SEAL_RECORD.pack(kind, number, count) + digest)
+            out += encode_frame(body[: FRAME_STAMP.size] + SEAL_RECORD.pack(kind, number, count) + digest)
             page = b""
         else:
-            page += framed(body)
-            out += framed(body)
+            page += encode_frame(body)
+            out += encode_frame(body)
     return bytes(out)
 
 
-def log_head(body: bytes) -> dict[str, Any]:
-    """What a file's first record tells."""
+def read_log_head(body: bytes) -> dict[str, Any]:
+    """Decode a file's first record."""
     (size,) = struct.unpack_from("!H", body, FRAME_STAMP.size + 1)
-    told: dict[str, Any] = json.loads(
+    head: dict[str, Any] = json.loads(
         zlib.decompress(body[FRAME_STAMP.size + 3 : FRAME_STAMP.size + 3 + size])
     )
-    return told
+    return head
 
 
-# Each alters the log in a folder, and tells whether it could: a short log gives nothing to cut.
-TAMPERINGS: tuple[Callable[[Path, random.Random], bool], ...] = (flip, cut_tail, drop_file, rewrite)
+# Each tampers with the log in a directory, and returns False if the log is too short for it.
+TAMPERINGS: tuple[Callable[[Path, random.Random], bool], ...] = (
+    flip_bit,
+    cut_tail,
+    delete_file,
+    rewrite_record,
+)
