--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt: what passes over just these, and nothing else."""
+"""KNOWN-RED.txt: a run passes if only the listed tests fail."""
 
 import importlib.util
 import subprocess
@@ -32,10 +32,10 @@
     "suite.Red.test_red | suite | a cause | issue 7",
     "suite.Red.test_parts | suite --seed 3 | another | issue 8",
 )
-GREEN = "suite.Red.test_green | suite | mended since | issue 9"
+GREEN = "suite.Red.test_green | suite | fixed since | issue 9"
 
 
-def load() -> Any:
+def load_tool() -> Any:
     spec = importlib.util.spec_from_file_location("known_red", TOOL)
     assert spec is not None and spec.loader is not None
     module = importlib.util.module_from_spec(spec)
@@ -47,10 +47,10 @@
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        self.folder, self.tool = Path(folder.name), load()
+        self.folder, self.tool = Path(folder.name), load_tool()
 
     def run_suite(self, *lines: str, other: str = "pass") -> tuple[int, str]:
-        """The verdict on a run of the suite with these lines, and what is printed."""
+        """Returns the exit code for a run of the suite with these lines, and the messages."""
         (self.folder / "suite.py").write_text(SUITE.format(other=other))
         known = self.folder / "KNOWN-RED.txt"
         known.unlink(missing_ok=True)
@@ -63,13 +63,13 @@
             capture_output=True,
             check=False,
         )
-        code, said = self.tool.judge(self.tool.read(known), done.stderr, done.returncode)
-        return code, "\n".join(said)
+        code, messages = self.tool.judge(self.tool.read(known), done.stderr, done.returncode)
+        return code, "\n".join(messages)
 
-    def test_just_these_are_passed_over_and_printed(self) -> None:
-        code, said = self.run_suite(RED, PARTS)
+    def test_only_listed_failures_are_tolerated_and_printed(self) -> None:
+        code, messages = self.run_suite(RED, PARTS)
         self.assertEqual(
-            (code, said.splitlines()),
+            (code, messages.splitlines()),
             (0, [f"known red, and failed: {RED}", f"known red, and failed: {PARTS}"]),
         )
 
@@ -84,12 +84,12 @@
             with self.subTest(lines=lines, other=other):
                 self.assertNotEqual(self.run_suite(*lines, other=other)[0], 0)
 
-    def test_one_that_passes_is_to_be_taken_out(self) -> None:
-        code, said = self.run_suite(RED, PARTS, GREEN)
+    def test_a_listed_test_that_passes_is_to_be_removed(self) -> None:
+        code, messages = self.run_suite(RED, PARTS, GREEN)
         self.assertEqual(code, 0)
-        self.assertIn(f"known red, and passed, to be taken out: {GREEN}", said)
+        self.assertIn(f"known red, and passed, to be taken out: {GREEN}", messages)
 
-    def test_files_that_cannot_be_used(self) -> None:
+    def test_unusable_files(self) -> None:
         path = self.folder / "KNOWN-RED.txt"
         here = f"{self.id()} | suite | a cause | issue 1"
         cases = [
@@ -108,10 +108,10 @@
         for text in cases:
             with self.subTest(text):
                 path.write_text(text)
-                self.assertRaises(self.tool.Unusable, self.tool.read, path)
+                self.assertRaises(self.tool.UnusableListError, self.tool.read, path)
         for text, usable in (
             (here, True),
-            (here.replace("test_files", "test_no_files"), False),
+            (here.replace("test_unusable", "test_no_unusable"), False),
             ("tests.test_known_red.KnownRed | suite | a class | issue 1", False),
         ):
             with self.subTest(text):
--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""The pages for newcomers name files, functions and commands that exist."""
+"""The introductory pages name only files, functions and commands that exist."""
 
 import ast
 import re
@@ -7,25 +7,25 @@
 
 ROOT = Path(__file__).parent.parent
 PAGES = ("README.md", "docs/architecture.md")
-LONGEST = {"README.md": 160, "docs/architecture.md": 200}
+MAX_LINES = {"README.md": 160, "docs/architecture.md": 200}
 CODE = re.compile(r"`([^`\n]+)`")
 FILE = re.compile(r"(?:spurdeal|tests|docs|deploy|tools|\.ci)/[\w./-]*")
 MEMBER = re.compile(r"([A-Z]\w+)\.(\w+)")
 LINK = re.compile(r"\]\(([^)#:]+)\)")
 
 
-def members() -> dict[str, set[str]]:
-    """Of each class in the program, by name: its methods, class-level names and attributes of self."""
+def members_by_class() -> dict[str, set[str]]:
+    """Returns by class of the package: its methods, class-level names and attributes of self."""
     found: dict[str, set[str]] = {}
     for path in (ROOT / "spurdeal").rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text("utf-8"))):
             if isinstance(node, ast.ClassDef):
-                found.setdefault(node.name, set()).update(names_in(node))
+                found.setdefault(node.name, set()).update(names_of_class(node))
     return found
 
 
-def names_in(node: ast.ClassDef) -> set[str]:
-    """Methods, names that the class body binds, and attributes of self."""
+def names_of_class(node: ast.ClassDef) -> set[str]:
+    """Returns the methods, the names bound in the class body, and the attributes of self."""
     names = set()
     for statement in node.body:
         if isinstance(statement, ast.AnnAssign) and isinstance(statement.target, ast.Name):
@@ -59,7 +59,7 @@
             self.assertEqual(missing, [], page)
 
     def test_classes_and_their_members_exist(self) -> None:
-        known = members()
+        known = members_by_class()
         for page in PAGES:
             named = [found for code in CODE.findall(self.text(page)) if (found := MEMBER.fullmatch(code))]
             missing = [found[0] for found in named if found[2] not in known.get(found[1], ())]
@@ -72,5 +72,5 @@
             self.assertLessEqual(named, set(targets), page)
 
     def test_pages_stay_short(self) -> None:
-        for page, most in LONGEST.items():
-            self.assertLess(len(self.text(page).splitlines()), most, page)
+        for page, max_lines in MAX_LINES.items():
+            self.assertLess(len(self.text(page).splitlines()), max_lines, page)
--- a/tests/test_tools.py
+++ b/tests/test_tools.py
@@ -1,4 +1,4 @@
-"""Scripts behind `make test` and `.ci/run`: one line says what is missing, and what fails fails the run."""
+"""Scripts behind `make test` and `.ci/run`: a missing requirement gives one line, and any failure fails."""
 
 import os
 import shutil
@@ -22,7 +22,7 @@
 
 
 class ScratchTree(unittest.TestCase):
-    """A folder with the scripts alone, and a PATH that holds nothing but the system's basic tools."""
+    """A directory with only the scripts, and a PATH with only basic system tools."""
 
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
@@ -43,10 +43,10 @@
         path.write_text(f"#!/bin/sh\n{text}\n")
         path.chmod(0o755)
 
-    def run_script(self, *words: str, **environment: str) -> subprocess.CompletedProcess[str]:
+    def run_script(self, *arguments: str, **environment: str) -> subprocess.CompletedProcess[str]:
         inherited = {name: value for name, value in os.environ.items() if not name.startswith("PIP_")}
         return subprocess.run(
-            words,
+            arguments,
             cwd=self.root,
             env=inherited | {"PATH": str(self.programs)} | environment,
             text=True,
@@ -54,21 +54,21 @@
             check=False,
         )
 
-    def assert_one_line(self, done: subprocess.CompletedProcess[str], *words: str) -> None:
+    def assert_one_line(self, done: subprocess.CompletedProcess[str], *expected: str) -> None:
         self.assertNotEqual(done.returncode, 0)
         self.assertEqual(len(done.stderr.splitlines()), 1, done)
-        for word in words:
-            self.assertIn(word, done.stderr)
+        for text in expected:
+            self.assertIn(text, done.stderr)
 
 
 class SetUp(ScratchTree):
-    """tools/setup.sh."""
+    """tools/setup.sh, with missing requirements."""
 
     def test_no_python(self) -> None:
         done = self.run_script("tools/setup.sh", "requirements.txt")
         self.assert_one_line(done, "Python 3.11 or newer is missing", "no python3 on the PATH")
 
-    def test_a_python_that_does_not_fit(self) -> None:
+    def test_an_unsuitable_python(self) -> None:
         for text, found in (
             ("echo 3.9", "python3 is 3.9"),
             ("echo Python 3.10.4", "python3 is Python 3.10.4"),
@@ -82,7 +82,7 @@
                 self.assertEqual(done.stdout, "")
                 self.assertFalse((self.root / ".venv").exists())
 
-    def test_no_module_to_make_an_environment(self) -> None:
+    def test_no_venv_module(self) -> None:
         self.write_program(
             self.programs / "python3", '[ "$1" = -c ] && echo 3.11 || { echo no ensurepip; exit 1; }'
         )
@@ -103,7 +103,7 @@
 
 
 class Checks(ScratchTree):
-    """tools/test.sh and .ci/run, with stand-ins for the set-up and the linters."""
+    """tools/test.sh and .ci/run, with stubs for the setup and the linters."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -130,7 +130,7 @@
         self.assertNotEqual(done.returncode, 0)
         self.assertRegex(done.stdout, r"(?m)^Ran 1 test in ")
 
-    def test_a_known_failure_is_printed_and_passed_over(self) -> None:
+    def test_a_known_failure_is_printed_and_tolerated(self) -> None:
         self.write_test("self.fail()")
         (self.root / "KNOWN-RED.txt").write_text(KNOWN_RED)
         done = self.run_script("tools/test.sh")
@@ -176,7 +176,7 @@
             self.assertEqual("made test" in without_make.stdout, False)
 
     @unittest.skipUnless(shutil.which("make"), "there is no make on this machine")
-    def test_make_runs_the_script_and_keeps_its_verdict(self) -> None:
+    def test_make_runs_the_script_and_keeps_its_exit_code(self) -> None:
         make = shutil.which("make")
         assert make is not None
         for test, passes in (("pass", True), ("self.fail()", False)):
