--- a/spurdeal/lab/audited/shut_out.py
+++ b/spurdeal/lab/audited/shut_out.py
@@ -53,8 +53,8 @@
 def max_at_once(changes: Sequence[StandingChange]) -> int:
     """Return the greatest number of dispatchers that were shut out at once."""
     currently_out: set[str] = set()
-    most = 0
+    greatest = 0
     for _, name, out in sorted(changes):
         (currently_out.add if out else currently_out.discard)(name)
-        most = max(most, len(currently_out))
-    return most
+        greatest = max(greatest, len(currently_out))
+    return greatest
--- a/spurdeal/lab/model_engine.py
+++ b/spurdeal/lab/model_engine.py
@@ -148,8 +148,10 @@
         self.recent_arrivals.append((now, work))
         while self.recent_arrivals[0][0] <= now - self.kind.cold_window:
             self.recent_arrivals.popleft()
-        most = self.kind.cold_multiple * self.kind.cores * self.kind.cold_share * self.kind.cold_window
-        self.max_budget_used = max(self.max_budget_used, sum(each for _, each in self.recent_arrivals) / most)
+        limit = self.kind.cold_multiple * self.kind.cores * self.kind.cold_share * self.kind.cold_window
+        self.max_budget_used = max(
+            self.max_budget_used, sum(each for _, each in self.recent_arrivals) / limit
+        )
         if self.max_budget_used > 1.0:
             self.overloaded = True
             self.crash(now)
--- a/spurdeal/lab/virtual.py
+++ b/spurdeal/lab/virtual.py
@@ -88,7 +88,7 @@
     Attributes:
         make_rules: Builds the rules, or a faulty variant of them.
         incarnation: Identifies this start of the dispatcher; events of earlier ones are dropped.
-        numbers: Number of the next request.
+        next_number: Number of the next request.
         batch_scheduled: Whether the end of the batch of this moment is scheduled.
     """
 
@@ -102,7 +102,7 @@
         """Starts the dispatcher, or restarts it without any state."""
         self.open_requests: dict[int, OpenRequest] = {}
         self.incarnation = self.world.next_id()
-        self.numbers = 0
+        self.next_number = 0
         self.batch_scheduled = False
         world = self.world
         self.rules = self.make_rules(world.deployment, world.chance.getrandbits(32), self, world.now)
@@ -138,8 +138,8 @@
     def receive_request(self, kind: int, work: float, group: int) -> None:
         """Handles a request that arrives from a client."""
         world, w = self.world, self.world.deployment.workloads[kind]
-        number, deadline = self.numbers, world.now + w.deadline
-        self.numbers += 1
+        number, deadline = self.next_number, world.now + w.deadline
+        self.next_number += 1
         request = self.open_requests[number] = OpenRequest(number, kind, deadline, work, group)
         key = group + 1 if w.in_order else 0
         world.counts["submissions"] += 1
