--- a/spurdeal/cli/main.py
+++ b/spurdeal/cli/main.py
@@ -263,7 +263,7 @@
     """Measure the capacity, or write a page's tables from measured figures."""
     from pathlib import Path
 
-    from ..lab.capacity.measure import Refused
+    from ..lab.capacity.measure import MeasurementRefused
     from ..lab.capacity.report import UnusablePage, write_page
 
     if (options.page is None) != (options.source is None):
@@ -276,7 +276,7 @@
         found = import_figures("capacity")(
             quick, lambda line: click.echo(line, err=True), options.sections, sizes
         )
-    except (Refused, UnusablePage, OSError, ValueError) as error:
+    except (MeasurementRefused, UnusablePage, OSError, ValueError) as error:
         exit_with_error(f"lab capacity: {error}")
     click.echo(json.dumps(found) if as_json else json.dumps(found, indent=2))
 
--- a/spurdeal/lab/capacity/__init__.py
+++ b/spurdeal/lab/capacity/__init__.py
@@ -9,7 +9,7 @@
 
 from . import engine_links, engine_list, membership, recorded, request_path, sockets, storms
 from .fit import LEAST_SIZES
-from .measure import Refused
+from .measure import MeasurementRefused
 from .records import Role
 from .report import ranking
 from .unserved import UNSERVED
@@ -49,12 +49,12 @@
     known = [*SECTIONS, STORMS]
     for name in names:
         if name not in known:
-            raise Refused(f"no section {name!r}; there are {', '.join(known)}")
+            raise MeasurementRefused(f"no section {name!r}; there are {', '.join(known)}")
     if sizes and len(names) != 1:
-        raise Refused("sizes go with one section")
+        raise MeasurementRefused("sizes go with one section")
     least = 1 if list(names) == [STORMS] else LEAST_SIZES + 1
     if sizes and (len(set(sizes)) < least or list(sizes) != sorted(set(sizes)) or sizes[0] < 1):
-        raise Refused(f"sizes must be {least} or more, rising, the last beyond the fitted range")
+        raise MeasurementRefused(f"sizes must be {least} or more, rising, the last beyond the fitted range")
     return list(names) or known
 
 
--- a/spurdeal/lab/capacity/engine_links.py
+++ b/spurdeal/lab/capacity/engine_links.py
@@ -14,7 +14,7 @@
 from ...net.descriptors import DescriptorBudget, ProcessDescriptors
 from . import design
 from .fit import Form
-from .measure import Refused, require_descriptors, require_memory, sample
+from .measure import MeasurementRefused, require_descriptors, require_memory, sample
 from .records import Limit, Measure, Role, Sample, quantity
 from .workers import WORKERS
 
@@ -75,7 +75,7 @@
 def roles(sizes: Sequence[int], say: Callable[[str], None]) -> list[Role]:
     """Who is linked to whom, if all are."""
     if max(sizes) > design.ENGINES:
-        raise Refused(f"links: {max(sizes)} connections, at most {design.ENGINES}")
+        raise MeasurementRefused(f"links: {max(sizes)} connections, at most {design.ENGINES}")
     require_descriptors(max(sizes), "links")
     require_memory(2 * max(sizes) * KB_PER_CONNECTION, f"links: {max(sizes)} connections")
     say(f"connections to engines: {sizes}")
--- a/spurdeal/lab/capacity/engine_list.py
+++ b/spurdeal/lab/capacity/engine_list.py
@@ -10,7 +10,7 @@
 from ..names import Endpoint, answer
 from . import design
 from .fit import Form
-from .measure import TRIES, Refused, cpu_us, sample
+from .measure import TRIES, MeasurementRefused, cpu_us, sample
 from .records import Limit, Measure, Role, Sample, quantity
 
 SIZES = (36, 100, 200, 300, 400, 600)
@@ -77,10 +77,12 @@
     """The engine list's way."""
     say(f"engine list: {sizes} engines")
     if max(sizes) > (most := most_in_a_datagram()):
-        raise Refused(f"engine list: {max(sizes)} engines, one datagram holds {most}")
+        raise MeasurementRefused(f"engine list: {max(sizes)} engines, one datagram holds {most}")
     unread = [size for size in sizes if not readable(size)]
     if unread:
-        raise Refused(f"engine list: {unread[0]} engines cannot be read from one answer of the stand-in")
+        raise MeasurementRefused(
+            f"engine list: {unread[0]} engines cannot be read from one answer of the stand-in"
+        )
     by_records = (dns.MOST_RECORDS - RECORDS_OF_LIST) // RECORDS_PER_ENGINE
     return [
         Role(
--- a/spurdeal/lab/capacity/measure.py
+++ b/spurdeal/lab/capacity/measure.py
@@ -18,7 +18,7 @@
 KB_PER_PAGE = os.sysconf("SC_PAGE_SIZE") / 1024
 
 
-class Refused(Exception):
+class MeasurementRefused(Exception):
     """A run that cannot be started; the text says why in one line."""
 
 
@@ -51,14 +51,14 @@
     for line in Path("/proc/meminfo").read_text().splitlines():
         if line.startswith("MemAvailable:"):
             return float(line.split()[1])
-    raise Refused("the machine does not tell how much memory it has")
+    raise MeasurementRefused("the machine does not tell how much memory it has")
 
 
 def require_memory(needed_kb: float, what: str) -> None:
     """Refuses what would take more than MEMORY_PART of the memory."""
     holds = MEMORY_PART * available_kb()
     if needed_kb > holds:
-        raise Refused(
+        raise MeasurementRefused(
             f"{what}: {needed_kb / 1024:.0f} MB are needed, the machine holds {holds / 1024:.0f} MB"
         )
 
@@ -66,7 +66,9 @@
 def require_processes(count: int, what: str) -> None:
     """Refuses more processes than MOST_PROCESSES."""
     if count > MOST_PROCESSES:
-        raise Refused(f"{what}: {count} processes are needed, at most {MOST_PROCESSES} are started")
+        raise MeasurementRefused(
+            f"{what}: {count} processes are needed, at most {MOST_PROCESSES} are started"
+        )
 
 
 def require_descriptors(count: int, what: str) -> None:
@@ -74,6 +76,6 @@
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     needed = count + SPARE_DESCRIPTORS
     if hard != resource.RLIM_INFINITY and needed > hard:
-        raise Refused(f"{what}: {needed} descriptors are needed, the machine allows {hard}")
+        raise MeasurementRefused(f"{what}: {needed} descriptors are needed, the machine allows {hard}")
     if needed > soft:
         resource.setrlimit(resource.RLIMIT_NOFILE, (needed, hard))
--- a/spurdeal/lab/capacity/sockets.py
+++ b/spurdeal/lab/capacity/sockets.py
@@ -10,7 +10,7 @@
 
 from . import design
 from .fit import Form
-from .measure import TRIES, Refused, require_descriptors, require_memory, require_processes, sample
+from .measure import TRIES, MeasurementRefused, require_descriptors, require_memory, require_processes, sample
 from .records import Measure, Role, Sample, quantity
 
 REQUEST_SIZES = (9, 18, 36, 72, 144)
@@ -43,7 +43,7 @@
 ) -> list[Role]:
     """A request over sockets."""
     if max(sizes) > MOST_ENGINES:
-        raise Refused(f"requests: {max(sizes)} engines, there are addresses for {MOST_ENGINES}")
+        raise MeasurementRefused(f"requests: {max(sizes)} engines, there are addresses for {MOST_ENGINES}")
     require_processes(PROCESSES, "requests")
     say(f"requests over sockets: {sizes} engines, one real dispatcher each")
     found = [drive("requests", size, per_try=per_try) for size in sizes]
@@ -89,7 +89,9 @@
 def idle_roles(sizes: Sequence[int], say: Callable[[str], None]) -> list[Role]:
     """Connections of clients that rest."""
     if max(sizes) > MOST_CLIENTS:
-        raise Refused(f"clients: {max(sizes)} connections, the dispatcher is given room for {MOST_CLIENTS}")
+        raise MeasurementRefused(
+            f"clients: {max(sizes)} connections, the dispatcher is given room for {MOST_CLIENTS}"
+        )
     require_descriptors(2 * max(sizes), "clients")
     require_memory(max(sizes) * KB_PER_CONNECTION, f"clients: {max(sizes)} connections")
     say(f"client connections: {sizes}, one real dispatcher each")
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -20,7 +20,7 @@
 )
 from spurdeal.lab.capacity.fit import Form, UnusableSeries, best_fit, fit
 from spurdeal.lab.capacity.measure import (
-    Refused,
+    MeasurementRefused,
     require_descriptors,
     require_memory,
     require_processes,
@@ -246,7 +246,7 @@
             lambda: figures(True, quiet, ["requests"], [1, 2, 3, 4, 1 << 20]),
             lambda: figures(True, quiet, ["list"], [1, 2, 3, 4, 2_000]),
         ):
-            with self.assertRaises(Refused) as refused:
+            with self.assertRaises(MeasurementRefused) as refused:
                 call()
             self.assertNotIn("\n", str(refused.exception))
 
@@ -258,7 +258,7 @@
             (["list"], [5, 4, 3, 2, 1]),
             (["list"], [0, 1, 2, 3, 4]),
         ):
-            with self.subTest(sections=sections, sizes=sizes), self.assertRaises(Refused):
+            with self.subTest(sections=sections, sizes=sizes), self.assertRaises(MeasurementRefused):
                 chosen(sections, sizes)
 
     def test_the_command_says_one_line_and_ends_with_2(self) -> None:
