--- a/spurdeal/lab/capacity/design.py
+++ b/spurdeal/lab/capacity/design.py
@@ -1,4 +1,4 @@
-"""The deployment that the capacity figures are worked out for, and the budgets that follow from it."""
+"""The deployment for which the capacity figures are computed, and the budgets that follow from it."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 CHANGES_PER_S = CONFIGURATION_CHANGES_PER_DAY / SECONDS_PER_DAY
 
 MICROSECONDS_PER_S = 1_000_000
-# A dispatcher is one process on one core: at its rate each statement may take so much of it.
+# CPU budget of a statement: a dispatcher is one process on one core and has to sustain its share of the load.
 STATEMENT_CPU_US = MICROSECONDS_PER_S / STATEMENTS_PER_DISPATCHER
 CONTROL_CPU_US_PER_S = 0.013 * MICROSECONDS_PER_S
 CONTROL_MEMORY_KB = 32 * 1024.0
--- a/spurdeal/lab/capacity/engine_links.py
+++ b/spurdeal/lab/capacity/engine_links.py
@@ -1,4 +1,4 @@
-"""Connections from one dispatcher to its engines: memory and processor time of each while it rests."""
+"""Idle connections from one dispatcher to its engines: memory footprint and CPU time."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 SIZES = (250, 500, 1_000, 2_000, 4_300)
 QUICK_SIZES = (50, 100, 200, 400, 800)
-DEFAULT_SOCKETS = 1_024  # `limits.sockets` of a configuration that names none
+DEFAULT_SOCKETS = 1_024  # default of `limits.sockets`
 KB_PER_CONNECTION = 20.0
 BACKLOG = 1_024
-RUN_WITHIN = 120
+RUN_TIMEOUT = 120  # seconds
 
 
 class Listener:
-    """Accepts all that comes and says nothing: an engine for as many connections as there are."""
+    """Accepts all connections and never sends; stands for any number of engines."""
 
     def __init__(self) -> None:
         self.socket = socket.create_server(("127.0.0.1", 0), backlog=BACKLOG)
@@ -36,12 +36,12 @@
 
     @property
     def port(self) -> int:
-        """Where it listens."""
-        found: int = self.socket.getsockname()[1]
-        return found
+        """The port of the listening socket."""
+        number: int = self.socket.getsockname()[1]
+        return number
 
     def accept(self) -> None:
-        """Until the listening socket is shut down."""
+        """Accept connections until the listening socket is shut down."""
         while True:
             try:
                 self.accepted.append(self.socket.accept()[0])
@@ -49,38 +49,38 @@
                 return
 
     def close(self) -> None:
-        """Ends the listener and what it has accepted."""
+        """Close the listening socket and all accepted connections."""
         self.socket.shutdown(socket.SHUT_RDWR)
         self.socket.close()
         for each in self.accepted:
             each.close()
 
 
-def held(count: int) -> dict[str, Any]:
-    """The figures of one process with so many connections."""
+def measure_connections(count: int) -> dict[str, Any]:
+    """Measure a process that holds `count` idle connections."""
     listener = Listener()
     command = [sys.executable, "-O", "-m", "spurdeal.lab.capacity.links_process"]
     try:
-        done = subprocess.run(
-            [*command, str(listener.port), str(count)], capture_output=True, text=True, timeout=RUN_WITHIN
+        completed = subprocess.run(
+            [*command, str(listener.port), str(count)], capture_output=True, text=True, timeout=RUN_TIMEOUT
         )
     finally:
         listener.close()
-    if done.returncode:
-        raise RuntimeError(f"links at {count}: {done.stdout} {done.stderr}")
-    found: dict[str, Any] = json.loads(done.stdout)
-    return found
+    if completed.returncode:
+        raise RuntimeError(f"links at {count}: {completed.stdout} {completed.stderr}")
+    results: dict[str, Any] = json.loads(completed.stdout)
+    return results
 
 
-def roles(sizes: Sequence[int], say: Callable[[str], None]) -> list[Role]:
-    """Who is linked to whom, if all are."""
+def roles(sizes: Sequence[int], report_progress: Callable[[str], None]) -> list[Role]:
+    """Measure the connections to engines, up to one to each engine of the design."""
     if max(sizes) > design.ENGINES:
-        raise MeasurementRefused(f"links: {max(sizes)} connections, at most {design.ENGINES}")
+        raise MeasurementRefused(f"links: {max(sizes)} connections, the maximum is {design.ENGINES}")
     require_descriptors(max(sizes), "links")
     require_memory(2 * max(sizes) * KB_PER_CONNECTION, f"links: {max(sizes)} connections")
-    say(f"connections to engines: {sizes}")
+    report_progress(f"connections to engines: {sizes}")
     with ThreadPoolExecutor(WORKERS) as pool:
-        found = list(pool.map(held, sizes))
+        results = list(pool.map(measure_connections, sizes))
     links = design.DISPATCHERS * design.ENGINES
     return [
         Role(
@@ -95,7 +95,7 @@
                     "us a second",
                     Form.LINEAR,
                     sizes,
-                    [sample(each["cpu_us"]) for each in found],
+                    [sample(each["cpu_us"]) for each in results],
                     design.ENGINES,
                     design.CONTROL_CPU_US_PER_S,
                 ),
@@ -104,7 +104,7 @@
                     "KB of all connections",
                     Form.LINEAR,
                     sizes,
-                    [Sample(size * each["memory_kb"]) for size, each in zip(sizes, found, strict=True)],
+                    [Sample(size * each["memory_kb"]) for size, each in zip(sizes, results, strict=True)],
                     design.ENGINES,
                     design.CONTROL_MEMORY_KB,
                 ),
--- a/spurdeal/lab/capacity/engine_list.py
+++ b/spurdeal/lab/capacity/engine_list.py
@@ -1,4 +1,4 @@
-"""The engine list's way to a dispatcher: one DNS answer with all of it, asked for five times a second."""
+"""Delivery of the engine list to a dispatcher: one DNS response holds all of it, five queries a second."""
 
 from __future__ import annotations
 
@@ -10,79 +10,87 @@
 from ..names import Endpoint, answer
 from . import design
 from .fit import Form
-from .measure import TRIES, MeasurementRefused, cpu_us, sample
+from .measure import REPETITIONS, MeasurementRefused, cpu_us, sample
 from .records import Limit, Measure, Role, Sample, quantity
 
 SIZES = (36, 100, 200, 300, 400, 600)
 QUICK_SIZES = (36, 72, 100, 150, 200)
 LARGEST_DATAGRAM = 65_507  # a UDP payload over IPv4
-RECORDS_PER_ENGINE, RECORDS_OF_LIST = 3, 1  # SRV, A and TXT; the SOA with the serial
-IDENT = 7
-ASKED_PER_S = 1 / QUERY_INTERVAL
-READS_PER_TRY = 5
+RECORDS_PER_ENGINE, RECORDS_OF_LIST = 3, 1  # SRV, A and TXT; the SOA record with the serial number
+QUERY_ID = 7
+QUERIES_PER_S = 1 / QUERY_INTERVAL
+READS_PER_REPETITION = 5
 
 
-def datagram(engines: int) -> bytes:
-    """The name service's answer with so many engines."""
+def encode_list_response(engines: int) -> bytes:
+    """Encode the name service's response with a list of this many engines."""
     listed = [
         Endpoint(f"s-{number}", f"127.9.{number // 250}.{number % 250 + 1}", 7001)
         for number in range(engines)
     ]
-    return answer(dns.encode_query(IDENT, SERVICE, dns.SRV), 1, *(endpoint.record() for endpoint in listed))
+    return answer(
+        dns.encode_query(QUERY_ID, SERVICE, dns.SRV), 1, *(endpoint.record() for endpoint in listed)
+    )
 
 
-def read(message: bytes) -> int:
-    """How many engines the dispatcher's reader finds; raises dns.BadDatagram as the reader does."""
-    found = dns.decode_response(message, IDENT, SERVICE, dns.SRV)
-    assert found is not None
-    return len(answered_endpoints(*found[1:]))
+def count_decoded_engines(message: bytes) -> int:
+    """Decode a response as the dispatcher does and return its number of engines.
 
+    Raises dns.BadDatagram for a malformed response.
+    """
+    decoded = dns.decode_response(message, QUERY_ID, SERVICE, dns.SRV)
+    assert decoded is not None
+    return len(answered_endpoints(*decoded[1:]))
 
-def most_in_a_datagram() -> int:
-    """The longest list that one datagram holds, by halving; names are compressed as far as they can be."""
-    holds, fails = 1, design.ENGINES
-    while fails - holds > 1:
-        middle = (holds + fails) // 2
-        fits = len(datagram(middle)) <= LARGEST_DATAGRAM
-        holds, fails = (middle, fails) if fits else (holds, middle)
-    return holds
+
+def max_engines_in_datagram() -> int:
+    """Return the length of the longest list that fits in a datagram, by binary search.
+
+    Names are compressed as far as DNS allows.
+    """
+    fitting, too_many = 1, design.ENGINES
+    while too_many - fitting > 1:
+        midpoint = (fitting + too_many) // 2
+        fits_in_datagram = len(encode_list_response(midpoint)) <= LARGEST_DATAGRAM
+        fitting, too_many = (midpoint, too_many) if fits_in_datagram else (fitting, midpoint)
+    return fitting
 
 
 def readable(engines: int) -> bool:
-    """Whether the dispatcher's reader finds each engine in the stand-in's answer."""
+    """Return whether the dispatcher decodes every engine of the response."""
     try:
-        return read(datagram(engines)) == engines
+        return count_decoded_engines(encode_list_response(engines)) == engines
     except dns.BadDatagram:
         return False
 
 
-def read_us_per_s(engines: int) -> Sample:
-    """Processor time a second of reading the answers, news or none."""
-    message = datagram(engines)
+def decode_us_per_s(engines: int) -> Sample:
+    """Measure the CPU time per second of decoding responses, whether or not the list has changed."""
+    message = encode_list_response(engines)
 
-    def read_some() -> None:
-        for _ in range(READS_PER_TRY):
-            dns.decode_response(message, IDENT, SERVICE, dns.SRV)
+    def decode_repeatedly() -> None:
+        for _ in range(READS_PER_REPETITION):
+            dns.decode_response(message, QUERY_ID, SERVICE, dns.SRV)
 
-    return sample([cpu_us(read_some) / READS_PER_TRY * ASKED_PER_S for _ in range(TRIES)])
+    return sample(
+        [cpu_us(decode_repeatedly) / READS_PER_REPETITION * QUERIES_PER_S for _ in range(REPETITIONS)]
+    )
 
 
 def bytes_per_s(engines: int) -> Sample:
-    """Bytes of questions and answers a second."""
-    exchanged = len(datagram(engines)) + len(dns.encode_query(IDENT, SERVICE, dns.SRV))
-    return Sample(exchanged * ASKED_PER_S)
-
-
-def roles(sizes: Sequence[int], say: Callable[[str], None]) -> list[Role]:
-    """The engine list's way."""
-    say(f"engine list: {sizes} engines")
-    if max(sizes) > (most := most_in_a_datagram()):
-        raise MeasurementRefused(f"engine list: {max(sizes)} engines, one datagram holds {most}")
-    unread = [size for size in sizes if not readable(size)]
-    if unread:
-        raise MeasurementRefused(
-            f"engine list: {unread[0]} engines cannot be read from one answer of the stand-in"
-        )
+    """Return the bytes of queries and responses per second."""
+    exchanged = len(encode_list_response(engines)) + len(dns.encode_query(QUERY_ID, SERVICE, dns.SRV))
+    return Sample(exchanged * QUERIES_PER_S)
+
+
+def roles(sizes: Sequence[int], report_progress: Callable[[str], None]) -> list[Role]:
+    """Measure the delivery of the engine list."""
+    report_progress(f"engine list: {sizes} engines")
+    if max(sizes) > (most := max_engines_in_datagram()):
+        raise MeasurementRefused(f"engine list: {max(sizes)} engines, a datagram holds at most {most}")
+    unreadable = [size for size in sizes if not readable(size)]
+    if unreadable:
+        raise MeasurementRefused(f"engine list: {unreadable[0]} engines cannot be decoded from one response")
     by_records = (dns.MOST_RECORDS - RECORDS_OF_LIST) // RECORDS_PER_ENGINE
     return [
         Role(
@@ -90,14 +98,14 @@
             "engines",
             "NameService, spurdeal/net/names.py; read_answer, spurdeal/net/dns.py",
             "the serial of the list in force",
-            f"{ASKED_PER_S:.0f} questions a second, each answered by the whole list in one datagram",
+            f"{QUERIES_PER_S:.0f} questions a second, each answered by the whole list in one datagram",
             (
                 quantity(
                     Measure.CPU,
                     "us a second",
                     Form.LINEAR,
                     sizes,
-                    [read_us_per_s(size) for size in sizes],
+                    [decode_us_per_s(size) for size in sizes],
                     design.ENGINES,
                     design.CONTROL_CPU_US_PER_S,
                 ),
@@ -112,7 +120,7 @@
                 ),
             ),
             (
-                Limit("engines in one datagram", most_in_a_datagram(), design.ENGINES),
+                Limit("engines in one datagram", max_engines_in_datagram(), design.ENGINES),
                 Limit("engines within MOST_RECORDS", by_records, design.ENGINES),
             ),
             ("cpu_us leaves out what applying a changed list costs: see `whole list applied`",),
--- a/spurdeal/lab/capacity/events.py
+++ b/spurdeal/lab/capacity/events.py
@@ -1,4 +1,7 @@
-"""The operators' events: what is seen of each, what is not served meanwhile, and what shows it."""
+"""Operational events: what is observed of each, what is not served meanwhile, and which test covers it.
+
+The texts are printed as a table of docs/CAPACITY.md.
+"""
 
 from __future__ import annotations
 
@@ -11,12 +14,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Event:
-    """One row of the table. `storm` names the measured storm that is nearest to it."""
+    """A row of the table of events.
+
+    Attributes:
+        name: The event.
+        observed: What the members and the dispatchers notice.
+        not_served: What is not served during the event.
+        evidence: The test or measurement that covers it.
+        storm: The kind of measured storm that comes closest to it, if any.
+    """
 
     name: str
-    seen: str
+    observed: str
     not_served: str
-    shown_by: str
+    evidence: str
     storm: str = ""
 
 
@@ -83,12 +94,12 @@
 )
 
 
-def storm_words(storms: Sequence[Mapping[str, Any]], kind: str) -> str:
-    """Messages and time until quiet, as measured at the largest size."""
-    found = [each for each in storms if each["kind"] == kind]
-    if not found:
+def storm_summary(storms: Sequence[Mapping[str, Any]], kind: str) -> str:
+    """Describe the largest measured storm of this kind: traffic, convergence time and settling time."""
+    matching = [each for each in storms if each["kind"] == kind]
+    if not matching:
         return "not run"
-    largest = max(found, key=lambda each: int(each["members"]))
+    largest = max(matching, key=lambda each: int(each["members"]))
 
     def ms(value: object) -> str:
         return "not within the watch" if value is None else f"{value} ms"
--- a/spurdeal/lab/capacity/fit.py
+++ b/spurdeal/lab/capacity/fit.py
@@ -1,7 +1,8 @@
-"""Least-squares fits of a measured quantity against a size, on a form that is named beforehand.
+"""Least-squares fits of scaling laws to a measured quantity.
 
-The squares are of relative errors: a series from 0.3 to 20 ms would otherwise be fitted to its last value
-alone, and its residual would say nothing about the others."""
+Relative errors are squared: with absolute errors, a series from 0.3 to 20 ms would be fitted to its last
+value alone, and the residual would say nothing about the others.
+"""
 
 from __future__ import annotations
 
@@ -10,11 +11,11 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-LEAST_SIZES = 4
+MIN_SIZES = 4
 
 
 class Form(StrEnum):
-    """How a quantity may grow with the size n."""
+    """The forms of growth of a quantity with the size n."""
 
     LOG = "a + b*log n"
     LINEAR = "a + b*n"
@@ -31,11 +32,11 @@
 
 
 class UnusableSeries(ValueError):
-    """Sizes and values that no line can be fitted to; the text says why."""
+    """Raised for sizes and values to which no scaling law can be fitted."""
 
 
 @dataclass(frozen=True, slots=True)
-class Slope:
+class ScalingLaw:
     """A fitted form: its constant a, its factor b and the root mean square of its relative errors."""
 
     form: Form
@@ -43,29 +44,29 @@
     factor: float
     residual: float
 
-    def at(self, size: float) -> float:
-        """The value that the form gives at a size."""
+    def value_at(self, size: float) -> float:
+        """Return the value at a size."""
         return self.constant + self.factor * GROWTH[self.form](size)
 
-    def words(self) -> str:
-        """The fitted form with its figures, for people."""
+    def formula(self) -> str:
+        """Return the formula with its fitted coefficients, for display."""
         growth = self.form.value.removeprefix("a + b*")
         return f"{self.constant:.4g} {'-' if self.factor < 0 else '+'} {abs(self.factor):.4g}*{growth}"
 
 
-def checked(sizes: Sequence[float], values: Sequence[float]) -> None:
-    """Raises UnusableSeries for what cannot be fitted."""
+def check_series(sizes: Sequence[float], values: Sequence[float]) -> None:
+    """Raise UnusableSeries if no scaling law can be fitted to the series."""
     if len(sizes) != len(values):
         raise UnusableSeries(f"{len(sizes)} sizes and {len(values)} values")
-    if len(set(sizes)) < LEAST_SIZES:
-        raise UnusableSeries(f"{len(set(sizes))} different sizes; {LEAST_SIZES} are needed")
+    if len(set(sizes)) < MIN_SIZES:
+        raise UnusableSeries(f"{len(set(sizes))} distinct sizes; at least {MIN_SIZES} are needed")
     if min(sizes) < 1 or not all(math.isfinite(value) and value > 0 for value in values):
-        raise UnusableSeries("sizes must be 1 or more, values positive and finite")
+        raise UnusableSeries("sizes must be at least 1, values positive and finite")
 
 
-def fit(form: Form, sizes: Sequence[float], values: Sequence[float]) -> Slope:
-    """The a and b of a form that make the sum of squared relative errors least."""
-    checked(sizes, values)
+def fit(form: Form, sizes: Sequence[float], values: Sequence[float]) -> ScalingLaw:
+    """Return the scaling law of this form with the least sum of squared relative errors."""
+    check_series(sizes, values)
     weights = [1 / value**2 for value in values]
     growths = [GROWTH[form](size) for size in sizes]
     total = sum(weights)
@@ -77,14 +78,14 @@
     factor = weighted_sum(weights, products) / weighted_sum(weights, [g * g for g in growth_offsets])
     constant = mean_value - factor * mean_growth
     errors = [(constant + factor * growth) / value - 1 for growth, value in zip(growths, values, strict=True)]
-    return Slope(form, constant, factor, math.sqrt(sum(error * error for error in errors) / len(errors)))
+    return ScalingLaw(form, constant, factor, math.sqrt(sum(error * error for error in errors) / len(errors)))
 
 
-def best_fit(sizes: Sequence[float], values: Sequence[float]) -> Slope:
-    """The form whose residual is least, where none is known beforehand."""
-    return min((fit(form, sizes, values) for form in Form), key=lambda slope: slope.residual)
+def best_fit(sizes: Sequence[float], values: Sequence[float]) -> ScalingLaw:
+    """Return the scaling law with the least residual over all forms, for a quantity of unknown form."""
+    return min((fit(form, sizes, values) for form in Form), key=lambda law: law.residual)
 
 
 def weighted_sum(weights: Sequence[float], values: Sequence[float]) -> float:
-    """The sum of values, each times its weight."""
+    """Return the sum of the values, each multiplied by its weight."""
     return sum(weight * value for weight, value in zip(weights, values, strict=True))
--- a/spurdeal/lab/capacity/recorded.py
+++ b/spurdeal/lab/capacity/recorded.py
@@ -1,4 +1,4 @@
-"""What a dispatcher writes down: the audit of its decisions, its log lines and its counters."""
+"""What a dispatcher records: the audit log of its decisions, its log lines and its counters."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 from ...net.counters import Counters
 from . import design
 from .fit import Form
-from .measure import TRIES, cpu_us, sample
+from .measure import REPETITIONS, cpu_us, sample
 from .records import Measure, Role, Sample, quantity
 
 SIZES = (225, 450, 900, 1_800, 3_600)
 QUICK_SIZES = SIZES
-SENDS_PER_TURN = 4
-COUNTERS = 40  # names that a dispatcher counts, roughly
+SENDS_PER_BATCH = 4
+COUNTERS = 40  # approximate number of counters of a dispatcher
 SCRAPES_PER_S = 0.1
 
 
 def audit_bytes(sends: int) -> int:
-    """Bytes of one second's frames, so many sends to as many engines as the list has."""
+    """Return the bytes of the audit frames of one second with this many sends."""
     pages, written = PageBuilder(), 0
-    for first in range(0, sends, SENDS_PER_TURN):
-        for number in range(first, min(first + SENDS_PER_TURN, sends)):
+    for first in range(0, sends, SENDS_PER_BATCH):
+        for number in range(first, min(first + SENDS_PER_BATCH, sends)):
             pages.add_attempt(b"%016x" % number, 0, f"s-{number % 36}", 0)
         frame = pages.frame(Stamp(1_790_000_000_000 + first, 0), 1)
         pages.on_written(frame, True)
@@ -33,7 +33,7 @@
 
 
 def audit_us(sends: int) -> float:
-    """Processor time of one second's frames."""
+    """Return the CPU time of encoding the audit frames of one second, in microseconds."""
 
     def write() -> None:
         audit_bytes(sends)
@@ -41,10 +41,10 @@
     return cpu_us(write)
 
 
-def roles(sizes: Sequence[int], say: Callable[[str], None]) -> list[Role]:
-    """The audit; and what counters and logs come to."""
-    say(f"audit: {sizes} sends a second")
-    cpu = [sample([audit_us(size) for _ in range(TRIES)]) for size in sizes]
+def roles(sizes: Sequence[int], report_progress: Callable[[str], None]) -> list[Role]:
+    """Measure the audit log, and the size of a scrape of the counters."""
+    report_progress(f"audit: {sizes} sends a second")
+    cpu = [sample([audit_us(size) for _ in range(REPETITIONS)]) for size in sizes]
     sent = [Sample(audit_bytes(size)) for size in sizes]
     counters = Counters()
     for number in range(COUNTERS):
@@ -56,7 +56,7 @@
             "sends a second",
             "PageBuilder, spurdeal/fleet/audit.py; Journal, fleet/journal.py",
             "files up to a bound on their bytes",
-            f"one frame a turn of {SENDS_PER_TURN} sends",
+            f"one frame a turn of {SENDS_PER_BATCH} sends",
             (
                 quantity(
                     Measure.CPU, "us a second", Form.LINEAR, sizes, cpu, design.STATEMENTS_PER_DISPATCHER
--- a/spurdeal/lab/capacity/records.py
+++ b/spurdeal/lab/capacity/records.py
@@ -1,4 +1,4 @@
-"""What a section hands in: quantities measured over sizes, and the role that they belong to."""
+"""The results of a section: quantities measured at several sizes, and the roles that they belong to."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from enum import StrEnum
 from typing import Any
 
-from .fit import Form, Slope, best_fit, fit
+from .fit import Form, ScalingLaw, best_fit, fit
 
 
 class Measure(StrEnum):
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """One measured value: the median of several tries, and how far they lie apart, over the median."""
+    """A measured value: the median of the repetitions, and their range relative to the median."""
 
     value: float
     spread: float = 0.0
@@ -28,36 +28,39 @@
 
 @dataclass(frozen=True, slots=True)
 class Quantity:
-    """One quantity over the sizes. The last size lies beyond the fitted range and checks the fit."""
+    """A quantity measured at several sizes.
+
+    The law is fitted without the last size, which checks the extrapolation.
+    """
 
     measure: Measure
     unit: str
     sizes: tuple[int, ...]
     samples: tuple[Sample, ...]
-    slope: Slope
+    law: ScalingLaw
     design_size: int
     budget: float | None = None
 
     @property
     def predicted(self) -> float:
-        """What the fit gives at the size beyond its range."""
-        return self.slope.at(self.sizes[-1])
+        """The value of the law at the last size."""
+        return self.law.value_at(self.sizes[-1])
 
     @property
     def measured(self) -> float:
-        """What was measured there."""
+        """The value measured at the last size."""
         return self.samples[-1].value
 
     @property
     def at_size(self) -> float:
-        """The value at the design size: measured where that size was run, else extrapolated."""
+        """The value at the design size: measured if that size was run, else extrapolated."""
         if self.design_size in self.sizes:
             return self.samples[self.sizes.index(self.design_size)].value
-        return self.slope.at(self.design_size)
+        return self.law.value_at(self.design_size)
 
     @property
     def ratio(self) -> float | None:
-        """The value at the design size over its budget; None where there is no budget."""
+        """The value at the design size divided by its budget; None without a budget."""
         return None if self.budget is None else self.at_size / self.budget
 
 
@@ -70,15 +73,21 @@
     design_size: int,
     budget: float | None = None,
 ) -> Quantity:
-    """Fits all sizes but the last, on a form or on the one that fits best (None)."""
+    """Fit all sizes but the last, with this form or, if it is None, with the one that fits best."""
     fitted, values = sizes[:-1], [sample.value for sample in samples[:-1]]
-    slope = best_fit(fitted, values) if form is None else fit(form, fitted, values)
-    return Quantity(measure, unit, tuple(sizes), tuple(samples), slope, design_size, budget)
+    law = best_fit(fitted, values) if form is None else fit(form, fitted, values)
+    return Quantity(measure, unit, tuple(sizes), tuple(samples), law, design_size, budget)
 
 
 @dataclass(frozen=True, slots=True)
 class Limit:
-    """A bound in the code that a role meets before its budget."""
+    """A hard limit in the code on a role's size.
+
+    Attributes:
+        name: What is limited.
+        holds: The limit.
+        needed: The number that the design needs.
+    """
 
     name: str
     holds: int
@@ -86,16 +95,27 @@
 
     @property
     def ratio(self) -> float:
-        """What is needed over what the bound allows."""
+        """The number needed divided by the limit."""
         return self.needed / self.holds
 
 
 @dataclass(frozen=True, slots=True)
 class Role:
-    """One role of the design. `mechanism` is empty where nothing carries it."""
+    """A role of the design: a job that some part of the system has to do.
+
+    Attributes:
+        name: The role.
+        counts: What the sizes count.
+        mechanism: The code that implements the role; empty if nothing does.
+        state: The state that it keeps.
+        messages: The messages that it sends.
+        quantities: The measured quantities.
+        limits: Hard limits in the code.
+        notes: Remarks on the figures.
+    """
 
     name: str
-    counts: str  # what the sizes count
+    counts: str
     mechanism: str
     state: str
     messages: str
@@ -104,13 +124,13 @@
     notes: tuple[str, ...] = ()
 
     def worst(self) -> tuple[float, str]:
-        """The greatest ratio of a figure to its budget or bound, and which it is."""
-        ratios = [(found, each.unit) for each in self.quantities if (found := each.ratio) is not None]
+        """Return the greatest ratio of a figure to its budget or limit, and the name of that figure."""
+        ratios = [(ratio, each.unit) for each in self.quantities if (ratio := each.ratio) is not None]
         ratios += [(each.ratio, each.name) for each in self.limits]
         return max(ratios, default=(0.0, "no budget"))
 
     def verdict(self) -> str:
-        """Fits, how far over, or that nothing carries it."""
+        """Return whether the role fits its budgets and limits, or how far it exceeds them."""
         if not self.mechanism:
             return "no mechanism"
         ratio, which = self.worst()
@@ -120,8 +140,8 @@
             return f"fits ({ratio:.2f} of {which})"
         return f"{ratio:.3g} times over ({which})"
 
-    def told(self) -> dict[str, Any]:
-        """The role as JSON."""
+    def to_json(self) -> dict[str, Any]:
+        """Return the role as a JSON object."""
         by_measure = {each.measure.value: each for each in self.quantities}
         return {
             "counts": self.counts,
@@ -129,14 +149,14 @@
             "state": self.state,
             "messages": self.messages,
             "sizes": list(self.quantities[0].sizes) if self.quantities else [],
-            **{each.value: values_of(by_measure.get(each.value)) for each in Measure},
+            **{each.value: rounded_values(by_measure.get(each.value)) for each in Measure},
             "units": {key: each.unit for key, each in by_measure.items()},
             "spread": {
                 key: round(max(sample.spread for sample in each.samples), 3)
                 for key, each in by_measure.items()
             },
-            "fit": {key: each.slope.words() for key, each in by_measure.items()},
-            "residual": {key: round(each.slope.residual, 4) for key, each in by_measure.items()},
+            "fit": {key: each.law.formula() for key, each in by_measure.items()},
+            "residual": {key: round(each.law.residual, 4) for key, each in by_measure.items()},
             "beyond_predicted": {key: rounded(each.predicted) for key, each in by_measure.items()},
             "beyond_measured": {key: rounded(each.measured) for key, each in by_measure.items()},
             "design_size": {key: each.design_size for key, each in by_measure.items()},
@@ -153,11 +173,11 @@
         }
 
 
-def values_of(found: Quantity | None) -> list[float]:
-    """The measured values; none where the role has no such quantity."""
-    return [] if found is None else [rounded(sample.value) for sample in found.samples]
+def rounded_values(measured: Quantity | None) -> list[float]:
+    """Return the measured values; none if the role has no such quantity."""
+    return [] if measured is None else [rounded(sample.value) for sample in measured.samples]
 
 
 def rounded(value: float) -> float:
-    """Four significant digits: more than the spread of any measurement bears."""
+    """Round to four significant digits, which is finer than the spread of any measurement."""
     return float(f"{value:.4g}")
--- a/spurdeal/lab/capacity/request_path.py
+++ b/spurdeal/lab/capacity/request_path.py
@@ -1,6 +1,7 @@
-"""The request path inside one dispatcher: a choice, the periodic tick and a whole list, by engines.
+"""The request path inside one dispatcher, by number of engines: a choice, the periodic tick and a whole list.
 
-The decision module and the link run as they are, on a clock that is turned by hand."""
+The decision module and its adapter run unchanged, on a simulated clock.
+"""
 
 from __future__ import annotations
 
@@ -21,17 +22,17 @@
 from ...net.logs import logger
 from ...rules import TICK_MS, TICK_TIMER, Dispatcher
 from . import design
-from .measure import TRIES, cpu_us, require_memory, sample
+from .measure import REPETITIONS, cpu_us, require_memory, sample
 from .records import Measure, Quantity, Role, Sample, quantity
 
 SIZES = (36, 150, 500, 1_000, 2_000, 3_000, 4_300)
 QUICK_SIZES = (36, 60, 100, 150, 250)
 CORES, CELLS = 4, 4
 COST_MS, DEADLINE_MS = 12.0, 2_500.0
-CHOICES_PER_TRY = 12
+CHOICES_PER_REPETITION = 12
 IN_FLIGHT = 40
 TICKS_PER_S = int(1000 / TICK_MS)
-KB_PER_ENGINE = 16.0  # a generous bound on what one engine costs, for the refusal
+KB_PER_ENGINE = 16.0  # an upper bound, for the check of the memory
 
 SETTINGS = {
     "balancers": design.DISPATCHERS,
@@ -44,51 +45,65 @@
 
 
 class RecordingAdapter:
-    """A link that keeps only which request went to which engine."""
+    """An adapter that records which request was sent to which engine, and ignores all else."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[int, int]] = []
 
     def send(self, number: int, engine: int, time_limit: float) -> None:
+        """Record the request and its engine."""
         self.sent.append((number, engine))
 
-    def terms(self, number: int, memory: float, priority: int) -> None: ...
-    def shed(self, number: int, retry_after: float, reason: EndReason) -> None: ...
-    def fail_request(self, number: int, reason: EndReason) -> None: ...
-    def cancel_attempt(self, number: int, attempt: int) -> None: ...
-    def set_timer(self, delay: float, token: int) -> None: ...
-    def watch(self) -> None: ...
-    def log(self, line: str) -> None: ...
+    def terms(self, number: int, memory: float, priority: int) -> None:
+        """Ignore the memory and the priority of a request."""
 
+    def shed(self, number: int, retry_after: float, reason: EndReason) -> None:
+        """Ignore a shed request."""
 
-def site() -> Deployment:
-    """One dispatcher of as many as the design has."""
+    def fail_request(self, number: int, reason: EndReason) -> None:
+        """Ignore a failed request."""
+
+    def cancel_attempt(self, number: int, attempt: int) -> None:
+        """Ignore the cancellation of an attempt."""
+
+    def set_timer(self, delay: float, token: int) -> None:
+        """Ignore a timer; the benchmark fires the tick itself."""
+
+    def watch(self) -> None:
+        """Ignore the request to watch the list."""
+
+    def log(self, line: str) -> None:
+        """Ignore a log line."""
+
+
+def design_deployment() -> Deployment:
+    """Return the deployment of the design, as one of its dispatchers sees it."""
     return deployment(SETTINGS)
 
 
-class Bench:
-    """One decision module before so many warm engines."""
+class RulesBenchmark:
+    """A decision module with a number of warm engines."""
 
     def __init__(self, engines: int) -> None:
         self.adapter, self.now, self.number = RecordingAdapter(), 0.0, 0
-        self.rules = Dispatcher(site(), 1, self.adapter, self.now)
-        lines = [
+        self.rules = Dispatcher(design_deployment(), 1, self.adapter, self.now)
+        entries = [
             ListedEngine(number, 0, 0, number % CELLS, Life.READY, 1.0, 0.0) for number in range(engines)
         ]
-        self.rules.list_changed(self.now, lines, True)
+        self.rules.list_changed(self.now, entries, True)
 
     def submit(self) -> None:
-        """One request; it is sent, or held where the module finds no engine."""
+        """Submit a request; it is sent, or queued if the module finds no engine."""
         self.number += 1
         self.rules.request_received(self.now, self.number, 0, 0, 0, self.now + DEADLINE_MS, COST_MS, 0.0, 0)
 
     def submit_many(self, count: int) -> None:
-        """As `submit`, so many times."""
+        """Submit a number of requests."""
         for _ in range(count):
             self.submit()
 
     def deliver_all(self) -> None:
-        """All that is out comes back; what is held is withdrawn."""
+        """Deliver the responses to all sent requests; withdraw the queued ones."""
         sent, self.adapter.sent = self.adapter.sent, []
         for number, engine in sent:
             self.rules.attempt_ended(
@@ -99,40 +114,40 @@
         self.rules.end_batch(self.now)
 
     def tick(self) -> None:
-        """One periodic wake-up and its turn."""
+        """Advance the clock to the next periodic tick and run it as a batch."""
         self.now += TICK_MS
         self.rules.timer_fired(self.now, TICK_TIMER)
         self.rules.end_batch(self.now)
 
 
 def choice_us(engines: int) -> Sample:
-    """Processor time of taking one request in and choosing its engine."""
-    bench = Bench(engines)
-    tries = []
-    for _ in range(TRIES):
-        tries.append(cpu_us(lambda: bench.submit_many(CHOICES_PER_TRY)) / CHOICES_PER_TRY)
-        bench.deliver_all()
-    return sample(tries)
+    """Measure the CPU time of accepting a request and choosing its engine."""
+    benchmark = RulesBenchmark(engines)
+    values = []
+    for _ in range(REPETITIONS):
+        values.append(cpu_us(lambda: benchmark.submit_many(CHOICES_PER_REPETITION)) / CHOICES_PER_REPETITION)
+        benchmark.deliver_all()
+    return sample(values)
 
 
 def tick_us_per_s(engines: int) -> Sample:
-    """Processor time a second of the periodic tick, the closing of intervals with it."""
-    bench = Bench(engines)
-    tries = []
-    for _ in range(TRIES):
-        spent = 0.0
+    """Measure the CPU time per second of the periodic tick, with the work at the end of each interval."""
+    benchmark = RulesBenchmark(engines)
+    values = []
+    for _ in range(REPETITIONS):
+        cpu_used = 0.0
         seconds = 5
         for _ in range(seconds):
-            bench.submit_many(IN_FLIGHT)
+            benchmark.submit_many(IN_FLIGHT)
             for _ in range(TICKS_PER_S):
-                spent += cpu_us(bench.tick)
-            bench.deliver_all()
-        tries.append(spent / seconds)
-    return sample(tries)
+                cpu_used += cpu_us(benchmark.tick)
+            benchmark.deliver_all()
+        values.append(cpu_used / seconds)
+    return sample(values)
 
 
 def endpoints(count: int, changed: int = -1) -> dict[str, Endpoint]:
-    """A list of engines; one of them may be draining."""
+    """Return a list of engines, in which the engine with the number `changed` drains."""
     return {
         f"s-{number}": Endpoint(
             f"s-{number}",
@@ -149,53 +164,54 @@
     }
 
 
-class Silent(StringIO):
-    """A log's stream that keeps nothing."""
+class DiscardingStream(StringIO):
+    """A log stream that discards everything."""
 
     def write(self, text: str) -> int:
+        """Discard the text."""
         return len(text)
 
 
 def empty_adapter() -> tuple[SocketAdapter, Clock]:
-    """A dispatcher's link before no engines, on a clock turned by hand."""
+    """Return a dispatcher's adapter without engines, and its simulated clock."""
     clock = Clock()
     now: Callable[[], float] = lambda: clock.seconds() * 1000  # noqa: E731
-    counters, log = Counters(), logger("capacity", Silent())
+    counters, log = Counters(), logger("capacity", DiscardingStream())
     engines = Engines(clock, now, (), counters, log)
     engines.set_limits(250.0, 30_000.0, 4, 409, 0.0)
-    return SocketAdapter(site(), 1, ["east"], ["std"], engines, clock, now, counters, log), clock
+    return SocketAdapter(design_deployment(), 1, ["east"], ["std"], engines, clock, now, counters, log), clock
 
 
 def apply_list(adapter: SocketAdapter, clock: Clock, listed: dict[str, Endpoint]) -> None:
-    """A whole list through the link, the connections' table and the decision module."""
+    """Apply a whole list to the adapter, the connection table and the decision module."""
     adapter.apply_list(listed)
     clock.advance(0)
 
 
 def list_us(engines: int) -> Sample:
-    """Processor time of applying a whole list in which one engine has changed."""
+    """Measure the CPU time of applying a whole list in which one engine has changed."""
     adapter, clock = empty_adapter()
     apply_list(adapter, clock, endpoints(engines))
-    tries = []
-    for changed in range(TRIES):
-        told = endpoints(engines, changed)
+    values = []
+    for changed in range(REPETITIONS):
+        listed = endpoints(engines, changed)
         gc.collect()
-        tries.append(cpu_us(partial(apply_list, adapter, clock, told)))
-    return sample(tries)
+        values.append(cpu_us(partial(apply_list, adapter, clock, listed)))
+    return sample(values)
 
 
 def first_list_us(engines: int) -> Sample:
-    """Processor time of the first list, in which all engines are new."""
-    told, tries = endpoints(engines), []
-    for _ in range(TRIES):
+    """Measure the CPU time of applying the first list, in which all engines are new."""
+    listed, values = endpoints(engines), []
+    for _ in range(REPETITIONS):
         adapter, clock = empty_adapter()
         gc.collect()
-        tries.append(cpu_us(partial(apply_list, adapter, clock, told)))
-    return sample(tries)
+        values.append(cpu_us(partial(apply_list, adapter, clock, listed)))
+    return sample(values)
 
 
 def list_kb(engines: int) -> Sample:
-    """What a list keeps allocated in the link, the connections' table and the decision module."""
+    """Measure the memory that a list occupies in adapter, connection table and decision module."""
     gc.collect()
     tracemalloc.start()
     adapter, clock = empty_adapter()
@@ -207,21 +223,21 @@
     return Sample(kept / 1024)
 
 
-def over(sizes: Sequence[int], measured: Callable[[int], Sample]) -> list[Sample]:
-    """One measurement at each size."""
-    return [measured(size) for size in sizes]
+def measure_at_sizes(sizes: Sequence[int], measure: Callable[[int], Sample]) -> list[Sample]:
+    """Measure at each size."""
+    return [measure(size) for size in sizes]
 
 
-def roles(sizes: Sequence[int], say: Callable[[str], None]) -> list[Role]:
-    """A choice, the tick and a whole list."""
+def roles(sizes: Sequence[int], report_progress: Callable[[str], None]) -> list[Role]:
+    """Measure a choice, the tick and a whole list."""
     require_memory(max(sizes) * KB_PER_ENGINE, f"a list of {max(sizes)} engines")
-    say(f"request path: a choice, before {sizes} engines")
-    choices = over(sizes, choice_us)
-    say("request path: the periodic tick")
-    ticks = over(sizes, tick_us_per_s)
-    say("request path: a whole list")
-    lists, kept = over(sizes, list_us), over(sizes, list_kb)
-    first = over(sizes, first_list_us)
+    report_progress(f"request path: choice of an engine, {sizes} engines")
+    choices = measure_at_sizes(sizes, choice_us)
+    report_progress("request path: the periodic tick")
+    ticks = measure_at_sizes(sizes, tick_us_per_s)
+    report_progress("request path: application of a whole list")
+    lists, kept = measure_at_sizes(sizes, list_us), measure_at_sizes(sizes, list_kb)
+    first = measure_at_sizes(sizes, first_list_us)
     return [
         choice_role(sizes, choices),
         tick_role(sizes, ticks),
@@ -230,40 +246,44 @@
     ]
 
 
-def by_engines(
+def per_engine_quantity(
     measure: Measure, unit: str, sizes: Sequence[int], samples: Sequence[Sample], budget: float | None
 ) -> Quantity:
-    """A few passes over all engines, each a cache miss from some hundred on: the form is what fits best."""
+    """Return a quantity by number of engines, with the form that fits best.
+
+    The work is a few passes over all engines; from some hundred engines on each one is a cache miss, so no
+    form is known beforehand.
+    """
     return quantity(measure, unit, None, sizes, samples, design.ENGINES, budget)
 
 
 def choice_role(sizes: Sequence[int], samples: Sequence[Sample]) -> Role:
-    """A choice among all engines."""
+    """Return the role of choosing among all engines."""
     return Role(
         "choice of an engine",
         "engines",
         "Dispatcher.choose, spurdeal/rules.py",
         "one Engine object for each engine listed",
         "none",
-        (by_engines(Measure.CPU, "us a statement", sizes, samples, design.STATEMENT_CPU_US),),
+        (per_engine_quantity(Measure.CPU, "us a statement", sizes, samples, design.STATEMENT_CPU_US),),
     )
 
 
 def tick_role(sizes: Sequence[int], samples: Sequence[Sample]) -> Role:
-    """The periodic tick."""
+    """Return the role of the periodic tick."""
     return Role(
         "periodic tick",
         "engines",
         "Dispatcher.timer_fired every 50 ms, spurdeal/rules.py",
         "none of its own",
         "none",
-        (by_engines(Measure.CPU, "us a second", sizes, samples, design.CONTROL_CPU_US_PER_S),),
+        (per_engine_quantity(Measure.CPU, "us a second", sizes, samples, design.CONTROL_CPU_US_PER_S),),
         notes=(f"{IN_FLIGHT} submissions in flight",),
     )
 
 
 def list_role(sizes: Sequence[int], samples: Sequence[Sample], kept: Sequence[Sample]) -> Role:
-    """A whole list, applied as often as the design changes configuration."""
+    """Return the role of applying a whole list, as often as the design changes its configuration."""
     budget = design.CONTROL_CPU_US_PER_S / design.CHANGES_PER_S
     return Role(
         "whole list applied",
@@ -272,21 +292,21 @@
         "seat, place and Engine of each engine",
         "one list a change",
         (
-            by_engines(Measure.CPU, "us a change", sizes, samples, budget),
-            by_engines(Measure.MEMORY, "KB kept", sizes, kept, design.CONTROL_MEMORY_KB),
+            per_engine_quantity(Measure.CPU, "us a change", sizes, samples, budget),
+            per_engine_quantity(Measure.MEMORY, "KB kept", sizes, kept, design.CONTROL_MEMORY_KB),
         ),
         notes=("the budget is 1.3% of a core at 9,900 changes a day, each a whole list",),
     )
 
 
 def first_list_role(sizes: Sequence[int], samples: Sequence[Sample]) -> Role:
-    """The list at a start, or one in which all engines were replaced."""
+    """Return the role of applying a first list: at a start, or after all engines were replaced."""
     return Role(
         "first list applied",
         "engines",
         "SocketAdapter.apply_list, spurdeal/net/link.py; Dispatcher.list_changed, spurdeal/rules.py",
         "as above",
         "one list a start",
-        (by_engines(Measure.CPU, "us a start", sizes, samples, None),),
+        (per_engine_quantity(Measure.CPU, "us a start", sizes, samples, None),),
         notes=("nothing else is read or answered meanwhile",),
     )
--- a/spurdeal/lab/capacity/traffic.py
+++ b/spurdeal/lab/capacity/traffic.py
@@ -1,6 +1,8 @@
-"""A process that drives one real dispatcher, started with a mode, a size, tries, and requests a try.
+"""A process that generates load for one dispatcher process.
 
-It holds the clients, the stand-in engines and the name service, and prints one JSON object."""
+Its arguments are a mode, a size, the repetitions, and the requests per repetition. It runs the clients, the
+stand-in engines and the name service, and prints one JSON object.
+"""
 
 from __future__ import annotations
 
@@ -17,66 +19,70 @@
 from twisted.internet.protocol import ClientFactory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from .dispatcher import PORT, READY_WITHIN, RunningDispatcher, StandIns, own_place
+from .dispatcher import PORT, READY_TIMEOUT, DispatcherProcess, StandInServers, own_addresses
 from .measure import process_cpu_us, require_descriptors, resident_kb
 
 reactor: Any = installed
 
-CONNECTIONS, ENGINES_BEHIND_IDLE = 16, 2
-WARM_UP_PART = 3  # of a try: so many requests are sent before the first one counts
+CONNECTIONS, ENGINES_IN_IDLE_MODE = 16, 2
+WARM_UP_DIVISOR = 3  # the warm-up is this fraction of a repetition's requests
 COST_MS, WAIT_MS = 2.0, 2_500
-REST, SETTLE = 0.35, 0.05  # seconds; all rests end before the dispatcher closes an idle connection
-ENDED_WITHIN = 60.0
+# Seconds. All idle windows end before the dispatcher closes an idle connection.
+IDLE_WINDOW, SETTLING_TIME = 0.35, 0.05
+RUN_TIMEOUT = 60.0  # seconds
 SOCKETS = 8_192
-DIALS_AT_ONCE = 64
-LOST = 0  # in place of a status, where the connection ended before its answer
-Waiting = Generator[Deferred[Any], Any, Any]
+MAX_PENDING_CONNECTS = 64
+CONNECTION_LOST = 0  # in place of a status: the connection closed before its response
+DeferredGenerator = Generator[Deferred[Any], Any, Any]
 
 
-def after(seconds: float) -> Deferred[None]:
-    """Fires after so many seconds."""
+def wait(seconds: float) -> Deferred[None]:
+    """Return a Deferred that fires after a number of seconds."""
     done: Deferred[None] = Deferred()
     reactor.callLater(seconds, done.callback, None)
     return done
 
 
 class Client(Protocol):
-    """One connection: a call at a time, each answered by a Deferred with the status."""
+    """A client connection with one request at a time; a Deferred fires with the status of the response."""
 
     transport: Any
 
     def __init__(self) -> None:
-        self.up: Deferred[Client] = Deferred()
-        self.text, self.answer = b"", Deferred[int]()
-        self.ended = False
+        self.established: Deferred[Client] = Deferred()
+        self.received, self.response = b"", Deferred[int]()
+        self.closed = False
 
     def connectionMade(self) -> None:
+        """Report the connection as established."""
         self.transport.setTcpNoDelay(True)
-        self.up.callback(self)
+        self.established.callback(self)
 
-    def call(self, request: bytes) -> Deferred[int]:
-        """Sends one call."""
-        self.text, self.answer = b"", Deferred()
+    def send_request(self, request: bytes) -> Deferred[int]:
+        """Send a request."""
+        self.received, self.response = b"", Deferred()
         self.transport.write(request)
-        return self.answer
+        return self.response
 
     def dataReceived(self, data: bytes) -> None:
-        self.text += data
-        head, mark, body = self.text.partition(b"\r\n\r\n")
-        if not mark:
+        """Collect the response and report its status once it is complete."""
+        self.received += data
+        head, separator, body = self.received.partition(b"\r\n\r\n")
+        if not separator:
             return
         size = next(int(line.split(b":")[1]) for line in head.split(b"\r\n") if line.startswith(b"Content-L"))
         if len(body) >= size:
-            self.answer.callback(int(head.split()[1]))
+            self.response.callback(int(head.split()[1]))
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self.ended = True
-        if not self.answer.called:
-            self.answer.callback(LOST)
+        """Report CONNECTION_LOST to an outstanding request."""
+        self.closed = True
+        if not self.response.called:
+            self.response.callback(CONNECTION_LOST)
 
 
-class Dial(ClientFactory):
-    """Makes one Client."""
+class SingleClientFactory(ClientFactory):
+    """A factory of a single client connection."""
 
     noisy = False
 
@@ -84,161 +90,172 @@
         self.client = Client()
 
     def buildProtocol(self, addr: Any) -> Client:
+        """Return the client."""
         return self.client
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        self.client.up.errback(reason)
+        """Report the failure to whoever waits for the connection."""
+        self.client.established.errback(reason)
 
 
-def dial(host: str) -> Deferred[Client]:
-    """A connection to the dispatcher."""
-    factory = Dial()
+def connect(host: str) -> Deferred[Client]:
+    """Open a connection to the dispatcher."""
+    factory = SingleClientFactory()
     reactor.connectTCP(host, PORT, factory, timeout=10)
-    return factory.client.up
+    return factory.client.established
 
 
-class Load:
-    """Clients that each send the next call when the last is answered."""
+class ClosedLoopLoad:
+    """Closed-loop load: each client sends its next request after the response to the last one."""
 
     def __init__(self, clients: list[Client]) -> None:
-        self.clients, self.number, self.statuses = clients, 0, dict[int, int]()
+        self.clients, self.last_id, self.statuses = clients, 0, dict[int, int]()
 
     def request(self) -> bytes:
-        """The next call, with an id of its own."""
-        self.number += 1
+        """Return the next request, with a unique id."""
+        self.last_id += 1
         body = f"SELECT a FROM s_1.t /* cost={COST_MS} */"
         return (
-            f"POST /ops/lookup HTTP/1.1\r\nHost: capacity\r\nReq-Id: {self.number:016x}\r\n"
+            f"POST /ops/lookup HTTP/1.1\r\nHost: capacity\r\nReq-Id: {self.last_id:016x}\r\n"
             f"Req-Wait-Ms: {WAIT_MS}\r\nReq-Cost: {COST_MS}\r\nContent-Length: {len(body)}\r\n\r\n{body}"
         ).encode()
 
     def run(self, count: int) -> Deferred[None]:
-        """So many calls over all clients; fires when the last is answered."""
+        """Send a number of requests over all clients; fires after the last response."""
         done: Deferred[None] = Deferred()
-        left = {"to_send": count, "out": 0}
+        remaining = {"to_send": count, "out": 0}
 
-        def answered(status: int, client: Client) -> None:
+        def on_response(status: int, client: Client) -> None:
             self.statuses[status] = self.statuses.get(status, 0) + 1
-            left["out"] -= 1
-            if status == LOST:
+            remaining["out"] -= 1
+            if status == CONNECTION_LOST:
                 done.errback(RuntimeError("a connection was lost"))
             else:
-                following(client)
-
-        def following(client: Client) -> None:
-            if left["to_send"]:
-                left["to_send"] -= 1
-                left["out"] += 1
-                client.call(self.request()).addCallback(answered, client)
-            elif not left["out"]:
+                send_next(client)
+
+        def send_next(client: Client) -> None:
+            if remaining["to_send"]:
+                remaining["to_send"] -= 1
+                remaining["out"] += 1
+                client.send_request(self.request()).addCallback(on_response, client)
+            elif not remaining["out"]:
                 done.callback(None)
 
         for client in self.clients:
-            following(client)
+            send_next(client)
         return done
 
 
 @inlineCallbacks
-def started(place: Any, folder: Path, stand_ins: StandIns, engines: int) -> Waiting:
-    """A dispatcher that listens."""
-    dispatcher = RunningDispatcher(place, folder, stand_ins.names, engines, SOCKETS)
+def start_dispatcher(
+    addresses: Any, folder: Path, servers: StandInServers, engines: int
+) -> DeferredGenerator:
+    """Start a dispatcher and wait until it is ready."""
+    dispatcher = DispatcherProcess(addresses, folder, servers.names, engines, SOCKETS)
     waited = 0.0
     while not dispatcher.ready():
-        yield after(0.05)
+        yield wait(0.05)
         waited += 0.05
-        if waited > READY_WITHIN or dispatcher.child.poll() is not None:
-            raise RuntimeError(dispatcher.log.read_text())
+        if waited > READY_TIMEOUT or dispatcher.process.poll() is not None:
+            raise RuntimeError(dispatcher.log_path.read_text())
     return dispatcher
 
 
 @inlineCallbacks
-def requests(dispatcher: RunningDispatcher, tries: int, per_try: int) -> Waiting:
-    """CPU of a request, without what the process uses at rest."""
+def measure_requests(
+    dispatcher: DispatcherProcess, repetitions: int, requests_per_repetition: int
+) -> DeferredGenerator:
+    """Measure the CPU time per request, less that of the idle process."""
     clients = []
     for _ in range(CONNECTIONS):
-        clients.append((yield dial(dispatcher.place.dispatcher)))
-    load = Load(clients)
-    yield load.run(per_try // WARM_UP_PART)
-    rest = yield from_rest(dispatcher)
+        clients.append((yield connect(dispatcher.addresses.dispatcher)))
+    load = ClosedLoopLoad(clients)
+    yield load.run(requests_per_repetition // WARM_UP_DIVISOR)
+    idle_cpu = yield idle_cpu_us_per_s(dispatcher)
     load.statuses.clear()
     cpu, rates = [], []
-    for _ in range(tries):
-        began, used = time.monotonic(), process_cpu_us(dispatcher.pid)
-        yield load.run(per_try)
-        seconds = time.monotonic() - began
-        spent = process_cpu_us(dispatcher.pid) - used - rest * seconds
-        cpu.append(spent / per_try)
-        rates.append(per_try / seconds)
-    return {"cpu_us": cpu, "rest_us_per_s": rest, "rates": rates, "statuses": load.statuses}
+    for _ in range(repetitions):
+        started_at, cpu_before = time.monotonic(), process_cpu_us(dispatcher.pid)
+        yield load.run(requests_per_repetition)
+        seconds = time.monotonic() - started_at
+        cpu_used = process_cpu_us(dispatcher.pid) - cpu_before - idle_cpu * seconds
+        cpu.append(cpu_used / requests_per_repetition)
+        rates.append(requests_per_repetition / seconds)
+    return {"cpu_us": cpu, "rest_us_per_s": idle_cpu, "rates": rates, "statuses": load.statuses}
 
 
 @inlineCallbacks
-def from_rest(dispatcher: RunningDispatcher) -> Waiting:
-    """Microseconds of CPU a second while nothing is asked."""
-    yield after(SETTLE)
-    began, used = time.monotonic(), process_cpu_us(dispatcher.pid)
-    yield after(REST)
-    return (process_cpu_us(dispatcher.pid) - used) / (time.monotonic() - began)
+def idle_cpu_us_per_s(dispatcher: DispatcherProcess) -> DeferredGenerator:
+    """Measure the CPU time per second of the idle process, in microseconds."""
+    yield wait(SETTLING_TIME)
+    started_at, cpu_before = time.monotonic(), process_cpu_us(dispatcher.pid)
+    yield wait(IDLE_WINDOW)
+    return (process_cpu_us(dispatcher.pid) - cpu_before) / (time.monotonic() - started_at)
 
 
 @inlineCallbacks
-def idle(dispatcher: RunningDispatcher, count: int, tries: int) -> Waiting:
-    """Memory and CPU of connections that rest after one call, and CPU of coming back."""
+def measure_idle_clients(dispatcher: DispatcherProcess, count: int, repetitions: int) -> DeferredGenerator:
+    """Measure memory and CPU time of connections idle after one request, and the CPU time to accept them."""
     require_descriptors(count, "idle connections")
-    yield after(SETTLE)
-    kb, used = resident_kb(dispatcher.pid), process_cpu_us(dispatcher.pid)
+    yield wait(SETTLING_TIME)
+    resident_before, cpu_before = resident_kb(dispatcher.pid), process_cpu_us(dispatcher.pid)
     clients: list[Client] = []
     while len(clients) < count:
-        dialled = [dial(dispatcher.place.dispatcher) for _ in range(min(DIALS_AT_ONCE, count - len(clients)))]
-        for each in dialled:
+        pending = [
+            connect(dispatcher.addresses.dispatcher)
+            for _ in range(min(MAX_PENDING_CONNECTS, count - len(clients)))
+        ]
+        for each in pending:
             clients.append((yield each))
-    opening = process_cpu_us(dispatcher.pid) - used
-    answers = [client.call(b"GET /alive HTTP/1.1\r\nHost: capacity\r\n\r\n") for client in clients]
-    yield DeferredList(answers)
-    opened = process_cpu_us(dispatcher.pid) - used
+    accept_cpu = process_cpu_us(dispatcher.pid) - cpu_before
+    responses = [client.send_request(b"GET /alive HTTP/1.1\r\nHost: capacity\r\n\r\n") for client in clients]
+    yield DeferredList(responses)
+    total_cpu = process_cpu_us(dispatcher.pid) - cpu_before
     resident = resident_kb(dispatcher.pid)
     cpu = []
-    for _ in range(tries):
-        cpu.append((yield from_rest(dispatcher)))
-    open_at_end = sum(not client.ended for client in clients)
+    for _ in range(repetitions):
+        cpu.append((yield idle_cpu_us_per_s(dispatcher)))
+    open_at_end = sum(not client.closed for client in clients)
     return {
         "cpu_us": cpu,
         "memory_kb": resident,
-        "memory_before_kb": kb,
-        "opening_us": opening / count,
-        "opened_us": opened / count,
+        "memory_before_kb": resident_before,
+        "opening_us": accept_cpu / count,
+        "opened_us": total_cpu / count,
         "open_at_end": open_at_end,
     }
 
 
 @inlineCallbacks
-def run(mode: str, size: int, tries: int, per_try: int, folder: Path) -> Waiting:
-    """One mode at one size; the dispatcher ends whatever happens."""
-    place, engines = own_place(), size if mode == "requests" else ENGINES_BEHIND_IDLE
-    stand_ins = StandIns(reactor, place, engines)
-    dispatcher = yield started(place, folder, stand_ins, engines)
+def run(
+    mode: str, size: int, repetitions: int, requests_per_repetition: int, folder: Path
+) -> DeferredGenerator:
+    """Run one mode at one size; the dispatcher is killed in any case."""
+    addresses, engines = own_addresses(), size if mode == "requests" else ENGINES_IN_IDLE_MODE
+    servers = StandInServers(reactor, addresses, engines)
+    dispatcher = yield start_dispatcher(addresses, folder, servers, engines)
     try:
         if mode == "requests":
-            return (yield requests(dispatcher, tries, per_try))
-        return (yield idle(dispatcher, size, tries))
+            return (yield measure_requests(dispatcher, repetitions, requests_per_repetition))
+        return (yield measure_idle_clients(dispatcher, size, repetitions))
     finally:
-        dispatcher.end()
-        stand_ins.stop()
+        dispatcher.kill()
+        servers.stop()
 
 
-def main(mode: str, size: int, tries: int, per_try: int) -> int:
-    """Prints the figures; exit code 1 and the trace where there are none."""
+def main(mode: str, size: int, repetitions: int, requests_per_repetition: int) -> int:
+    """Print the measurement; without one, print the traceback and return the exit code 1."""
     require_descriptors(2 * size, mode)
-    found: dict[str, Any] = {}
+    figures: dict[str, Any] = {}
     with tempfile.TemporaryDirectory() as folder:
-        done: Deferred[Any] = run(mode, size, tries, per_try, Path(folder))
-        done.addTimeout(ENDED_WITHIN, reactor)
-        done.addCallback(found.update)
+        done: Deferred[Any] = run(mode, size, repetitions, requests_per_repetition, Path(folder))
+        done.addTimeout(RUN_TIMEOUT, reactor)
+        done.addCallback(figures.update)
         done.addErrback(lambda failure: sys.stderr.write(failure.getTraceback()))
         done.addBoth(lambda _: reactor.callLater(0, reactor.stop))
         reactor.run()
-    print(json.dumps(found))
-    return 0 if found else 1
+    print(json.dumps(figures))
+    return 0 if figures else 1
 
 
 if __name__ == "__main__":
--- a/spurdeal/lab/capacity/unserved.py
+++ b/spurdeal/lab/capacity/unserved.py
@@ -1,4 +1,4 @@
-"""The roles that nothing carries today: their verdict needs no measurement."""
+"""The roles of the design that nothing implements; their verdict needs no measurement."""
 
 from __future__ import annotations
 
--- a/spurdeal/lab/capacity/workers.py
+++ b/spurdeal/lab/capacity/workers.py
@@ -1,4 +1,4 @@
-"""Measurements in fresh processes: a process's memory tells of one measurement only where it ran no other."""
+"""Measurements in fresh processes, so that the memory of one does not contain what another left behind."""
 
 from __future__ import annotations
 
@@ -11,9 +11,12 @@
 WORKERS = 2
 
 
-def each_in_its_own(call: Callable[..., T], arguments: Iterable[tuple[object, ...]]) -> list[T]:
-    """The results in order; WORKERS run at a time, each process one call."""
+def run_in_fresh_processes(function: Callable[..., T], arguments: Iterable[tuple[object, ...]]) -> list[T]:
+    """Call the function with each tuple of arguments, each in a new process, WORKERS at a time.
+
+    Returns the results in the order of the arguments.
+    """
     context = multiprocessing.get_context("spawn")
     with ProcessPoolExecutor(WORKERS, mp_context=context, max_tasks_per_child=1) as pool:
-        running = [pool.submit(call, *each) for each in arguments]
+        running = [pool.submit(function, *each) for each in arguments]
         return [each.result() for each in running]
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity figures: fits on known data, growth from size to size, the page's writer, and refusals."""
+"""The capacity benchmark: fits of known data, growth with size, the tables of the page, and refused runs."""
 
 import json
 import re
@@ -10,12 +10,12 @@
 
 from spurdeal.lab.capacity import (
     SECTIONS,
-    chosen,
     design,
     engine_list,
     figures,
     recorded,
     request_path,
+    select_sections,
     sockets,
 )
 from spurdeal.lab.capacity.fit import Form, UnusableSeries, best_fit, fit
@@ -26,10 +26,10 @@
     require_processes,
     sample,
 )
-from spurdeal.lab.capacity.membership import idle, settled
+from spurdeal.lab.capacity.membership import measure_idle, settled_world
 from spurdeal.lab.capacity.records import Limit, Measure, Role, Sample, quantity
-from spurdeal.lab.capacity.report import TABLES, UnusablePage, ranking, written
-from spurdeal.lab.capacity.storms import agree, storm
+from spurdeal.lab.capacity.report import TABLES, UnusablePage, ranking, render_page
+from spurdeal.lab.capacity.storms import has_converged, run_storm
 from spurdeal.lab.capacity.unserved import UNSERVED
 
 ROOT = Path(__file__).parent.parent
@@ -50,8 +50,8 @@
 )
 
 
-def quiet(line: str) -> None:
-    """What a section says on its way is not of interest here."""
+def ignore_progress(line: str) -> None:
+    """Ignores progress messages."""
 
 
 def role(name: str, values: list[float], budget: float | None, mechanism: str = "some file") -> Role:
@@ -74,7 +74,7 @@
                 self.assertEqual(form, found.form)
                 self.assertAlmostEqual(5.0, found.constant, 6)
                 self.assertAlmostEqual(2.0, found.factor, 6)
-                self.assertAlmostEqual(values[-1], found.at(SIZES[-1]), 6)
+                self.assertAlmostEqual(values[-1], found.value_at(SIZES[-1]), 6)
 
     def test_the_residual_is_of_relative_errors(self) -> None:
         values = [1.1 * 10, 0.9 * 20, 1.1 * 40, 0.9 * 80]
@@ -82,7 +82,7 @@
         self.assertGreater(found.residual, 0.05)
         self.assertLess(found.residual, 0.15)
 
-    def test_what_cannot_be_fitted_is_refused(self) -> None:
+    def test_an_unusable_series_is_refused(self) -> None:
         for sizes, values in (
             ((1, 2, 3), (1.0, 2.0, 3.0)),
             ((1, 2, 3, 3), (1.0, 2.0, 3.0, 3.0)),
@@ -97,14 +97,14 @@
 
 class Roles(unittest.TestCase):
     def test_the_last_size_checks_the_fit_and_is_no_part_of_it(self) -> None:
-        told = role("one", [10.0, 20.0, 40.0, 80.0, 999.0], 2_000.0).told()
-        self.assertAlmostEqual(160.0, told["beyond_predicted"]["cpu_us"])
-        self.assertEqual(999.0, told["beyond_measured"]["cpu_us"])
-        self.assertAlmostEqual(1_000.0, told["at_size"]["cpu_us"])
-        self.assertEqual("fits (0.50 of us)", told["verdict"])
-        self.assertEqual([], [key for key in ROLE_KEYS if key not in told])
-
-    def test_a_design_size_that_was_run_is_told_as_measured(self) -> None:
+        result = role("one", [10.0, 20.0, 40.0, 80.0, 999.0], 2_000.0).to_json()
+        self.assertAlmostEqual(160.0, result["beyond_predicted"]["cpu_us"])
+        self.assertEqual(999.0, result["beyond_measured"]["cpu_us"])
+        self.assertAlmostEqual(1_000.0, result["at_size"]["cpu_us"])
+        self.assertEqual("fits (0.50 of us)", result["verdict"])
+        self.assertEqual([], [key for key in ROLE_KEYS if key not in result])
+
+    def test_a_design_size_that_was_run_is_reported_as_measured(self) -> None:
         samples = [Sample(float(size)) for size in SIZES[:-1]] + [Sample(700.0)]
         found = quantity(Measure.CPU, "us", Form.LINEAR, SIZES, samples, SIZES[-1])
         self.assertEqual(700.0, found.at_size)
@@ -121,7 +121,7 @@
         bound = Role("bound", "", "a file", "", "", limits=(Limit("seats", 100, 250),))
         self.assertEqual("2.5 times over (seats)", bound.verdict())
 
-    def test_the_ranking_is_by_ratio_then_what_nothing_carries(self) -> None:
+    def test_the_ranking_is_by_ratio_then_roles_without_a_mechanism(self) -> None:
         values = [float(size) for size in SIZES]
         found = ranking(
             [
@@ -136,15 +136,15 @@
             [(row["role"], row["ratio"]) for row in found],
         )
 
-    def test_what_nothing_carries_says_so(self) -> None:
+    def test_roles_without_a_mechanism_say_so(self) -> None:
         self.assertEqual({"no mechanism"}, {each.verdict() for each in UNSERVED})
 
-    def test_a_sample_is_the_median_and_tells_its_spread(self) -> None:
+    def test_a_sample_is_the_median_with_its_spread(self) -> None:
         self.assertEqual(Sample(2.0, 1.5), sample([1.0, 2.0, 4.0]))
 
 
 class Growth(unittest.TestCase):
-    """Bounds on ratios from size to size; never on absolute time."""
+    """Bounds on the ratio between two sizes; never on absolute time."""
 
     def test_a_choice_and_the_tick_grow_no_faster_than_the_square(self) -> None:
         for measured in (request_path.choice_us, request_path.tick_us_per_s):
@@ -157,47 +157,47 @@
         self.assertGreater(large / small, 3.0)
         self.assertLess(large / small, 5.0)
 
-    def test_every_submission_of_the_bench_is_sent(self) -> None:
-        bench = request_path.Bench(40)
-        bench.submit_many(10)
-        self.assertEqual(10, len(bench.adapter.sent) + len(bench.rules.wait_queue))
-        self.assertGreater(len(bench.adapter.sent), 0)
-        bench.deliver_all()
-        self.assertEqual(0, len(bench.rules.open_requests))
+    def test_every_request_of_the_benchmark_is_sent_or_queued(self) -> None:
+        benchmark = request_path.RulesBenchmark(40)
+        benchmark.submit_many(10)
+        self.assertEqual(10, len(benchmark.adapter.sent) + len(benchmark.rules.wait_queue))
+        self.assertGreater(len(benchmark.adapter.sent), 0)
+        benchmark.deliver_all()
+        self.assertEqual(0, len(benchmark.rules.open_requests))
 
     def test_a_list_is_applied_whole(self) -> None:
         adapter, clock = request_path.empty_adapter()
         request_path.apply_list(adapter, clock, request_path.endpoints(30, 4))
         self.assertEqual((30, 29), (len(adapter.rules.engines), len(adapter.rules.ready)))
 
-    def test_the_lists_bytes_grow_in_proportion_and_end_at_a_datagram(self) -> None:
+    def test_the_lists_bytes_grow_in_proportion_up_to_a_full_datagram(self) -> None:
         small, large = (engine_list.bytes_per_s(size).value for size in (100, 400))
         self.assertLess(large / small, 4.1)
-        most = engine_list.most_in_a_datagram()
-        self.assertLessEqual(len(engine_list.datagram(most)), engine_list.LARGEST_DATAGRAM)
-        self.assertGreater(len(engine_list.datagram(most + 1)), engine_list.LARGEST_DATAGRAM)
+        most = engine_list.max_engines_in_datagram()
+        self.assertLessEqual(len(engine_list.encode_list_response(most)), engine_list.LARGEST_DATAGRAM)
+        self.assertGreater(len(engine_list.encode_list_response(most + 1)), engine_list.LARGEST_DATAGRAM)
         self.assertLess(most, design.ENGINES)
         self.assertTrue(engine_list.readable(400))
 
-    def test_the_audits_bytes_a_decision_are_level(self) -> None:
+    def test_the_audits_bytes_per_decision_are_constant(self) -> None:
         small, large = (recorded.audit_bytes(size) / size for size in (400, 1_600))
         self.assertLess(large / small, 1.05)
 
     def test_a_members_bytes_grow_slower_than_the_fleet(self) -> None:
-        small, large = (idle(size).sent.value for size in (6, 24))
+        small, large = (measure_idle(size).sent.value for size in (6, 24))
         self.assertLess(large / small, 2.0)
 
-    def test_a_fleet_agrees_before_and_after_a_storm(self) -> None:
-        self.assertTrue(agree(settled(8)))
-        found = storm("a quarter restarts at once", 8)
+    def test_a_fleet_has_converged_before_and_after_a_storm(self) -> None:
+        self.assertTrue(has_converged(settled_world(8)))
+        found = run_storm("a quarter restarts at once", 8)
         self.assertEqual((8, 2), (found.members, found.hit))
         self.assertIsNotNone(found.agree_ms)
         self.assertGreaterEqual(found.peak_bytes, found.mean_bytes)
 
 
 class Processes(unittest.TestCase):
-    def test_one_real_dispatcher_answers_all_it_is_asked(self) -> None:
-        found = sockets.drive("requests", 4, 1, 60)
+    def test_a_dispatcher_process_answers_all_requests(self) -> None:
+        found = sockets.run_traffic("requests", 4, 1, 60)
         self.assertEqual({"200"}, set(found["statuses"]))
         self.assertGreater(found["cpu_us"][0], 0)
 
@@ -205,52 +205,52 @@
 class Page(unittest.TestCase):
     def test_the_committed_page_is_what_the_writer_makes_of_the_committed_figures(self) -> None:
         page = PAGE.read_text()
-        self.assertEqual(written(page, json.loads(FIGURES.read_text())), page)
+        self.assertEqual(render_page(page, json.loads(FIGURES.read_text())), page)
 
     def test_the_committed_figures_are_of_a_full_run_of_all_roles(self) -> None:
         found = json.loads(FIGURES.read_text())
         self.assertFalse(found["quick"])
         self.assertLessEqual(set(SECTIONS), set(found["sections"]))
-        for name, told in found["roles"].items():
+        for name, result in found["roles"].items():
             with self.subTest(name):
-                self.assertEqual([], [key for key in ROLE_KEYS if key not in told])
-                if told["sizes"]:
-                    self.assertGreaterEqual(len(told["sizes"]), 5)
+                self.assertEqual([], [key for key in ROLE_KEYS if key not in result])
+                if result["sizes"]:
+                    self.assertGreaterEqual(len(result["sizes"]), 5)
         self.assertLessEqual({each.name for each in UNSERVED}, set(found["roles"]))
 
-    def test_an_altered_figure_shows(self) -> None:
+    def test_a_changed_figure_changes_the_page(self) -> None:
         page, found = PAGE.read_text(), json.loads(FIGURES.read_text())
         found["roles"]["choice of an engine"]["at_size"]["cpu_us"] += 12_345
-        self.assertNotEqual(page, written(page, found))
+        self.assertNotEqual(page, render_page(page, found))
 
-    def test_a_page_without_its_places_is_refused(self) -> None:
+    def test_a_page_without_its_markers_is_refused(self) -> None:
         found = json.loads(FIGURES.read_text())
         for name in TABLES:
             with self.subTest(name), self.assertRaises(UnusablePage):
-                written(PAGE.read_text().replace(f"capacity: end {name}", "gone"), found)
+                render_page(PAGE.read_text().replace(f"capacity: end {name}", "gone"), found)
         with self.assertRaises(UnusablePage):
-            written(PAGE.read_text(), {"something": "else"})
+            render_page(PAGE.read_text(), {"something": "else"})
 
 
 class Refusals(unittest.TestCase):
-    def test_what_the_machine_cannot_hold(self) -> None:
+    def test_more_than_the_machines_resources_allow(self) -> None:
         for call in (
             lambda: require_memory(1e15, "a fleet"),
             lambda: require_processes(301, "a fleet"),
             lambda: require_descriptors(1 << 40, "a fleet"),
-            lambda: figures(True, quiet, ["request-path"], [1, 2, 3, 4, 1 << 40]),
-            lambda: figures(True, quiet, ["membership"], [1, 2, 3, 4, 1 << 20]),
-            lambda: figures(True, quiet, ["storms"], [1 << 20]),
-            lambda: figures(True, quiet, ["links"], [1, 2, 3, 4, 1 << 20]),
-            lambda: figures(True, quiet, ["clients"], [1, 2, 3, 4, 1 << 20]),
-            lambda: figures(True, quiet, ["requests"], [1, 2, 3, 4, 1 << 20]),
-            lambda: figures(True, quiet, ["list"], [1, 2, 3, 4, 2_000]),
+            lambda: figures(True, ignore_progress, ["request-path"], [1, 2, 3, 4, 1 << 40]),
+            lambda: figures(True, ignore_progress, ["membership"], [1, 2, 3, 4, 1 << 20]),
+            lambda: figures(True, ignore_progress, ["storms"], [1 << 20]),
+            lambda: figures(True, ignore_progress, ["links"], [1, 2, 3, 4, 1 << 20]),
+            lambda: figures(True, ignore_progress, ["clients"], [1, 2, 3, 4, 1 << 20]),
+            lambda: figures(True, ignore_progress, ["requests"], [1, 2, 3, 4, 1 << 20]),
+            lambda: figures(True, ignore_progress, ["list"], [1, 2, 3, 4, 2_000]),
         ):
             with self.assertRaises(MeasurementRefused) as refused:
                 call()
             self.assertNotIn("\n", str(refused.exception))
 
-    def test_what_there_is_not(self) -> None:
+    def test_unknown_sections_and_unusable_sizes(self) -> None:
         for sections, sizes in (
             (["relays"], []),
             ([], [1, 2, 3, 4, 5]),
@@ -259,9 +259,9 @@
             (["list"], [0, 1, 2, 3, 4]),
         ):
             with self.subTest(sections=sections, sizes=sizes), self.assertRaises(MeasurementRefused):
-                chosen(sections, sizes)
+                select_sections(sections, sizes)
 
-    def test_the_command_says_one_line_and_ends_with_2(self) -> None:
+    def test_the_command_prints_one_line_and_exits_with_2(self) -> None:
         for words in (
             ["--section", "relays"],
             ["--section", "list", "--sizes", "1,2,3,4,99999"],
