--- a/tests/crowds.py
+++ b/tests/crowds.py
@@ -8,15 +8,21 @@
 import time
 from dataclasses import dataclass
 
-TRICKLED = b"POST /ops/lookup HTTP/1.1\r\nHost: origin.svc\r\nReq-Id: "
-TRICKLE_EVERY = 1.0  # seconds between two bytes that one client sends
-POLL_FOR = 0.02  # seconds; the timeout of a poll
-CONNECTS_A_ROUND = 200  # so that connections which were closed are noticed in between
+TRICKLED_BYTES = b"POST /ops/lookup HTTP/1.1\r\nHost: origin.svc\r\nReq-Id: "
+TRICKLE_INTERVAL = 1.0  # seconds between two bytes that one client sends
+POLL_TIMEOUT = 0.02  # seconds
+MAX_CONNECTS_PER_ROUND = 200  # so that closed connections are detected in between
 
 
 @dataclass(frozen=True, slots=True)
 class Behavior:
-    """What each client of a crowd does once it is connected: first bytes, slow sending, reconnecting."""
+    """What each client of a crowd does once it is connected.
+
+    Attributes:
+        first: Bytes sent at once.
+        trickles: Whether it sends a partial request, one byte per TRICKLE_INTERVAL.
+        reconnects: Whether it connects again after its connection was closed.
+    """
 
     first: bytes = b""
     trickles: bool = False
@@ -24,7 +30,13 @@
 
 
 class CrowdClient:
-    """One client of a crowd: its socket, and how many bytes it has sent slowly."""
+    """One client of a crowd.
+
+    Attributes:
+        socket: Its connection, if any.
+        sent: Number of trickled bytes.
+        next_byte_at: When the next byte is due, on the monotonic clock; 0 until it is connected.
+    """
 
     def __init__(self) -> None:
         self.socket: socket.socket | None = None
@@ -33,7 +45,12 @@
 
 
 class Crowd:
-    """`size` clients of the same behavior. A context manager; its exit stops them."""
+    """`size` clients of the same behavior. A context manager; its exit stops them.
+
+    Attributes:
+        connects: Number of connection attempts.
+        disconnects: Number of connections that have ended.
+    """
 
     def __init__(self, address: tuple[str, int], size: int, behavior: Behavior) -> None:
         self.address, self.behavior = address, behavior
@@ -41,7 +58,7 @@
         self.selector = selectors.DefaultSelector()
         self.stopping = threading.Event()
         self.thread = threading.Thread(target=self.run, daemon=True)
-        self.connects = self.ends = 0
+        self.connects = self.disconnects = 0
 
     def __enter__(self) -> "Crowd":
         self.thread.start()
@@ -55,15 +72,16 @@
         self.selector.close()
 
     def run(self) -> None:
+        """Runs the clients until the crowd is stopped."""
         waiting = list(self.clients)
         while not self.stopping.is_set():
-            for client in waiting[:CONNECTS_A_ROUND]:
+            for client in waiting[:MAX_CONNECTS_PER_ROUND]:
                 self.connect(client)
-            del waiting[:CONNECTS_A_ROUND]
-            for key, events in self.selector.select(0.0 if waiting else POLL_FOR):
-                ended = self.serve(key.data, events)
+            del waiting[:MAX_CONNECTS_PER_ROUND]
+            for key, events in self.selector.select(0.0 if waiting else POLL_TIMEOUT):
+                ended = self.handle_events(key.data, events)
                 if ended:
-                    self.ends += 1
+                    self.disconnects += 1
                     self.close(key.data)
                     if self.behavior.reconnects:
                         waiting.append(key.data)
@@ -71,6 +89,7 @@
                 self.trickle(time.monotonic())
 
     def connect(self, client: CrowdClient) -> None:
+        """Starts to connect a client."""
         client.socket, client.sent = socket.socket(), 0
         client.socket.setblocking(False)
         result = client.socket.connect_ex(self.address)
@@ -79,13 +98,13 @@
         self.connects += 1
         self.selector.register(client.socket, selectors.EVENT_READ | selectors.EVENT_WRITE, client)
 
-    def serve(self, client: CrowdClient, events: int) -> bool:
+    def handle_events(self, client: CrowdClient, events: int) -> bool:
         """Handles a client's events; returns whether its connection has ended."""
         assert client.socket is not None
         try:
             if events & selectors.EVENT_WRITE:  # connected
                 self.selector.modify(client.socket, selectors.EVENT_READ, client)
-                client.next_byte_at = time.monotonic() + TRICKLE_EVERY
+                client.next_byte_at = time.monotonic() + TRICKLE_INTERVAL
                 if self.behavior.first:
                     client.socket.send(self.behavior.first)
             return bool(events & selectors.EVENT_READ) and client.socket.recv(4096) == b""
@@ -95,15 +114,17 @@
             return True
 
     def trickle(self, now: float) -> None:
+        """Sends the next byte of each client that is due."""
         for client in self.clients:
             if client.socket is not None and 0 < client.next_byte_at <= now:
-                client.next_byte_at = now + TRICKLE_EVERY
-                at = client.sent % len(TRICKLED)
+                client.next_byte_at = now + TRICKLE_INTERVAL
+                at = client.sent % len(TRICKLED_BYTES)
                 client.sent += 1
-                with contextlib.suppress(OSError):  # `serve` detects the end
-                    client.socket.send(TRICKLED[at : at + 1])
+                with contextlib.suppress(OSError):  # `handle_events` detects the end
+                    client.socket.send(TRICKLED_BYTES[at : at + 1])
 
     def close(self, client: CrowdClient) -> None:
+        """Closes a client's connection, if it has one."""
         if client.socket is not None:
             self.selector.unregister(client.socket)
             client.socket.close()
--- a/tests/faulty_names.py
+++ b/tests/faulty_names.py
@@ -8,7 +8,7 @@
 from spurdeal.lab import names
 from tests.stepped_clock import NameService
 
-REFUSED = 0x8402  # flags of a response: SERVFAIL
+SERVER_FAILURE = 0x8402  # flags of a response: SERVFAIL
 
 
 class Fault(Enum):
@@ -23,6 +23,9 @@
     """Answers each query with the list that the test has set, except for the next ones.
 
     Attributes:
+        fault: What happens to the next responses.
+        times: Number of responses that this still applies to.
+        then: What happens to all later responses; None if they arrive.
         sent: By serial number, when the first response with that list was sent, whether or not it arrived.
         delay: Network delay of a response, in seconds.
     """
@@ -56,7 +59,7 @@
         self.sent.setdefault(self.serial, time.monotonic())
         if fault is Fault.LOST:
             return
-        flags = REFUSED if fault is Fault.UNUSABLE else 0x8400
+        flags = SERVER_FAILURE if fault is Fault.UNUSABLE else 0x8400
         response = names.answer(
             query, self.serial, *(endpoint.record() for endpoint in self.endpoints), flags=flags
         )
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -21,7 +21,7 @@
 from spurdeal.net.start import start_within
 from tests.processes import NAMES_PORT, ROOT, Addresses, ProcessCase
 
-NEVER_NEEDED = (  # by a dispatcher without an operator's file
+UNUSED_PACKAGES = (  # by a dispatcher without a settings file
     "spurdeal.benchlink",
     "spurdeal.cli",
     "spurdeal.extproc",
@@ -38,7 +38,7 @@
     "unittest",
     "xml",
 )
-STARTED = """
+LIST_MODULES = """
 import json, sys
 from spurdeal import __main__
 from spurdeal.net import start
@@ -57,25 +57,28 @@
 
 
 class Imports(unittest.TestCase):
-    def modules(self, text: str) -> list[str]:
-        done = subprocess.run(
-            [sys.executable, "-O", "-c", text],
+    """What a dispatcher without a settings file imports."""
+
+    def modules(self, script: str) -> list[str]:
+        """Runs a script that prints the imported modules as JSON."""
+        completed = subprocess.run(
+            [sys.executable, "-O", "-c", script],
             capture_output=True,
             text=True,
             timeout=60,
             cwd=ROOT,
             check=True,
         )
-        return cast(list[str], json.loads(done.stdout))
+        return cast(list[str], json.loads(completed.stdout))
 
-    def test_nothing_of_the_other_parts_is_imported(self) -> None:
-        found = self.modules(STARTED)
+    def test_no_unused_package_is_imported(self) -> None:
+        found = self.modules(LIST_MODULES)
         self.assertIn("spurdeal.net.service", found)
-        packages = tuple(f"{name}." for name in NEVER_NEEDED)
-        self.assertEqual([name for name in found if name in NEVER_NEEDED or name.startswith(packages)], [])
+        packages = tuple(f"{name}." for name in UNUSED_PACKAGES)
+        self.assertEqual([name for name in found if name in UNUSED_PACKAGES or name.startswith(packages)], [])
 
-    def test_it_starts_where_the_extras_are_not_installed(self) -> None:
-        self.assertIn("twisted.internet.tcp", self.modules(WITHOUT_EXTRAS + STARTED))
+    def test_it_starts_without_the_optional_dependencies(self) -> None:
+        self.assertIn("twisted.internet.tcp", self.modules(WITHOUT_EXTRAS + LIST_MODULES))
 
 
 class Discovery(ProcessCase):
@@ -87,18 +90,18 @@
         super().setUp()
         self.configure()
 
-    def serves(self) -> None:
-        """Checks that it becomes ready, and answers a call by an engine of `known`."""
+    def check_serves(self) -> None:
+        """Checks that a dispatcher becomes ready, and answers a request with an engine of `known`."""
         child = self.start_dispatcher()
         self.await_ready(child)
         client = HTTPConnection(self.addresses.dispatcher, self.addresses.port, timeout=10)
         self.addCleanup(client.close)
-        fields = {"Req-Id": f"{1:016x}", "Req-Wait-Ms": "5000"}
-        client.request("POST", "/ops/lookup", "SELECT a FROM s_1.t -- cost=5", fields)
+        headers = {"Req-Id": f"{1:016x}", "Req-Wait-Ms": "5000"}
+        client.request("POST", "/ops/lookup", "SELECT a FROM s_1.t -- cost=5", headers)
         self.assertEqual(client.getresponse().status, 200)
 
     def name_service(self) -> socket.socket:
-        """A socket at the name service's address, held by the test."""
+        """Opens a socket at the name service's address, held by the test."""
         names = socket.socket(type=socket.SOCK_DGRAM)
         self.addCleanup(names.close)
         names.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -108,26 +111,26 @@
 
     def test_no_name_service_at_its_address(self) -> None:
         self.start_stand_ins(with_names=False)
-        self.serves()
+        self.check_serves()
 
     def test_a_name_service_that_never_answers(self) -> None:
         self.start_stand_ins(with_names=False)
         names = self.name_service()
-        self.serves()
+        self.check_serves()
         self.assertGreater(len(names.recv(512)), 0)
 
-    def test_a_name_service_whose_answers_are_cut_short(self) -> None:
+    def test_a_name_service_with_truncated_responses(self) -> None:
         self.start_stand_ins(with_names=False)
         names = self.name_service()
         child = self.start_dispatcher()
         for _ in range(3):
-            question, asked = names.recvfrom(512)
-            names.sendto(question[:2] + b"\x84\x00" + question[4:14], asked)
+            query, client_address = names.recvfrom(512)
+            names.sendto(query[:2] + b"\x84\x00" + query[4:14], client_address)
         self.await_ready(child)
         child.send_signal(signal.SIGTERM)
-        said = child.communicate(timeout=30)[1]
-        self.assertIn("event=bad_datagram", said)
-        self.assertEqual(child.returncode, 0, said)
+        log = child.communicate(timeout=30)[1]
+        self.assertIn("event=bad_datagram", log)
+        self.assertEqual(child.returncode, 0, log)
 
 
 class AddressInUse(ProcessCase):
@@ -144,20 +147,20 @@
         self.predecessor.bind((self.addresses.dispatcher, self.addresses.port))
         self.predecessor.listen(16)
 
-    def start_and_wait(self) -> subprocess.Popen[str]:
-        """Starts a dispatcher and waits until it has found its address in use."""
+    def start_with_address_in_use(self) -> subprocess.Popen[str]:
+        """Starts a dispatcher and waits until it has logged that its address is in use."""
         child = self.start_dispatcher()
         assert child.stderr is not None
         self.assertIn("event=address_in_use", child.stderr.readline())
         return child
 
     def test_it_is_ready_once_the_address_is_free(self) -> None:
-        child = self.start_and_wait()
+        child = self.start_with_address_in_use()
         self.predecessor.close()
         self.await_ready(child)
 
     def test_shutdown_requested_while_it_waits(self) -> None:
-        child = self.start_and_wait()
+        child = self.start_with_address_in_use()
         child.send_signal(signal.SIGTERM)
         self.assertEqual(child.wait(30), 0)
 
@@ -178,45 +181,47 @@
 class StubService:
     """Fails each start with the next of the given errors, then starts."""
 
-    def __init__(self, *faults: int) -> None:
-        self.faults = list(faults)
+    def __init__(self, *errors: int) -> None:
+        self.errors = list(errors)
         self.log = logger("n1", sys.stderr)
         self.log.disabled = True
         self.starts = 0
 
     def start(self) -> None:
         self.starts += 1
-        if self.faults:
-            raise CannotListenError("127.0.0.1", 7001, OSError(self.faults.pop(0), "stub"))
+        if self.errors:
+            raise CannotListenError("127.0.0.1", 7001, OSError(self.errors.pop(0), "stub"))
 
 
 class StartWithin(unittest.TestCase):
-    def run_with(
-        self, *faults: int, seconds: float = 10.0, end_asked: Callable[[], bool] = lambda: False
+    """Which errors of a start are retried, and for how long."""
+
+    def start_with(
+        self, *errors: int, seconds: float = 10.0, end_asked: Callable[[], bool] = lambda: False
     ) -> tuple[StubService, bool]:
-        stub = StubService(*faults)
-        return stub, start_within(seconds, cast(Any, stub), end_asked)
+        service = StubService(*errors)
+        return service, start_within(seconds, cast(Any, service), end_asked)
 
     def test_an_address_in_use_is_retried(self) -> None:
-        stub, started = self.run_with(errno.EADDRINUSE, errno.EADDRINUSE)
-        self.assertEqual((stub.starts, started), (3, True))
+        service, started = self.start_with(errno.EADDRINUSE, errno.EADDRINUSE)
+        self.assertEqual((service.starts, started), (3, True))
 
     def test_a_shortage_of_resources_is_retried(self) -> None:
-        wants = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EAGAIN)
-        stub, started = self.run_with(*wants)
-        self.assertEqual((stub.starts, started), (len(wants) + 1, True))
+        errors = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EAGAIN)
+        service, started = self.start_with(*errors)
+        self.assertEqual((service.starts, started), (len(errors) + 1, True))
 
     def test_not_beyond_the_time_limit(self) -> None:
         with self.assertRaises(CannotListenError):
-            self.run_with(errno.EADDRINUSE, seconds=0.0)
+            self.start_with(errno.EADDRINUSE, seconds=0.0)
 
     def test_another_error_is_not_retried(self) -> None:
         with self.assertRaises(CannotListenError):
-            self.run_with(errno.EADDRNOTAVAIL)
+            self.start_with(errno.EADDRNOTAVAIL)
 
     def test_not_after_shutdown_is_requested(self) -> None:
-        stub, started = self.run_with(errno.EADDRINUSE, end_asked=lambda: True)
-        self.assertEqual((stub.starts, started), (1, False))
+        service, started = self.start_with(errno.EADDRINUSE, end_asked=lambda: True)
+        self.assertEqual((service.starts, started), (1, False))
 
 
 if __name__ == "__main__":
--- a/tests/test_request_log.py
+++ b/tests/test_request_log.py
@@ -19,7 +19,7 @@
     def lines(self, world: World, event: str) -> list[str]:
         return [line for line in world.log.getvalue().splitlines() if f"event={event} " in line]
 
-    def test_a_retry_tells_its_id_its_server_and_why(self) -> None:
+    def test_a_retry_is_logged_with_its_id_and_reason(self) -> None:
         world = World(self, engines=2)
         Caller(world).post(7)
         world.peer().up().say(7, "500")
@@ -28,7 +28,7 @@
             self.assertIn(part, line)
         self.assertEqual(world.count("attempts_further"), 1)
 
-    def test_an_attempt_that_must_not_run_twice_tells_how_it_ended(self) -> None:
+    def test_a_failed_attempt_of_a_non_idempotent_request_is_logged(self) -> None:
         world = World(self, engines=2)
         caller = Caller(world)
         caller.post(7, "load")
@@ -39,7 +39,7 @@
         self.assertIn(f"reason={EndReason.MAY_HAVE_RUN}", line)
         self.assertEqual(world.count("request_aborted_may_have_run"), 1)
 
-    def test_a_refusal_tells_why(self) -> None:
+    def test_a_refusal_is_logged_with_its_reason(self) -> None:
         world = World(self)
         caller = Caller(world)
         caller.post(7, wait=60)
@@ -47,12 +47,12 @@
         (line,) = self.lines(world, "request_refused")
         self.assertIn(f"reason={EndReason.NO_TIME}", line)
 
-    def test_a_server_that_drains_and_goes(self) -> None:
+    def test_state_changes_of_servers_are_logged(self) -> None:
         world = World(self, engines=2)
         world.list(2, DRAINING)
-        told = {line.split("server=")[1].split(" started")[0] for line in self.lines(world, "server_state")}
+        logged = {line.split("server=")[1].split(" started")[0] for line in self.lines(world, "server_state")}
         self.assertEqual(
-            told,
+            logged,
             {
                 "s-0 before=gone after=ready",
                 "s-1 before=gone after=ready",
@@ -61,7 +61,7 @@
             },
         )
 
-    def test_discovery_that_falls_silent_and_answers_again(self) -> None:
+    def test_silent_discovery_and_its_recovery_are_logged(self) -> None:
         world = World(self)
         world.list(1)
         world.names_silent = True
@@ -75,10 +75,10 @@
         self.assertGreaterEqual(world.count("names_longest_silence_ms"), 4900)
 
 
-class Bounds(unittest.TestCase):
+class RateLimit(unittest.TestCase):
     """The rate limit of log lines."""
 
-    def test_lines_over_the_bound_are_counted(self) -> None:
+    def test_lines_above_the_limit_are_counted(self) -> None:
         stream, now = io.StringIO(), [0.0]
         log = LimitedLog(logger("n1", stream), lambda: now[0])
         for _ in range(MAX_LINES + 5):
@@ -94,14 +94,14 @@
 class WallClock(unittest.TestCase):
     """Steps of the wall clock are logged and counted; slow drift is not."""
 
-    def test_steps_either_way(self) -> None:
+    def test_steps_forward_and_back(self) -> None:
         wall, steady, counters, stream = [1e12], [5.0], Counters(), io.StringIO()
         watch = WallClockWatch(lambda: wall[0], lambda: steady[0], counters, logger("n1", stream))
-        for step, told in ((0.0, 0), (20.0, 0), (20_000.0, 1), (-3_600_000.0, 2)):
+        for step, logged in ((0.0, 0), (20.0, 0), (20_000.0, 1), (-3_600_000.0, 2)):
             steady[0] += 250.0
             wall[0] += 250.0 + step
             watch.look()
-            self.assertEqual(stream.getvalue().count("event=wall_clock_stepped"), told)
+            self.assertEqual(stream.getvalue().count("event=wall_clock_stepped"), logged)
         self.assertEqual(counters.sums["wall_clock_steps"], 2)
         self.assertEqual(counters.sums["wall_clock_largest_step_ms"], 3_600_000)
 
