--- a/tests/scripted_names.py
+++ b/tests/scripted_names.py
@@ -64,7 +64,7 @@
     Attributes:
         drain_announced_at: When the first response with the drain was sent, whether or not it arrived.
         draining_from: Serial number of the list with the drain.
-        played: All queries so far.
+        handled_queries: All queries so far.
         unanswered: Ids of the queries that the dispatcher still has open.
     """
 
@@ -74,7 +74,7 @@
         self.drain_announced_at: float | None = None
         self.draining_from: int | None = None
         self.lists = {1: list(endpoints)}
-        self.played = list[HandledQuery]()
+        self.handled_queries = list[HandledQuery]()
         self.unanswered = set[int]()
         super().__init__(host, port, endpoints)
 
@@ -121,7 +121,7 @@
                 self.query_times.append(now)
                 with self.script_lock:
                     step = self.next_step(now, ident)
-                self.played.append(HandledQuery(now, ident, step.delivery))
+                self.handled_queries.append(HandledQuery(now, ident, step.delivery))
                 self.respond(step, query, client_address)
         self.socket.close()
 
--- a/tests/test_answer_orders.py
+++ b/tests/test_answer_orders.py
@@ -182,7 +182,7 @@
         """Starts a dispatcher whose next query ids can be matched by a corrupted id of later queries."""
         while True:
             child = super().dispatcher()
-            if self.names.played[-1].ident % 0x80 not in NEVER_MATCHED:
+            if self.names.handled_queries[-1].ident % 0x80 not in NEVER_MATCHED:
                 return child
             child.kill()
             child.wait()
