--- a/tests/test_review_findings.py
+++ b/tests/test_review_findings.py
@@ -1,4 +1,4 @@
-"""Orders of answers found in review after which the list is followed, or not, against what was told."""
+"""Regression tests: orders of answers in which the list was followed, or not, against what had been sent."""
 
 import unittest
 from unittest.mock import patch
@@ -15,99 +15,103 @@
 Record = tuple[str, str, int, str]
 
 
-def record(place: int, draining: bool = False) -> Record:
+def record(number: int, draining: bool = False) -> Record:
     """One engine of an answer."""
-    return (f"s-{place}.east.hosts", f"127.0.9.{place}:7001", int(draining), "kind=std cell=0 started=0")
+    return (f"s-{number}.east.hosts", f"127.0.9.{number}:7001", int(draining), "kind=std cell=0 started=0")
 
 
 ALL_READY = (record(0), record(1))
 ONE_DRAINS = (record(0), record(1, draining=True))
 
 
-class Answered(unittest.TestCase):
-    """A dispatcher with two engines whose questions are answered by hand."""
+class ManualAnswers(unittest.TestCase):
+    """A dispatcher with two engines; the test answers its queries to the name service."""
 
     def setUp(self) -> None:
         self.world = World(self, engines=2)
         self.world.names_silent = True
-        self.told(1, ALL_READY, *range(len(self.world.names)))
+        self.answer_queries(1, ALL_READY, *range(len(self.world.names)))
         self.world.go(400)
-        self.told(1, ALL_READY, -1)
+        self.answer_queries(1, ALL_READY, -1)
 
-    def told(self, serial: int, records: tuple[Record, ...], *questions: int) -> None:
-        """Each of these questions is answered now."""
-        for place in questions:
-            answer = names.answer(self.world.names[place], serial, *records)
+    def answer_queries(self, serial: int, records: tuple[Record, ...], *queries: int) -> None:
+        """Answer each of these queries now."""
+        for number in queries:
+            answer = names.answer(self.world.names[number], serial, *records)
             self.world.service.names.datagramReceived(answer, NAMES_AT)
         self.world.go()
 
-    def next_question(self) -> float:
-        """Waits for one; when it left."""
+    def next_query(self) -> float:
+        """Wait for the next query; returns when it was sent."""
         asked = len(self.world.names)
         while len(self.world.names) == asked:
             self.world.go(5)
         return self.world.now()
 
     def settle(self) -> None:
-        """The name service answers each question at once, until the list is followed."""
+        """Answer each query at once, until the list is followed."""
         for _ in range(2 * SETTLING_RESPONSES):
-            self.next_question()
-            self.told(1, ALL_READY, -1)
+            self.next_query()
+            self.answer_queries(1, ALL_READY, -1)
         self.assertTrue(self.may_be_followed())
 
     def may_be_followed(self) -> bool:
-        """Whether requests may be sent by the list."""
+        """Whether the list is fresh enough to send requests."""
         return self.world.service.adapter.rules.freshness.may_be_followed(self.world.now())
 
-    def may_get(self, place: int) -> bool:
-        """Whether an attempt at that engine may begin now."""
-        endpoint = self.world.service.adapter.endpoints.get(f"s-{place}")
+    def may_send_to(self, number: int) -> bool:
+        """Whether an attempt at that engine may start now."""
+        endpoint = self.world.service.adapter.endpoints.get(f"s-{number}")
         return self.may_be_followed() and endpoint is not None and endpoint.life == Life.READY
 
     def check_never_sent(
-        self, place: int, sent: float, until: float, serial: int, lag: tuple[Record, ...]
+        self, number: int, sent: float, until: float, serial: int, lag: tuple[Record, ...]
     ) -> None:
-        """From the end of the grace on, that engine gets nothing, while each answer tells an older list."""
+        """Check that after the grace period the engine gets nothing, while each answer has an older list."""
         asked = len(self.world.names)
         while self.world.now() < until:
             self.world.go(5)
             if len(self.world.names) > asked:
                 asked = len(self.world.names)
-                self.told(serial, lag, -1)
+                self.answer_queries(serial, lag, -1)
             if self.world.now() > sent + GRACE + SLACK:
-                self.assertFalse(self.may_get(place), f"{self.world.now() - sent:.0f} ms after it was told")
+                self.assertFalse(
+                    self.may_send_to(number), f"{self.world.now() - sent:.0f} ms after the drain was sent"
+                )
 
 
-class Lost(Answered):
-    """The answer that told a drain was lost; those behind it come from a replica that lags."""
+class Lost(ManualAnswers):
+    """The answer with a drain was lost; later answers come from a replica that lags."""
 
     def test_a_list_that_is_newer_but_older_than_the_lost_one_settles_no_question(self) -> None:
         self.settle()
-        sent = self.next_question()  # answered with 3, in which s-1 drains: lost
-        self.next_question()
-        self.told(2, ALL_READY, -1)  # newer than 1, and older than what was sent
+        sent = self.next_query()  # the answer with list 3, in which s-1 drains, is lost
+        self.next_query()
+        self.answer_queries(2, ALL_READY, -1)  # newer than 1, older than the lost list 3
         self.check_never_sent(1, sent, sent + PROPAGATION_LIMIT, 2, ALL_READY)
 
-    def test_a_number_that_is_too_high_settles_no_question(self) -> None:
+    def test_a_too_high_list_number_settles_no_query(self) -> None:
         self.settle()
-        sent = self.next_question()  # answered with 2, in which s-1 drains: lost
-        self.next_question()
-        self.told(1000, ALL_READY, -1)
+        sent = self.next_query()  # the answer with list 2, in which s-1 drains, is lost
+        self.next_query()
+        self.answer_queries(1000, ALL_READY, -1)
         while self.world.now() < sent + PROPAGATION_LIMIT:  # nothing more arrives
             self.world.go(5)
             if self.world.now() > sent + GRACE + SLACK:
-                self.assertFalse(self.may_get(1), f"{self.world.now() - sent:.0f} ms after it was told")
+                self.assertFalse(
+                    self.may_send_to(1), f"{self.world.now() - sent:.0f} ms after the drain was sent"
+                )
 
     def test_lagging_answers_in_a_row_settle_no_question_while_a_replica_may_lag(self) -> None:
         self.settle()
-        sent = self.next_question()  # answered with 2, in which s-1 drains: lost
+        sent = self.next_query()  # the answer with list 2, in which s-1 drains, is lost
         self.check_never_sent(1, sent, sent + PROPAGATION_LIMIT, 1, ALL_READY)
 
 
-class Stalled(Answered):
-    """The process loses its core while a question is handed to the system."""
+class Stalled(ManualAnswers):
+    """The process is descheduled while it hands a query to the system."""
 
-    def test_a_question_counts_from_before_it_was_handed_over(self) -> None:
+    def test_a_query_counts_from_before_it_was_handed_to_the_system(self) -> None:
         self.settle()
         stall, write, sent = 0.2, self.world.write, list[float]()
 
@@ -118,87 +122,89 @@
                 self.world.reactor.rightNow += stall
 
         with patch.object(World, "sendto", staticmethod(slow_write)):
-            self.next_question()  # answered at once with 2, in which s-1 drains: lost, as what follows
+            self.next_query()  # the answer with list 2, in which s-1 drains, is lost, as are all later ones
             while self.world.now() < sent[0] + PROPAGATION_LIMIT:
                 if self.world.now() > sent[0] + GRACE + SLACK:
                     self.assertFalse(
-                        self.may_get(1), f"{self.world.now() - sent[0]:.0f} ms after it was told"
+                        self.may_send_to(1), f"{self.world.now() - sent[0]:.0f} ms after the drain was sent"
                     )
                 self.world.go(5)
 
 
-class Comparing(Answered):
-    """What each answer costs."""
+class Comparing(ManualAnswers):
+    """The cost of processing an answer."""
 
     def test_a_list_that_stays_the_same_is_compared_once(self) -> None:
         self.settle()
         with patch("spurdeal.list_agreement.same_use", side_effect=same_use) as compared:
             for _ in range(10):
-                self.next_question()
-                self.told(1, ALL_READY, -1)
+                self.next_query()
+                self.answer_queries(1, ALL_READY, -1)
         self.assertLessEqual(compared.call_count, len(ALL_READY))
 
 
-class Overtaken(Answered):
-    """A drain arrives in an answer that a later question's answer has overtaken."""
+class Overtaken(ManualAnswers):
+    """A drain arrives after the answer to a later query."""
 
-    def test_a_drain_that_has_arrived_is_in_force_though_a_number_was_too_high(self) -> None:
+    def test_a_drain_that_has_arrived_is_in_force_despite_a_too_high_list_number(self) -> None:
         self.settle()
-        sent = self.next_question()
-        self.next_question()
-        self.told(1000, ALL_READY, -1)
-        self.told(2, ONE_DRAINS, -2)
+        sent = self.next_query()
+        self.next_query()
+        self.answer_queries(1000, ALL_READY, -1)
+        self.answer_queries(2, ONE_DRAINS, -2)
         while self.world.now() < sent + PROPAGATION_LIMIT:  # nothing more arrives
             self.world.go(5)
             if self.world.now() > sent + GRACE + SLACK:
-                self.assertFalse(self.may_get(1), f"{self.world.now() - sent:.0f} ms after it was told")
+                self.assertFalse(
+                    self.may_send_to(1), f"{self.world.now() - sent:.0f} ms after the drain was sent"
+                )
 
 
-class InAFleet(Answered):
-    """Peers tell lists too."""
+class InAFleet(ManualAnswers):
+    """Peers share their lists too."""
 
-    def test_a_number_that_is_too_high_hides_no_drain(self) -> None:
+    def test_a_too_high_list_number_hides_no_drain(self) -> None:
         self.world.service.names.peers_share_lists = True
         self.settle()
-        self.next_question()
-        self.told(1000, ALL_READY, -1)
-        sent = self.next_question()
-        self.told(2, ONE_DRAINS, -1)
+        self.next_query()
+        self.answer_queries(1000, ALL_READY, -1)
+        sent = self.next_query()
+        self.answer_queries(2, ONE_DRAINS, -1)
         self.check_never_sent(1, sent, sent + 2 * PROPAGATION_LIMIT, 2, ONE_DRAINS)
 
 
-class Slow(Answered):
-    """Each answer takes its time."""
+class Slow(ManualAnswers):
+    """Each answer arrives after a delay."""
 
-    def followed_part(self, takes: float) -> float:
-        """In which part of the looks the list was followed, from 2 s on."""
+    def followed_share(self, delay: float) -> float:
+        """The share of checks at which the list was followed, from 2 s on."""
         self.settle()
-        due, seen, looks = list[tuple[float, int]](), len(self.world.names), list[bool]()
+        due, seen, checks = list[tuple[float, int]](), len(self.world.names), list[bool]()
         began = self.world.now()
         while self.world.now() < began + 20_000.0:
             self.world.go(5)
-            for place in range(seen, len(self.world.names)):
-                due.append((self.world.now() + takes, place))
+            for number in range(seen, len(self.world.names)):
+                due.append((self.world.now() + delay, number))
             seen = len(self.world.names)
             while due and due[0][0] <= self.world.now():
-                self.told(1, ALL_READY, due.pop(0)[1])
+                self.answer_queries(1, ALL_READY, due.pop(0)[1])
             if self.world.now() > began + 2000.0:
-                looks.append(self.may_be_followed())
-        return sum(looks) / len(looks)
+                checks.append(self.may_be_followed())
+        return sum(checks) / len(checks)
 
-    def test_a_list_whose_answers_all_come_within_the_grace_is_followed_most_of_the_time(self) -> None:
-        """What an answer holds is in force 200 ms after it was sent at the latest: nothing is late."""
-        self.assertGreater(self.followed_part(200.0), 0.5)
+    def test_a_list_whose_answers_all_arrive_within_the_grace_is_followed_most_of_the_time(self) -> None:
+        """A list takes effect 200 ms after it was sent, within the grace period."""
+        self.assertGreater(self.followed_share(200.0), 0.5)
 
     def test_a_list_whose_answers_all_take_700_ms_is_followed_at_times(self) -> None:
-        self.assertGreater(self.followed_part(700.0), 0.0)
+        self.assertGreater(self.followed_share(700.0), 0.0)
 
 
 class Starting(unittest.TestCase):
-    def test_a_list_of_the_start_that_is_a_second_old_is_not_followed_when_what_it_lacks_was_told(
+    def test_an_initial_list_that_is_a_second_old_is_not_followed_once_a_drain_it_lacks_takes_effect(
         self,
     ) -> None:
-        """An engine drains right behind the list; it is read 1 s later, and a question leaves 0.9 s later."""
+        """The engine drains right after the list was made; it is read 1 s later, queried 0.9 s later."""
         freshness = ListFreshness(GRACE)
         drained = 0.0
         read = drained + 1000.0
@@ -220,7 +226,7 @@
         self.agreement = Agreement.of(5, {"a": endpoint("a"), "b": endpoint("b")})
 
     def answer(self, number: int, *endpoints: Endpoint) -> Verdict:
-        """One answer, 40 ms behind the last."""
+        """An answer 40 ms after the last."""
         self.now += 40.0
         listed = {each.ident: each for each in endpoints}
         found = assess(self.agreement, number, listed, self.now - 1.0, self.now)
@@ -228,33 +234,35 @@
         return found.verdict
 
     def life(self, ident: str) -> Life | None:
-        """The state of an engine in force."""
+        """The state of an engine that is in force."""
         return self.agreement.in_force[ident].life if ident in self.agreement.in_force else None
 
     def test_a_change_during_the_hold_after_a_renumbering_releases_nothing_early(self) -> None:
         drains = endpoint("b", Life.DRAINING)
         self.answer(10, endpoint("a"), drains)
-        told = self.now
+        drain_sent = self.now
         for _ in range(RENUMBERED_AFTER):  # from a replica that lags
             self.answer(7, endpoint("a"), endpoint("b"))
-        while self.now < told + PROPAGATION_LIMIT:  # it goes on, and still lags
+        while self.now < drain_sent + PROPAGATION_LIMIT:  # its list changes, and still lags
             self.answer(8, endpoint("a"), endpoint("b"), endpoint("c"))
-            self.assertEqual(self.life("b"), Life.DRAINING, f"{self.now - told:.0f} ms after it was told")
+            self.assertEqual(
+                self.life("b"), Life.DRAINING, f"{self.now - drain_sent:.0f} ms after the drain was sent"
+            )
 
-    def test_two_old_lists_with_a_number_that_is_too_high_take_no_drain_back(self) -> None:
+    def test_two_old_lists_with_a_too_high_number_revert_no_drain(self) -> None:
         self.answer(10, endpoint("a"), endpoint("b", Life.DRAINING))
         for _ in range(2):  # from before a restart
             self.answer(41, endpoint("a"), endpoint("b"))
         self.assertEqual(self.life("b"), Life.DRAINING)
 
-    def test_an_engine_that_was_told_again_gets_requests_though_another_has_joined_meanwhile(self) -> None:
+    def test_a_confirmed_engine_gets_requests_although_others_keep_joining(self) -> None:
         joined = [endpoint("a"), endpoint("b")]
         for number in range(6, 56):  # 2 s
             joined.append(endpoint(f"n{number}"))
             self.answer(number, *joined)
         self.assertEqual(self.life("n6"), Life.READY)
 
-    def test_two_numberings_in_turn_with_the_same_list_leave_it_followed(self) -> None:
+    def test_two_alternating_numberings_of_the_same_list_leave_it_followed(self) -> None:
         freshness, may_be_followed = ListFreshness(GRACE), False
         freshness.known(0.0)
         for number in range(250):  # 10 s
