--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -261,7 +261,7 @@
         self.factory.clientConnectionFailed(None, Failure(error()))
         self.world.go()
 
-    def heard(self) -> list[list[str]]:
+    def received(self) -> list[list[str]]:
         self.parser.feed(self.pipe.taken())
         found = []
         while (parts := self.parser.take()) is not None:
--- a/tests/steps.py
+++ b/tests/steps.py
@@ -81,7 +81,7 @@
         except BlockingIOError:
             return received or None
 
-    def heard(self) -> list[list[str]]:
+    def received(self) -> list[list[str]]:
         """The commands received since the last call, as their parts."""
         self.parser.feed(self.read() or b"")
         commands = []
@@ -205,7 +205,7 @@
         client = self.client()
         client.post(ident, workload)
         peer = self.until(self.engines[engine].accept)
-        self.until(peer.heard)
+        self.until(peer.received)
         peer.say(ident)
         self.case.assertEqual(self.until(client.status), 200)
         return client
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -346,7 +346,7 @@
 
         peer.pipe.write = written  # type: ignore[method-assign]
         peer.up()
-        self.assertEqual(["serve"], [each[0] for each in peer.heard()])
+        self.assertEqual(["serve"], [each[0] for each in peer.received()])
         self.assertEqual([f"{7:016x}"], [record.ident for record in self.entries(Kind.SENT)])
 
     def test_a_withdrawn_request_is_in_the_log(self) -> None:
@@ -394,7 +394,7 @@
             heard = [
                 peer.host
                 for peer in map(world.peer, range(len(world.reactor.tcpClients)))
-                if peer.up().heard()
+                if peer.up().received()
             ]
             self.assertEqual([f"127.0.9.{stays[-1]}"], heard)
             world.go(200)
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -269,7 +269,7 @@
         del rules.choose, rules.check_wait_queue
         world.go(300)
         peers = [world.peer(place).up() for place in range(len(world.reactor.tcpClients))]
-        served = [sent[1] for peer in peers for sent in peer.heard() if sent[0] == "serve"]
+        served = [sent[1] for peer in peers for sent in peer.received() if sent[0] == "serve"]
         self.assertEqual(sorted(served), [f"{0:016x}", f"{2:016x}"])
 
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -31,7 +31,7 @@
 
     def sent(self, steps: Steps, talk: PeerSocket) -> list[str]:
         steps.go()
-        return [message[1] for message in talk.heard() if message[0] == "serve"]
+        return [message[1] for message in talk.received() if message[0] == "serve"]
 
     def test_whole_in_the_backlog(self) -> None:
         for way in ("close", "half-close", "reset"):
@@ -82,14 +82,14 @@
         self.assertEqual(len(adapter.early_withdrawals), 256)
         world.go(5100)
         Caller(world).post(399)
-        self.assertEqual((len(world.peer().up().heard()), adapter.early_withdrawals), (1, {}))
+        self.assertEqual((len(world.peer().up().received()), adapter.early_withdrawals), (1, {}))
 
     def test_while_its_trip_is_dialled_for_where_nothing_may_be_called_off(self) -> None:
         world = World(self, settings=settings(limits={"cancelling": False}))
         caller = Caller(world)
         caller.post(1)
         caller.leave()
-        self.assertEqual(world.peer().up().heard(), [])
+        self.assertEqual(world.peer().up().received(), [])
 
     def test_behind_a_call_on_its_connection(self) -> None:
         world = World(self)
@@ -99,7 +99,7 @@
         peer = world.peer().up()
         caller.leave()
         self.assertEqual(
-            [message[:2] for message in peer.heard()], [["serve", f"{1:016x}"], ["cancel", f"{1:016x}"]]
+            [message[:2] for message in peer.received()], [["serve", f"{1:016x}"], ["cancel", f"{1:016x}"]]
         )
 
     def test_queued_and_then_sent(self) -> None:
@@ -112,7 +112,7 @@
         del adapter.rules.choose
         caller.pipe.ended = True  # the end of the stream has arrived but was not read
         world.go(100)
-        self.assertEqual(world.peer().up().heard(), [])
+        self.assertEqual(world.peer().up().received(), [])
 
 
 class LateConnections(unittest.TestCase):
@@ -124,7 +124,7 @@
         world.go(200)
         world.service.adapter.terms(0, 0.0, 1)
         world.go(50)
-        (message,) = world.peer().up().heard()
+        (message,) = world.peer().up().received()
         self.assertRegex(message[2], r"^class=lookup,wait=1[12]\d\d,rank=1$")
 
     def test_a_repeat_whose_window_ended_while_it_was_dialled_for(self) -> None:
@@ -137,7 +137,7 @@
                 world.go(150)
                 peer.lose()
                 world.go(ms)
-                self.assertEqual(len(world.peer(1).up().heard()), sent)
+                self.assertEqual(len(world.peer(1).up().received()), sent)
 
     def test_an_engine_that_moved_or_began_anew_while_it_was_dialled_for(self) -> None:
         for address, started in (("127.0.9.7:7001", 0), ("127.0.9.0:7001", 1_790_000_000_001)):
@@ -146,11 +146,11 @@
                 caller = Caller(world)
                 caller.post(1, "load")
                 world.list(2, ("s-0.east.hosts", address, 0, f"kind=std cell=0 started={started}"))
-                self.assertEqual(world.peer().up().heard(), [])
+                self.assertEqual(world.peer().up().received(), [])
                 if not started:
                     peer = world.peer(1)
                     self.assertEqual(f"{peer.host}:{peer.port}", address)
-                    self.assertEqual(peer.up().heard()[0][1], f"{1:016x}")
+                    self.assertEqual(peer.up().received()[0][1], f"{1:016x}")
 
     def test_what_was_never_sent_counts_as_no_attempt(self) -> None:
         """With a limit of one attempt, a drain during the dial still leaves an attempt for another engine."""
@@ -170,7 +170,7 @@
                 for number in range(2)
             ),
         )
-        self.assertEqual(len(world.peer(1).up().heard()), 1)
+        self.assertEqual(len(world.peer(1).up().received()), 1)
 
     def test_a_connection_that_does_not_come_up_in_time_counts_for_no_trip(self) -> None:
         """A connect timeout proves that nothing ran: even with one attempt, another engine gets it."""
@@ -179,7 +179,7 @@
         Caller(world).post(1, "load")
         world.peer().refuse(ConnectTimeout)
         self.assertNotEqual(world.peer(1).host, world.peer().host)
-        self.assertEqual(len(world.peer(1).up().heard()), 1)
+        self.assertEqual(len(world.peer(1).up().received()), 1)
         self.assertEqual(world.count("trips_connect_timeout"), 1)
 
     def test_an_attempt_that_is_never_allowed_is_not_repeated_forever(self) -> None:
@@ -212,8 +212,8 @@
         Caller(world).post(1)
         engine = next(e for e in world.service.adapter.rules.engines.values() if e.open_attempts)
         engine.begin_slow_start(world.now() + 15_000, world.now(), 0.0)
-        self.assertEqual(world.peer().up().heard(), [])
-        self.assertEqual(len(world.peer(1).up().heard()), 1)
+        self.assertEqual(world.peer().up().received(), [])
+        self.assertEqual(len(world.peer(1).up().received()), 1)
 
 
 class Drains(unittest.TestCase):
@@ -300,7 +300,7 @@
         client = steps.client()
         client.post(1, wait=500)
         talk = steps.until(steps.engines[0].accept)
-        steps.until(talk.heard)
+        steps.until(talk.received)
         steps.go(500)
         with self.assertRaises(ConnectionResetError):
             steps.until(lambda: talk.read() and None)
@@ -315,7 +315,7 @@
         steps.until(lambda: steps.service.adapter.pending_events)
         steps.engines[0].peers[0].socket.close()
         talk = steps.until(steps.engines[0].accept)
-        steps.until(talk.heard)
+        steps.until(talk.received)
         talk.say(2)
         self.assertEqual(steps.until(client.status), 200)
 
@@ -332,11 +332,11 @@
         peers[0].lose()
         self.assertAlmostEqual(world.service.engines.observed_idle_timeout, 1000.0, delta=60)
         Caller(world).post(3)  # idempotent requests use any idle connection
-        self.assertEqual(peers[1].heard()[1][1], f"{3:016x}")
+        self.assertEqual(peers[1].received()[1][1], f"{3:016x}")
         peers[1].say(3, "200", "parts=1")
         world.go(700)
         Caller(world).post(4, "load")
-        self.assertEqual((len(world.reactor.tcpClients), peers[1].heard()), (3, []))
+        self.assertEqual((len(world.reactor.tcpClients), peers[1].received()), (3, []))
         world.go(240_000)
         self.assertGreater(world.service.engines.observed_idle_timeout, 2000.0)  # and forgotten
 
@@ -456,7 +456,7 @@
         steps.reactor.now += 0.06  # the exit check runs before the listener is read
         talk = steps.until(steps.engines[0].accept)
         self.assertEqual(steps.stopped_at, [])
-        steps.until(talk.heard)
+        steps.until(talk.received)
         talk.say(1)
         self.assertEqual(steps.until(client.status), 200)
         client.socket.close()
@@ -500,7 +500,7 @@
         steps.service.clients.close_idle()
         client.post(2)
         steps.go(60)
-        self.assertEqual(steps.engines[0].peers[0].heard(), [])
+        self.assertEqual(steps.engines[0].peers[0].received(), [])
 
     def test_a_reader_that_holds_up_its_answer_does_not_hold_up_the_end(self) -> None:
         world = World(self)
@@ -536,7 +536,7 @@
         peer = world.peer().up()
         world.go(400)
         peer.say(1, "200", "parts=1")
-        self.assertRegex(peer.heard()[-1][2], r"wait=5[56]\d,")
+        self.assertRegex(peer.received()[-1][2], r"wait=5[56]\d,")
 
 
 class Signals(unittest.TestCase):
@@ -621,7 +621,7 @@
         caller = Caller(world)
         caller.post(1, workload)
         peer = world.peer().up()
-        self.assertEqual(peer.heard()[0][1], f"{1:016x}")
+        self.assertEqual(peer.received()[0][1], f"{1:016x}")
         peer.say(1, "200", "parts=1")
         self.assertEqual(caller.answers()[0][0], 200)
         return world
@@ -706,7 +706,7 @@
                 started = int(world.now())
                 world.list(2, ("s-0.east.hosts", "127.0.9.0:7001", 0, f"kind=std cell=0 started={started}"))
                 Caller(world).post(1)
-                self.assertEqual(len(world.peer().up().heard()), 1)
+                self.assertEqual(len(world.peer().up().received()), 1)
 
     def test_names_as_clients_write_them(self) -> None:
         """Unescaped: spaces, non-ASCII letters and slashes appear in the target as they are."""
@@ -718,16 +718,16 @@
             with self.subTest(name):
                 world = World(self, settings=SETTINGS | {"grades": grades})
                 Caller(world).post(1, name)
-                self.assertIn(f"class={name},", world.peer().up().heard()[0][2])
+                self.assertIn(f"class={name},", world.peer().up().received()[0][2])
 
     def test_the_idempotency_key_is_forwarded(self) -> None:
         world = World(self, engines=2, settings=SETTINGS | {"grades": IDEMPOTENT_BY_KEY})
         caller, bad = Caller(world), Caller(world)
         caller.post(1, "load", Req_Token="8d80-9f")
         first = world.peer().up()
-        self.assertRegex(first.heard()[0][2], r",once=8d80-9f$")
+        self.assertRegex(first.received()[0][2], r",once=8d80-9f$")
         first.lose()
-        self.assertRegex(world.peer(1).up().heard()[0][2], r",once=8d80-9f$")
+        self.assertRegex(world.peer(1).up().received()[0][2], r",once=8d80-9f$")
         bad.post(2, "load", Req_Token="x,rank=3")
         self.assertEqual(bad.answers()[0][0], 400)
 
@@ -747,9 +747,9 @@
         for ident, key in ((1, "00ab"), (2, "00ab"), (3, "00cd"), (4, "")):
             Caller(world).post(ident, "load", **more_of("Req_Key", key))
         peers = [world.peer(place).up() for place in range(3)]
-        self.assertEqual([peer.heard()[0][1] for peer in peers], [f"{ident:016x}" for ident in (1, 3, 4)])
+        self.assertEqual([peer.received()[0][1] for peer in peers], [f"{ident:016x}" for ident in (1, 3, 4)])
         peers[0].say(1, "200", "parts=1")
-        self.assertEqual(peers[0].heard()[0][1], f"{2:016x}")
+        self.assertEqual(peers[0].received()[0][1], f"{2:016x}")
 
 
 class Lists(unittest.TestCase):
--- a/tests/test_gone_clients.py
+++ b/tests/test_gone_clients.py
@@ -82,7 +82,7 @@
             pass
         for talk in engine.peers:
             with contextlib.suppress(ConnectionResetError):
-                found += sum(said[:2] == wanted for said in talk.heard())
+                found += sum(said[:2] == wanted for said in talk.received())
     return found
 
 
@@ -105,7 +105,7 @@
         steps.go()
     talks = [steps.until(engine.accept) for engine in steps.engines]
     for talk in talks:
-        (said,) = steps.until(talk.heard)
+        (said,) = steps.until(talk.received)
         talk.say(int(said[1], 16))
     for caller in callers:
         steps.until(caller.status)
@@ -203,7 +203,7 @@
             client.post(1)
             client.post(LOOKUP)
             talk = steps.until(steps.engines[0].accept)
-            steps.until(talk.heard)
+            steps.until(talk.received)
 
             def answer() -> None:
                 connection = steps.service.engines.engines[0].connections[0]
@@ -264,7 +264,7 @@
             talks = connected_to_both(steps)
             client = steps.client()
             client.post(LOOKUP)
-            talk = steps.until(lambda: next((talk for talk in talks if talk.heard()), None))
+            talk = steps.until(lambda: next((talk for talk in talks if talk.received()), None))
             talk.say(LOOKUP, "503", "-", b"")
             steps.until(lambda: steps.service.adapter.pending_events)
             return Waiting(client, lambda: run_due_timers(steps))
@@ -276,7 +276,7 @@
             client = steps.client()
             client.post(LOOKUP)
             talk = steps.until(steps.engines[0].accept)
-            steps.until(talk.heard)
+            steps.until(talk.received)
             talk.say(LOOKUP, "503", "-", b"")
             rules = steps.service.adapter.rules
             steps.until(lambda: rules.wait_queue)
@@ -343,7 +343,7 @@
         self.assertEqual(attempts(steps), 1)
         client.socket.close()
         steps.go()
-        self.assertEqual([said[0] for said in steps.engines[0].peers[0].heard()], ["cancel"])
+        self.assertEqual([said[0] for said in steps.engines[0].peers[0].received()], ["cancel"])
         self.assertEqual(counted(steps, "attempts_after_client_left"), 0)
 
     def test_with_a_guard_that_keeps_a_journal_it_is_written_after_its_batch(self) -> None:
@@ -371,7 +371,7 @@
             client.post(ident)
         steps.until(lambda: len(steps.service.adapter.pending_events) == 2)
         run_due_timers(steps)
-        said = [words[1] for words in steps.engines[0].peers[0].heard()]
+        said = [words[1] for words in steps.engines[0].peers[0].received()]
         self.assertEqual(said, [f"{LOOKUP:016x}", f"{OTHER:016x}"])
 
     def test_a_connection_lost_before_the_journal_is_written(self) -> None:
@@ -387,7 +387,7 @@
         caller.post(LOOKUP)
         guard.batch_ended = lambda: None  # type: ignore[method-assign]
         world.go()
-        self.assertEqual([said[1] for said in peer.heard()], [f"{1:016x}"])
+        self.assertEqual([said[1] for said in peer.received()], [f"{1:016x}"])
 
     def test_a_cancel_that_was_not_read_follows_in_the_same_round(self) -> None:
         steps = Steps(self)
@@ -400,7 +400,7 @@
         steps.round()
         self.assertNotIn(b"%016x" % LOOKUP, steps.service.adapter.by_ident)
         steps.round()
-        self.assertEqual([said[0] for said in steps.engines[0].peers[0].heard()], ["serve", "cancel"])
+        self.assertEqual([said[0] for said in steps.engines[0].peers[0].received()], ["serve", "cancel"])
 
     def stuck(self) -> tuple[World, Peer]:
         """An engine that does not read: only one byte of an attempt is sent. Its client leaves."""
@@ -430,7 +430,7 @@
         peer.pipe.drained()
         world.go(60)
         self.assertFalse(peer.pipe.aborted)
-        self.assertEqual([said[0] for said in peer.heard()], ["serve", "cancel"])
+        self.assertEqual([said[0] for said in peer.received()], ["serve", "cancel"])
         self.assertEqual(world.count("attempts_after_client_left"), 1)
         self.assertEqual(world.count("attempts_late_after_client_left"), 0)
 
@@ -447,7 +447,7 @@
         peer.pipe.full = False
         peer.pipe.drained()
         world.go(60)
-        self.assertEqual(peer.heard(), [])
+        self.assertEqual(peer.received(), [])
         self.assertEqual(world.count("attempts_after_client_left"), 0)
         self.assertEqual(world.count("trips_written"), 0)
 
@@ -465,7 +465,7 @@
         self.assertFalse(peer.pipe.aborted)
         peer.pipe.full = False
         peer.pipe.drained()
-        self.assertEqual([said[0] for said in peer.heard()], ["serve", "serve", "cancel"])
+        self.assertEqual([said[0] for said in peer.received()], ["serve", "serve", "cancel"])
         self.assertEqual(world.count("attempts_after_client_left"), 1)
         self.assertEqual(world.count("attempts_late_after_client_left"), 1)
         peer.say(OTHER, "200", "parts=1", ROW)
@@ -483,14 +483,14 @@
         caller.say(self.DELETE % LOOKUP)
         self.assertEqual(world.service.adapter.by_ident, {})
         self.assertEqual((caller.answers(), caller.pipe.disconnecting), ([], True))
-        self.assertEqual(world.peer().up().heard(), [])
+        self.assertEqual(world.peer().up().received(), [])
 
     def test_found_by_the_check_at_send_time(self) -> None:
         world = World(self)
         caller = Caller(world)
         caller.post(LOOKUP)
         caller.pipe.unread = self.DELETE % LOOKUP
-        self.assertEqual(world.peer().up().heard(), [])
+        self.assertEqual(world.peer().up().received(), [])
         self.assertEqual(world.count("trips_whose_client_left"), 1)
 
     def test_a_call_behind_another_and_its_cancel_behind_both(self) -> None:
@@ -501,7 +501,7 @@
         caller.say(self.DELETE % LOOKUP)
         peer = world.peer().up()
         peer.say(1, "200", "parts=1", ROW)
-        self.assertEqual([said[1] for said in peer.heard() if said[0] == "serve"], [f"{1:016x}"])
+        self.assertEqual([said[1] for said in peer.received() if said[0] == "serve"], [f"{1:016x}"])
         self.assertEqual([status for status, _, _ in caller.answers()], [200])
 
     def test_that_of_another_is_answered_in_order(self) -> None:
@@ -579,7 +579,7 @@
         caller = Caller(world)
         caller.post(LOOKUP)
         caller.pipe.unread = b"x" * 200_000
-        self.assertEqual(world.peer().up().heard(), [])
+        self.assertEqual(world.peer().up().received(), [])
         self.assertTrue(caller.pipe.aborted)
         self.assertEqual(world.service.adapter.by_ident, {})
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -46,14 +46,15 @@
         peer = world.peer().up()
         self.assertEqual((peer.host, peer.port, peer.timeout), ("127.0.9.0", 7001, 0.25))
         self.assertEqual(
-            peer.heard(), [["serve", f"{0xAB:016x}", "class=lookup,wait=1460,rank=3", "SELECT a FROM s_3.t"]]
+            peer.received(),
+            [["serve", f"{0xAB:016x}", "class=lookup,wait=1460,rank=3", "SELECT a FROM s_3.t"]],
         )
         peer.say(0xAB, "200", "parts=3", "a\t1\té\n".encode())
-        self.assertEqual(peer.heard(), [["read", f"{0xAB:016x}", "1"], ["read", f"{0xAB:016x}", "2"]])
+        self.assertEqual(peer.received(), [["read", f"{0xAB:016x}", "1"], ["read", f"{0xAB:016x}", "2"]])
         peer.say(0xAB, "chunk", "part_no=2", b'"\t\\\t\r\n')
         self.assertEqual(caller.answers(), [])
         peer.say(0xAB, "chunk", "part_no=1", b"\t2\t\n")
-        self.assertEqual(peer.heard(), [["release", f"{0xAB:016x}"]])
+        self.assertEqual(peer.received(), [["release", f"{0xAB:016x}"]])
         self.assertEqual(self.outcome(caller), (200, [["a", "1", "é"], ["", "2", ""], ['"', "\\", "\r"]]))
 
     def test_pipelined_calls_are_answered_one_at_a_time(self) -> None:
@@ -62,9 +63,9 @@
         caller.post(1)
         caller.post(2)
         peer = world.peer().up()
-        self.assertEqual([message[1] for message in peer.heard()], [f"{1:016x}"])
+        self.assertEqual([message[1] for message in peer.received()], [f"{1:016x}"])
         peer.say(1, "200", "parts=1", ROW)
-        self.assertEqual([message[1] for message in peer.heard()], [f"{2:016x}"])
+        self.assertEqual([message[1] for message in peer.received()], [f"{2:016x}"])
         peer.say(2, "200")
         self.assertEqual(
             [value for _, _, value in caller.answers()], [{"result": [["a", "1", "x"]]}, {"result": []}]
@@ -84,7 +85,7 @@
                     peer.refuse(NotUp)
                 else:
                     peer.up().say(1, proof)
-                self.assertEqual(world.peer(1).up().heard()[0][:2], ["serve", f"{1:016x}"])
+                self.assertEqual(world.peer(1).up().received()[0][:2], ["serve", f"{1:016x}"])
         for doubt in (
             "500",
             "reset",
@@ -141,11 +142,11 @@
                 self.assertEqual(caller.answers(), [])
                 world.go(30)
                 self.assertEqual(self.outcome(caller), wanted)
-                self.assertEqual(peer.heard()[1:], [["cancel", f"{1:016x}"]])
+                self.assertEqual(peer.received()[1:], [["cancel", f"{1:016x}"]])
                 peer.say(
                     1, "200", "parts=2", ROW
                 )  # crossed the cancel: its pages are released, and no answer follows
-                self.assertEqual((peer.heard(), caller.answers()), ([["release", f"{1:016x}"]], []))
+                self.assertEqual((peer.received(), caller.answers()), ([["release", f"{1:016x}"]], []))
 
     def test_a_client_that_leaves_is_withdrawn(self) -> None:
         world = World(self)
@@ -153,11 +154,11 @@
         caller.post(1)
         peer = world.peer().up()
         caller.leave()
-        self.assertEqual([message[0] for message in peer.heard()], ["serve", "cancel"])
+        self.assertEqual([message[0] for message in peer.received()], ["serve", "cancel"])
         caller = Caller(world)
         caller.post(2)
         other.say(b"DELETE /ops/lookup/%016x HTTP/1.1\r\n\r\n" % 2)
-        self.assertEqual([message[0] for message in peer.heard()], ["serve", "cancel"])
+        self.assertEqual([message[0] for message in peer.received()], ["serve", "cancel"])
         self.assertEqual((other.answers()[0][0], caller.answers()), (200, []))
         self.assertTrue(caller.pipe.disconnecting)
         other.say(b"DELETE /ops/lookup/%016x HTTP/1.1\r\n\r\n" % 2)
@@ -172,7 +173,7 @@
         caller.protocol.dataReceived(head)
         caller.leave()
         adapter = world.service.adapter
-        self.assertEqual(len(peer.heard()), 1)
+        self.assertEqual(len(peer.received()), 1)
         self.assertEqual((list(adapter.open_requests), adapter.rules.engines[0].in_flight_threads), ([0], 1))
 
     def test_bad_messages_cost_their_connection_only(self) -> None:
@@ -195,7 +196,7 @@
                     bad.post(2, **{name: text})  # type: ignore[arg-type]
                     self.assertEqual(bad.answers()[0][0], 404 if name == "workload" else 400)
                     self.assertTrue(bad.pipe.disconnecting)
-        self.assertEqual(len(peer.heard()), 1)
+        self.assertEqual(len(peer.received()), 1)
         peer.say(1, "200", "parts=1", ROW)
         self.assertEqual(self.outcome(good)[0], 200)
 
@@ -275,7 +276,7 @@
         for ident, caller in enumerate(callers):
             caller.post(ident)
         peers = [world.peer(place).up() for place in range(4)]
-        self.assertEqual(sorted(len(peer.heard()) for peer in peers), [1, 1, 2, 2])
+        self.assertEqual(sorted(len(peer.received()) for peer in peers), [1, 1, 2, 2])
         crowded = max(peers, key=lambda peer: len(peer.protocol.attempts))
         for ident in [attempt.ident for attempt in crowded.protocol.attempts.values()][1:]:
             crowded.say(int(ident, 16), "200")
@@ -297,10 +298,10 @@
         peer.say(1, "200", "parts=3", ROW)
         peer.say(1, "chunk", "part_no=2", b"c\t1\tx\n")
         peer.say(1, "chunk", "part_no=2", b"c\t1\tx\n")
-        peer.heard()
+        peer.received()
         peer.say(1, "chunk", "part_no=1", b"b\t1\tx\n")
         self.assertEqual(self.outcome(caller), (200, [["a", "1", "x"], ["b", "1", "x"], ["c", "1", "x"]]))
-        self.assertEqual((peer.heard(), peer.pipe.aborted), ([["release", f"{1:016x}"]], False))
+        self.assertEqual((peer.received(), peer.pipe.aborted), ([["release", f"{1:016x}"]], False))
 
     def test_an_incomplete_answer_times_out(self) -> None:
         world = World(self, engines=2)
@@ -357,10 +358,10 @@
         Caller(world).post(1, wait=1000)
         peer = world.peer().up()
         world.go(1000)
-        self.assertEqual([message[0] for message in peer.heard()], ["serve", "cancel"])
+        self.assertEqual([message[0] for message in peer.received()], ["serve", "cancel"])
         load = Caller(world)
         load.post(2, "load", wait=1000)
-        self.assertEqual((len(world.reactor.tcpClients), peer.heard()), (2, []))
+        self.assertEqual((len(world.reactor.tcpClients), peer.received()), (2, []))
         self.assertTrue(peer.pipe.disconnecting)
         world.peer(1).refuse(NotUp)
         world.go(1000)
@@ -391,7 +392,7 @@
         peer = world.peer().up()
         adapter.terms(0, 0.0, 2)
         world.go(60)
-        self.assertEqual(peer.heard()[1:], [["weigh", f"{1:016x}", "2"]])
+        self.assertEqual(peer.received()[1:], [["weigh", f"{1:016x}", "2"]])
         peer.say(1, "200", "parts=1,stats=rif:9;q:0")
         self.assertEqual(adapter.rules.fleet_in_flight, 10.0)
         Caller(world).post(2)
@@ -454,7 +455,7 @@
         caller = Caller(world)
         caller.post(1, "load")
         world.list(2, ("s-0.east.hosts", "127.0.9.0:7001", 1, "kind=std cell=0 started=0"))
-        self.assertEqual(world.peer().up().heard(), [])
+        self.assertEqual(world.peer().up().received(), [])
 
     def test_a_graceful_shutdown_answers_all_requests_first(self) -> None:
         world = World(self)
--- a/tests/test_new_days.py
+++ b/tests/test_new_days.py
@@ -49,7 +49,7 @@
     client = steps.client()
     client.post(ident)
     peer = accepted(steps)
-    steps.until(peer.heard)
+    steps.until(peer.received)
     peer.say(ident)
     steps.until(client.status)
     return client
@@ -107,8 +107,8 @@
         dialled = int(world.peer().host[-1])
         self.answer(world, world.names[-1], 2, dialled)
         world.go()
-        self.assertEqual(world.peer().up().heard(), [])
-        self.assertEqual([said[1] for said in world.peer(1).up().heard()], [f"{1:016x}"])
+        self.assertEqual(world.peer().up().received(), [])
+        self.assertEqual([said[1] for said in world.peer(1).up().received()], [f"{1:016x}"])
 
     def test_a_drain_and_a_request_in_the_same_round(self) -> None:
         """Whichever is read first: the batch that sends has both, and does not dial the draining engine."""
@@ -205,8 +205,8 @@
                 else:
                     world.list(5, *endpoints)
                     self.reload(world, self.changed_configuration())
-                self.assertEqual(world.peer().up().heard(), [])
-                self.assertEqual(len(world.peer(1).up().heard()), 1)
+                self.assertEqual(world.peer().up().received(), [])
+                self.assertEqual(len(world.peer(1).up().received()), 1)
 
     def test_the_new_address_is_queried_at_once(self) -> None:
         """With the reload, and not only when the next query is due."""
@@ -223,7 +223,7 @@
 
     def check(self, steps: Steps, client: PeerSocket) -> None:
         peer = steps.until(steps.engines[0].accept)
-        steps.until(peer.heard)
+        steps.until(peer.received)
         peer.say(1)
         self.assertEqual(steps.until(client.status), 200)
         self.assertEqual(client.read(), b"")  # and the connection ends cleanly
@@ -321,7 +321,7 @@
 
     def served(self, world: World, peer: Peer, caller: Caller, ident: int) -> str:
         """Answer the request that came last; returns the fields with which it came."""
-        (said,) = peer.heard()
+        (said,) = peer.received()
         self.assertEqual((said[1], said[3]), (f"{ident:016x}", self.BODY.decode()))
         peer.say(ident, "200", "parts=1", ROW)
         self.assertEqual([status for status, _, _ in caller.answers()], [200])
@@ -332,7 +332,7 @@
         caller = Caller(world)
         caller.post(0)
         peer = world.peer().up()
-        peer.heard()
+        peer.received()
         peer.say(0, "200", "parts=1", ROW)
         caller.answers()
         return world, caller, peer
@@ -345,7 +345,7 @@
                 whole = self.request(place)
                 caller.say(whole[:place])
                 world.go(100)
-                self.assertEqual(peer.heard(), [])
+                self.assertEqual(peer.received(), [])
                 caller.say(whole[place:])
                 self.assertIn("wait=1460,", self.served(world, peer, caller, place))
 
@@ -401,14 +401,14 @@
             caller.say(piece)
         world.go(300)
         self.served(world, peer, caller, 1)
-        self.assertIn("wait=1160,", peer.heard()[0][2])
+        self.assertIn("wait=1160,", peer.received()[0][2])
 
     def test_an_answer_in_two_pieces_split_at_each_byte(self) -> None:
         world, caller, peer = self.started()
         for place in range(1, 40):
             with self.subTest(place):
                 caller.say(self.request(place))
-                peer.heard()
+                peer.received()
                 whole = b"*4\r\n$16\r\n%016x\r\n$3\r\n200\r\n$7\r\nparts=1\r\n$6\r\n" % place + ROW + b"\r\n"
                 peer.raw(whole[:place])
                 world.go(50)
@@ -431,7 +431,7 @@
                 second.post(2)
                 world.go(5)
                 peer.say(1, word, fields, body)
-                self.assertEqual([said[0] for said in peer.heard()], ["serve", "serve"])
+                self.assertEqual([said[0] for said in peer.received()], ["serve", "serve"])
                 self.assertEqual(second.answers(), [])
                 peer.say(2, "200", "parts=1", b"b\t2\ty\n")
                 self.assertEqual([value for _, _, value in second.answers()], [{"result": [["b", "2", "y"]]}])
@@ -476,7 +476,7 @@
                 else:
                     peer.pipe.unread = b"*4\r\n$16\r\n00000"
                 caller.post(2, "load")
-                self.assertEqual(len(peer.heard()), 1)
+                self.assertEqual(len(peer.received()), 1)
                 other = world.peer(1).up()
                 other.say(2, "200", "parts=1", ROW)
                 self.assertEqual([status for status, _, _ in caller.answers()], [200, 200])
@@ -498,7 +498,7 @@
                 else:
                     peer.pipe.unread = whole[:30]
                 caller.post(2)
-                self.assertEqual(len(peer.heard()), 2)
+                self.assertEqual(len(peer.received()), 2)
                 peer.pipe.unread = b""
                 peer.raw(whole[30:] if read else whole)
                 peer.say(2, "200", "parts=1", ROW)
@@ -526,7 +526,7 @@
                 client = steps.client()
                 client.post(2)
                 peer = accepted(steps)
-                steps.until(peer.heard)
+                steps.until(peer.received)
                 peer.say(2)
                 self.assertEqual(steps.until(client.status), 200)
 
@@ -536,7 +536,7 @@
         client = steps.client()
         client.post(1, wait=500)
         peer = steps.until(steps.engines[0].accept)
-        steps.until(peer.heard)
+        steps.until(peer.received)
         steps.go(450)
         peer.say(1)
         steps.reactor.now += 0.020
@@ -566,7 +566,7 @@
         caller.say(b"".join(request(ident) for ident in range(1, 41)))
         peer = world.peer().up()
         for ident in range(1, 41):
-            self.assertEqual([said[1] for said in peer.heard()], [f"{ident:016x}"])
+            self.assertEqual([said[1] for said in peer.received()], [f"{ident:016x}"])
             peer.say(ident, "200", "parts=1", b"%d\t1\tx\n" % ident)
         rows = [value["result"][0] for _, _, value in caller.answers()]
         self.assertEqual([row[0] for row in rows], [str(ident) for ident in range(1, 41)])
@@ -591,7 +591,7 @@
                 client.socket.sendall(b"".join(request(ident) for ident in range(1, 41)))
                 client.socket.close() if end == "close" else client.socket.shutdown(socket.SHUT_WR)
                 steps.go(200)
-                self.assertEqual(steps.engines[0].peers[0].heard(), [])
+                self.assertEqual(steps.engines[0].peers[0].received(), [])
                 self.assertEqual(steps.service.adapter.by_ident, {})
 
 
--- a/tests/test_station.py
+++ b/tests/test_station.py
@@ -204,7 +204,7 @@
         answers = one.submit(X)
         pair.go(20)
         sent = pair.peers()[-1].up()
-        self.assertEqual(sent.heard()[0][1], X.decode())
+        self.assertEqual(sent.received()[0][1], X.decode())
         one.kill()
         pair.go(500)
         self.assertEqual((answers, two.submit(X)), ([], [Failed()]))
--- a/tests/test_system_faults.py
+++ b/tests/test_system_faults.py
@@ -346,7 +346,7 @@
     def wait_told(self, steps: Steps, ident: int) -> int:
         """Answer a request; returns the time limit that the engine got with it."""
         talk = steps.engines[0].peers[0] if steps.engines[0].peers else steps.until(steps.engines[0].accept)
-        (message,) = steps.until(talk.heard)
+        (message,) = steps.until(talk.received)
         talk.say(ident)
         return int(message[2].split("wait=")[1].split(",")[0])
 
@@ -435,7 +435,7 @@
         failing.times = 0
         immediate.send = sending
         steps.go(20)
-        (message,) = steps.until(talk.heard)
+        (message,) = steps.until(talk.received)
         self.assertLessEqual(int(message[2].split("wait=")[1].split(",")[0]), 5000 - 300 + 150)
 
     def test_the_rest_of_a_request_that_came_in_a_pause_is_read(self) -> None:
@@ -599,7 +599,7 @@
                     patient.real = FailingSocket(patient.real, call, error, times=5)
                     client.post(1)
                     talk = steps.until(steps.engines[0].accept)
-                    steps.until(talk.heard)
+                    steps.until(talk.received)
                     talk.say(1)
                     self.assertEqual(steps.until(client.status), 200)
                     self.assertEqual(patient.real.times, 0)
@@ -609,7 +609,7 @@
         client = steps.client()
         client.post(1, "load")
         talk = steps.until(steps.engines[0].accept)
-        steps.until(talk.heard)
+        steps.until(talk.received)
         (connection,) = steps.service.engines.engines[0].connections
         patient = connection.transport.socket
         patient.real = FailingSocket(patient.real, "recv", errno.ENOMEM, times=5)
@@ -621,7 +621,7 @@
         client = steps.client()
         client.post(1)
         talk = steps.until(steps.engines[0].accept)
-        steps.until(talk.heard)
+        steps.until(talk.received)
         (connection,) = steps.service.clients.connections
         patient = connection.transport.socket
         patient.real = FailingSocket(patient.real, "recv", errno.ETIMEDOUT)
@@ -648,7 +648,7 @@
                 world, engine = self.refused_by(error)
                 self.assertEqual((engine.failure_score, engine.recent_errors), (0.0, 0.0))
                 self.assertEqual(world.count("dials_failed_here"), 1)
-                self.assertEqual(len(world.peer(1).up().heard()), 1)
+                self.assertEqual(len(world.peer(1).up().received()), 1)
 
     def test_a_way_that_does_not_lead_there_counts(self) -> None:
         for error in (errno.EHOSTUNREACH, errno.ENETUNREACH, errno.ETIMEDOUT):
@@ -676,7 +676,7 @@
                 self.assertEqual(steps.stopped_at, [])
                 port.socket.times = 0
                 talk = steps.until(steps.engines[0].accept)
-                steps.until(talk.heard)
+                steps.until(talk.received)
                 talk.say(1)
                 self.assertEqual(steps.until(client.status), 200)
                 client.socket.close()
@@ -720,7 +720,7 @@
         world.go(300)
         self.assertEqual(world.service.counters.sums.pop("faults"), 1)
         peers = [world.peer(place).up() for place in range(len(world.reactor.tcpClients))]
-        served = [message[1] for peer in peers for message in peer.heard() if message[0] == "serve"]
+        served = [message[1] for peer in peers for message in peer.received() if message[0] == "serve"]
         self.assertEqual(sorted(served), [f"{number:016x}" for number in (0, 2, 3)])
         self.assertEqual([request.number for request in rules.wait_queue], [])
 
@@ -773,7 +773,7 @@
                 adapter.enqueue(lambda now, rules=rules, request=request: rules.attempt_stage(request))
                 world.go(50)
                 peers = [peer, *(world.peer(place).up() for place in range(1, len(world.reactor.tcpClients)))]
-                served = [message for each in peers for message in each.heard() if message[0] == "serve"]
+                served = [message for each in peers for message in each.received() if message[0] == "serve"]
                 self.assertEqual(len(served), sent)
                 self.assertEqual(missed, ["one_attempt_at_a_time"] if sent == 1 else [])
                 peer.say(7, "200", "parts=1", b"a\t1\tx\n")
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -31,7 +31,7 @@
     """The time limit sent with each attempt on this connection."""
     return [
         int(dict(pair.split("=") for pair in said[2].split(","))["wait"])
-        for said in talk.heard()
+        for said in talk.received()
         if said[0] == "serve"
     ]
 
@@ -457,7 +457,7 @@
     def test_an_answer_is_not_cut_short_for_another_attempt(self) -> None:
         world, patient, pressed = self.two_attempts()
         peer = world.peer().up()
-        self.assertEqual(len(peer.heard()), 2)
+        self.assertEqual(len(peer.received()), 2)
         peer.raw(self.BEGUN)
         world.go(400)
         self.assertFalse(peer.pipe.aborted)
