--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,4 @@
-"""Races between events and the dispatcher's steps: each one of docs/crossings.md, forced."""
+"""Races between events and the dispatcher's steps: forces each race that docs/crossings.md lists."""
 
 import json
 import os
@@ -22,18 +22,18 @@
 IDEMPOTENT_BY_KEY = [dict(SETTINGS["grades"][0]), SETTINGS["grades"][1] | {"effect": "by_key", "window": 400}]
 
 
-def more_of(name: str, text: str) -> dict[str, Any]:
+def optional_header(name: str, text: str) -> dict[str, Any]:
     return {name: text} if text else {}
 
 
 class LeavingClients(unittest.TestCase):
-    """A request whose client has left is not sent, wherever it waits."""
+    """A request whose client has left is not sent, at whatever stage it waits."""
 
-    def sent(self, steps: Steps, talk: PeerSocket) -> list[str]:
+    def sent(self, steps: Steps, peer: PeerSocket) -> list[str]:
         steps.go()
-        return [message[1] for message in talk.received() if message[0] == "serve"]
+        return [message[1] for message in peer.received() if message[0] == "serve"]
 
-    def test_whole_in_the_backlog(self) -> None:
+    def test_sent_whole_and_still_in_the_backlog(self) -> None:
         for way in ("close", "half-close", "reset"):
             with self.subTest(way):
                 steps = Steps(self)
@@ -49,7 +49,7 @@
                 self.assertEqual(self.sent(steps, steps.engines[0].peers[0]), [])
                 self.assertEqual(steps.service.adapter.open_requests, {})
 
-    def test_between_the_reading_and_the_batch(self) -> None:
+    def test_between_reading_and_its_batch(self) -> None:
         steps = Steps(self)
         steps.served(1)
         client = steps.client()
@@ -59,7 +59,7 @@
         self.assertEqual(self.sent(steps, steps.engines[0].peers[0]), [])
         self.assertEqual(steps.service.counters.sums["trips_whose_client_left"], 1)
 
-    def test_withdrawn_before_its_call_has_come(self) -> None:
+    def test_withdrawn_before_its_request_has_arrived(self) -> None:
         """A DELETE on another connection is read before the request that it withdraws."""
         steps = Steps(self)
         steps.served(1)
@@ -74,7 +74,7 @@
         again.post(2)
         self.assertEqual(self.sent(steps, steps.engines[0].peers[0]), [f"{2:016x}"])
 
-    def test_what_was_withdrawn_early_is_forgotten(self) -> None:
+    def test_early_withdrawals_expire(self) -> None:
         world = World(self)
         adapter = world.service.adapter
         for number in range(400):
@@ -84,14 +84,14 @@
         Caller(world).post(399)
         self.assertEqual((len(world.peer().up().received()), adapter.early_withdrawals), (1, {}))
 
-    def test_while_its_trip_is_dialled_for_where_nothing_may_be_called_off(self) -> None:
+    def test_while_its_connection_is_dialled_where_nothing_may_be_cancelled(self) -> None:
         world = World(self, settings=settings(limits={"cancelling": False}))
         caller = Caller(world)
         caller.post(1)
         caller.leave()
         self.assertEqual(world.peer().up().received(), [])
 
-    def test_behind_a_call_on_its_connection(self) -> None:
+    def test_pipelined_after_another_request(self) -> None:
         world = World(self)
         caller = Caller(world)
         caller.post(1)
@@ -118,7 +118,7 @@
 class LateConnections(unittest.TestCase):
     """Conditions may change between the choice of an engine and the first byte sent."""
 
-    def test_the_time_and_the_priority_are_those_of_the_leaving(self) -> None:
+    def test_the_time_limit_and_the_priority_are_those_at_send_time(self) -> None:
         world = World(self)
         Caller(world).post(1, wait=1500)
         world.go(200)
@@ -127,7 +127,7 @@
         (message,) = world.peer().up().received()
         self.assertRegex(message[2], r"^class=lookup,wait=1[12]\d\d,rank=1$")
 
-    def test_a_repeat_whose_window_ended_while_it_was_dialled_for(self) -> None:
+    def test_a_retry_whose_idempotency_window_ended_during_the_dial(self) -> None:
         for ms, sent in ((100, 1), (300, 0)):
             with self.subTest(ms=ms):
                 world = World(self, engines=2, settings=SETTINGS | {"grades": IDEMPOTENT_BY_KEY})
@@ -139,7 +139,7 @@
                 world.go(ms)
                 self.assertEqual(len(world.peer(1).up().received()), sent)
 
-    def test_an_engine_that_moved_or_began_anew_while_it_was_dialled_for(self) -> None:
+    def test_an_engine_that_moved_or_restarted_during_the_dial(self) -> None:
         for address, started in (("127.0.9.7:7001", 0), ("127.0.9.0:7001", 1_790_000_000_001)):
             with self.subTest(address):
                 world = World(self)
@@ -152,10 +152,10 @@
                     self.assertEqual(f"{peer.host}:{peer.port}", address)
                     self.assertEqual(peer.up().received()[0][1], f"{1:016x}")
 
-    def test_what_was_never_sent_counts_as_no_attempt(self) -> None:
+    def test_an_attempt_that_was_never_sent_does_not_count(self) -> None:
         """With a limit of one attempt, a drain during the dial still leaves an attempt for another engine."""
-        ration = SETTINGS["rules"] | {"extra_floor": 0, "repeat_ratio": 0, "counted_over": 5000}
-        world = World(self, engines=2, settings=settings(limits={"send_cap": 1}, rules=ration))
+        tight_budget = SETTINGS["rules"] | {"extra_floor": 0, "repeat_ratio": 0, "counted_over": 5000}
+        world = World(self, engines=2, settings=settings(limits={"send_cap": 1}, rules=tight_budget))
         Caller(world).post(1, "load")
         dialled = world.peer().host
         world.list(
@@ -172,17 +172,17 @@
         )
         self.assertEqual(len(world.peer(1).up().received()), 1)
 
-    def test_a_connection_that_does_not_come_up_in_time_counts_for_no_trip(self) -> None:
+    def test_a_connect_timeout_does_not_count_as_an_attempt(self) -> None:
         """A connect timeout proves that nothing ran: even with one attempt, another engine gets it."""
-        ration = SETTINGS["rules"] | {"extra_floor": 0, "repeat_ratio": 0, "counted_over": 5000}
-        world = World(self, engines=2, settings=settings(limits={"send_cap": 1}, rules=ration))
+        tight_budget = SETTINGS["rules"] | {"extra_floor": 0, "repeat_ratio": 0, "counted_over": 5000}
+        world = World(self, engines=2, settings=settings(limits={"send_cap": 1}, rules=tight_budget))
         Caller(world).post(1, "load")
         world.peer().refuse(ConnectTimeout)
         self.assertNotEqual(world.peer(1).host, world.peer().host)
         self.assertEqual(len(world.peer(1).up().received()), 1)
         self.assertEqual(world.count("trips_connect_timeout"), 1)
 
-    def test_an_attempt_that_is_never_allowed_is_not_repeated_forever(self) -> None:
+    def test_an_attempt_that_is_never_allowed_is_not_retried_forever(self) -> None:
         world = World(self, settings=settings(limits={"send_cap": 2}))
         world.service.adapter.rules.may_send = lambda *_: False  # type: ignore[method-assign]
         caller = Caller(world)
@@ -194,7 +194,7 @@
             ([status for status, _, _ in caller.answers()], world.count("trips_overtaken")), ([503], 5)
         )
 
-    def test_a_cold_send_counts_from_when_it_leaves(self) -> None:
+    def test_a_cold_send_counts_from_when_it_is_sent(self) -> None:
         world = World(self)
         rules = world.service.adapter.rules
         engine = rules.engines[0]
@@ -207,7 +207,7 @@
         self.assertGreaterEqual(engine.cold_sends[-1][0], chosen + 150)
         self.assertEqual(sum(sent == chosen for sent, _ in engine.cold_sends), 0)
 
-    def test_an_engine_taken_for_cold_while_it_was_dialled_for(self) -> None:
+    def test_an_engine_classified_as_cold_during_the_dial(self) -> None:
         world = World(self, engines=2)
         Caller(world).post(1)
         engine = next(e for e in world.service.adapter.rules.engines.values() if e.open_attempts)
@@ -217,7 +217,7 @@
 
 
 class Drains(unittest.TestCase):
-    """What has not been sent by the end of the drain grace period is not sent."""
+    """An attempt that was not sent by the end of the drain grace period is not sent there."""
 
     def full(self) -> Steps:
         """A connection whose engine does not read: one request partly written, another queued."""
@@ -228,19 +228,19 @@
             limits={"sockets": 6},
             settings=settings(limits={"streams_per_conn": 8}, zones=["east"]),
         )
-        steps.service.engines.max_connections = 2  # one an engine
+        steps.service.engines.max_connections = 2  # one per engine
         clients = [steps.client() for _ in range(4)]
         for number, client in enumerate(clients[:2]):
             client.post(number)
             steps.go()
-        talks = [steps.until(engine.accept) for engine in steps.engines]
+        peers = [steps.until(engine.accept) for engine in steps.engines]
         steps.go()
         for engine in steps.service.engines.engines.values():
             engine.connections[0].transport.socket.setsockopt(1, 7, 4096)  # SOL_SOCKET, SO_SNDBUF
         for number, client in enumerate(clients[2:], 2):
             client.post(number, "load" if number == 3 else "lookup", body=b"x" * 60_000)
             steps.go()
-        self.assertEqual(len(talks), 2)
+        self.assertEqual(len(peers), 2)
         return steps
 
     def stuck(self, steps: Steps) -> Any:
@@ -251,7 +251,7 @@
             if connection.sending
         ]
 
-    def test_what_waits_behind_a_full_window_goes_elsewhere(self) -> None:
+    def test_attempts_queued_behind_a_full_window_go_to_another_engine(self) -> None:
         steps = self.full()
         third = steps.client()
         third.post(9, body=b"y" * 60_000)
@@ -267,7 +267,7 @@
         self.assertFalse(connection.up)
         self.assertEqual(steps.service.counters.sums["unsent_cut_off"], 1)
 
-    def test_a_client_that_leaves_takes_it_along(self) -> None:
+    def test_a_queued_attempt_is_dropped_when_its_client_leaves(self) -> None:
         steps = self.full()
         third = steps.client()
         third.post(9, body=b"y" * 60_000)
@@ -281,8 +281,8 @@
         )
         self.assertNotIn(b"cancel", b"".join(m for m in connection.write_queue if isinstance(m, bytes)))
 
-    def test_a_connection_whose_far_side_reads_no_more_is_not_kept(self) -> None:
-        """Bytes left to write keep it open for nothing: neither an attempt nor a drain would end it."""
+    def test_a_connection_whose_engine_stops_reading_is_aborted(self) -> None:
+        """Unwritten bytes would keep it open to no purpose: neither an attempt nor a drain would end it."""
         world = World(self)
         caller = Caller(world)
         caller.post(1)
@@ -294,32 +294,32 @@
         world.go(2_000)
         self.assertTrue(peer.pipe.aborted)
 
-    def test_a_silent_connection_is_cut_and_not_closed(self) -> None:
+    def test_a_silent_connection_is_reset_and_not_closed(self) -> None:
         """If it were closed normally, the system would send its bytes when the network link recovers."""
         steps = Steps(self)
         client = steps.client()
         client.post(1, wait=500)
-        talk = steps.until(steps.engines[0].accept)
-        steps.until(talk.received)
+        peer = steps.until(steps.engines[0].accept)
+        steps.until(peer.received)
         steps.go(500)
         with self.assertRaises(ConnectionResetError):
-            steps.until(lambda: talk.read() and None)
+            steps.until(lambda: peer.read() and None)
 
 
 class IdleConnections(unittest.TestCase):
-    def test_an_end_that_was_not_read_yet(self) -> None:
+    def test_an_end_of_stream_that_was_not_read_yet(self) -> None:
         """The engine closes an idle connection between the reading of a request and its batch."""
         steps = Steps(self)
         client = steps.served(1)
         client.post(2, "load")
         steps.until(lambda: steps.service.adapter.pending_events)
         steps.engines[0].peers[0].socket.close()
-        talk = steps.until(steps.engines[0].accept)
-        steps.until(talk.received)
-        talk.say(2)
+        peer = steps.until(steps.engines[0].accept)
+        steps.until(peer.received)
+        peer.say(2)
         self.assertEqual(steps.until(client.status), 200)
 
-    def test_how_early_engines_close_is_learnt(self) -> None:
+    def test_the_idle_timeout_of_engines_is_learned(self) -> None:
         """After a clean close of an idle connection, non-idempotent requests avoid long idle ones."""
         world = World(self)
         caller, early = Caller(world), Caller(world)
@@ -338,7 +338,7 @@
         Caller(world).post(4, "load")
         self.assertEqual((len(world.reactor.tcpClients), peers[1].received()), (3, []))
         world.go(240_000)
-        self.assertGreater(world.service.engines.observed_idle_timeout, 2000.0)  # and forgotten
+        self.assertGreater(world.service.engines.observed_idle_timeout, 2000.0)  # the estimate has expired
 
 
 class Answers(unittest.TestCase):
@@ -371,8 +371,8 @@
         world.peer(1).up().say(1, "200", "parts=1")
         self.assertEqual(caller.answers()[0][0], 200)
 
-    def test_an_id_whose_trip_is_still_out_is_not_taken_again(self) -> None:
-        """Without cancellation, two attempts with one id would be out at once."""
+    def test_an_id_with_an_attempt_in_flight_is_not_accepted_again(self) -> None:
+        """Without cancellation, two attempts with one id would be in flight at once."""
         world = World(self, settings=settings(limits={"cancelling": False}))
         caller = Caller(world)
         caller.post(1, wait=4000)
@@ -420,11 +420,11 @@
         steps.go(1500)
         self.assertEqual(steps.service.clients.connections, {})
 
-    def test_lingering_ones_make_room_first(self) -> None:
-        steps = Steps(self, limits={"sockets": 32})  # sixteen for clients
+    def test_lingering_connections_are_evicted_first(self) -> None:
+        steps = Steps(self, limits={"sockets": 32})  # sixteen of them for clients
         served = steps.served(1)
-        rude = [steps.client() for _ in range(14)]
-        for client in rude:
+        bad_clients = [steps.client() for _ in range(14)]
+        for client in bad_clients:
             client.socket.sendall(b"nonsense\r\n\r\n")
         steps.go()
         steps.client()
@@ -432,32 +432,32 @@
         served.post(2)
         steps.until(lambda: steps.service.adapter.open_requests)
 
-    def test_a_call_that_crosses_the_end_of_a_resting_connection_is_read(self) -> None:
-        for ender in ("sweep", "evict_idle", "close_idle"):
-            with self.subTest(ender):
+    def test_a_request_that_races_with_the_close_of_an_idle_connection_is_read(self) -> None:
+        for method_name in ("sweep", "evict_idle", "close_idle"):
+            with self.subTest(method_name):
                 steps = Steps(self)
                 client = steps.served(1)
                 steps.reactor.now += 6.0  # idle for too long
                 client.post(2)
-                getattr(steps.service.clients, ender)()
+                getattr(steps.service.clients, method_name)()
                 self.assertEqual(steps.service.clients.connections.popitem()[0].closing, False)
                 client.socket.close()
 
 
 class Ending(unittest.TestCase):
-    """After SIGTERM, until the exit."""
+    """Graceful shutdown: from SIGTERM to the exit."""
 
-    def test_a_call_that_came_to_the_backlog_last_is_answered(self) -> None:
+    def test_the_last_request_in_the_backlog_is_answered(self) -> None:
         steps = Steps(self)
         steps.service.stop()
         steps.go(890)
         client = steps.client()
         client.post(1)
         steps.reactor.now += 0.06  # the exit check runs before the listener is read
-        talk = steps.until(steps.engines[0].accept)
+        peer = steps.until(steps.engines[0].accept)
         self.assertEqual(steps.stopped_at, [])
-        steps.until(talk.received)
-        talk.say(1)
+        steps.until(peer.received)
+        peer.say(1)
         self.assertEqual(steps.until(client.status), 200)
         client.socket.close()
         steps.go(200)
@@ -465,7 +465,7 @@
         with self.assertRaises(OSError):
             steps.client()
 
-    def test_a_call_behind_a_closed_door_is_answered(self) -> None:
+    def test_a_request_that_waits_while_accepting_is_paused_is_answered(self) -> None:
         steps = Steps(self, limits={"sockets": 32})
         busy = [steps.client() for _ in range(16)]
         for number, client in enumerate(busy):
@@ -502,7 +502,7 @@
         steps.go(60)
         self.assertEqual(steps.engines[0].peers[0].received(), [])
 
-    def test_a_reader_that_holds_up_its_answer_does_not_hold_up_the_end(self) -> None:
+    def test_a_client_that_does_not_read_its_answer_does_not_delay_the_exit(self) -> None:
         world = World(self)
         caller = Caller(world)
         caller.post(1)
@@ -515,7 +515,7 @@
 
 
 class Floods(unittest.TestCase):
-    def test_many_calls_at_once_do_not_hold_up_others(self) -> None:
+    def test_many_requests_at_once_do_not_delay_others(self) -> None:
         steps = Steps(self)
         steps.served(1)
         flood, other = steps.client(), steps.client()
@@ -528,7 +528,7 @@
         self.assertLess(steps.service.counters.sums["answers_200"], 200)
         steps.until(lambda: steps.service.counters.sums["answers_200"] >= 2001)
 
-    def test_a_pipelined_call_has_its_time_from_when_it_came(self) -> None:
+    def test_the_time_of_a_pipelined_request_counts_from_its_arrival(self) -> None:
         world = World(self)
         caller = Caller(world)
         caller.post(1)
@@ -564,7 +564,7 @@
             check=False,
         )
 
-    def test_both_are_kept_and_carried_out(self) -> None:
+    def test_both_signals_are_kept_and_handled(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "config.json"
             network = Network.of_this_process()
@@ -586,13 +586,13 @@
 
     def test_a_half_written_configuration_is_read_again(self) -> None:
         world, reads = World(self), list[float]()
-        told = read_configuration(json.dumps(configuration(1, nameserver="127.0.8.10:5301")))
+        loaded = read_configuration(json.dumps(configuration(1, nameserver="127.0.8.10:5301")))
 
         def read() -> Configuration:
             reads.append(world.now())
             if len(reads) < 3:
                 raise Unusable("configuration: half of it")
-            return told
+            return loaded
 
         world.service.reload_configuration(read)
         self.assertIn("event=configuration_kept", world.log.getvalue())
@@ -601,7 +601,7 @@
         world.go(10_000)
         self.assertEqual(len(reads), 3)
 
-    def test_one_that_stays_unusable_is_let_be(self) -> None:
+    def test_a_configuration_that_stays_unusable_is_given_up(self) -> None:
         world, reads = World(self), list[float]()
 
         def read() -> Configuration:
@@ -654,7 +654,7 @@
         Caller(world).post(1)
         self.assertEqual(world.peer().host, "127.0.9.2")
 
-    def test_what_is_null_counts_as_left_out(self) -> None:
+    def test_null_counts_as_left_out(self) -> None:
         for name in ("zones", "models", "extra", "limits", "rules", "report", "tenants", "balancers", "zone"):
             with self.subTest(name):
                 self.serves("lookup", settings=SETTINGS | {name: None})
@@ -699,7 +699,7 @@
         self.serves("lookup", limits={"sockets": 4, "memory_mb": 1}, settings=settings(limits=least))
         self.serves("lookup", settings=settings(extra={"cpu_of_kind": [0]}))
 
-    def test_cold_engines_where_no_window_is_named(self) -> None:
+    def test_cold_engines_without_a_configured_window(self) -> None:
         for rules in ({"cold": 15000, "tip_after": 0}, {"cold": 15000}, {"cold": 0, "tip_after": 1500}):
             with self.subTest(rules):
                 world = World(self, settings=SETTINGS | {"rules": rules})
@@ -737,7 +737,7 @@
         kept = [0.5, 1.0, 1.0, 1.0]
         for ident, (owner, value) in enumerate(zip(("A & B", "õ", "nobody known", ""), kept, strict=True)):
             for more in ("1", "2") if owner == "A & B" else ("1",):
-                Caller(world).post(10 * ident + int(more), **more_of("Req_Owner", owner))
+                Caller(world).post(10 * ident + int(more), **optional_header("Req_Owner", owner))
             request = list(world.service.adapter.rules.open_requests.values())[-1]
             self.assertEqual(request.value, value, owner)
 
@@ -745,7 +745,7 @@
         ordered = [SETTINGS["grades"][0], SETTINGS["grades"][1] | {"serial_by_key": True}]
         world = World(self, settings=SETTINGS | {"grades": ordered})
         for ident, key in ((1, "00ab"), (2, "00ab"), (3, "00cd"), (4, "")):
-            Caller(world).post(ident, "load", **more_of("Req_Key", key))
+            Caller(world).post(ident, "load", **optional_header("Req_Key", key))
         peers = [world.peer(place).up() for place in range(3)]
         self.assertEqual([peer.received()[0][1] for peer in peers], [f"{ident:016x}" for ident in (1, 3, 4)])
         peers[0].say(1, "200", "parts=1")
@@ -765,7 +765,7 @@
             Caller(world).post(ident)
         self.assertEqual({client[0] for client in world.reactor.tcpClients}, {"127.0.9.1"})
 
-    def test_idents_begin_again_and_an_answer_to_a_forgotten_one_is_foreign(self) -> None:
+    def test_query_ids_wrap_around_and_an_answer_to_an_expired_query_is_foreign(self) -> None:
         world = World(self)
         world.service.names.query_id = 0xFFFF
         old = world.names[-1]
--- a/tests/test_gone_clients.py
+++ b/tests/test_gone_clients.py
@@ -1,7 +1,7 @@
-"""No attempt begins after its client has cancelled the request or closed the connection.
+"""No attempt starts after its client has cancelled the request or closed the connection.
 
-Each test brings a request to a stage at which it waits, makes its client leave there before the dispatcher
-has read that, and runs the loop on. The stages and the ways of leaving are the table in docs/crossings.md.
+Each test takes a request to a stage at which it waits, makes its client cancel or disconnect before the
+dispatcher has read that, and continues the loop. docs/crossings.md lists the stages and the ways of leaving.
 """
 
 import contextlib
@@ -35,7 +35,7 @@
     client.reset()
 
 
-# The connections of a killed process end by the first or the last.
+# The system ends the connections of a killed process by the first or the last of these.
 ENDS = (close, half_close, reset)
 
 
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True)
 class Leaving:
-    """How a client leaves: what it still pipelines, and how its connection ends."""
+    """How a client leaves: the bytes it still pipelines, and how its connection ends."""
 
     ahead: bytes
     end: Callable[[PeerSocket], None]
@@ -59,11 +59,11 @@
         self.end(client)
 
     def __str__(self) -> str:
-        return f"{self.end.__name__} behind {len(self.ahead)} bytes"
+        return f"{self.end.__name__} after {len(self.ahead)} bytes"
 
 
 def cancel(steps: Steps, client: PeerSocket) -> None:
-    """Cancels on another connection, the first; this is read before the request proceeds."""
+    """Cancel on another connection, the first; the dispatcher reads it before the request proceeds."""
     steps.clients[0].socket.sendall(b"DELETE /ops/lookup/%016x HTTP/1.1\r\n\r\n" % LOOKUP)
     next(iter(steps.service.clients.connections)).transport.doRead()
 
@@ -80,14 +80,14 @@
     for engine in steps.engines:
         while engine.accept():
             pass
-        for talk in engine.peers:
+        for peer in engine.peers:
             with contextlib.suppress(ConnectionResetError):
-                found += sum(said[:2] == wanted for said in talk.received())
+                found += sum(message[:2] == wanted for message in peer.received())
     return found
 
 
 def run_due_timers(steps: Steps) -> None:
-    """Runs the first half of a round: due timers; the loop reads and writes nothing."""
+    """Run the first half of a round, the due timers; the loop reads and writes nothing."""
     steps.reactor.runUntilCurrent()
 
 
@@ -98,63 +98,63 @@
 
 
 def connected_to_both(steps: Steps) -> list[PeerSocket]:
-    """Makes an idle connection to each of two engines by two concurrent calls; returns the engines' ends."""
+    """Open an idle connection to each of two engines by two concurrent requests; returns the engine sides."""
     callers = [steps.client(), steps.client()]
     for ident, caller in enumerate(callers, 10):
         caller.post(ident)
         steps.go()
-    talks = [steps.until(engine.accept) for engine in steps.engines]
-    for talk in talks:
-        (said,) = steps.until(talk.received)
-        talk.say(int(said[1], 16))
+    peers = [steps.until(engine.accept) for engine in steps.engines]
+    for peer in peers:
+        (message,) = steps.until(peer.received)
+        peer.say(int(message[1], 16))
     for caller in callers:
         steps.until(caller.status)
-    return talks
+    return peers
 
 
-def counted(steps: Steps, name: str) -> int:
+def counter(steps: Steps, name: str) -> int:
     return int(steps.service.counters.sums[name])
 
 
 class GoneClients(unittest.TestCase):
-    """One test for each stage; each for every way of leaving."""
+    """One test per stage, with every way of leaving."""
 
     def check_each_way(
-        self, bring: Callable[[Steps], Waiting], ways: Sequence[Leave] = WAYS, **more: Any
+        self, prepare: Callable[[Steps], Waiting], ways: Sequence[Leave] = WAYS, **more: Any
     ) -> None:
         for way in (None, *ways):
             with self.subTest(getattr(way, "__name__", str(way))):
-                self.check(bring, way, Steps(self, **more))
+                self.check(prepare, way, Steps(self, **more))
 
-    def check(self, bring: Callable[[Steps], Waiting], leave: Leave | None, steps: Steps) -> None:
+    def check(self, prepare: Callable[[Steps], Waiting], leave: Leave | None, steps: Steps) -> None:
         steps.client()  # the client that cancels
         steps.until(lambda: steps.service.clients.connections)
-        client, proceed = bring(steps)
+        client, proceed = prepare(steps)
         attempts(steps)
         if leave is not None:
             leave(steps, client)
         proceed()
         steps.go()
         self.assertEqual(attempts(steps), 1 if leave is None else 0)
-        if leave is not None:  # a client that stays gets its attempt at this stage
+        if leave is not None:  # a client that stays has got its attempt by now
             steps.go(200)
             self.assertEqual(attempts(steps), 0)
             self.assertNotIn(b"%016x" % LOOKUP, steps.service.adapter.by_ident)
-            self.assertEqual(counted(steps, "attempts_after_client_left"), 0)
-            self.assertEqual(counted(steps, "attempts_late_after_client_left"), 0)
+            self.assertEqual(counter(steps, "attempts_after_client_left"), 0)
+            self.assertEqual(counter(steps, "attempts_late_after_client_left"), 0)
 
     def test_in_the_backlog(self) -> None:
-        def bring(steps: Steps) -> Waiting:
+        def prepare(steps: Steps) -> Waiting:
             client = after_another(steps)
             client.post(LOOKUP)
             return Waiting(client, steps.round)
 
-        self.check_each_way(bring)
+        self.check_each_way(prepare)
 
     def test_in_the_backlog_while_accepting_is_paused(self) -> None:
-        """Every slot has an open call. A cancel would wait in the backlog too, so only ends are tested."""
+        """Every slot has an open request. Only disconnects: a cancel would wait in the backlog too."""
 
-        def bring(steps: Steps) -> Waiting:
+        def prepare(steps: Steps) -> Waiting:
             rules = steps.service.adapter.rules
             rules.choose = lambda *_, **__: None  # type: ignore[method-assign]
             busy = []
@@ -175,47 +175,47 @@
 
             return Waiting(client, others_leave)
 
-        self.check_each_way(bring, ENDED, limits={"sockets": 32})
+        self.check_each_way(prepare, ENDED, limits={"sockets": 32})
 
     def test_accepted_and_not_read(self) -> None:
-        def bring(steps: Steps) -> Waiting:
+        def prepare(steps: Steps) -> Waiting:
             client = after_another(steps)
             steps.until(lambda: len(steps.service.clients.connections) == 3)
             client.post(LOOKUP)
             return Waiting(client, steps.round)
 
-        self.check_each_way(bring)
+        self.check_each_way(prepare)
 
     def test_read_and_before_its_batch(self) -> None:
-        def bring(steps: Steps) -> Waiting:
+        def prepare(steps: Steps) -> Waiting:
             client = after_another(steps)
             client.post(LOOKUP)
             steps.until(lambda: steps.service.adapter.pending_events)
             return Waiting(client, lambda: run_due_timers(steps))
 
-        self.check_each_way(bring)
+        self.check_each_way(prepare)
 
-    def test_behind_a_call_on_its_connection(self) -> None:
-        """The response to the previous call is read in the round in which the client leaves."""
+    def test_pipelined_after_another_request(self) -> None:
+        """The answer to the previous request is read in the round in which the client leaves."""
 
-        def bring(steps: Steps) -> Waiting:
+        def prepare(steps: Steps) -> Waiting:
             client = steps.client()
             client.post(1)
             client.post(LOOKUP)
-            talk = steps.until(steps.engines[0].accept)
-            steps.until(talk.received)
+            peer = steps.until(steps.engines[0].accept)
+            steps.until(peer.received)
 
             def answer() -> None:
                 connection = steps.service.engines.engines[0].connections[0]
-                talk.say(1)
+                peer.say(1)
                 connection.transport.doRead()  # before the client's socket is read
 
             return Waiting(client, answer)
 
-        self.check_each_way(bring)
+        self.check_each_way(prepare)
 
     def test_in_the_wait_queue(self) -> None:
-        def bring(steps: Steps) -> Waiting:
+        def prepare(steps: Steps) -> Waiting:
             steps.served(1)
             rules = steps.service.adapter.rules
             rules.choose = lambda *_, **__: None  # type: ignore[method-assign]
@@ -225,10 +225,10 @@
             del rules.choose
             return Waiting(client, steps.service.adapter.run_batch)
 
-        self.check_each_way(bring)
+        self.check_each_way(prepare)
 
     def test_while_its_connection_is_dialled(self) -> None:
-        def bring(steps: Steps) -> Waiting:
+        def prepare(steps: Steps) -> Waiting:
             client = steps.client()
             client.post(LOOKUP)
             steps.until(lambda: steps.service.engines.connections)
@@ -243,10 +243,10 @@
 
             return Waiting(client, connected)
 
-        self.check_each_way(bring)
+        self.check_each_way(prepare)
 
     def test_while_a_guard_has_not_decided(self) -> None:
-        def bring(steps: Steps) -> Waiting:
+        def prepare(steps: Steps) -> Waiting:
             steps.served(1)
             guard = DeferringGuard()
             steps.service.adapter.guard = guard
@@ -255,29 +255,29 @@
             steps.until(lambda: guard.verdicts)
             return Waiting(client, lambda: guard.verdicts[0](True))
 
-        self.check_each_way(bring)
+        self.check_each_way(prepare)
 
     def test_before_its_retry(self) -> None:
         """The answer of the first engine, which is full, was read; the next attempt is due."""
 
-        def bring(steps: Steps) -> Waiting:
-            talks = connected_to_both(steps)
+        def prepare(steps: Steps) -> Waiting:
+            peers = connected_to_both(steps)
             client = steps.client()
             client.post(LOOKUP)
-            talk = steps.until(lambda: next((talk for talk in talks if talk.received()), None))
-            talk.say(LOOKUP, "503", "-", b"")
+            peer = steps.until(lambda: next((peer for peer in peers if peer.received()), None))
+            peer.say(LOOKUP, "503", "-", b"")
             steps.until(lambda: steps.service.adapter.pending_events)
             return Waiting(client, lambda: run_due_timers(steps))
 
-        self.check_each_way(bring, engines=2)
+        self.check_each_way(prepare, engines=2)
 
     def test_while_its_retry_backs_off(self) -> None:
-        def bring(steps: Steps) -> Waiting:
+        def prepare(steps: Steps) -> Waiting:
             client = steps.client()
             client.post(LOOKUP)
-            talk = steps.until(steps.engines[0].accept)
-            steps.until(talk.received)
-            talk.say(LOOKUP, "503", "-", b"")
+            peer = steps.until(steps.engines[0].accept)
+            steps.until(peer.received)
+            peer.say(LOOKUP, "503", "-", b"")
             rules = steps.service.adapter.rules
             steps.until(lambda: rules.wait_queue)
             engine = rules.engines[0]
@@ -285,10 +285,10 @@
             engine.ejected_until = engine.pressure_until = 0.0  # its backoff is over
             return Waiting(client, steps.service.adapter.run_batch)
 
-        self.check_each_way(bring)
+        self.check_each_way(prepare)
 
-    def test_behind_another_message_on_a_shared_connection(self) -> None:
-        def bring(steps: Steps) -> Waiting:
+    def test_queued_after_another_message_on_a_shared_connection(self) -> None:
+        def prepare(steps: Steps) -> Waiting:
             steps.service.engines.max_connections = 1
             first = steps.client()
             first.post(1)
@@ -306,12 +306,12 @@
 
             return Waiting(client, transport_has_written)
 
-        self.check_each_way(bring)
+        self.check_each_way(prepare)
 
     def test_parsed_while_its_client_does_not_read(self) -> None:
-        """Its responses are unread: reading is paused, and the next request waits behind them."""
+        """The client does not read: reading from it is paused, and its next request waits for its answers."""
 
-        def bring(steps: Steps) -> Waiting:
+        def prepare(steps: Steps) -> Waiting:
             client = after_another(steps)
             client.socket.sendall(b"GET /alive HTTP/1.1\r\n\r\n")
             self.assertEqual(steps.until(client.status), 200)
@@ -326,7 +326,7 @@
 
             return Waiting(client, client_reads)
 
-        self.check_each_way(bring)
+        self.check_each_way(prepare)
 
 
 class BetweenCheckAndWrite(unittest.TestCase):
@@ -343,8 +343,8 @@
         self.assertEqual(attempts(steps), 1)
         client.socket.close()
         steps.go()
-        self.assertEqual([said[0] for said in steps.engines[0].peers[0].received()], ["cancel"])
-        self.assertEqual(counted(steps, "attempts_after_client_left"), 0)
+        self.assertEqual([message[0] for message in steps.engines[0].peers[0].received()], ["cancel"])
+        self.assertEqual(counter(steps, "attempts_after_client_left"), 0)
 
     def test_with_a_guard_that_keeps_a_journal_it_is_written_after_its_batch(self) -> None:
         """Attempts of a batch are in the journal once `batch_ended` has returned; then they are written."""
@@ -359,7 +359,7 @@
         run_due_timers(steps)
         self.assertEqual(attempts(steps), 1)
 
-    def test_two_in_one_batch_on_a_connection_with_a_journal(self) -> None:
+    def test_two_attempts_in_one_batch_on_a_connection_with_a_journal(self) -> None:
         """The second is written when the system has accepted the first, with its own check and record."""
         steps = Steps(self)
         steps.service.engines.max_connections = 1
@@ -371,8 +371,8 @@
             client.post(ident)
         steps.until(lambda: len(steps.service.adapter.pending_events) == 2)
         run_due_timers(steps)
-        said = [words[1] for words in steps.engines[0].peers[0].received()]
-        self.assertEqual(said, [f"{LOOKUP:016x}", f"{OTHER:016x}"])
+        message = [message[1] for message in steps.engines[0].peers[0].received()]
+        self.assertEqual(message, [f"{LOOKUP:016x}", f"{OTHER:016x}"])
 
     def test_a_connection_lost_before_the_journal_is_written(self) -> None:
         world = World(self, engines=2)
@@ -387,7 +387,7 @@
         caller.post(LOOKUP)
         guard.batch_ended = lambda: None  # type: ignore[method-assign]
         world.go()
-        self.assertEqual([said[1] for said in peer.received()], [f"{1:016x}"])
+        self.assertEqual([message[1] for message in peer.received()], [f"{1:016x}"])
 
     def test_a_cancel_that_was_not_read_follows_in_the_same_round(self) -> None:
         steps = Steps(self)
@@ -400,7 +400,9 @@
         steps.round()
         self.assertNotIn(b"%016x" % LOOKUP, steps.service.adapter.by_ident)
         steps.round()
-        self.assertEqual([said[0] for said in steps.engines[0].peers[0].received()], ["serve", "cancel"])
+        self.assertEqual(
+            [message[0] for message in steps.engines[0].peers[0].received()], ["serve", "cancel"]
+        )
 
     def stuck(self) -> tuple[World, Peer]:
         """An engine that does not read: only one byte of an attempt is sent. Its client leaves."""
@@ -413,7 +415,7 @@
         caller.leave()
         return world, peer
 
-    def test_what_the_system_has_not_accepted_is_aborted(self) -> None:
+    def test_an_attempt_that_the_system_has_not_accepted_is_aborted(self) -> None:
         world, peer = self.stuck()
         world.go(40)
         self.assertFalse(peer.pipe.aborted)
@@ -422,19 +424,19 @@
         self.assertLess(MAX_ABANDONED_WRITE, LATE_AFTER_LEAVING)
         self.assertEqual(world.count("attempts_after_client_left"), 0)
 
-    def test_what_the_system_accepts_in_time_is_left_to_run(self) -> None:
-        """It is counted as sent after its client left, by less than 100 ms."""
+    def test_an_attempt_that_the_system_accepts_in_time_is_left_to_run(self) -> None:
+        """It is counter as sent after its client left, by less than 100 ms."""
         world, peer = self.stuck()
         world.go(30)
         peer.pipe.full = False
         peer.pipe.drained()
         world.go(60)
         self.assertFalse(peer.pipe.aborted)
-        self.assertEqual([said[0] for said in peer.received()], ["serve", "cancel"])
+        self.assertEqual([message[0] for message in peer.received()], ["serve", "cancel"])
         self.assertEqual(world.count("attempts_after_client_left"), 1)
         self.assertEqual(world.count("attempts_late_after_client_left"), 0)
 
-    def test_an_attempt_of_which_no_byte_left_does_not_begin_after_its_client_left(self) -> None:
+    def test_an_attempt_of_which_no_byte_was_sent_does_not_start_after_its_client_left(self) -> None:
         world = World(self)
         caller = Caller(world)
         caller.post(LOOKUP)
@@ -451,8 +453,8 @@
         self.assertEqual(world.count("attempts_after_client_left"), 0)
         self.assertEqual(world.count("trips_written"), 0)
 
-    def test_others_that_run_on_its_connection_are_not_aborted(self) -> None:
-        """So the attempt may reach the engine late, and is counted as late."""
+    def test_a_connection_with_other_running_attempts_is_not_aborted(self) -> None:
+        """So this attempt may reach the engine late, and is counter as late."""
         world = World(self)
         world.service.engines.max_connections = 1
         kept, caller = Caller(world), Caller(world)
@@ -465,7 +467,7 @@
         self.assertFalse(peer.pipe.aborted)
         peer.pipe.full = False
         peer.pipe.drained()
-        self.assertEqual([said[0] for said in peer.received()], ["serve", "serve", "cancel"])
+        self.assertEqual([message[0] for message in peer.received()], ["serve", "serve", "cancel"])
         self.assertEqual(world.count("attempts_after_client_left"), 1)
         self.assertEqual(world.count("attempts_late_after_client_left"), 1)
         peer.say(OTHER, "200", "parts=1", ROW)
@@ -475,8 +477,8 @@
 class CancelledOnItsOwnConnection(unittest.TestCase):
     DELETE = b"DELETE /ops/lookup/%016x HTTP/1.1\r\n\r\n"
 
-    def test_behind_its_open_call(self) -> None:
-        """A 200 would be read as the response to that call, so none is written; the connection is closed."""
+    def test_after_its_open_request(self) -> None:
+        """A 200 would be read as the answer to that request, so none is written; the connection is closed."""
         world = World(self)
         caller = Caller(world)
         caller.post(LOOKUP)
@@ -493,7 +495,7 @@
         self.assertEqual(world.peer().up().received(), [])
         self.assertEqual(world.count("trips_whose_client_left"), 1)
 
-    def test_a_call_behind_another_and_its_cancel_behind_both(self) -> None:
+    def test_a_pipelined_request_and_its_cancel_after_another_request(self) -> None:
         world = World(self)
         caller = Caller(world)
         caller.post(1)
@@ -501,10 +503,10 @@
         caller.say(self.DELETE % LOOKUP)
         peer = world.peer().up()
         peer.say(1, "200", "parts=1", ROW)
-        self.assertEqual([said[1] for said in peer.received() if said[0] == "serve"], [f"{1:016x}"])
+        self.assertEqual([message[1] for message in peer.received() if message[0] == "serve"], [f"{1:016x}"])
         self.assertEqual([status for status, _, _ in caller.answers()], [200])
 
-    def test_that_of_another_is_answered_in_order(self) -> None:
+    def test_a_cancel_of_another_request_is_answered_in_order(self) -> None:
         world = World(self)
         first, caller = Caller(world), Caller(world)
         first.post(1)
@@ -515,7 +517,7 @@
         world.peer(1).up().say(LOOKUP, "200", "parts=1", ROW)
         self.assertEqual([status for status, _, _ in caller.answers()], [200, 200, 404])
 
-    def test_many_and_bad_ones_are_answered_in_order(self) -> None:
+    def test_many_cancels_and_a_bad_one_are_answered_in_order(self) -> None:
         world = World(self)
         caller = Caller(world)
         caller.post(LOOKUP)
@@ -528,7 +530,7 @@
 
 class Processes(unittest.TestCase):
     def test_a_client_whose_process_is_killed(self) -> None:
-        """With its own call open, and part of the next one pipelined."""
+        """Its request is open, and part of the next one is pipelined."""
         text = (
             "import socket, sys\n"
             f"it = socket.create_connection(({HOST!r}, int(sys.argv[1])))\n"
@@ -554,11 +556,11 @@
         run_due_timers(steps)
         steps.go()
         self.assertEqual(attempts(steps), 0)
-        self.assertEqual(counted(steps, "trips_whose_client_left"), 1)
+        self.assertEqual(counter(steps, "trips_whose_client_left"), 1)
 
 
 class Counts(unittest.TestCase):
-    def test_both_are_shown_where_there_is_none(self) -> None:
+    def test_counters_that_are_0_are_shown_too(self) -> None:
         world = World(self)
         caller = Caller(world)
         caller.say(b"GET /counters HTTP/1.1\r\n\r\n")
@@ -573,7 +575,7 @@
 
 
 class SentAhead(unittest.TestCase):
-    def test_more_than_its_limit_found_by_the_check_at_send_time(self) -> None:
+    def test_more_than_the_limit_found_by_the_check_at_send_time(self) -> None:
         """Its connection is aborted, and its request is cancelled at once, not a round later."""
         world = World(self)
         caller = Caller(world)
--- a/tests/test_system_faults.py
+++ b/tests/test_system_faults.py
@@ -1,4 +1,4 @@
-"""Transient failures of system calls and faults in one step: discovery continues, nothing is half done."""
+"""Transient system call faults, and exceptions in one step: discovery continues, nothing is half done."""
 
 import errno
 import json
@@ -25,7 +25,7 @@
 from tests.stations import Pair
 from tests.steps import Steps
 from tests.test_new_days import served
-from tests.test_turns import ANSWER_RETURN_TIME, ROUND, CrowdedQueue
+from tests.test_turns import ANSWER_RETURN_TIME, ROUND, OverloadedQueue
 
 DRAINED = {"lifecycle": "DRAINING"}
 FLEET_PLAN = b"""
@@ -58,7 +58,7 @@
         raise OSError(self.error, "by the test")
 
 
-def heard_question(steps: Steps) -> bool:
+def received_query(steps: Steps) -> bool:
     """Read a query of the dispatcher at the name service; returns whether there was one."""
     try:
         return bool(steps.names.recv(512))
@@ -67,7 +67,7 @@
 
 
 class Discovery(unittest.TestCase):
-    """The name service is queried on, whatever happens to the socket."""
+    """The name service is still queried, whatever happens to the socket."""
 
     def test_an_error_on_reading_loses_no_answer(self) -> None:
         for error in (errno.ENOMEM, errno.ENOBUFS, errno.EHOSTUNREACH, errno.ETIMEDOUT, errno.EINTR):
@@ -80,23 +80,23 @@
                 self.assertEqual(steps.service.adapter.endpoints["s-0"].life, Life.DRAINING)
                 self.assertIs(steps.service.names.transport, port)
 
-    def test_an_error_that_twisted_passes_over_is_counted(self) -> None:
+    def test_an_error_that_twisted_ignores_is_counted(self) -> None:
         steps = Steps(self)
-        telling = steps.service.names.transport.socket
-        telling.real = FailingSocket(telling.real, "recvfrom", errno.ECONNREFUSED)
+        reporting = steps.service.names.transport.socket
+        reporting.real = FailingSocket(reporting.real, "recvfrom", errno.ECONNREFUSED)
         steps.list(2, 0)
         steps.go(30)
         self.assertEqual(steps.service.adapter.endpoints["s-0"].life, Life.DRAINING)
         self.assertEqual(steps.service.counters.sums["datagram_read_errors"], 1)
 
-    def test_errors_that_go_on_end_the_socket_and_another_is_opened(self) -> None:
+    def test_persistent_errors_close_the_socket_and_another_is_opened(self) -> None:
         steps = Steps(self)
         steps.names_silent = True
         steps.go(210)
         port = steps.service.names.transport
         port.socket = FailingSocket(port.socket, "recvfrom", errno.ENOMEM, times=1000)
-        question, asker = steps.names.recvfrom(512)
-        steps.names.sendto(question[:2], asker)  # something to read
+        query, source = steps.names.recvfrom(512)
+        steps.names.sendto(query[:2], source)  # something to read
         steps.go(700)
         steps.service.counters.sums.pop("unhandled", None)  # Twisted's own report of the error
         self.assertIsNot(steps.service.names.transport, port)
@@ -104,7 +104,7 @@
         steps.list(2, 0)
         self.assertEqual(steps.service.adapter.endpoints["s-0"].life, Life.DRAINING)
 
-    def test_an_error_on_sending_is_counted_and_the_next_question_goes(self) -> None:
+    def test_an_error_on_sending_is_counted_and_the_next_query_is_sent(self) -> None:
         for error in (errno.ENOBUFS, errno.EPERM, errno.ENETUNREACH, errno.EHOSTUNREACH):
             with self.subTest(errno.errorcode[error]):
                 steps = Steps(self)
@@ -112,9 +112,9 @@
                 port = steps.service.names.transport
                 port.socket = FailingSocket(port.socket, "sendto", error)
                 steps.go(210)
-                self.assertFalse(heard_question(steps))
+                self.assertFalse(received_query(steps))
                 steps.go(60)
-                self.assertTrue(heard_question(steps))
+                self.assertTrue(received_query(steps))
                 self.assertEqual(steps.service.counters.sums[f"names_not_sent_errno_{error}"], 1)
 
     def test_a_socket_that_cannot_be_opened_at_the_start(self) -> None:
@@ -137,7 +137,7 @@
         self.assertEqual(world.count("names_socket_not_opened"), 2)
         self.assertTrue(world.service.clients.ready)
 
-    def test_a_list_that_could_not_be_taken_is_asked_for_again(self) -> None:
+    def test_a_list_that_could_not_be_applied_is_queried_again(self) -> None:
         world = World(self, engines=2)
         taken = world.service.names.on_list
         failures = [RuntimeError("by the test")]
@@ -155,7 +155,7 @@
         self.assertEqual(world.service.names.number, 2)
         self.assertEqual(world.service.adapter.endpoints["s-0"].life, Life.DRAINING)
 
-    def test_a_question_that_twisted_would_drop_in_silence_is_counted(self) -> None:
+    def test_a_query_that_twisted_drops_silently_is_counted(self) -> None:
         for error in (errno.ECONNREFUSED, errno.EMSGSIZE):
             with self.subTest(errno.errorcode[error]):
                 steps = Steps(self)
@@ -166,17 +166,17 @@
 
     def test_a_port_that_fails_in_an_unexpected_way_is_opened_again(self) -> None:
         """Before and after the port is assigned to the protocol: no half-opened port remains."""
-        for behind in (False, True):
-            with self.subTest(behind=behind):
+        for after in (False, True):
+            with self.subTest(after=after):
                 failures = [errno.ENOBUFS, errno.ENOMEM]
 
                 def fail_at_first(
-                    service: Any, world: World, failures: list[int] = failures, behind: bool = behind
+                    service: Any, world: World, failures: list[int] = failures, after: bool = after
                 ) -> None:
                     real = world.reactor.listenUDP
 
                     def listen(port: int, protocol: Any, **more: Any) -> Any:
-                        if failures and behind:
+                        if failures and after:
                             protocol.makeConnection(world)
                         if failures:
                             raise OSError(failures.pop(0), "by the test")
@@ -192,7 +192,7 @@
                 world.go(1000)
                 self.assertEqual(world.count("names_asked"), asked + 5)  # one chain of queries, not three
 
-    def test_questions_that_stopped_are_brought_on_again(self) -> None:
+    def test_queries_that_stopped_are_resumed(self) -> None:
         world = World(self)
         world.service.names.cancel_query()
         asked = world.count("names_asked")
@@ -200,7 +200,7 @@
         self.assertGreaterEqual(world.count("names_asked"), asked + 4)
         self.assertEqual(world.count("names_asked_on"), 1)
 
-    def test_a_socket_whose_end_was_not_told_is_opened_again(self) -> None:
+    def test_a_socket_whose_closing_was_not_reported_is_opened_again(self) -> None:
         world = World(self)
         world.service.names.doStop()
         world.service.discovery.reopening.cancel()
@@ -208,7 +208,7 @@
         self.assertEqual(world.count("discovery_reopened_by_look"), 1)
         self.assertGreater(world.count("names_asked"), 1)
 
-    def test_answers_that_the_poller_does_not_tell_of_are_read(self) -> None:
+    def test_answers_that_the_poller_does_not_report_are_read(self) -> None:
         steps = Steps(self)
         steps.reactor.removeReader(steps.service.names.transport)
         steps.list(2, 0)
@@ -229,7 +229,7 @@
         self.assertEqual(len(sweeps), 4)
         self.assertEqual(world.service.counters.sums.pop("faults"), 4)
 
-    def test_a_list_of_a_configuration_that_could_not_be_taken_is_asked_for(self) -> None:
+    def test_a_list_of_a_configuration_that_could_not_be_applied_is_queried(self) -> None:
         world = World(self, engines=2)
         adapter: Any = world.service.adapter
         taken, failures = adapter.apply_list, [RuntimeError("by the test")]
@@ -241,19 +241,19 @@
 
         adapter.apply_list = listed
         world.service.names.on_list = listed
-        told = configuration(2, nameserver="127.0.8.10:5301")
-        told["known"]["items"].append(
+        loaded = configuration(2, nameserver="127.0.8.10:5301")
+        loaded["known"]["items"].append(
             {"no": 2, "roster": {"generation": 1, "reset": False, "instances": [instance(0) | DRAINED]}}
         )
-        told["known"]["no"] = 2
-        world.service.reload_configuration(lambda: read_configuration(json.dumps(told)))
+        loaded["known"]["no"] = 2
+        world.service.reload_configuration(lambda: read_configuration(json.dumps(loaded)))
         self.assertEqual(world.service.counters.sums.pop("faults"), 1)
         self.assertEqual(world.service.names.address, ("127.0.8.10", 5301))
         self.assertEqual(world.service.names.number, 1)
         world.list(2, DRAINING, SERVING, source=("127.0.8.10", 5301))
         self.assertEqual(world.service.adapter.endpoints["s-0"].life, Life.DRAINING)
 
-    def test_a_file_that_cannot_be_read_is_read_until_it_can(self) -> None:
+    def test_an_unreadable_file_is_retried_until_it_can_be_read(self) -> None:
         world, reads = World(self), list[float]()
 
         def read() -> Any:
@@ -268,7 +268,7 @@
 
 
 class ProcessPauses(unittest.TestCase):
-    """The process doesn't run for seconds: attempts wait until the list is confirmed."""
+    """After the process was stopped for seconds, attempts wait until the list is confirmed."""
 
     def sent(self, world: World) -> int:
         return world.count("trips_written")
@@ -291,10 +291,10 @@
         for place in range(len(world.reactor.tcpClients)):
             world.peer(place).up()
         world.go(60)
-        self.assertEqual(self.sent(world), 2)  # the second of the connection waits behind the first
+        self.assertEqual(self.sent(world), 2)  # the second request of the connection waits for the first
         self.assertEqual({peer.host for peer in (world.peer(-1),)}, {"127.0.9.1"})
 
-    def test_a_silent_name_service_holds_them_up_until_it_answers(self) -> None:
+    def test_a_silent_name_service_delays_requests_until_it_answers(self) -> None:
         world = World(self)
         caller = Caller(world)
         world.names_silent = True
@@ -309,7 +309,7 @@
         world.peer().up()
         self.assertEqual(self.sent(world), 1)
 
-    def test_what_was_dialled_for_waits_too(self) -> None:
+    def test_requests_whose_connection_was_dialled_wait_too(self) -> None:
         world = World(self, engines=2)
         Caller(world).post(1)
         world.reactor.rightNow += 2.5
@@ -324,7 +324,7 @@
             world.peer(1).up()
         self.assertEqual(self.sent(world), 1)
 
-    def test_answers_that_were_lost_with_their_socket_may_have_told_of_a_drain(self) -> None:
+    def test_answers_lost_with_their_socket_may_have_held_a_drain(self) -> None:
         world = World(self)
         world.names_silent = True
         world.service.names.doStop()
@@ -340,27 +340,27 @@
         self.assertEqual(self.sent(world), 1)
 
 
-class Delayed(unittest.TestCase):
-    """The time during which our system calls failed counts: engines get the time that the client has left."""
+class FailingSystemCalls(unittest.TestCase):
+    """Time lost to failing system calls is deducted: engines get the time that the client has left."""
 
-    def wait_told(self, steps: Steps, ident: int) -> int:
+    def sent_wait_limit(self, steps: Steps, ident: int) -> int:
         """Answer a request; returns the time limit that the engine got with it."""
-        talk = steps.engines[0].peers[0] if steps.engines[0].peers else steps.until(steps.engines[0].accept)
-        (message,) = steps.until(talk.received)
-        talk.say(ident)
+        peer = steps.engines[0].peers[0] if steps.engines[0].peers else steps.until(steps.engines[0].accept)
+        (message,) = steps.until(peer.received)
+        peer.say(ident)
         return int(message[2].split("wait=")[1].split(",")[0])
 
-    def told_after(self, steps: Steps, heal: Any) -> None:
-        """The first request waited for 300 ms, the second for nothing."""
+    def check_wait_limits_after(self, steps: Steps, stop_failing: Any) -> None:
+        """Check that the first request counts the 300 ms that it waited, and that the second counts none."""
         client = steps.clients[0]
         steps.go(300)
-        heal()
+        stop_failing()
         steps.go(20)
-        self.assertLessEqual(self.wait_told(steps, 1), 5000 - 300 + 50)
+        self.assertLessEqual(self.sent_wait_limit(steps, 1), 5000 - 300 + 50)
         self.assertEqual(steps.until(client.status), 200)
         steps.go(50)
         client.post(2)
-        self.assertGreaterEqual(self.wait_told(steps, 2), 4900)
+        self.assertGreaterEqual(self.sent_wait_limit(steps, 2), 4900)
         self.assertEqual(steps.service.adapter.loop.failing_since, {})
 
     def test_in_the_backlog_while_accept_fails(self) -> None:
@@ -370,34 +370,34 @@
                 listener = steps.service.clients.port.socket
                 listener.real = failing = FailingSocket(listener.real, "accept", error, times=1000)
                 steps.client().post(1)
-                self.told_after(steps, lambda failing=failing: setattr(failing, "times", 0))
+                self.check_wait_limits_after(steps, lambda failing=failing: setattr(failing, "times", 0))
                 self.assertLess(steps.service.counters.sums[f"accept_failed_errno_{error}"], 40)  # no spin
 
-    def test_behind_a_crowd_while_accept_fails(self) -> None:
-        """Its time counts from its arrival, that of later ones from the accepts that failed."""
-        crowd = CrowdedQueue(self)
-        crowd.go(200)
-        listener = crowd.steps.service.clients.port.socket
+    def test_in_an_overloaded_queue_while_accept_fails(self) -> None:
+        """Its time counts from its arrival; that of later connections from the accepts that failed."""
+        overload = OverloadedQueue(self)
+        overload.go(200)
+        listener = overload.steps.service.clients.port.socket
         listener.real = FailingSocket(listener.real, "accept", errno.ENFILE, times=20)
-        sent_at = crowd.post(1, wait=2000)
-        crowd.go(800)
+        sent_at = overload.post(1, wait=2000)
+        overload.go(800)
         self.assertEqual(listener.real.times, 0)
-        self.assertLessEqual(crowd.deadline(1) + ANSWER_RETURN_TIME - sent_at, 2000)
-        self.assertGreaterEqual(crowd.deadline(1) + ANSWER_RETURN_TIME - sent_at, 2000 - 2 * ROUND)
-        sent_at = crowd.post(2, wait=2000)
-        crowd.go(600)
-        self.assertLessEqual(crowd.deadline(2) + ANSWER_RETURN_TIME - sent_at, 2000)
-        self.assertGreaterEqual(crowd.deadline(2) + ANSWER_RETURN_TIME - sent_at, 2000 - 2 * ROUND)
+        self.assertLessEqual(overload.deadline(1) + ANSWER_RETURN_TIME - sent_at, 2000)
+        self.assertGreaterEqual(overload.deadline(1) + ANSWER_RETURN_TIME - sent_at, 2000 - 2 * ROUND)
+        sent_at = overload.post(2, wait=2000)
+        overload.go(600)
+        self.assertLessEqual(overload.deadline(2) + ANSWER_RETURN_TIME - sent_at, 2000)
+        self.assertGreaterEqual(overload.deadline(2) + ANSWER_RETURN_TIME - sent_at, 2000 - 2 * ROUND)
 
     def test_unread_while_recv_fails(self) -> None:
         steps = Steps(self)
         client = steps.client()
         steps.go()
         (connection,) = steps.service.clients.connections
-        patient = connection.transport.socket
-        patient.real = failing = FailingSocket(patient.real, "recv", errno.ENOMEM, times=1_000_000)
+        tolerant = connection.transport.socket
+        tolerant.real = failing = FailingSocket(tolerant.real, "recv", errno.ENOMEM, times=1_000_000)
         client.post(1)
-        self.told_after(steps, lambda: setattr(failing, "times", 0))
+        self.check_wait_limits_after(steps, lambda: setattr(failing, "times", 0))
 
     def test_unwatched_while_epoll_ctl_fails(self) -> None:
         steps = Steps(self)
@@ -411,34 +411,34 @@
         timed.poller.register = refuse
         steps.go()
         client.post(1)
-        self.told_after(steps, lambda: setattr(timed.poller, "register", register))
+        self.check_wait_limits_after(steps, lambda: setattr(timed.poller, "register", register))
 
-    def test_a_delay_without_end_dates_back_by_no_more_than_the_bound(self) -> None:
+    def test_an_endless_delay_dates_back_by_no_more_than_the_bound(self) -> None:
         steps = Steps(self)
         steps.service.adapter.loop.read_failed("a source that is not read again")
         steps.go(4000)
         steps.client().post(1, wait=8000)
-        self.assertGreaterEqual(self.wait_told(steps, 1), 8000 - 100)
+        self.assertGreaterEqual(self.sent_wait_limit(steps, 1), 8000 - 100)
 
-    def test_an_attempt_that_could_not_leave_tells_what_is_left_then(self) -> None:
+    def test_an_attempt_that_was_sent_late_has_the_time_left_at_that_moment(self) -> None:
         steps = Steps(self)
         client = steps.client()
         sending = immediate.send
         self.addCleanup(setattr, immediate, "send", sending)
         immediate.send = lambda transport, message: 0
         client.post(1)
-        talk = steps.until(steps.engines[0].accept)
+        peer = steps.until(steps.engines[0].accept)
         (connection,) = steps.service.engines.engines[0].connections
-        patient = connection.transport.socket
-        patient.real = failing = FailingSocket(patient.real, "send", errno.ENOBUFS, times=1_000_000)
+        tolerant = connection.transport.socket
+        tolerant.real = failing = FailingSocket(tolerant.real, "send", errno.ENOBUFS, times=1_000_000)
         steps.go(300)
         failing.times = 0
         immediate.send = sending
         steps.go(20)
-        (message,) = steps.until(talk.received)
+        (message,) = steps.until(peer.received)
         self.assertLessEqual(int(message[2].split("wait=")[1].split(",")[0]), 5000 - 300 + 150)
 
-    def test_the_rest_of_a_request_that_came_in_a_pause_is_read(self) -> None:
+    def test_the_rest_of_a_request_that_arrived_during_a_pause_is_read(self) -> None:
         steps = Steps(self)
         client = steps.client()
         client.socket.sendall(b"POST /ops/lookup HTTP/1.1\r\nReq-Id: %016x\r\n" % 1)
@@ -447,10 +447,10 @@
         steps.reactor.now += 2.5
         steps.service.clients.sweep()  # before the loop polls
         steps.list(2)
-        self.wait_told(steps, 1)
+        self.sent_wait_limit(steps, 1)
         self.assertEqual(steps.until(client.status), 200)
 
-    def test_what_came_in_a_gap_may_be_found_by_the_next_poll_only(self) -> None:
+    def test_bytes_that_arrived_in_a_poll_gap_may_be_found_by_the_next_poll_only(self) -> None:
         """The process may have lost its core after the system polled the sockets."""
         now = [0.0]
         watch = LoopWatch(lambda: now[0], Counters(), logging.Logger("n1"))
@@ -460,7 +460,7 @@
             watch.polled()
             self.assertEqual(watch.readable_since, since)
 
-    def test_a_request_of_which_reads_bring_a_byte_each_is_read_at_once(self) -> None:
+    def test_a_request_whose_reads_return_a_byte_each_is_read_at_once(self) -> None:
         class ByteWise(FailingSocket):
             def recv(self, size: int, flags: int = 0) -> bytes:
                 received: bytes = self.real.recv(min(size, 1), flags)
@@ -470,30 +470,30 @@
         client = steps.client()
         steps.go()
         (connection,) = steps.service.clients.connections
-        patient = connection.transport.socket
-        patient.real = ByteWise(patient.real, "none", 0)
+        tolerant = connection.transport.socket
+        tolerant.real = ByteWise(tolerant.real, "none", 0)
         client.post(1)
         steps.round()
         self.assertEqual(len(steps.service.adapter.by_ident), 1)
-        self.wait_told(steps, 1)
+        self.sent_wait_limit(steps, 1)
         self.assertEqual(steps.until(client.status), 200)
 
     def test_an_idle_connection_is_not_closed_while_it_cannot_be_read(self) -> None:
         steps = Steps(self)
         client = served(steps, 1)
         (connection,) = steps.service.clients.connections
-        patient = connection.transport.socket
-        patient.real = failing = FailingSocket(patient.real, "recv", errno.ENOBUFS, times=1_000_000)
+        tolerant = connection.transport.socket
+        tolerant.real = failing = FailingSocket(tolerant.real, "recv", errno.ENOBUFS, times=1_000_000)
         steps.service.stop()
         steps.go(890)
         client.post(2)
         steps.go(100)
         failing.times = 0
         steps.go(20)
-        self.wait_told(steps, 2)
+        self.sent_wait_limit(steps, 2)
         self.assertEqual(steps.until(client.status), 200)
 
-    def test_the_decisions_know_when_sockets_were_polled(self) -> None:
+    def test_the_rules_know_when_sockets_were_polled(self) -> None:
         steps = Steps(self)
         adapter: Any = steps.service.adapter
         self.assertEqual(adapter.rules.freshness.polled_at(), adapter.loop.polled_at)
@@ -525,7 +525,7 @@
 class OtherDatagramPorts(unittest.TestCase):
     """Fleet and VRRP: a failed read must not close their ports, as no replacement is opened."""
 
-    def test_no_number_of_errors_ends_one(self) -> None:
+    def test_no_number_of_errors_closes_a_port(self) -> None:
         class FailingPort(DatagramPort):
             def doRead(self) -> None:
                 raise OSError(errno.ENOMEM, "by the test")
@@ -545,7 +545,7 @@
             self.assertTrue(port.reading)
         self.assertEqual(counters.sums["datagram_read_errors"], 100)
 
-    def test_those_of_vrrp_are_read_so(self) -> None:
+    def test_vrrp_ports_tolerate_read_errors(self) -> None:
         pair = Pair(self)
         for side in pair.sides.values():
             readers = [cast(Any, port).doRead.__self__ for port in side.station.ports]
@@ -567,7 +567,7 @@
             advertising.tick()
         self.assertTrue(advertising.timer.active())
 
-    def test_the_fleets_is_read_so(self) -> None:
+    def test_the_fleet_port_tolerates_read_errors(self) -> None:
         world, ports = World(self), list[Any]()
         listen = world.reactor.listenUDP
 
@@ -584,7 +584,7 @@
         world.service.counters.sums.clear()
 
 
-class Patience(unittest.TestCase):
+class TolerantConnections(unittest.TestCase):
     """A connection survives system calls that fail because this machine lacks resources."""
 
     def test_a_client_whose_reads_and_writes_fail_for_a_moment_is_answered(self) -> None:
@@ -595,36 +595,36 @@
                     client = steps.client()
                     steps.go()
                     (connection,) = steps.service.clients.connections
-                    patient = connection.transport.socket
-                    patient.real = FailingSocket(patient.real, call, error, times=5)
+                    tolerant = connection.transport.socket
+                    tolerant.real = FailingSocket(tolerant.real, call, error, times=5)
                     client.post(1)
-                    talk = steps.until(steps.engines[0].accept)
-                    steps.until(talk.received)
-                    talk.say(1)
+                    peer = steps.until(steps.engines[0].accept)
+                    steps.until(peer.received)
+                    peer.say(1)
                     self.assertEqual(steps.until(client.status), 200)
-                    self.assertEqual(patient.real.times, 0)
+                    self.assertEqual(tolerant.real.times, 0)
 
     def test_an_attempt_outlives_a_read_that_fails_for_a_moment(self) -> None:
         steps = Steps(self)
         client = steps.client()
         client.post(1, "load")
-        talk = steps.until(steps.engines[0].accept)
-        steps.until(talk.received)
+        peer = steps.until(steps.engines[0].accept)
+        steps.until(peer.received)
         (connection,) = steps.service.engines.engines[0].connections
-        patient = connection.transport.socket
-        patient.real = FailingSocket(patient.real, "recv", errno.ENOMEM, times=5)
-        talk.say(1)
+        tolerant = connection.transport.socket
+        tolerant.real = FailingSocket(tolerant.real, "recv", errno.ENOMEM, times=5)
+        peer.say(1)
         self.assertEqual(steps.until(client.status), 200)
 
-    def test_a_real_end_is_still_one(self) -> None:
+    def test_a_real_end_of_stream_still_ends_the_connection(self) -> None:
         steps = Steps(self)
         client = steps.client()
         client.post(1)
-        talk = steps.until(steps.engines[0].accept)
-        steps.until(talk.received)
+        peer = steps.until(steps.engines[0].accept)
+        steps.until(peer.received)
         (connection,) = steps.service.clients.connections
-        patient = connection.transport.socket
-        patient.real = FailingSocket(patient.real, "recv", errno.ETIMEDOUT)
+        tolerant = connection.transport.socket
+        tolerant.real = FailingSocket(tolerant.real, "recv", errno.ETIMEDOUT)
         client.socket.sendall(b"x")
         steps.until(lambda: not steps.service.clients.connections)
 
@@ -642,7 +642,7 @@
         number = world.service.adapter.index.places[f"s-{peer.host.rpartition('.')[2]}"]
         return world, world.service.adapter.rules.engines[number]
 
-    def test_a_want_of_our_own_counts_against_no_engine_and_the_request_goes_on(self) -> None:
+    def test_a_local_resource_shortage_counts_against_no_engine_and_the_request_proceeds(self) -> None:
         for error in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL):
             with self.subTest(errno.errorcode[error]):
                 world, engine = self.refused_by(error)
@@ -650,7 +650,7 @@
                 self.assertEqual(world.count("dials_failed_here"), 1)
                 self.assertEqual(len(world.peer(1).up().received()), 1)
 
-    def test_a_way_that_does_not_lead_there_counts(self) -> None:
+    def test_an_unreachable_network_counts_against_the_engine(self) -> None:
         for error in (errno.EHOSTUNREACH, errno.ENETUNREACH, errno.ETIMEDOUT):
             with self.subTest(errno.errorcode[error]):
                 world, engine = self.refused_by(error)
@@ -675,9 +675,9 @@
                 steps.service.counters.sums.pop("unhandled", None)  # Twisted's own report of the error
                 self.assertEqual(steps.stopped_at, [])
                 port.socket.times = 0
-                talk = steps.until(steps.engines[0].accept)
-                steps.until(talk.received)
-                talk.say(1)
+                peer = steps.until(steps.engines[0].accept)
+                steps.until(peer.received)
+                peer.say(1)
                 self.assertEqual(steps.until(client.status), 200)
                 client.socket.close()
                 steps.go(200)
@@ -724,7 +724,7 @@
         self.assertEqual(sorted(served), [f"{number:016x}" for number in (0, 2, 3)])
         self.assertEqual([request.number for request in rules.wait_queue], [])
 
-    def test_the_one_that_failed_is_answered_at_its_deadline(self) -> None:
+    def test_the_request_that_failed_is_answered_at_its_deadline(self) -> None:
         world = World(self)
         rules: Any = world.service.adapter.rules
         choose = rules.choose
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -19,7 +19,7 @@
 ANSWER_RETURN_TIME = 40  # ms that the dispatcher reserves for sending the answer back
 ACCEPTS_A_ROUND, ROUND = 2, 10.0  # ms
 WAITING_CLIENTS = 8  # in the accept queue, at all times
-LONG_CROWD = 1000.0  # ms
+LONG_OVERLOAD = 1000.0  # ms
 
 
 def stall(steps: Steps, ms: float = STALL) -> None:
@@ -27,41 +27,41 @@
     steps.reactor.now += ms / 1000
 
 
-def wait_told(talk: PeerSocket) -> list[int]:
+def wait_limits_sent(peer: PeerSocket) -> list[int]:
     """The time limit sent with each attempt on this connection."""
     return [
-        int(dict(pair.split("=") for pair in said[2].split(","))["wait"])
-        for said in talk.received()
-        if said[0] == "serve"
+        int(dict(pair.split("=") for pair in message[2].split(","))["wait"])
+        for message in peer.received()
+        if message[0] == "serve"
     ]
 
 
 class Stalls(unittest.TestCase):
-    """What is read after a stall may have arrived at its beginning, so its time counts from there."""
+    """Bytes read after a stall may have arrived when it began, so their time limit counts from there."""
 
-    def resting(self, **more: Any) -> tuple[Steps, PeerSocket, PeerSocket]:
-        """A dispatcher, and idle connections of a client and an engine that were used before."""
+    def idle(self, **more: Any) -> tuple[Steps, PeerSocket, PeerSocket]:
+        """A dispatcher with an idle connection to a client and one to an engine, both used before."""
         steps = Steps(self, **more)
         client = steps.served(1)
         return steps, client, steps.engines[0].peers[0]
 
     def test_on_an_open_connection(self) -> None:
-        steps, client, engine = self.resting()
+        steps, client, engine = self.idle()
         client.post(2, wait=2000)
         stall(steps)
         steps.go()
-        self.assertEqual(wait_told(engine), [2000 - int(STALL) - ANSWER_RETURN_TIME])
+        self.assertEqual(wait_limits_sent(engine), [2000 - int(STALL) - ANSWER_RETURN_TIME])
 
     def test_on_a_connection_in_the_backlog(self) -> None:
-        steps, _, engine = self.resting()
+        steps, _, engine = self.idle()
         steps.client().post(2, wait=2000)
         stall(steps)
         steps.go()
-        self.assertEqual(wait_told(engine), [2000 - int(STALL) - ANSWER_RETURN_TIME])
+        self.assertEqual(wait_limits_sent(engine), [2000 - int(STALL) - ANSWER_RETURN_TIME])
 
     def test_behind_another_in_the_backlog(self) -> None:
         """A round accepts a limited number; connections accepted in the next had also arrived before it."""
-        steps, _, _ = self.resting()
+        steps, _, _ = self.idle()
         for ident in (2, 3, 4):
             steps.client().post(ident, wait=2000)
         steps.service.clients.port.numberAccepts = 1
@@ -72,7 +72,7 @@
         self.assertAlmostEqual(deadlines.pop() - steps.clock(), 2000 - STALL - ANSWER_RETURN_TIME, places=3)
 
     def test_in_a_batch(self) -> None:
-        steps, client, engine = self.resting()
+        steps, client, engine = self.idle()
         rules = steps.service.adapter.rules
         usual = rules.end_batch
 
@@ -85,17 +85,17 @@
         rules.end_batch = slow_batch  # type: ignore[method-assign]
         steps.go(50)
         self.assertEqual(
-            wait_told(engine), [2000 - 10 - int(STALL) - ANSWER_RETURN_TIME]
+            wait_limits_sent(engine), [2000 - 10 - int(STALL) - ANSWER_RETURN_TIME]
         )  # polled 10 ms before it
 
-    def test_what_has_no_time_left_is_shed_at_once(self) -> None:
-        steps, client, engine = self.resting()
+    def test_a_request_without_time_left_is_shed_at_once(self) -> None:
+        steps, client, engine = self.idle()
         client.post(2, wait=600)
         stall(steps)
         steps.go()
-        self.assertEqual((client.status(), wait_told(engine)), (503, []))
+        self.assertEqual((client.status(), wait_limits_sent(engine)), (503, []))
 
-    def test_at_a_closed_door(self) -> None:
+    def test_while_accepting_is_paused(self) -> None:
         """Accepting was paused; a connection that waited in the backlog was read only after that."""
         steps = Steps(self)
         clients = steps.service.clients
@@ -116,8 +116,8 @@
         deadline = steps.service.adapter.by_ident[b"%016x" % 99].deadline  # so accepting went on
         self.assertAlmostEqual(deadline - steps.clock(), 2000 - 500 - ANSWER_RETURN_TIME, places=3)
 
-    def test_in_a_flood_nobody_has_waited_longer_than_the_queue_is_long(self) -> None:
-        """Each round accepts as many as it may, so the queue is never seen empty."""
+    def test_under_constant_load_no_connection_is_dated_back_beyond_the_queue_length(self) -> None:
+        """Each round accepts the most that it may, so the queue is never observed empty."""
         steps = Steps(self)
         watch = AcceptWatch(steps.service.adapter.loop, queue_length=6)
         dated = list[float]()
@@ -133,29 +133,29 @@
         self.assertAlmostEqual(steps.clock() - watch.accepted(2).since, 0.0, places=3)
 
     def test_without_a_stall_the_time_is_that_of_the_reading(self) -> None:
-        steps, client, engine = self.resting()
+        steps, client, engine = self.idle()
         for ident, pause in ((2, 0), (3, 30), (4, 700)):
             steps.go(pause)
             client.post(ident, wait=2000)
             steps.go()
-            self.assertEqual(wait_told(engine), [2000 - ANSWER_RETURN_TIME])
+            self.assertEqual(wait_limits_sent(engine), [2000 - ANSWER_RETURN_TIME])
             engine.say(ident)
             self.assertEqual(steps.until(client.status), 200)
 
-    def test_a_stall_is_over_when_the_sockets_were_polled(self) -> None:
-        steps, client, engine = self.resting()
-        newcomer = steps.client()
+    def test_a_stall_ends_when_the_sockets_are_polled(self) -> None:
+        steps, client, engine = self.idle()
+        new_client = steps.client()
         stall(steps)
         steps.go()
-        for ident, talk in ((2, client), (3, newcomer)):
-            talk.post(ident, wait=2000)
+        for ident, peer in ((2, client), (3, new_client)):
+            peer.post(ident, wait=2000)
             steps.go()
-            self.assertEqual(wait_told(engine), [2000 - ANSWER_RETURN_TIME])
+            self.assertEqual(wait_limits_sent(engine), [2000 - ANSWER_RETURN_TIME])
             engine.say(ident)
-            self.assertEqual(steps.until(talk.status), 200)
+            self.assertEqual(steps.until(peer.status), 200)
 
     def test_gaps_are_counted_and_logged_once_a_second(self) -> None:
-        steps, _, _ = self.resting()
+        steps, _, _ = self.idle()
         for _ in range(3):
             stall(steps, 250)
             steps.go()
@@ -166,7 +166,7 @@
         )
 
 
-class CrowdedQueue:
+class OverloadedQueue:
     """A dispatcher whose accept queue is never empty: each round, as many arrive as are accepted."""
 
     def __init__(self, case: unittest.TestCase) -> None:
@@ -175,15 +175,15 @@
         clients.set_limits(max_connections=40, accepts=ACCEPTS_A_ROUND, memory_mb=64.0)
         self.steps.go()
         self.silent = deque[PeerSocket]()
-        self.come(WAITING_CLIENTS)
+        self.connect(WAITING_CLIENTS)
 
-    def come(self, count: int) -> None:
+    def connect(self, count: int) -> None:
         self.silent.extend(self.steps.client() for _ in range(count))
 
     def go(self, ms: float) -> None:
         """Run rounds of 10 ms; accepted clients disconnect, the oldest first."""
         for _ in range(round(ms / ROUND)):
-            self.come(ACCEPTS_A_ROUND)
+            self.connect(ACCEPTS_A_ROUND)
             self.steps.reactor.now += ROUND / 1000
             self.steps.round()
             while len(self.silent) > WAITING_CLIENTS + ACCEPTS_A_ROUND:
@@ -201,36 +201,36 @@
 class Backlog(unittest.TestCase):
     """Connections wait in the accept queue, which is first in, first out."""
 
-    def test_in_a_crowd_a_call_counts_from_no_earlier_than_the_queue_before_it(self) -> None:
-        crowd = CrowdedQueue(self)
-        crowd.go(LONG_CROWD)
-        sent_at = crowd.post(1, wait=2000)
-        crowd.go(100)
-        left_when_sent = crowd.deadline(1) + ANSWER_RETURN_TIME - sent_at
+    def test_under_overload_a_request_is_dated_back_no_further_than_the_queue_ahead_of_it(self) -> None:
+        overload = OverloadedQueue(self)
+        overload.go(LONG_OVERLOAD)
+        sent_at = overload.post(1, wait=2000)
+        overload.go(100)
+        left_when_sent = overload.deadline(1) + ANSWER_RETURN_TIME - sent_at
         self.assertLessEqual(left_when_sent, 2000)
         self.assertGreaterEqual(left_when_sent, 2000 - 2 * ROUND)
 
-    def test_in_a_crowd_a_call_that_waited_long_counts_from_then(self) -> None:
-        crowd = CrowdedQueue(self)
-        crowd.go(LONG_CROWD)
-        sent_at = crowd.post(1, wait=2000)
-        crowd.come(100)
-        crowd.steps.reactor.now += 0.09  # below the gap from which arrival times are dated back
-        crowd.go(200)
-        left_when_sent = crowd.deadline(1) + ANSWER_RETURN_TIME - sent_at
+    def test_under_overload_a_request_that_waited_long_counts_from_its_arrival(self) -> None:
+        overload = OverloadedQueue(self)
+        overload.go(LONG_OVERLOAD)
+        sent_at = overload.post(1, wait=2000)
+        overload.connect(100)
+        overload.steps.reactor.now += 0.09  # below the poll gap from which arrival times are dated back
+        overload.go(200)
+        left_when_sent = overload.deadline(1) + ANSWER_RETURN_TIME - sent_at
         self.assertLessEqual(left_when_sent, 2000)
         self.assertGreaterEqual(left_when_sent, 2000 - 2 * ROUND)
 
-    def test_where_the_system_does_not_count_a_full_queue_is_assumed(self) -> None:
-        crowd = CrowdedQueue(self)
-        crowd.steps.service.clients.accepting.waiting = lambda: None
-        began = crowd.steps.clock()
-        crowd.go(LONG_CROWD)
-        crowd.post(1, wait=3000)
-        crowd.go(100)
-        self.assertAlmostEqual(crowd.deadline(1), began + ROUND + 3000 - ANSWER_RETURN_TIME, places=3)
+    def test_a_full_queue_is_assumed_where_the_system_reports_no_count(self) -> None:
+        overload = OverloadedQueue(self)
+        overload.steps.service.clients.accepting.waiting = lambda: None
+        began = overload.steps.clock()
+        overload.go(LONG_OVERLOAD)
+        overload.post(1, wait=3000)
+        overload.go(100)
+        self.assertAlmostEqual(overload.deadline(1), began + ROUND + 3000 - ANSWER_RETURN_TIME, places=3)
 
-    def test_the_first_count_above_0_ends_what_was_assumed_before(self) -> None:
+    def test_the_first_count_above_0_ends_the_assumption(self) -> None:
         steps = Steps(self)
         counts = iter([0, 0, 2, 2, 2, 2, 2, 2])
         watch = AcceptWatch(steps.service.adapter.loop, 1000, lambda: next(counts))
@@ -243,7 +243,7 @@
         self.assertEqual(ages, [0, 10, 20, 30, 40, 30, 30, 30])
         self.assertEqual(kept, [1, 2, 1, 2, 3, 3, 3, 3])
 
-    def test_a_listening_socket_tells_how_many_wait(self) -> None:
+    def test_a_listening_socket_reports_how_many_connections_wait(self) -> None:
         with socket.create_server(("127.0.0.1", 0)) as listener:
             counts = [count_waiting_connections(listener)]
             callers = [socket.create_connection(listener.getsockname()) for _ in range(3)]
@@ -260,7 +260,7 @@
             self.assertIsNone(count_waiting_connections(other))
         self.assertIsNone(count_waiting_connections(None))
 
-    def test_no_connection_is_dated_later_than_the_poll_behind_its_coming(self) -> None:
+    def test_no_connection_is_dated_later_than_the_first_poll_after_its_arrival(self) -> None:
         """Random arrivals, failing accepts and pauses, with the queue length known, unknown or reported as 0.
 
         Connections that arrive between two polls less than 100 ms apart count from the second, as bytes do.
@@ -272,10 +272,10 @@
                     for _ in range(400):
                         model.go_round()
                     self.assertGreater(len(model.accepted), 100)
-                    for came, since, looked in model.accepted:
-                        self.assertLessEqual(since, model.next_poll(came))
+                    for arrived, since, checked in model.accepted:
+                        self.assertLessEqual(since, model.next_poll(arrived))
                         if counts == "true":
-                            self.assertGreaterEqual(since, looked)
+                            self.assertGreaterEqual(since, checked)
 
 
 class QueueModel:
@@ -293,7 +293,7 @@
         self.loop = LoopWatch(lambda: self.now, Counters(), logger("n1", io.StringIO()))
         self.loop.installed = True
         self.watch = AcceptWatch(self.loop, self.MOST, self.count_waiting)
-        self.queue, self.looks = deque[float](), [0.0]
+        self.queue, self.checks = deque[float](), [0.0]
         self.accepted = list[tuple[float, float, float]]()
         self.polls = list[float]()
         self.paused = 0  # rounds
@@ -301,12 +301,12 @@
 
     def count_waiting(self) -> int | None:
         if self.queue and self.counts == "true":
-            self.looks.append(self.now)
+            self.checks.append(self.now)
         return {"true": len(self.queue), "none": None, "zero": 0}[self.counts]
 
-    def next_poll(self, came: float) -> float:
+    def next_poll(self, arrived: float) -> float:
         """The first poll after a connection arrived, whether or not the listener was watched then."""
-        found = bisect_left(self.polls, came)
+        found = bisect_left(self.polls, arrived)
         return self.polls[found] if found < len(self.polls) else self.now
 
     def pass_time(self, most: float, arrivals: int) -> None:
@@ -343,13 +343,13 @@
             self.paused = self.choice.randrange(1, 10)
 
     def accept(self, most: int) -> None:
-        came = self.queue.popleft()
-        looked = max(at for at in self.looks if at < came)
-        self.accepted.append((came, self.watch.accepted(most).since, looked))
+        arrived = self.queue.popleft()
+        checked = max(at for at in self.checks if at < arrived)
+        self.accepted.append((arrived, self.watch.accepted(most).since, checked))
 
 
-class HeldBack(unittest.TestCase):
-    """Ordered requests of one key may have waited at their client for earlier ones."""
+class OrderedRequests(unittest.TestCase):
+    """Ordered requests of one key: the client may have held one back until the earlier ones were answered."""
 
     GRADES: ClassVar = [
         {"name": "entry", "aim": 3000, "deadline": 20000, "effect": "once", "serial_by_key": True},
@@ -369,20 +369,20 @@
         deadline = self.world.service.adapter.by_ident[b"%016x" % self.count].deadline
         return round(deadline - self.world.now() + ANSWER_RETURN_TIME)
 
-    def test_a_run_counts_from_its_first(self) -> None:
+    def test_requests_in_a_series_count_from_the_first(self) -> None:
         left = list[float]()
         for pause in (0, 250, 60, 290):
             self.world.go(pause)
             left.append(self.time_left("entry", "k1"))
         self.assertEqual(left, [5000, 4750, 4690, 4400])
 
-    def test_a_fifth_of_the_wait_at_most(self) -> None:
+    def test_at_most_a_fifth_of_the_wait_is_deducted(self) -> None:
         for _ in range(9):
             least = self.time_left("entry", "k1")
             self.world.go(250)
         self.assertEqual(least, 4000)
 
-    def test_other_keys_other_workloads_and_later_ones_are_let_be(self) -> None:
+    def test_nothing_is_deducted_for_other_keys_other_workloads_and_later_requests(self) -> None:
         left = [self.time_left("entry", "k1")]
         self.world.go(100)
         left += [self.time_left("entry", "k2"), self.time_left("load", "k1"), self.time_left("entry", "")]
@@ -398,7 +398,7 @@
             left.append(self.time_left("entry", "k1"))
         self.assertEqual(left, [5000, 5000])
 
-    def test_runs_are_bounded_and_forgotten(self) -> None:
+    def test_tracked_series_are_bounded_and_expire(self) -> None:
         ordered = self.world.service.adapter.ordered
         for key in range(1, 5000):
             ordered.hold_time(key, 0.0, 5000.0)
@@ -425,7 +425,7 @@
         self.assertEqual((delivered, world.count("turns") - batches), (list(range(300)), 3))
 
     def test_queued_requests_with_keys_are_not_checked_one_by_one(self) -> None:
-        """One without an engine represents its workload; one behind another of its key is not checked."""
+        """One without an engine represents its workload; one that follows another of its key is skipped."""
         grades = [{"name": "load", "aim": 3000, "deadline": 20000, "effect": "once", "serial_by_key": True}]
         world = World(self, limits={"sockets": 1024}, settings=settings() | {"grades": grades})
         rules, weighed = world.service.adapter.rules, list[int]()
