--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -87,7 +87,7 @@
     """An in-memory transport: what was written, and whether it was closed or aborted."""
 
     aborted = full = ended = no_delay = False  # full: the peer does not read
-    room = 0  # bytes that the system still accepts while the peer does not read
+    writable_bytes = 0  # bytes that the system still accepts while the peer does not read
     unread = b""  # bytes that have arrived and were not read
     owner: Any = None
 
@@ -120,15 +120,15 @@
         return data
 
     def send(self, data: bytes) -> int:
-        if self.full and not self.room:
+        if self.full and not self.writable_bytes:
             raise BlockingIOError
         if self.full:
-            data, self.room = data[: self.room], max(0, self.room - len(data))
+            data, self.writable_bytes = data[: self.writable_bytes], max(0, self.writable_bytes - len(data))
         self.write(data)
         return len(data)
 
     def startWriting(self) -> None:
-        """See FileDescriptor: a pull producer is asked for more once the system accepts bytes."""
+        """See FileDescriptor: a pull producer is resumed once the system accepts bytes."""
         self.drained()
 
     def setTcpNoDelay(self, on: bool) -> None:
@@ -192,8 +192,8 @@
         self.open = False
 
 
-class Side:
-    """The peer of the dispatcher on one connection."""
+class ConnectionEnd:
+    """The dispatcher's peer on one connection."""
 
     world: "World"
     protocol: Any
@@ -207,10 +207,10 @@
         self.world.go()
 
 
-class Caller(Side):
+class Caller(ConnectionEnd):
     """A client on one connection."""
 
-    say, leave = Side.raw, Side.lose
+    say, leave = ConnectionEnd.raw, ConnectionEnd.lose
 
     def __init__(self, world: "World") -> None:
         self.world, self.pipe = world, Pipe()
@@ -242,7 +242,7 @@
         return found
 
 
-class Peer(Side):
+class Peer(ConnectionEnd):
     """An engine's side of one connection."""
 
     def __init__(self, world: "World", place: int) -> None:
@@ -252,12 +252,14 @@
         self.parser = ArrayParser()
 
     def up(self) -> "Peer":
+        """Let the dial succeed."""
         self.protocol = self.factory.buildProtocol(None)
         self.protocol.makeConnection(self.pipe)
         self.world.go()
         return self
 
     def refuse(self, error: type[Exception] = ConnectionRefusedError) -> None:
+        """Fail the dial with this error."""
         self.factory.clientConnectionFailed(None, Failure(error()))
         self.world.go()
 
@@ -286,6 +288,8 @@
 
 
 class World:
+    """A dispatcher, and the name service that it queries; `Caller` and `Peer` add clients and engines."""
+
     def __init__(
         self,
         case: unittest.TestCase,
@@ -295,12 +299,12 @@
     ) -> None:
         self.case, self.done = case, list[float]()
         self.reactor: Any = Reactor(self)
-        self.names, self.asked = list[bytes](), list[object]()
+        self.names, self.query_targets = list[bytes](), list[object]()
         self.names_silent = False
         self.log = io.StringIO()
-        told = read_configuration(json.dumps(configuration(engines, **more)))
+        loaded = read_configuration(json.dumps(configuration(engines, **more)))
         self.service = Service(
-            told, self.reactor, self.now, logger("n1", self.log), lambda: self.done.append(self.now())
+            loaded, self.reactor, self.now, logger("n1", self.log), lambda: self.done.append(self.now())
         )
         if before is not None:
             before(self.service, self)
@@ -330,7 +334,7 @@
     def count(self, name: str) -> int:
         return self.service.counters.sums[name]
 
-    # The name service's side.
+    # The name service, played by the world.
 
     def getHandle(self) -> "World":
         """The socket of the transport to the name service."""
@@ -338,14 +342,14 @@
 
     def write(self, datagram: bytes, address: object) -> None:
         self.names.append(datagram)
-        self.asked.append(address)
+        self.query_targets.append(address)
         if not self.names_silent and self.service.names.on_unchanged is None:
             self.reactor.callLater(0, self.confirm, datagram, address)
 
-    def confirm(self, question: bytes, source: Any) -> None:
+    def confirm(self, query: bytes, source: Any) -> None:
         """Answer that the list is unchanged."""
         service = self.service.names
-        service.datagramReceived(names.answer(question, service.number, *listed_records(service)), source)
+        service.datagramReceived(names.answer(query, service.number, *listed_records(service)), source)
 
     sendto = write  # the method of the socket, which is its own handle
 
@@ -358,8 +362,8 @@
     ) -> None:
         """Answer the next query as the name service."""
         self.names_silent, silent = True, self.names_silent
-        asked = len(self.names)
-        while len(self.names) == asked:
+        queries = len(self.names)
+        while len(self.names) == queries:
             self.go(5)
         self.answer(serial, *endpoints, source=source, **more)
         self.names_silent = silent
--- a/tests/steps.py
+++ b/tests/steps.py
@@ -1,7 +1,7 @@
 """A dispatcher on real sockets, whose event loop the test runs round by round.
 
-Between two rounds a test can make anything happen. The clock moves only where the test moves it; loopback
-delivers before `send` returns.
+A test can cause any event between two rounds. The clock moves only where the test moves it; the loopback
+interface delivers before `send` returns.
 """
 
 import io
@@ -24,7 +24,7 @@
 
 HOST, LEAST_BUFFER = Network.of_this_process().host(63, 1), 4096
 ROW = b"a\t1\tx\n"
-# ms within which the next query to the name service leaves; and ms of each step while waiting for it.
+# Both in ms: how soon the next query to the name service is sent, and the step while waiting for it.
 QUERY_WITHIN, STEP = 500, 10
 
 
@@ -89,9 +89,9 @@
             commands.append([bytes(part).decode() for part in parts])
         return commands
 
-    def say(self, ident: int, word: str = "200", fields: str = "parts=1", body: bytes = ROW) -> None:
+    def say(self, ident: int, status: str = "200", fields: str = "parts=1", body: bytes = ROW) -> None:
         """Answer an attempt, as an engine."""
-        self.socket.sendall(command(f"{ident:016x}".encode(), word.encode(), fields.encode(), body))
+        self.socket.sendall(command(f"{ident:016x}".encode(), status.encode(), fields.encode(), body))
 
     def post(self, ident: int, workload: str = "lookup", wait: int = 5000, body: bytes = b"S") -> None:
         """Send a request, as a client."""
@@ -112,7 +112,7 @@
 
 
 class Steps:
-    """A dispatcher's whole service, with engines, clients and a name service that the test plays."""
+    """A dispatcher's whole service, whose engines, clients and name service the test simulates."""
 
     def __init__(self, case: unittest.TestCase, engines: int = 1, small: bool = False, **more: Any) -> None:
         self.reactor: Any = ManualReactor()
@@ -193,7 +193,7 @@
             if found := condition():
                 return found
             self.round()
-        self.case.fail("the condition did not come true")
+        self.case.fail("the condition did not become true")
 
     def client(self) -> PeerSocket:
         """A new connection to the dispatcher."""
@@ -211,7 +211,7 @@
         return client
 
     def next_query(self) -> tuple[bytes, Any]:
-        """The next query to the name service and its source; queries that came before stay unanswered."""
+        """The next query to the name service and its source; earlier queries stay unanswered."""
         with suppress(BlockingIOError):
             while True:
                 self.names.recvfrom(9000)
--- a/tests/test_gone_clients.py
+++ b/tests/test_gone_clients.py
@@ -410,7 +410,7 @@
         caller = Caller(world)
         caller.post(LOOKUP)
         peer = world.peer()
-        peer.pipe.full, peer.pipe.room = True, 1
+        peer.pipe.full, peer.pipe.writable_bytes = True, 1
         peer.up()
         caller.leave()
         return world, peer
@@ -460,7 +460,7 @@
         kept, caller = Caller(world), Caller(world)
         kept.post(OTHER)
         peer = world.peer().up()
-        peer.pipe.full, peer.pipe.room = True, 1
+        peer.pipe.full, peer.pipe.writable_bytes = True, 1
         caller.post(LOOKUP)
         caller.leave()
         world.go(120)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -71,7 +71,7 @@
             [value for _, _, value in caller.answers()], [{"result": [["a", "1", "x"]]}, {"result": []}]
         )
 
-    def test_what_proves_that_nothing_ran(self) -> None:
+    def test_a_non_idempotent_request_is_retried_only_where_nothing_ran(self) -> None:
         """A non-idempotent request is retried after a failed dial, 503 or 504; anything else fails it."""
         for proof in ("refused", "not up", "503", "504"):
             with self.subTest(proof):
@@ -86,7 +86,7 @@
                 else:
                     peer.up().say(1, proof)
                 self.assertEqual(world.peer(1).up().received()[0][:2], ["serve", f"{1:016x}"])
-        for doubt in (
+        for outcome in (
             "500",
             "reset",
             "page lost",
@@ -97,24 +97,24 @@
             "an unasked page",
             "a changed end",
         ):
-            with self.subTest(doubt):
+            with self.subTest(outcome):
                 world = World(self, engines=2)
                 caller = Caller(world)
                 caller.post(1, "load")
                 peer = world.peer().up()
-                if doubt in ("page lost", "reset after page 0"):
+                if outcome in ("page lost", "reset after page 0"):
                     peer.say(1, "200", "parts=2", ROW)
-                if doubt in ("500", "page lost"):
+                if outcome in ("500", "page lost"):
                     peer.say(1, "500")
-                elif doubt == "no array":
+                elif outcome == "no array":
                     peer.raw(b"HTTP/1.1 200 OK\r\n")
-                elif doubt == "bad fields":
+                elif outcome == "bad fields":
                     peer.say(1, "200", "parts")
-                elif doubt == "bad rows":
+                elif outcome == "bad rows":
                     peer.say(1, "200", "parts=1", b"a\tb\n")
-                elif doubt == "an unasked page":
+                elif outcome == "an unasked page":
                     peer.say(1, "chunk", "part_no=1", ROW)
-                elif doubt == "a changed end":
+                elif outcome == "a changed end":
                     peer.say(1, "777")
                 else:
                     peer.lose()
@@ -131,7 +131,7 @@
         world.peer(1).up().say(1, "200", "parts=1", ROW)
         self.assertEqual(self.outcome(caller), (200, [["a", "1", "x"]]))
 
-    def test_silence_ends_before_the_clients_time(self) -> None:
+    def test_a_silent_engine_times_out_before_the_client_does(self) -> None:
         for workload, wanted in (("lookup", SHED), ("load", BROKEN)):
             with self.subTest(workload):
                 world = World(self)
@@ -164,7 +164,7 @@
         other.say(b"DELETE /ops/lookup/%016x HTTP/1.1\r\n\r\n" % 2)
         self.assertEqual((other.answers()[0][0], world.count("withdrawn")), (404, 2))
 
-    def test_a_client_that_leaves_before_its_batch_costs_nothing(self) -> None:
+    def test_a_client_that_leaves_before_its_batch_uses_no_engine(self) -> None:
         world = World(self)
         kept, caller = Caller(world), Caller(world)
         kept.post(1)
@@ -176,7 +176,7 @@
         self.assertEqual(len(peer.received()), 1)
         self.assertEqual((list(adapter.open_requests), adapter.rules.engines[0].in_flight_threads), ([0], 1))
 
-    def test_bad_messages_cost_their_connection_only(self) -> None:
+    def test_bad_messages_close_only_their_own_connection(self) -> None:
         world = World(self)
         good = Caller(world)
         good.post(1)
@@ -216,10 +216,10 @@
     def test_slow_endless_and_silent_clients_are_disconnected(self) -> None:
         """Each gets an error or is closed within three seconds of its last byte, unless it sent a request."""
         world = World(self)
-        half, slow, silent, asked, served, unread, ahead = (Caller(world) for _ in range(7))
+        half, slow, silent, answered, served, unread, ahead = (Caller(world) for _ in range(7))
         half.say(b"POST /ops/lookup HTT")
         slow.say(b"POST /ops/lookup HTT")
-        asked.say(b"GET /alive HTTP/1.1\r\n\r\n")
+        answered.say(b"GET /alive HTTP/1.1\r\n\r\n")
         served.post(2)
         world.peer().up().say(2, "200", "parts=1", ROW)
         unread.protocol.pauseProducing()
@@ -233,7 +233,7 @@
         slow.say(b"P")
         world.go(1000)
         self.assertEqual([status for status, _, _ in half.answers()], [408])
-        self.assertTrue(all(caller.pipe.disconnecting for caller in (half, silent, asked)))
+        self.assertTrue(all(caller.pipe.disconnecting for caller in (half, silent, answered)))
         self.assertFalse(served.pipe.disconnecting or slow.pipe.disconnecting)
         world.go(1500)
         self.assertEqual([status for status, _, _ in slow.answers()], [408])
@@ -288,7 +288,7 @@
         world.go(21_000)
         self.assertTrue(all(peer.pipe.disconnecting for peer in peers))  # idle for half of the engines' time
 
-    def test_what_comes_twice_or_under_another_id_is_dropped(self) -> None:
+    def test_answers_that_arrive_twice_or_under_another_id_are_dropped(self) -> None:
         world = World(self)
         caller = Caller(world)
         caller.post(1)
@@ -315,7 +315,7 @@
         world.peer(1).up().say(1, "200", "parts=1", ROW)
         self.assertEqual((self.outcome(caller)[0], peer.pipe.aborted), (200, True))
 
-    def test_nothing_is_kept_of_an_engine_that_is_gone(self) -> None:
+    def test_the_state_of_an_engine_that_is_gone_is_deleted(self) -> None:
         world = World(self, engines=2)
         for serial in range(2, 12):
             caller = Caller(world)
@@ -353,7 +353,7 @@
         self.assertEqual(left, [])
 
     def test_a_silent_connection_gets_no_further_attempts(self) -> None:
-        """The machine is unreachable: the next attempt dials; its connect timeout proves that nothing ran."""
+        """The engine may be unreachable: the next attempt dials, and its timeout proves that nothing ran."""
         world = World(self)
         Caller(world).post(1, wait=1000)
         peer = world.peer().up()
@@ -367,7 +367,7 @@
         world.go(1000)
         self.assertEqual(self.outcome(load), SHED)
 
-    def test_an_overdue_answer_is_given_without_the_rules(self) -> None:
+    def test_an_overdue_request_is_answered_without_the_rules(self) -> None:
         world = World(self)
         adapter, faults = world.service.adapter, list[str]()
 
@@ -401,7 +401,7 @@
         peer.say(3, "200", "parts=1,stats=rif:nan;q:0")
         self.assertEqual((adapter.rules.fleet_in_flight, peer.pipe.aborted), (10.0, True))
 
-    def test_a_late_start_of_a_call_has_its_own_time(self) -> None:
+    def test_the_time_to_read_a_request_counts_from_its_first_byte(self) -> None:
         world = World(self)
         caller = Caller(world)
         world.go(1_800)
@@ -450,7 +450,7 @@
         world.list(9, ("s-1.east.hosts", "127.0.9.1:7001", 0, "cell=0"))
         self.assertEqual((world.count("names_bad"), set(world.service.adapter.endpoints)), (2, {"s-5"}))
 
-    def test_nothing_dialled_for_is_sent_after_a_drain(self) -> None:
+    def test_an_attempt_whose_connection_was_dialled_is_not_sent_after_a_drain(self) -> None:
         world = World(self)
         caller = Caller(world)
         caller.post(1, "load")
@@ -480,7 +480,7 @@
         world.go(100)
         self.assertTrue(BASE + 3300 <= world.done[0] <= BASE + 3600)
 
-    def test_an_idle_dispatcher_stops_once_no_client_can_come(self) -> None:
+    def test_an_idle_dispatcher_stops_once_no_client_can_connect(self) -> None:
         world = World(self)
         world.service.stop()
         world.go(800)
@@ -489,13 +489,13 @@
         self.assertEqual(len(world.done), 1)
         self.assertIn("event=counters", world.log.getvalue())
 
-    def test_a_new_configuration_moves_the_name_service_and_goes_on(self) -> None:
+    def test_a_new_configuration_switches_the_name_service_and_keeps_requests(self) -> None:
         world = World(self)
         caller = Caller(world)
         caller.post(1)
-        told = read_configuration(json.dumps(configuration(1, nameserver="127.0.8.10:5301")))
-        world.service.reload_configuration(lambda: told)
-        self.assertEqual(world.asked[-1], ("127.0.8.10", 5301))
+        loaded = read_configuration(json.dumps(configuration(1, nameserver="127.0.8.10:5301")))
+        world.service.reload_configuration(lambda: loaded)
+        self.assertEqual(world.query_targets[-1], ("127.0.8.10", 5301))
         endpoint = ("s-1.east.hosts", "127.0.9.1:7001", 0, "kind=std cell=0 started=0")
         world.list(2, endpoint)  # from the old name service: ignored
         self.assertEqual(set(world.service.adapter.endpoints), {"s-0"})
