--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Soaks: real dispatchers under seeded random faults, judged from outside by what clients and engines saw."""
+"""Soak tests: real dispatchers under seeded fault injection, checked by what clients and engines observed."""
--- a/tests/soak/engine_troubles.py
+++ b/tests/soak/engine_troubles.py
@@ -1,4 +1,4 @@
-"""Troubles of engines: they drain and go, hang, or reset their connections."""
+"""Fault injection for engines: they drain and leave, hang, or reset their connections."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 if TYPE_CHECKING:
     from tests.soak.soak import Soak
 
-LEAST_READY = 2
+MIN_READY = 2
 
 
-async def drain(soak: Soak, chance: random.Random) -> None:
-    """An engine drains, then is gone; another comes."""
+async def drain(soak: Soak, rng: random.Random) -> None:
+    """An engine drains, then leaves the list; another joins."""
     ready = [endpoint for endpoint in soak.names.endpoints if not endpoint.draining]
-    if len(ready) <= LEAST_READY:
+    if len(ready) <= MIN_READY:
         return
-    chosen = chance.choice(ready)
-    if chance.random() < 0.7:
+    chosen = rng.choice(ready)
+    if rng.random() < 0.7:
         soak.names.change(
             [
                 endpoint._replace(draining=endpoint.draining or endpoint is chosen)
@@ -27,22 +27,22 @@
             ],
             chosen.ident,
         )
-        await asyncio.sleep(chance.uniform(0.5, 3.0))
+        await asyncio.sleep(rng.uniform(0.5, 3.0))
     soak.names.change(
         [endpoint for endpoint in soak.names.endpoints if endpoint.ident != chosen.ident], chosen.ident
     )
-    await asyncio.sleep(chance.uniform(1.0, 3.0))
-    if chance.random() < 0.5:
+    await asyncio.sleep(rng.uniform(1.0, 3.0))
+    if rng.random() < 0.5:
         soak.engines[chosen.ident].stop()
     await soak.add_engine()
 
 
-async def hang(soak: Soak, chance: random.Random) -> None:
-    """Engines answer nothing for a while."""
-    for engine in chance.sample(list(soak.engines.values()), chance.randint(1, 2)):
-        engine.hung_until = monotonic() + chance.uniform(0.2, 2.0)
+async def hang(soak: Soak, rng: random.Random) -> None:
+    """One or two engines answer nothing for a while."""
+    for engine in rng.sample(list(soak.engines.values()), rng.randint(1, 2)):
+        engine.hung_until = monotonic() + rng.uniform(0.2, 2.0)
 
 
-async def reset(soak: Soak, chance: random.Random) -> None:
+async def reset(soak: Soak, rng: random.Random) -> None:
     """An engine resets its connections."""
-    chance.choice(list(soak.engines.values())).reset()
+    rng.choice(list(soak.engines.values())).reset()
--- a/tests/soak/keeping.py
+++ b/tests/soak/keeping.py
@@ -1,4 +1,4 @@
-"""What is kept of a soak that breaks a rule: the breaks, all records in the order of time, and the logs."""
+"""Saves a soak run that violates a rule: the violations, all records in the order of time, and the logs."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 from tests.soak.soak import Soak
 
 
-def keep(folder: Path, soak: Soak, breaks: list[str]) -> None:
-    """Write logs, breaks, requests and attempts of a run."""
+def save_records(folder: Path, soak: Soak, violations: list[str]) -> None:
+    """Write logs, violations, requests and attempts of a run."""
     folder.mkdir(parents=True, exist_ok=True)
-    (folder / "breaks.txt").write_text("\n".join(breaks) + "\n")
+    (folder / "breaks.txt").write_text("\n".join(violations) + "\n")
     for each in soak.dispatchers:
         (folder / f"n{each.number}.log").write_bytes((each.folder / "log").read_bytes())
     lines = [
@@ -25,7 +25,7 @@
         for attempt in soak.records.attempts
     ]
     lines += [
-        f"{change.at:.3f} drained {change.engine} told={change.told}" for change in soak.records.changes
+        f"{change.at:.3f} drained {change.engine} told={change.informed}" for change in soak.records.changes
     ]
     lines += [
         f"{at:.3f} killed n{number} planned={planned}"
@@ -35,5 +35,5 @@
     lines += [f"{at:.3f} {text}" for at, text in soak.records.notes]
     lines += [str(datagram) for datagram in soak.records.datagrams]
     (folder / "records.txt").write_text("\n".join(sorted(lines)) + "\n")
-    told = [json.dumps(asdict(datagram)) for datagram in soak.records.datagrams]
-    (folder / "datagrams.jsonl").write_text("\n".join(told) + "\n")
+    datagrams = [json.dumps(asdict(datagram)) for datagram in soak.records.datagrams]
+    (folder / "datagrams.jsonl").write_text("\n".join(datagrams) + "\n")
--- a/tests/soak/name_service.py
+++ b/tests/soak/name_service.py
@@ -1,7 +1,7 @@
-"""The name service of a soak, whose answers are sent late, lost, spoilt or old, to all dispatchers or some.
+"""A soak's stand-in name service; its answers may be late, lost, corrupt or old, for some dispatchers or all.
 
-A change counts as told to a dispatcher when an answer that holds it is sent there, whatever becomes of that
-answer on its way. An answer with an older list tells what that list holds, and nothing newer.
+A dispatcher counts as informed of a change once an answer that holds it was sent there, whether or not that
+answer arrives. An answer with an older list informs of what that list holds, and of nothing newer.
 """
 
 from __future__ import annotations
@@ -17,27 +17,27 @@
 from spurdeal.lab import names
 from tests.soak.judge import Change, Datagram, Outage, Records
 
-SERVFAIL = 0x8182  # the flags of an answer
-WRONG_ID = 0x55  # what the low byte of the id is changed by (xor)
-OLDEST = 3  # versions that an old answer lies behind
+SERVFAIL = 0x8182  # flags of a SERVFAIL answer
+WRONG_ID = 0x55  # XORed into the low byte of the id
+MAX_VERSIONS_BEHIND = 3  # by which the list of an old answer is older
 
 
 @dataclass(frozen=True, eq=False)
 class Condition:
-    """What happens to questions and answers for a while; figures without a unit are shares.
+    """Faults of queries and answers for a period; figures without a unit are shares.
 
     Attributes:
-        silent: No question is answered.
-        questions_lost: Questions that do not arrive.
+        silent: No query is answered.
+        questions_lost: Queries that do not arrive.
         lost: Answers that are sent and do not arrive.
         servfail: Answers with the flags of SERVFAIL.
-        cut: Answers of which only the first part arrives.
-        wrong_id: Answers under the id of another question.
+        cut: Truncated answers.
+        wrong_id: Answers with the id of another query.
         old: Answers with an older list.
-        held: Seconds until an answer is sent.
-        way: Seconds that an answer is on its way, from and to.
-        lag: Seconds at most between a change and the first answer that holds it.
-        dispatchers: Whom it concerns; None: all of them.
+        held: Seconds before an answer is sent.
+        way: Network delay of an answer in seconds, minimum and maximum.
+        lag: Maximum seconds between a change and the first answer that holds it.
+        dispatchers: The dispatchers affected; None: all.
     """
 
     silent: bool = False
@@ -53,29 +53,29 @@
     dispatchers: frozenset[int] | None = None
 
     def __str__(self) -> str:
-        """What differs from a network and a name service without a fault."""
-        told = {each.name: getattr(self, each.name) for each in fields(self)}
-        told = {name: value for name, value in told.items() if value != getattr(Condition, name)}
-        return ", ".join(f"{name}={value}" for name, value in told.items())
+        """The fields that differ from a condition without faults."""
+        changed = {each.name: getattr(self, each.name) for each in fields(self)}
+        changed = {name: value for name, value in changed.items() if value != getattr(Condition, name)}
+        return ", ".join(f"{name}={value}" for name, value in changed.items())
 
-    def concerns(self, dispatcher: int) -> bool:
-        """Whether questions of this dispatcher fall under it."""
+    def applies_to(self, dispatcher: int) -> bool:
+        """Whether it affects this dispatcher's queries."""
         return self.dispatchers is None or dispatcher in self.dispatchers
 
 
 class Version(NamedTuple):
-    """One list, and from when on the answers to each dispatcher hold it."""
+    """One list, and from when on each dispatcher's answers hold it."""
 
     number: int
     endpoints: list[names.Endpoint]
-    shown: dict[int, float]
+    visible_from: dict[int, float]
 
 
-class Asked(NamedTuple):
-    """One question that has arrived."""
+class Query(NamedTuple):
+    """One query that has arrived."""
 
-    question: bytes
-    asker: tuple[str, int]
+    datagram: bytes
+    source: tuple[str, int]
     dispatcher: int
     start: int
     transport: Any
@@ -83,7 +83,7 @@
     @property
     def ident(self) -> int:
         """Its id."""
-        return int.from_bytes(self.question[:2], "big")
+        return int.from_bytes(self.datagram[:2], "big")
 
 
 class NamesPort(asyncio.DatagramProtocol):
@@ -98,16 +98,16 @@
         """See DatagramProtocol."""
         self.transport = transport
 
-    def datagram_received(self, question: bytes, asker: tuple[str, int]) -> None:
-        """A question."""
-        self.service.asked(question, asker, self.transport)
+    def datagram_received(self, datagram: bytes, source: tuple[str, int]) -> None:
+        """See DatagramProtocol."""
+        self.service.query_received(datagram, source, self.transport)
 
 
 class NameService:
-    """Answers each question with the whole list, under the conditions that hold at that time."""
+    """Answers each query with the whole list, under the conditions that are active then."""
 
-    def __init__(self, records: Records, dispatchers: dict[str, int], chance: random.Random) -> None:
-        self.records, self.dispatchers, self.chance = records, dispatchers, chance
+    def __init__(self, records: Records, dispatchers: dict[str, int], rng: random.Random) -> None:
+        self.records, self.dispatchers, self.rng = records, dispatchers, rng
         self.versions = [Version(1, [], dict.fromkeys(dispatchers.values(), 0.0))]
         self.conditions: list[Condition] = []
         self.starts = dict.fromkeys(dispatchers.values(), 0)
@@ -123,29 +123,29 @@
         """The number of the newest list."""
         return self.versions[-1].number
 
-    def started(self, dispatcher: int) -> None:
-        """A dispatcher starts, with the list as it stands: what its predecessor was told is no matter."""
+    def dispatcher_started(self, dispatcher: int) -> None:
+        """A dispatcher starts with the current list; what its previous process knew no longer counts."""
         self.starts[dispatcher] += 1
         self.known_at_start[dispatcher] = self.number
 
     def change(self, endpoints: list[names.Endpoint], ended: str | None = None) -> None:
-        """A newer list, in which that engine drains or is gone."""
-        shown = {
-            dispatcher: max(before, monotonic() + self.lag(dispatcher))
-            for dispatcher, before in self.versions[-1].shown.items()
+        """Publish a newer list, in which the engine `ended` drains or is gone."""
+        visible_from = {
+            dispatcher: max(before, monotonic() + self.random_lag(dispatcher))
+            for dispatcher, before in self.versions[-1].visible_from.items()
         }
-        self.versions.append(Version(self.number + 1, endpoints, shown))
+        self.versions.append(Version(self.number + 1, endpoints, visible_from))
         if ended is not None and not any(change.engine == ended for change in self.records.changes):
             self.records.changes.append(Change(monotonic(), ended, self.number, {}))
 
-    def lag(self, dispatcher: int) -> float:
-        """How long the answers to a dispatcher do not hold the change of this moment."""
-        most = max((each.lag for each in self.concerning(dispatcher)), default=0.0)
-        return self.chance.uniform(0.0, most) if most else 0.0
+    def random_lag(self, dispatcher: int) -> float:
+        """Seconds until a dispatcher's answers hold a change that is made now."""
+        most = max((each.lag for each in self.conditions_for(dispatcher)), default=0.0)
+        return self.rng.uniform(0.0, most) if most else 0.0
 
     @contextmanager
-    def under(self, condition: Condition) -> Iterator[None]:
-        """A condition holds until the block ends, beside those that hold already."""
+    def active(self, condition: Condition) -> Iterator[None]:
+        """Activate a condition until the block ends, in addition to those already active."""
         began = monotonic()
         self.conditions.append(condition)
         try:
@@ -155,94 +155,96 @@
             if condition.silent or condition.questions_lost:
                 self.records.outages.append(Outage(began, monotonic(), condition.dispatchers))
 
-    def concerning(self, dispatcher: int) -> list[Condition]:
-        """The conditions that hold for a dispatcher now."""
-        return [each for each in self.conditions if each.concerns(dispatcher)]
+    def conditions_for(self, dispatcher: int) -> list[Condition]:
+        """The conditions that affect a dispatcher now."""
+        return [each for each in self.conditions if each.applies_to(dispatcher)]
 
     def is_silent(self, dispatcher: int) -> bool:
-        """Whether it answers a dispatcher nothing now."""
-        return any(each.silent for each in self.concerning(dispatcher))
-
-    def happens(self, dispatcher: int, fault: str) -> bool:
-        """Whether a fault of that name befalls a datagram now: by the highest share that holds."""
-        share = max((getattr(each, fault) for each in self.concerning(dispatcher)), default=0.0)
-        return bool(share) and self.chance.random() < share
-
-    def asked(self, question: bytes, asker: tuple[str, int], transport: Any) -> None:
-        """A question, at one of its addresses; it may be lost on its way there."""
-        dispatcher = self.dispatchers[asker[0]]
-        asked = Asked(question, asker, dispatcher, self.starts[dispatcher], transport)
+        """Whether it leaves a dispatcher's queries unanswered now."""
+        return any(each.silent for each in self.conditions_for(dispatcher))
+
+    def occurs(self, dispatcher: int, fault: str) -> bool:
+        """Whether this fault hits a datagram now, by the highest active share."""
+        share = max((getattr(each, fault) for each in self.conditions_for(dispatcher)), default=0.0)
+        return bool(share) and self.rng.random() < share
+
+    def query_received(self, datagram: bytes, source: tuple[str, int], transport: Any) -> None:
+        """Handle a query at one of the addresses; the query may be lost instead."""
+        dispatcher = self.dispatchers[source[0]]
+        query = Query(datagram, source, dispatcher, self.starts[dispatcher], transport)
         fault = "silent" if self.is_silent(dispatcher) else ""
-        fault = fault or ("lost" if self.happens(dispatcher, "questions_lost") else "")
-        self.record("question", asked, asked.ident, 0, fault)
+        fault = fault or ("lost" if self.occurs(dispatcher, "questions_lost") else "")
+        self.record("question", query, query.ident, 0, fault)
         if not fault:
-            held = max((each.held for each in self.concerning(dispatcher)), default=0.0)
-            self.after(held, self.send, asked, self.shown(dispatcher))
+            held = max((each.held for each in self.conditions_for(dispatcher)), default=0.0)
+            self.schedule(held, self.send, query, self.visible_version(dispatcher))
 
-    def after(self, seconds: float, call: Any, *given: Any) -> None:
-        """Call it then; at once where there is nothing to wait for."""
+    def schedule(self, seconds: float, call: Any, *given: Any) -> None:
+        """Call after that time; at once if it is 0."""
         if seconds:
             asyncio.get_running_loop().call_later(seconds, call, *given)
         else:
             call(*given)
 
-    def shown(self, dispatcher: int) -> Version:
-        """The list that an answer of this moment holds."""
+    def visible_version(self, dispatcher: int) -> Version:
+        """The list that an answer to a dispatcher holds now."""
         known, now = self.known_at_start[dispatcher], monotonic()
         for version in reversed(self.versions):
-            if version.number <= known or version.shown[dispatcher] <= now:
+            if version.number <= known or version.visible_from[dispatcher] <= now:
                 return version
         return self.versions[0]
 
-    def older(self, dispatcher: int, version: Version) -> Version:
-        """One before that, but not before the start of the dispatcher."""
-        oldest = max(self.known_at_start[dispatcher], version.number - self.chance.randint(1, OLDEST))
+    def older_version(self, dispatcher: int, version: Version) -> Version:
+        """An earlier list, but none from before the dispatcher's start."""
+        oldest = max(
+            self.known_at_start[dispatcher], version.number - self.rng.randint(1, MAX_VERSIONS_BEHIND)
+        )
         return next(each for each in self.versions if each.number >= min(oldest, version.number))
 
-    def send(self, asked: Asked, version: Version) -> None:
-        """An answer leaves, and what it holds counts as told, even if it is lost. Its asker may be gone."""
-        dispatcher = asked.dispatcher
-        if self.is_silent(dispatcher) or asked.start != self.starts[dispatcher]:
+    def send(self, query: Query, version: Version) -> None:
+        """Send an answer, unless the process that queried has ended; a lost answer informs too."""
+        dispatcher = query.dispatcher
+        if self.is_silent(dispatcher) or query.start != self.starts[dispatcher]:
             return
-        if self.happens(dispatcher, "old"):
-            version = self.older(dispatcher, version)
-        self.tell(dispatcher, version.number)
+        if self.occurs(dispatcher, "old"):
+            version = self.older_version(dispatcher, version)
+        self.record_informed(dispatcher, version.number)
         kinds = ("lost", "servfail", "cut", "wrong_id")
-        fault = next((kind for kind in kinds if self.happens(dispatcher, kind)), "")
-        answer = self.spoilt(asked, version, fault)
+        fault = next((kind for kind in kinds if self.occurs(dispatcher, kind)), "")
+        answer = self.encode_answer(query, version, fault)
         ident = int.from_bytes(answer[:2], "big")
-        self.record("answer", asked, ident, version.number, fault)
+        self.record("answer", query, ident, version.number, fault)
         if fault != "lost":
-            ways = [each.way for each in self.concerning(dispatcher) if each.way[1]]
-            way = max((self.chance.uniform(*way) for way in ways), default=0.0)
-            self.after(way, self.arrive, asked, answer, version.number, fault)
+            ways = [each.way for each in self.conditions_for(dispatcher) if each.way[1]]
+            way = max((self.rng.uniform(*way) for way in ways), default=0.0)
+            self.schedule(way, self.deliver, query, answer, version.number, fault)
 
-    def tell(self, dispatcher: int, number: int) -> None:
-        """The changes up to a number are told to a dispatcher now, if they were not before."""
+    def record_informed(self, dispatcher: int, number: int) -> None:
+        """The dispatcher is informed now of all changes up to a number, if it was not before."""
         for change in self.records.changes:
             if change.number <= number:
-                change.told.setdefault(dispatcher, monotonic())
+                change.informed.setdefault(dispatcher, monotonic())
 
-    def spoilt(self, asked: Asked, version: Version, fault: str) -> bytes:
-        """The answer as it leaves; a fault that is none of its bytes changes nothing."""
+    def encode_answer(self, query: Query, version: Version, fault: str) -> bytes:
+        """The answer as it is sent; only faults of its bytes change it."""
         flags = SERVFAIL if fault == "servfail" else 0x8400
         endpoints = (endpoint.record() for endpoint in version.endpoints)
-        answer = names.answer(asked.question, version.number, *endpoints, flags=flags)
+        answer = names.answer(query.datagram, version.number, *endpoints, flags=flags)
         if fault == "cut":
-            return answer[: self.chance.randrange(len(answer) // 4, len(answer))]
+            return answer[: self.rng.randrange(len(answer) // 4, len(answer))]
         if fault == "wrong_id":
             return answer[:1] + bytes([answer[1] ^ WRONG_ID]) + answer[2:]
         return answer
 
-    def arrive(self, asked: Asked, answer: bytes, number: int, fault: str) -> None:
-        """An answer has come through the network."""
-        if asked.start != self.starts[asked.dispatcher] or asked.transport.is_closing():
+    def deliver(self, query: Query, answer: bytes, number: int, fault: str) -> None:
+        """Deliver an answer to the dispatcher."""
+        if query.start != self.starts[query.dispatcher] or query.transport.is_closing():
             return
-        self.record("arrival", asked, int.from_bytes(answer[:2], "big"), number, fault)
-        asked.transport.sendto(answer, asked.asker)
+        self.record("arrival", query, int.from_bytes(answer[:2], "big"), number, fault)
+        query.transport.sendto(answer, query.source)
 
-    def record(self, event: str, asked: Asked, ident: int, number: int, fault: str) -> None:
-        """For those who trace a break."""
+    def record(self, event: str, query: Query, ident: int, number: int, fault: str) -> None:
+        """Record a datagram, to trace violations."""
         newest = self.number
-        told = Datagram(monotonic(), asked.dispatcher, asked.start, event, ident, number, newest, fault)
-        self.records.datagrams.append(told)
+        datagram = Datagram(monotonic(), query.dispatcher, query.start, event, ident, number, newest, fault)
+        self.records.datagrams.append(datagram)
--- a/tests/soak/process_troubles.py
+++ b/tests/soak/process_troubles.py
@@ -1,4 +1,4 @@
-"""Troubles of the dispatchers' processes: new configurations, restarts, kills, crowds of clients."""
+"""Fault injection for dispatcher processes: new configurations, restarts, kills, connection floods."""
 
 from __future__ import annotations
 
@@ -14,57 +14,57 @@
 if TYPE_CHECKING:
     from tests.soak.soak import Soak
 
-CROWD = 90
+FLOOD_CONNECTIONS = 90
 
 
-async def hangups(soak: Soak, chance: random.Random) -> None:
-    """New configurations in a row; discovery may move."""
-    dispatcher = chance.choice(soak.dispatchers)
-    for _ in range(chance.randint(1, 4)):
-        dispatcher.names_port = chance.choice(NAMES_PORTS)
+async def hangups(soak: Soak, rng: random.Random) -> None:
+    """Several new configurations in a row; the name service may move."""
+    dispatcher = rng.choice(soak.dispatchers)
+    for _ in range(rng.randint(1, 4)):
+        dispatcher.names_port = rng.choice(NAMES_PORTS)
         dispatcher.configure()
         dispatcher.signal(signal.SIGHUP)
-        await asyncio.sleep(chance.choice((0.0, 0.01, 0.2)))
+        await asyncio.sleep(rng.choice((0.0, 0.01, 0.2)))
 
 
-async def unreadable(soak: Soak, chance: random.Random) -> None:
-    """A configuration that cannot be opened for a while."""
-    dispatcher = chance.choice(soak.dispatchers)
-    if dispatcher.busy:
+async def unreadable(soak: Soak, rng: random.Random) -> None:
+    """The configuration file cannot be opened for a while."""
+    dispatcher = rng.choice(soak.dispatchers)
+    if dispatcher.unavailable:
         return
-    dispatcher.faults.fail("open", chance.choice((errno.EMFILE, errno.EIO)))
-    await hangups(soak, chance)
-    await asyncio.sleep(chance.uniform(0.1, 2.0))
+    dispatcher.faults.fail("open", rng.choice((errno.EMFILE, errno.EIO)))
+    await hangups(soak, rng)
+    await asyncio.sleep(rng.uniform(0.1, 2.0))
     dispatcher.faults.heal("open")
 
 
-async def restart(soak: Soak, chance: random.Random) -> None:
-    """One dispatcher, or all one behind another, with signals in series."""
-    chosen = soak.up() if chance.random() < 0.2 else soak.up()[:1]
+async def restart(soak: Soak, rng: random.Random) -> None:
+    """Restart one dispatcher, or all in sequence, with further signals during the shutdown."""
+    chosen = soak.up() if rng.random() < 0.2 else soak.up()[:1]
     for dispatcher in chosen:
-        dispatcher.busy = True
+        dispatcher.unavailable = True
     for dispatcher in chosen:
-        if chance.random() < 0.3:
+        if rng.random() < 0.3:
             dispatcher.signal(signal.SIGHUP)
         stopping = asyncio.create_task(dispatcher.stop())
-        await asyncio.sleep(chance.choice((0.0, 0.05, 0.3)))
-        dispatcher.signal(chance.choice((signal.SIGHUP, signal.SIGTERM, 0)))
+        await asyncio.sleep(rng.choice((0.0, 0.05, 0.3)))
+        dispatcher.signal(rng.choice((signal.SIGHUP, signal.SIGTERM, 0)))
         await stopping
-        await asyncio.sleep(chance.uniform(0.0, 0.3))
+        await asyncio.sleep(rng.uniform(0.0, 0.3))
         await dispatcher.start()
 
 
-async def killed(soak: Soak, chance: random.Random) -> None:
-    """One dispatcher, without notice."""
+async def kill_one(soak: Soak, rng: random.Random) -> None:
+    """Kill one dispatcher without notice, and start it again."""
     if up := soak.up():
-        dispatcher = chance.choice(up)
+        dispatcher = rng.choice(up)
         dispatcher.kill(planned=False)
-        await asyncio.sleep(chance.uniform(0.0, 0.5))
+        await asyncio.sleep(rng.uniform(0.0, 0.5))
         await dispatcher.start()
 
 
-async def all_killed(soak: Soak, chance: random.Random) -> None:
-    """All at once, without notice; a server may drain while they are down."""
+async def kill_all(soak: Soak, rng: random.Random) -> None:
+    """Kill all dispatchers at once without notice; an engine may drain while they are down."""
     up = soak.up()
     for dispatcher in up:
         dispatcher.kill(planned=False)
@@ -72,14 +72,14 @@
     await asyncio.gather(*(dispatcher.start() for dispatcher in up))
 
 
-async def crowd(soak: Soak, chance: random.Random) -> None:
+async def connection_flood(soak: Soak, rng: random.Random) -> None:
     """Idle connections fill one dispatcher's descriptors."""
-    dispatcher = chance.choice(soak.dispatchers)
-    crowd = []
-    for _ in range(CROWD):
+    dispatcher = rng.choice(soak.dispatchers)
+    connection_flood = []
+    for _ in range(FLOOD_CONNECTIONS):
         with suppress(OSError, TimeoutError):
-            opening = asyncio.open_connection(*dispatcher.door.address)
-            crowd.append((await asyncio.wait_for(opening, 0.5))[1])
+            opening = asyncio.open_connection(*dispatcher.access.address)
+            connection_flood.append((await asyncio.wait_for(opening, 0.5))[1])
     await asyncio.sleep(1.0)
-    for writer in crowd:
+    for writer in connection_flood:
         writer.transport.abort()
--- a/tests/soak/sides.py
+++ b/tests/soak/sides.py
@@ -1,4 +1,4 @@
-"""The sides that dispatchers talk to in a soak, in one event loop: engines and clients."""
+"""Stand-in engines and clients of a soak, all in one event loop."""
 
 from __future__ import annotations
 
@@ -14,24 +14,29 @@
 from spurdeal.net.resp import ArrayParser, command
 from tests.soak.judge import Attempt, End, Records, Request
 
-FULL, SLOWEST = 0.02, 0.12  # the share that an engine turns away; seconds that a request runs
-LEAVES, PIECES, RESTS, ONCE = 0.04, 0.1, 0.1, 0.3  # the shares of requests, or of pauses
-ANSWER_WITHIN = 2.0  # seconds behind a request's time until its client gives up waiting
+REJECT_SHARE, MAX_RUN_TIME = 0.02, 0.12  # share that an engine rejects; seconds that a request runs at most
+LEAVE_SHARE, SPLIT_SHARE, IDLE_SHARE, ONCE_SHARE = (
+    0.04,
+    0.1,
+    0.1,
+    0.3,
+)  # shares of requests; IDLE_SHARE: of pauses
+ANSWER_TIMEOUT = 2.0  # seconds after a request's deadline until its client gives up
 LONGEST_WAIT = 3.0  # seconds
 
 
 class Engine:
-    """One engine: answers requests, hangs, resets its connections, drains and goes."""
+    """A stand-in engine: answers requests, hangs, resets its connections, drains and leaves."""
 
-    def __init__(self, endpoint: names.Endpoint, records: Records, chance: random.Random) -> None:
-        self.endpoint, self.records, self.chance = endpoint, records, chance
+    def __init__(self, endpoint: names.Endpoint, records: Records, rng: random.Random) -> None:
+        self.endpoint, self.records, self.rng = endpoint, records, rng
         self.hung_until = 0.0
         self.writers = set[asyncio.StreamWriter]()
         self.server: asyncio.Server | None = None
-        self.work = set[asyncio.Task[None]]()
+        self.tasks = set[asyncio.Task[None]]()
 
     async def start(self) -> None:
-        """Listen."""
+        """Start listening."""
         self.server = await asyncio.start_server(self.serve, self.endpoint.host, self.endpoint.port)
 
     def reset(self) -> None:
@@ -40,13 +45,13 @@
             writer.transport.abort()
 
     def stop(self) -> None:
-        """Gone."""
+        """Stop listening, and reset all connections."""
         assert self.server is not None
         self.server.close()
         self.reset()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """One connection's commands."""
+        """Handle the commands of one connection."""
         parser = ArrayParser()
         self.writers.add(writer)
         with suppress(OSError, asyncio.CancelledError):
@@ -54,57 +59,57 @@
                 parser.feed(data)
                 while (parts := parser.take()) is not None:
                     if bytes(parts[0]) == b"serve":
-                        self.take(writer, bytes(parts[1]), bytes(parts[2]).decode())
+                        self.start_request(writer, bytes(parts[1]), bytes(parts[2]).decode())
         self.writers.discard(writer)
         writer.close()
 
-    def take(self, writer: asyncio.StreamWriter, ident: bytes, fields: str) -> None:
-        """One request; its answer comes later."""
-        told = dict(pair.split("=", 1) for pair in fields.split(","))
-        ran = self.chance.random() >= FULL
-        attempt = Attempt(monotonic(), ident.decode(), self.endpoint.ident, int(told["wait"]) / 1000, ran)
+    def start_request(self, writer: asyncio.StreamWriter, ident: bytes, fields: str) -> None:
+        """Record one request; its answer is sent later."""
+        values = dict(pair.split("=", 1) for pair in fields.split(","))
+        ran = self.rng.random() >= REJECT_SHARE
+        attempt = Attempt(monotonic(), ident.decode(), self.endpoint.ident, int(values["wait"]) / 1000, ran)
         self.records.attempts.append(attempt)
         task = asyncio.create_task(self.answer(writer, ident, ran))
-        self.work.add(task)
-        task.add_done_callback(self.work.discard)
+        self.tasks.add(task)
+        task.add_done_callback(self.tasks.discard)
 
     async def answer(self, writer: asyncio.StreamWriter, ident: bytes, ran: bool) -> None:
-        """Run it, unless it was turned away; a hung engine answers once it goes on."""
-        await asyncio.sleep(self.chance.uniform(0.002, SLOWEST) if ran else 0.0)
+        """Run it, unless it was rejected; an engine that hangs answers afterwards."""
+        await asyncio.sleep(self.rng.uniform(0.002, MAX_RUN_TIME) if ran else 0.0)
         while (left := self.hung_until - monotonic()) > 0:
             await asyncio.sleep(left)
-        told = (ident, b"200", b"parts=1", ident + b"\t1\tx\n") if ran else (ident, b"503", b"-", b"")
+        reply = (ident, b"200", b"parts=1", ident + b"\t1\tx\n") if ran else (ident, b"503", b"-", b"")
         with suppress(OSError, RuntimeError):
-            writer.write(command(*told))
+            writer.write(command(*reply))
 
 
 @dataclass
-class Door:
-    """Where one dispatcher takes requests, and what clients may still do there."""
+class ClientAccess:
+    """The address of one dispatcher, and until when clients may connect there."""
 
     number: int
     address: tuple[str, int]
-    new_until: float = float("inf")  # no new connections from then on
-    idle: list[socket.socket] = field(default_factory=list)  # of the crowd
+    connect_until: float = float("inf")  # clients open no connections after this
+    idle: list[socket.socket] = field(default_factory=list)  # of a connection flood
 
 
 class Clients:
-    """Clients of one dispatcher, each with a connection at a time, used until the dispatcher ends it."""
+    """Clients of one dispatcher, each with one connection at a time, used until the dispatcher closes it."""
 
     def __init__(
-        self, door: Door, records: Records, chance: random.Random, numbers: Callable[[], int]
+        self, access: ClientAccess, records: Records, rng: random.Random, next_number: Callable[[], int]
     ) -> None:
-        self.door, self.records, self.chance, self.numbers = door, records, chance, numbers
-        self.ending = False
+        self.access, self.records, self.rng, self.next_number = access, records, rng, next_number
+        self.stopping = False
 
     async def run(self) -> None:
-        """One client, until the run ends."""
-        while not self.ending:
-            if monotonic() > self.door.new_until:
+        """Run one client until the run ends."""
+        while not self.stopping:
+            if monotonic() > self.access.connect_until:
                 await asyncio.sleep(0.05)
                 continue
             try:
-                reader, writer = await asyncio.open_connection(*self.door.address)
+                reader, writer = await asyncio.open_connection(*self.access.address)
             except OSError:
                 await asyncio.sleep(0.1)
                 continue
@@ -113,32 +118,32 @@
             writer.transport.abort()
 
     async def use(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Requests one after another on a connection, until its end."""
-        for _ in range(self.chance.randint(1, 60)):
-            if self.ending or reader.at_eof() or not await self.ask(reader, writer):
+        """Send requests one after another on a connection, until it is closed."""
+        for _ in range(self.rng.randint(1, 60)):
+            if self.stopping or reader.at_eof() or not await self.exchange(reader, writer):
                 return
-            resting = self.chance.random() < RESTS
-            await asyncio.sleep(self.chance.uniform(0.5, 4.0) if resting else self.chance.uniform(0.0, 0.08))
+            idle = self.rng.random() < IDLE_SHARE
+            await asyncio.sleep(self.rng.uniform(0.5, 4.0) if idle else self.rng.uniform(0.0, 0.08))
 
     def request(self) -> Request:
-        """The next one."""
-        ident, once = f"{self.numbers():016x}", self.chance.random() < ONCE
-        wait = self.chance.choice((0.25, 0.5, 1.0, 2.0, LONGEST_WAIT))
-        request = self.records.requests[ident] = Request(ident, self.door.number, once, wait)
+        """Create and record the next request."""
+        ident, once = f"{self.next_number():016x}", self.rng.random() < ONCE_SHARE
+        wait = self.rng.choice((0.25, 0.5, 1.0, 2.0, LONGEST_WAIT))
+        request = self.records.requests[ident] = Request(ident, self.access.number, once, wait)
         return request
 
-    async def ask(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
-        """One request; whether the connection may be used again."""
+    async def exchange(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> bool:
+        """Send one request and read its answer; returns whether the connection may be used again."""
         request = self.request()
         request.sent_at = monotonic()
         await self.write(writer, request)
-        if self.chance.random() < LEAVES:
-            await asyncio.sleep(self.chance.uniform(0.0, 0.05))
+        if self.rng.random() < LEAVE_SHARE:
+            await asyncio.sleep(self.rng.uniform(0.0, 0.05))
             writer.transport.abort()
             self.end(request, End.LEFT)
             return False
         try:
-            status, keep, body = await asyncio.wait_for(answer(reader), request.wait + ANSWER_WITHIN)
+            status, keep, body = await asyncio.wait_for(answer(reader), request.wait + ANSWER_TIMEOUT)
         except TimeoutError:
             request.ended_at = monotonic()
             return False
@@ -148,15 +153,15 @@
         except ValueError:
             self.end(request, End.SPOILT)
             return False
-        self.end(request, end_of(status, body, request.ident))
+        self.end(request, classify_answer(status, body, request.ident))
         return keep
 
     def end(self, request: Request, end: End) -> None:
-        """How it ended, now."""
+        """Record how the request ended, now."""
         request.ended_at, request.end = monotonic(), end
 
     async def write(self, writer: asyncio.StreamWriter, request: Request) -> None:
-        """Whole, or in pieces; its time counts from its last byte."""
+        """Write the request at once or in two parts; its time counts from the last byte."""
         body = b"SELECT a FROM s_1.t"
         path = b"load" if request.once else b"lookup"
         message = (
@@ -169,21 +174,21 @@
             )
         )
         message += body
-        if self.chance.random() < PIECES:
-            cut = self.chance.randrange(1, len(message))
+        if self.rng.random() < SPLIT_SHARE:
+            cut = self.rng.randrange(1, len(message))
             writer.write(message[:cut])
-            await asyncio.sleep(self.chance.uniform(0.0, 0.2))
+            await asyncio.sleep(self.rng.uniform(0.0, 0.2))
             message = message[cut:]
         request.sent_at = monotonic()
         writer.write(message)
 
 
 async def answer(reader: asyncio.StreamReader) -> tuple[int, bool, bytes]:
-    """Status, whether the connection is kept, and body.
+    """Read an answer: status, whether the connection is kept, and body.
 
     Raises:
-        IncompleteReadError: The connection has ended before the answer did.
-        ValueError: It is no answer.
+        IncompleteReadError: The connection was closed before the end of the answer.
+        ValueError: The bytes are not a valid answer.
     """
     head = await reader.readuntil(b"\r\n\r\n")
     lines = head.decode("latin-1").split("\r\n")
@@ -192,8 +197,8 @@
     return int(lines[0].split()[1]), fields.get("connection") != "close", body
 
 
-def end_of(status: int, body: bytes, ident: str) -> End:
-    """What an answer says."""
+def classify_answer(status: int, body: bytes, ident: str) -> End:
+    """How a request ended, by its answer."""
     if status in (429, 503) or b'"TryLater"' in body:
         return End.REFUSED
     if status == 200:
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -1,4 +1,4 @@
-"""One soak: a handful of dispatchers as real processes, their sides, and a seeded chain of troubles."""
+"""One soak run: dispatchers as real processes, stand-in engines and clients, and seeded fault injection."""
 
 from __future__ import annotations
 
@@ -15,17 +15,20 @@
 from spurdeal.lab import names
 from spurdeal.lab.loopback import FIRST_NETWORK, NETWORKS, Network
 from tests.soak import engine_troubles, name_troubles, process_troubles, system_calls
-from tests.soak.judge import STOP_TO_KILL, Judge, Records
+from tests.soak.judge import STOP_TIMEOUT, Judge, Records
 from tests.soak.name_service import NameService, NamesPort
-from tests.soak.process import LOOK_EVERY, NAMES_PORTS, SUBNET, Dispatcher
+from tests.soak.process import NAMES_PORTS, POLL_INTERVAL, SUBNET, Dispatcher
 from tests.soak.sides import Clients, Engine
 
 ENGINE_PORT = 7001
 DISPATCHERS, ENGINES, CLIENTS = 3, 5, 8
-SETTLE, LATE = 4.5, 0.02  # seconds; LATE: how late the observer runs where that is recorded
+SETTLE, LATE_THRESHOLD = (
+    4.5,
+    0.02,
+)  # seconds; LATE_THRESHOLD: delays of the test process above it are recorded
 
-Trouble = Callable[["Soak", random.Random], Awaitable[None]]
-TROUBLES: dict[str, tuple[int, Trouble]] = {  # how often, in proportion, and what
+Injector = Callable[["Soak", random.Random], Awaitable[None]]
+INJECTORS: dict[str, tuple[int, Injector]] = {  # relative weight and function
     "calls": (8, system_calls.failing_calls),
     "discovery_calls": (6, system_calls.failing_discovery),
     "short": (2, system_calls.short_calls),
@@ -33,9 +36,9 @@
     "hangup": (3, process_troubles.hangups),
     "unreadable": (1, process_troubles.unreadable),
     "restart": (3, process_troubles.restart),
-    "kill": (1, process_troubles.killed),
-    "kill_all": (1, process_troubles.all_killed),
-    "crowd": (1, process_troubles.crowd),
+    "kill": (1, process_troubles.kill_one),
+    "kill_all": (1, process_troubles.kill_all),
+    "crowd": (1, process_troubles.connection_flood),
     "drain": (12, engine_troubles.drain),
     "hang": (2, engine_troubles.hang),
     "reset": (2, engine_troubles.reset),
@@ -60,15 +63,15 @@
     "restart_then_mixed": (1, name_troubles.restart_then_mixed),
     "hangup_in_mixed": (1, name_troubles.hangup_in_mixed),
 }
-ONLY_WEIGHT, DRAIN_WEIGHT = 1, 2  # where one trouble is played alone, beside drains
+ONLY_WEIGHT, DRAIN_WEIGHT = 1, 2  # weights with --only, which injects one kind of fault and drains
 
 
 class Soak:
-    """One run: its sides, its dispatchers, and the troubles that its seed draws."""
+    """One run: its dispatchers, engines and clients, and the faults that its seed draws."""
 
     def __init__(self, seed: int, seconds: float, folder: Path, only: str | None = None) -> None:
         self.seed, self.seconds, self.folder, self.only = seed, seconds, folder, only
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.network = free_network()
         self.names_host, self.engines_host = self.network.host(SUBNET, 100), self.network.host(SUBNET, 101)
         self.records = Records()
@@ -78,11 +81,11 @@
         )
         self.engines: dict[str, Engine] = {}
         self.engine_numbers, self.request_numbers = count(), count(1)
-        self.troubles: list[str] = []
+        self.injected: list[str] = []
         self.clients: list[Clients] = []
 
-    async def play(self) -> Judge:
-        """All of it."""
+    async def run(self) -> Judge:
+        """Run the whole soak; returns its judge."""
         loop = asyncio.get_running_loop()
         for port in NAMES_PORTS:
             await loop.create_datagram_endpoint(lambda: NamesPort(self.names), (self.names_host, port))
@@ -92,10 +95,10 @@
         watching = asyncio.create_task(self.watch())
         running = [asyncio.create_task(client.run()) for client in self.make_clients()]
         await asyncio.sleep(0.5)
-        await self.trouble_until(monotonic() + self.seconds)
+        await self.inject_until(monotonic() + self.seconds)
         for client in self.clients:
-            client.ending = True
-        await asyncio.wait(running, timeout=SETTLE + STOP_TO_KILL)
+            client.stopping = True
+        await asyncio.wait(running, timeout=SETTLE + STOP_TIMEOUT)
         watching.cancel()
         for each in self.dispatchers:
             if each.process is not None:
@@ -104,13 +107,13 @@
         return Judge(self.records)
 
     def make_clients(self) -> list[Clients]:
-        """Those of all dispatchers; some seeds have three times as many."""
-        each = CLIENTS * self.chance.choice((1, 1, 3))
+        """Create the clients of all dispatchers; some seeds have three times as many."""
+        each = CLIENTS * self.rng.choice((1, 1, 3))
         self.clients = [
             Clients(
-                dispatcher.door,
+                dispatcher.access,
                 self.records,
-                random.Random(self.chance.random()),
+                random.Random(self.rng.random()),
                 self.request_numbers.__next__,
             )
             for dispatcher in self.dispatchers
@@ -119,49 +122,49 @@
         return self.clients
 
     async def watch(self) -> None:
-        """Measures the observer's own lateness, and looks for crashes."""
+        """Measure the delay of the test process itself, and look for crashes."""
         while True:
-            due = monotonic() + LOOK_EVERY
-            await asyncio.sleep(LOOK_EVERY)
-            if (late := monotonic() - due) > LATE:
+            due = monotonic() + POLL_INTERVAL
+            await asyncio.sleep(POLL_INTERVAL)
+            if (late := monotonic() - due) > LATE_THRESHOLD:
                 self.records.late.append((monotonic(), late))
             for each in self.dispatchers:
                 each.watch()
 
-    async def trouble_until(self, end: float) -> None:
-        """One trouble after another, several at once; each draws from a chance of its own."""
-        kinds = TROUBLES
+    async def inject_until(self, end: float) -> None:
+        """Start one injector after another, several run at once; each has its own random generator."""
+        kinds = INJECTORS
         if self.only is not None:
-            kinds = {self.only: (ONLY_WEIGHT, TROUBLES[self.only][1])}
+            kinds = {self.only: (ONLY_WEIGHT, INJECTORS[self.only][1])}
             kinds |= {"drain": (DRAIN_WEIGHT, engine_troubles.drain)}
         weights = [weight for weight, _ in kinds.values()]
-        under_way = set[asyncio.Task[None]]()
+        running_tasks = set[asyncio.Task[None]]()
         while monotonic() < end:
-            (name,) = self.chance.choices(list(kinds), weights)
-            self.troubles.append(name)
+            (name,) = self.rng.choices(list(kinds), weights)
+            self.injected.append(name)
             self.note(f"trouble: {name}")
-            chance = random.Random(self.chance.random())
-            under_way.add(asyncio.ensure_future(self.carried_out(name, kinds[name][1], chance)))
-            await asyncio.sleep(self.chance.choice((0.0, 0.1, 0.3, 0.6, 1.2)))
-        await asyncio.gather(*under_way)
+            rng = random.Random(self.rng.random())
+            running_tasks.add(asyncio.ensure_future(self.run_injector(name, kinds[name][1], rng)))
+            await asyncio.sleep(self.rng.choice((0.0, 0.1, 0.3, 0.6, 1.2)))
+        await asyncio.gather(*running_tasks)
 
-    async def carried_out(self, name: str, trouble: Trouble, chance: random.Random) -> None:
-        """One trouble; its own fault is no break of the dispatchers'."""
+    async def run_injector(self, name: str, injector: Injector, rng: random.Random) -> None:
+        """Run one injector; an exception in it is reported as one of the test, not as a violation."""
         try:
-            await trouble(self, chance)
-        except Exception as fault:  # told as one of the observer's own
+            await injector(self, rng)
+        except Exception as fault:  # reported as a fault of the test itself
             self.records.crashes.append(f"observer: {name}: {fault!r}")
 
     def up(self) -> list[Dispatcher]:
-        """The dispatchers that run and were not told to end."""
-        return [each for each in self.dispatchers if not each.busy]
+        """The dispatchers that are running and not stopping."""
+        return [each for each in self.dispatchers if not each.unavailable]
 
     def note(self, text: str) -> None:
-        """For those who read the records."""
+        """Add a note to the records."""
         self.records.notes.append((monotonic(), text))
 
     async def add_engine(self, cold: bool = True) -> None:
-        """A further engine, which the list tells."""
+        """Start another engine, and add it to the list."""
         number = next(self.engine_numbers)
         started = int((monotonic() + self.unix_origin()) * 1000) if cold else 0
         endpoint = names.Endpoint(f"s-{number}", self.engines_host, ENGINE_PORT + number, started=started)
@@ -171,12 +174,12 @@
         self.names.change([*self.names.endpoints, endpoint])
 
     def unix_origin(self) -> float:
-        """Unix time at the observer's zero."""
+        """The Unix time in seconds at the zero of the test process's monotonic clock."""
         return self.dispatchers[0].clock.unix_ms() / 1000 - monotonic()
 
 
 def free_network() -> Network:
-    """One that no other run on this machine uses just now, from this process's own on."""
+    """A network that no other run on this machine uses now; the search starts at this process's own."""
     first = Network.of_this_process().number
     for number in range(first, first + NETWORKS):
         network = Network(FIRST_NETWORK + (number - FIRST_NETWORK) % NETWORKS)
--- a/tests/soak/system_calls.py
+++ b/tests/soak/system_calls.py
@@ -1,4 +1,4 @@
-"""Troubles of system calls and clocks of the dispatchers' processes."""
+"""Fault injection for system calls and clocks of dispatcher processes."""
 
 from __future__ import annotations
 
@@ -46,55 +46,55 @@
 }
 
 
-async def fail(soak: Soak, chance: random.Random, dispatcher: Dispatcher, call: str) -> None:
-    """One call, some times or for a while."""
-    error = chance.choice(FAULTS[call])
+async def fail(soak: Soak, rng: random.Random, dispatcher: Dispatcher, call: str) -> None:
+    """Make one system call fail, some times or for a while."""
+    error = rng.choice(FAULTS[call])
     soak.note(f"{call} of n{dispatcher.number} fails with {errno.errorcode[error]}")
-    if chance.random() < 0.5:
-        dispatcher.faults.fail(call, error, chance.choice((1, 1, 2, 5, 30)))
+    if rng.random() < 0.5:
+        dispatcher.faults.fail(call, error, rng.choice((1, 1, 2, 5, 30)))
         return
     dispatcher.faults.fail(call, error)
-    await asyncio.sleep(chance.choice((0.02, 0.1, 0.3)))
+    await asyncio.sleep(rng.choice((0.02, 0.1, 0.3)))
     dispatcher.faults.heal(call)
     soak.note(f"{call} of n{dispatcher.number} heals")
 
 
-async def failing_calls(soak: Soak, chance: random.Random) -> None:
-    """Any calls of any dispatcher."""
-    dispatcher = chance.choice(soak.dispatchers)
-    calls = chance.sample(list(FAULTS), chance.randint(1, 3))
-    await asyncio.gather(*(fail(soak, chance, dispatcher, call) for call in calls))
+async def failing_calls(soak: Soak, rng: random.Random) -> None:
+    """Make some system calls of one dispatcher fail."""
+    dispatcher = rng.choice(soak.dispatchers)
+    calls = rng.sample(list(FAULTS), rng.randint(1, 3))
+    await asyncio.gather(*(fail(soak, rng, dispatcher, call) for call in calls))
 
 
-async def failing_discovery(soak: Soak, chance: random.Random) -> None:
-    """Those that discovery needs, also for seconds."""
-    dispatcher = chance.choice(soak.dispatchers)
-    calls = chance.sample([call for call in FAULTS if call.startswith("udp.")], chance.randint(1, 4))
-    if chance.random() < 0.5:
-        await asyncio.gather(*(fail(soak, chance, dispatcher, call) for call in calls))
+async def failing_discovery(soak: Soak, rng: random.Random) -> None:
+    """Make system calls that discovery needs fail, also for seconds."""
+    dispatcher = rng.choice(soak.dispatchers)
+    calls = rng.sample([call for call in FAULTS if call.startswith("udp.")], rng.randint(1, 4))
+    if rng.random() < 0.5:
+        await asyncio.gather(*(fail(soak, rng, dispatcher, call) for call in calls))
         return
     for call in calls:
-        error = chance.choice(FAULTS[call])
+        error = rng.choice(FAULTS[call])
         dispatcher.faults.fail(call, error)
         soak.note(f"{call} of n{dispatcher.number} fails with {errno.errorcode[error]}")
-    await asyncio.sleep(chance.choice((0.6, 1.5, 3.0)))
+    await asyncio.sleep(rng.choice((0.6, 1.5, 3.0)))
     dispatcher.faults.heal(*calls)
     soak.note(f"{calls} of n{dispatcher.number} heal")
 
 
-async def short_calls(soak: Soak, chance: random.Random) -> None:
-    """Reads and writes take some bytes at a time."""
-    dispatcher = chance.choice(soak.dispatchers)
+async def short_calls(soak: Soak, rng: random.Random) -> None:
+    """Reads and writes transfer a few bytes at a time."""
+    dispatcher = rng.choice(soak.dispatchers)
     for call in ("tcp.short_recv", "tcp.short_send"):
-        dispatcher.faults.fail(call, chance.randint(1, 50))
-    await asyncio.sleep(chance.choice((0.1, 0.5)))
+        dispatcher.faults.fail(call, rng.randint(1, 50))
+    await asyncio.sleep(rng.choice((0.1, 0.5)))
     dispatcher.faults.heal("tcp.short_recv", "tcp.short_send")
 
 
-async def stepped_clock(soak: Soak, chance: random.Random) -> None:
-    """Wall clocks are stepped, once or twice."""
-    for _ in range(chance.randint(1, 2)):
-        step = chance.choice((-3600.0, -2.0, -0.05, 0.05, 2.0, 3600.0))
-        for dispatcher in chance.sample(soak.dispatchers, chance.randint(1, len(soak.dispatchers))):
+async def stepped_clock(soak: Soak, rng: random.Random) -> None:
+    """Step wall clocks, once or twice."""
+    for _ in range(rng.randint(1, 2)):
+        step = rng.choice((-3600.0, -2.0, -0.05, 0.05, 2.0, 3600.0))
+        for dispatcher in rng.sample(soak.dispatchers, rng.randint(1, len(soak.dispatchers))):
             dispatcher.clock.step_to(step)
-        await asyncio.sleep(chance.uniform(0.0, 0.5))
+        await asyncio.sleep(rng.uniform(0.0, 0.5))
--- a/tests/soak/tracing.py
+++ b/tests/soak/tracing.py
@@ -1,10 +1,10 @@
-"""Why requests were let go to a draining engine: the kept datagrams, played to the dispatcher's own decision.
+"""Explains why requests were sent to a draining engine, by replaying the saved datagrams to `ListFreshness`.
 
     python -m tests.soak.tracing DIR [--show]
 
-prints for each break of `drain` under DIR, as the soak has kept it, what held at that moment; with --show the
-datagrams behind the telling answer too. Questions that left the dispatcher and did not reach the name
-service's host, and failed system calls, are not seen.
+prints the state at each violation of `drain` that a soak has saved under DIR; with --show also the datagrams
+from shortly before the dispatcher was informed on. Queries that did not reach the name service's
+host, and failed system calls, are not in the records.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 from spurdeal.interface import Verdict
 from spurdeal.list_freshness import ListFreshness
 from spurdeal.net.names import MAX_OPEN_QUERIES
-from tests.soak.judge import GRACE, Datagram
+from tests.soak.judge import DRAIN_GRACE, Datagram
 
-BREAK = re.compile(r"(\S+) drain: (\S+) of dispatcher (\d+) to (\S+), (\S+) s after told")
-READABLE = ("", "wrong_id")  # the faults of answers that the dispatcher takes
+DRAIN_VIOLATION = re.compile(r"(\S+) drain: (\S+) of dispatcher (\d+) to (\S+), (\S+) s after told")
+READABLE = ("", "wrong_id")  # faults of answers that the dispatcher can still decode
 
 
-class Late(NamedTuple):
-    """A request that came to an engine too late."""
+class LateAttempt(NamedTuple):
+    """An attempt that reached an engine too late."""
 
     at: float
     ident: str
@@ -35,64 +35,64 @@
     late: float
 
     @property
-    def told_at(self) -> float:
-        """When its dispatcher counted as told."""
+    def informed_at(self) -> float:
+        """When its dispatcher counted as informed."""
         return self.at - self.late
 
 
-class Taken(NamedTuple):
-    """An answer that the dispatcher took, and when the question left that it took it for."""
+class AcceptedAnswer(NamedTuple):
+    """An answer that the dispatcher accepted, and when the query that it matched was sent."""
 
     datagram: Datagram
-    asked_at: float
+    query_sent_at: float
 
 
 class Replay:
-    """What a dispatcher knew of the name service, by the datagrams of one of its starts."""
+    """The state of a dispatcher's discovery, by the datagrams of one of its starts."""
 
     def __init__(self, datagrams: list[Datagram]) -> None:
-        self.freshness = ListFreshness(GRACE * 1000)
-        self.open = dict[int, float]()
-        self.taken: list[Taken] = []
-        self.sent = 0  # the highest number of a list in an answer that left
+        self.freshness = ListFreshness(DRAIN_GRACE * 1000)
+        self.open_queries = dict[int, float]()
+        self.accepted: list[AcceptedAnswer] = []
+        self.sent = 0  # the highest number of a list in an answer that was sent
         for datagram in datagrams:
             self.sent = max(self.sent, datagram.number)
             if datagram.event == "question":
-                self.asked(datagram)
+                self.query_sent(datagram)
             elif datagram.event == "arrival" and datagram.fault in READABLE:
-                self.arrived(datagram)
+                self.answer_received(datagram)
 
-    def asked(self, datagram: Datagram) -> None:
+    def query_sent(self, datagram: Datagram) -> None:
         """See NameService.await_answer."""
         self.freshness.asked(datagram.at * 1000)
-        self.open[datagram.ident] = datagram.at
-        if len(self.open) > MAX_OPEN_QUERIES:
-            del self.open[next(iter(self.open))]
+        self.open_queries[datagram.ident] = datagram.at
+        if len(self.open_queries) > MAX_OPEN_QUERIES:
+            del self.open_queries[next(iter(self.open_queries))]
 
-    def arrived(self, datagram: Datagram) -> None:
+    def answer_received(self, datagram: Datagram) -> None:
         """See NameService.take_answer."""
-        if (asked_at := self.open.pop(datagram.ident, None)) is not None:
+        if (query_sent_at := self.open_queries.pop(datagram.ident, None)) is not None:
             verdict = Verdict.NEWER if datagram.number > self.highest() else Verdict.CONFIRMED
-            self.freshness.answered(datagram.at * 1000, asked_at * 1000, verdict)
-            self.taken.append(Taken(datagram, asked_at))
+            self.freshness.answered(datagram.at * 1000, query_sent_at * 1000, verdict)
+            self.accepted.append(AcceptedAnswer(datagram, query_sent_at))
 
     def highest(self) -> int:
-        """The highest number of a list in an answer that was taken."""
-        return max((taken.datagram.number for taken in self.taken), default=0)
+        """The highest number of a list in an accepted answer."""
+        return max((accepted.datagram.number for accepted in self.accepted), default=0)
 
-    def state(self, at: float, told_at: float) -> str:
-        """What decides whether the list is followed at a time."""
+    def state(self, at: float, informed_at: float) -> str:
+        """Describe what decides whether the list is followed at a time."""
         freshness, now = self.freshness, at * 1000
         oldest = now - freshness.unanswered_since[0] if freshness.unanswered_since else 0.0
         figures = (
             f"{len(freshness.unanswered_since)} open for {oldest:.0f} ms, patience {freshness.timeout:.0f} ms"
         )
-        return f"{self.reason(told_at)}; {figures}, doubt {freshness.stale_reason(now)}"
+        return f"{self.reason(informed_at)}; {figures}, doubt {freshness.stale_reason(now)}"
 
-    def reason(self, told_at: float) -> str:
+    def reason(self, informed_at: float) -> str:
         """The condition by which the list was followed."""
-        last = self.taken[-1] if self.taken else None
-        if last is None or last.datagram.at < told_at:
+        last = self.accepted[-1] if self.accepted else None
+        if last is None or last.datagram.at < informed_at:
             return "other"
         if last.datagram.number < self.highest():
             return "confirmed by an answer with a list older than the one in force"
@@ -101,33 +101,33 @@
         return "other"
 
 
-def breaks(folder: Path) -> Iterator[Late]:
-    """Those of `drain`."""
+def violations(folder: Path) -> Iterator[LateAttempt]:
+    """The violations of `drain` of one seed."""
     for line in (folder / "breaks.txt").read_text().splitlines():
-        if found := BREAK.match(line):
+        if found := DRAIN_VIOLATION.match(line):
             at, ident, dispatcher, engine, late = found.groups()
-            yield Late(float(at), ident, int(dispatcher), engine, float(late))
+            yield LateAttempt(float(at), ident, int(dispatcher), engine, float(late))
 
 
 def read(folder: Path) -> list[Datagram]:
-    """The kept datagrams."""
+    """The saved datagrams."""
     lines = (folder / "datagrams.jsonl").read_text().splitlines()
     return sorted((Datagram(**json.loads(line)) for line in lines), key=lambda each: each.at)
 
 
 def explain(folder: Path, show: bool) -> None:
-    """Print what is found for one seed."""
+    """Print the explanation of each violation of one seed."""
     datagrams = read(folder)
-    for late in breaks(folder):
+    for late in violations(folder):
         before = [each for each in datagrams if each.dispatcher == late.dispatcher and each.at <= late.at]
         start = max(each.start for each in before)
         replay = Replay([each for each in before if each.start == start])
         print(f"{folder} {late.ident} n{late.dispatcher} {late.engine} late {late.late:.3f}", end=": ")
-        print(replay.state(late.at, late.told_at))
+        print(replay.state(late.at, late.informed_at))
         if show:
-            print(f"  told at {late.told_at:.3f}, request at {late.at:.3f}")
+            print(f"  told at {late.informed_at:.3f}, request at {late.at:.3f}")
             for each in before:
-                if each.at >= late.told_at - GRACE:
+                if each.at >= late.informed_at - DRAIN_GRACE:
                     print(f"  {each}")
 
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak's judge finds a planted break of each rule, and two short seeds on real processes break none."""
+"""The soak's judge finds a planted violation of each rule; two short seeds on real processes violate none."""
 
 import json
 import subprocess
@@ -27,59 +27,59 @@
     return Attempt(at, "a", engine, wait, ran)
 
 
-class Judging(unittest.TestCase):
+class JudgeTests(unittest.TestCase):
     def rules(self, records: Records) -> list[str]:
-        return [each.rule for each in Judge(records).breaks()]
+        return [each.rule for each in Judge(records).violations()]
 
-    def test_nothing_is_found_where_nothing_is_wrong(self) -> None:
+    def test_a_run_without_violations(self) -> None:
         self.assertEqual(self.rules(records(served(), attempts=(attempt(),))), [])
 
-    def test_run_twice(self) -> None:
+    def test_a_request_that_ran_twice(self) -> None:
         self.assertEqual(self.rules(records(served(), attempts=(attempt(), attempt(10.02)))), ["duplicate"])
 
-    def test_turned_away_first_it_may_run_elsewhere(self) -> None:
+    def test_a_request_that_one_engine_rejected_may_run_at_another(self) -> None:
         self.assertEqual(self.rules(records(served(), attempts=(attempt(ran=False), attempt(10.02)))), [])
 
-    def test_refused_although_it_ran(self) -> None:
+    def test_a_request_that_was_refused_although_it_ran(self) -> None:
         found = self.rules(records(served(end=End.REFUSED), attempts=(attempt(),)))
         self.assertEqual(found, ["duplicate"])
 
-    def test_never_answered_late_and_closed(self) -> None:
+    def test_requests_without_an_answer_in_time_are_lost(self) -> None:
         for more in (
             {"end": End.OPEN, "ended_at": 0.0},
             {"ended_at": 11.6},
             {"end": End.CLOSED, "ended_at": 10.2},
-            {"end": End.CLOSED, "ended_at": 10.02},  # it crossed the end, but had been read
+            {"end": End.CLOSED, "ended_at": 10.02},  # it raced with the close, but had been read
         ):
             with self.subTest(more):
                 self.assertEqual(self.rules(records(served(**more), attempts=(attempt(),))), ["lost"])
 
-    def test_a_request_that_crossed_the_end_unread_is_not_lost(self) -> None:
+    def test_an_unread_request_that_raced_with_the_close_is_not_lost(self) -> None:
         self.assertEqual(self.rules(records(served(end=End.CLOSED, ended_at=10.02))), [])
 
     def test_a_kill_without_notice_excuses_and_a_planned_one_does_not(self) -> None:
         for planned, found in ((False, []), (True, ["lost"])):
             with self.subTest(planned):
-                seen = records(served(end=End.CLOSED, ended_at=10.5), attempts=(attempt(),))
-                seen.kills[0].append((10.5, planned))
-                self.assertEqual(self.rules(seen), found)
+                observed = records(served(end=End.CLOSED, ended_at=10.5), attempts=(attempt(),))
+                observed.kills[0].append((10.5, planned))
+                self.assertEqual(self.rules(observed), found)
 
-    def test_served_by_nobody_and_spoilt(self) -> None:
+    def test_answers_from_no_engine_and_corrupt_answers(self) -> None:
         self.assertEqual(self.rules(records(served())), ["spoilt"])
         self.assertEqual(self.rules(records(served(end=End.SPOILT), attempts=(attempt(),))), ["spoilt"])
 
-    def test_an_engine_is_told_more_than_is_left(self) -> None:
+    def test_an_engine_gets_a_time_limit_longer_than_the_time_left(self) -> None:
         self.assertEqual(self.rules(records(served(), attempts=(attempt(10.04, wait=1.2),))), ["wait"])
 
-    def test_begun_after_its_client_left(self) -> None:
+    def test_an_attempt_that_started_after_its_client_left(self) -> None:
         for at, found in ((10.1, []), (10.3, ["left"])):
             with self.subTest(at):
-                seen = records(served(end=End.LEFT), attempts=(attempt(at, wait=0.1),))
-                self.assertEqual(self.rules(seen), found)
+                observed = records(served(end=End.LEFT), attempts=(attempt(at, wait=0.1),))
+                self.assertEqual(self.rules(observed), found)
 
     def test_drains(self) -> None:
-        """Told by an answer, by time, by time after an outage, or by time whatever the outage."""
-        for told, outage, at, found in (
+        """Informed by an answer, by time, by time after an outage, or by time whatever the outage."""
+        for informed, outage, at, found in (
             ({0: 8.0}, None, 8.2, []),
             ({0: 8.0}, None, 8.4, ["drain"]),
             ({}, None, 9.7, []),
@@ -89,36 +89,36 @@
             ({}, (8.1, 18.0), 15.2, []),
             ({}, (8.1, 18.0), 15.4, ["drain"]),
         ):
-            with self.subTest(told=told, outage=outage, at=at):
+            with self.subTest(informed=informed, outage=outage, at=at):
                 request = served(sent_at=at - 0.01, ended_at=at + 0.1)
-                seen = records(request, attempts=(attempt(at),))
-                seen.changes.append(Change(8.0, "s-0", 2, dict(told)))
-                seen.outages += [Outage(*outage)] if outage else []
-                self.assertEqual(self.rules(seen), found)
+                observed = records(request, attempts=(attempt(at),))
+                observed.changes.append(Change(8.0, "s-0", 2, dict(informed)))
+                observed.outages += [Outage(*outage)] if outage else []
+                self.assertEqual(self.rules(observed), found)
 
     def test_a_crash(self) -> None:
-        seen = records()
-        seen.crashes.append("n1: exit 1 unasked")
-        self.assertEqual(self.rules(seen), ["crash"])
+        observed = records()
+        observed.crashes.append("n1: exit 1 unasked")
+        self.assertEqual(self.rules(observed), ["crash"])
 
-    def test_the_observers_own_lateness_is_allowed_for(self) -> None:
-        seen = records(served(ended_at=11.6), attempts=(attempt(),))
-        seen.late.append((11.5, 0.1))
-        self.assertEqual(self.rules(seen), [])
+    def test_delays_of_the_test_process_are_added_to_the_limits(self) -> None:
+        observed = records(served(ended_at=11.6), attempts=(attempt(),))
+        observed.late.append((11.5, 0.1))
+        self.assertEqual(self.rules(observed), [])
 
 
 class ShortSoak(unittest.TestCase):
-    def test_two_seeds_break_no_rule(self) -> None:
+    def test_two_seeds_violate_no_rule(self) -> None:
         command = [sys.executable, "-m", "tests.soak.run", "--seconds", str(SECONDS), "--seeds"]
         runs = [
             subprocess.Popen([*command, str(seed)], cwd=ROOT, text=True, stdout=subprocess.PIPE)
             for seed in SEEDS
         ]
         for run in runs:
-            said = run.communicate(timeout=WITHIN)[0]
-            report = json.loads(said)
-            self.assertEqual((run.returncode, report["breaks"]), (0, {}), said)
-            self.assertGreater(report["requests"]["served"], 200, said)
+            output = run.communicate(timeout=WITHIN)[0]
+            report = json.loads(output)
+            self.assertEqual((run.returncode, report["breaks"]), (0, {}), output)
+            self.assertGreater(report["requests"]["served"], 200, output)
 
 
 if __name__ == "__main__":
