--- a/tests/fault_table.py
+++ b/tests/fault_table.py
@@ -52,12 +52,12 @@
         number = WANTED.unpack_from(self.shared, place)[2]
         WANTED.pack_into(self.shared, place, error, times, number + 1)
 
-    def heal(self, *calls: str) -> None:
+    def clear(self, *calls: str) -> None:
         """Let these calls succeed again; all, where none is named."""
         for call in calls or CALLS:
             self.fail(call, 0, 0)
 
-    def failed(self, call: str) -> int:
+    def failure_count(self, call: str) -> int:
         """How often a call has failed by the test's will."""
         count: int = MADE.unpack_from(self.shared, CALLS.index(call) * ENTRY + WANTED.size)[2]
         return count
--- a/tests/soak/judge.py
+++ b/tests/soak/judge.py
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """An engine drains or is gone from `at` on; `told` is when each dispatcher's answer with it left.
+    """An engine drains or is gone from `at` on; `informed`: when each dispatcher was sent it.
 
     An answer that was lost on its way counts too.
     """
--- a/tests/soak/process_troubles.py
+++ b/tests/soak/process_troubles.py
@@ -35,7 +35,7 @@
     dispatcher.faults.fail("open", rng.choice((errno.EMFILE, errno.EIO)))
     await hangups(soak, rng)
     await asyncio.sleep(rng.uniform(0.1, 2.0))
-    dispatcher.faults.heal("open")
+    dispatcher.faults.clear("open")
 
 
 async def restart(soak: Soak, rng: random.Random) -> None:
--- a/tests/soak/system_calls.py
+++ b/tests/soak/system_calls.py
@@ -55,7 +55,7 @@
         return
     dispatcher.faults.fail(call, error)
     await asyncio.sleep(rng.choice((0.02, 0.1, 0.3)))
-    dispatcher.faults.heal(call)
+    dispatcher.faults.clear(call)
     soak.note(f"{call} of n{dispatcher.number} heals")
 
 
@@ -78,7 +78,7 @@
         dispatcher.faults.fail(call, error)
         soak.note(f"{call} of n{dispatcher.number} fails with {errno.errorcode[error]}")
     await asyncio.sleep(rng.choice((0.6, 1.5, 3.0)))
-    dispatcher.faults.heal(*calls)
+    dispatcher.faults.clear(*calls)
     soak.note(f"{calls} of n{dispatcher.number} heal")
 
 
@@ -88,7 +88,7 @@
     for call in ("tcp.short_recv", "tcp.short_send"):
         dispatcher.faults.fail(call, rng.randint(1, 50))
     await asyncio.sleep(rng.choice((0.1, 0.5)))
-    dispatcher.faults.heal("tcp.short_recv", "tcp.short_send")
+    dispatcher.faults.clear("tcp.short_recv", "tcp.short_send")
 
 
 async def stepped_clock(soak: Soak, rng: random.Random) -> None:
--- a/tests/test_discovery_faults.py
+++ b/tests/test_discovery_faults.py
@@ -44,7 +44,7 @@
         """Starts a dispatcher in a subtest and makes these system calls fail from now on."""
         with self.subTest(faults[0][0], error=errno.errorcode[faults[0][1]]):
             self.names.change(lambda endpoint: endpoint._replace(draining=False))
-            self.faults.heal()
+            self.faults.clear()
             child = self.dispatcher()
             try:
                 for call, error, times in faults:
@@ -88,8 +88,8 @@
         """Checks that a drain right after these faults is noticed."""
         with self.dispatcher_with(*faults) as child:
             time.sleep(1.2)
-            self.assertTrue(all(self.faults.failed(call) for call, _, _ in faults))
-            self.faults.heal()
+            self.assertTrue(all(self.faults.failure_count(call) for call, _, _ in faults))
+            self.faults.clear()
             self.drain()
             time.sleep(LATE - 0.1)
             answers = self.send_requests_for(0.6)
@@ -115,21 +115,21 @@
         for call in ("udp.epoll_add", "tcp.epoll_add"):
             with self.subTest(call):
                 self.faults.fail(call, errno.ENOMEM, 3)
-                before = self.faults.failed(call)
+                before = self.faults.failure_count(call)
                 child = self.dispatcher()
                 until = time.monotonic() + 5.0
-                while self.faults.failed(call) - before < 3 and time.monotonic() < until:
+                while self.faults.failure_count(call) - before < 3 and time.monotonic() < until:
                     time.sleep(0.01)
-                self.assertEqual(self.faults.failed(call) - before, 3)
+                self.assertEqual(self.faults.failure_count(call) - before, 3)
                 self.log_after_shutdown(child)
 
     def test_a_start_whose_configuration_cannot_be_opened_for_a_moment(self) -> None:
         for error in (errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.EIO, errno.EINTR):
             with self.subTest(errno.errorcode[error]):
-                before = self.faults.failed("open")
+                before = self.faults.failure_count("open")
                 self.faults.fail("open", error, 3)
                 child = self.dispatcher()
-                self.assertEqual(self.faults.failed("open") - before, 3)
+                self.assertEqual(self.faults.failure_count("open") - before, 3)
                 self.log_after_shutdown(child)
 
     def test_connections_just_accepted(self) -> None:
@@ -149,7 +149,7 @@
             self.drain()
             time.sleep(LATE)
             waiting = self.send_requests_for(0.5)
-            self.faults.heal()
+            self.faults.clear()
             answers = waiting + self.send_requests_for(0.3)
             results = [answer.result() for answer in answers]
             self.assertTrue(set(results) <= {200, 503}, results)
@@ -174,7 +174,7 @@
         self.faults.fail("open", errno.EMFILE)
         child.send_signal(signal.SIGHUP)
         time.sleep(7.0)
-        self.faults.heal()
+        self.faults.clear()
         time.sleep(3.5)
         self.drain()
         time.sleep(LATE)
