--- a/tests/fault_table.py
+++ b/tests/fault_table.py
@@ -1,4 +1,4 @@
-"""Which system calls of a process fail: a table in a file that the test writes and the process reads."""
+"""System call faults of a process: a table in a shared file that the test writes and the process reads."""
 
 import errno
 import mmap
@@ -21,7 +21,7 @@
     "tcp.accept",
     "tcp.recv",
     "tcp.send",
-    "tcp.short_recv",  # its error is the most bytes that a call takes
+    "tcp.short_recv",  # its error is the maximum number of bytes per call
     "tcp.short_send",
     "tcp.getsockname",
     "tcp.getpeername",
@@ -32,13 +32,15 @@
     "epoll_wait",
     "open",
 )
-WANTED = struct.Struct("iii")  # the test's: error, how often (FOREVER without end), number of this wish
-MADE = struct.Struct("iii")  # the process's: number of the wish, how often it has failed for it, and in all
-ENTRY = WANTED.size + MADE.size
+# Written by the test: error, count (or FOREVER), number of this change of the entry.
+REQUESTED = struct.Struct("iii")
+# Written by the process: number of the change that it applies, faults injected for it, and in all.
+INJECTED = struct.Struct("iii")
+ENTRY = REQUESTED.size + INJECTED.size
 
 
 class FaultTable:
-    """The faults of one process, shared through a file. Each side writes a part of its own."""
+    """The faults of one process, in a file; the test and the process each write their own part."""
 
     def __init__(self, path: Path, *, create: bool = False) -> None:
         if create:
@@ -47,39 +49,39 @@
             self.shared = mmap.mmap(file.fileno(), ENTRY * len(CALLS))
 
     def fail(self, call: str, error: int, times: int = FOREVER) -> None:
-        """Let a call fail with an error from now on, so many times."""
-        place = CALLS.index(call) * ENTRY
-        number = WANTED.unpack_from(self.shared, place)[2]
-        WANTED.pack_into(self.shared, place, error, times, number + 1)
+        """Make a call fail with an error from now on, so many times."""
+        offset = CALLS.index(call) * ENTRY
+        number = REQUESTED.unpack_from(self.shared, offset)[2]
+        REQUESTED.pack_into(self.shared, offset, error, times, number + 1)
 
     def clear(self, *calls: str) -> None:
-        """Let these calls succeed again; all, where none is named."""
+        """Make these calls succeed again; all, if none is named."""
         for call in calls or CALLS:
             self.fail(call, 0, 0)
 
     def failure_count(self, call: str) -> int:
-        """How often a call has failed by the test's will."""
-        count: int = MADE.unpack_from(self.shared, CALLS.index(call) * ENTRY + WANTED.size)[2]
+        """How often a fault was injected into a call."""
+        count: int = INJECTED.unpack_from(self.shared, CALLS.index(call) * ENTRY + REQUESTED.size)[2]
         return count
 
-    def take(self, call: str) -> int:
-        """Called by the process before the real call: the error that it is to fail with, or 0."""
-        place = CALLS.index(call) * ENTRY
-        error, times, number = WANTED.unpack_from(self.shared, place)
+    def next_error(self, call: str) -> int:
+        """Called by the process before the real call; returns the error to inject, or 0."""
+        offset = CALLS.index(call) * ENTRY
+        error, times, number = REQUESTED.unpack_from(self.shared, offset)
         if times == 0:
             return 0
-        known, made, in_all = MADE.unpack_from(self.shared, place + WANTED.size)
-        made = made if known == number else 0
-        if 0 < times <= made:
+        known, injected, in_all = INJECTED.unpack_from(self.shared, offset + REQUESTED.size)
+        injected = injected if known == number else 0
+        if 0 < times <= injected:
             return 0
-        MADE.pack_into(self.shared, place + WANTED.size, number, made + 1, in_all + 1)
+        INJECTED.pack_into(self.shared, offset + REQUESTED.size, number, injected + 1, in_all + 1)
         return int(error)
 
     def check(self, call: str) -> None:
         """Called by the process before the real call.
 
         Raises:
-            OSError: The test wants it to fail.
+            OSError: The fault to inject.
         """
-        if error := self.take(call):
+        if error := self.next_error(call):
             raise OSError(error, f"{errno.errorcode[error]} by the test")
--- a/tests/faulty_process.py
+++ b/tests/faulty_process.py
@@ -1,9 +1,9 @@
-"""The dispatcher as a process of its own whose system calls fail where the test's table says so.
+"""Runs the dispatcher as a process whose system calls fail as the test's fault table says.
 
-A program of its own, as the socket class and the poller must be replaced before Twisted takes hold of them.
-The calls fail before the system is asked, as the C library's would where it was interposed. EINTR is retried
-below Python by the interpreter itself, but for connect. Reads and writes may be short, and the wall clock may
-be stepped, as in `stepped_process`.
+This is a separate program, as the socket class and the poller must be replaced before Twisted imports them.
+A call fails before it reaches the system, as with an interposed C library. The interpreter itself retries
+calls after EINTR, except connect. Reads and writes may be short, and the wall clock may be stepped, as in
+`stepped_process`.
 """
 
 import builtins
@@ -23,10 +23,10 @@
 
 
 def faulty_socket_class(faults: Any) -> type[socket.socket]:
-    """The system's socket, with each call checked first."""
+    """A subclass of the system's socket that checks the fault table before each call."""
 
     class FaultySocket(REAL_SOCKET):  # type: ignore[misc]
-        """A socket whose calls may fail."""
+        """A socket with injected faults."""
 
         def __init__(
             self, family: int = -1, type: int = -1, proto: int = -1, fileno: int | None = None
@@ -72,14 +72,14 @@
 
         def recv(self, *arguments: Any) -> bytes:
             self.check("recv")
-            if most := faults.take("tcp.short_recv"):
+            if most := faults.next_error("tcp.short_recv"):
                 arguments = (min(most, arguments[0]), *arguments[1:])
             received: bytes = super().recv(*arguments)
             return received
 
         def send(self, *arguments: Any) -> int:
             self.check("send")
-            if most := faults.take("tcp.short_send"):
+            if most := faults.next_error("tcp.short_send"):
                 arguments = (memoryview(arguments[0])[:most], *arguments[1:])
             sent: int = super().send(*arguments)
             return sent
@@ -100,7 +100,7 @@
 
 
 class FaultyPoller:
-    """The system's epoll, with each call checked first."""
+    """The system's epoll; checks the fault table before each call."""
 
     def __init__(self, faults: Any, *arguments: Any) -> None:
         self.faults, self.real = faults, REAL_EPOLL(*arguments)
@@ -127,8 +127,8 @@
         return self.real.poll(*arguments)
 
 
-def let_calls_fail(faults: Any) -> None:
-    """Replace what Twisted takes its system calls from."""
+def install_faults(faults: Any) -> None:
+    """Replace the socket class, the poller and `open` that Twisted and the dispatcher use."""
     socket.socket = faulty_socket_class(faults)  # type: ignore[misc]
     select.epoll = lambda *arguments: FaultyPoller(faults, *arguments)  # type: ignore[assignment, misc]
 
@@ -143,7 +143,7 @@
 if __name__ == "__main__":
     if OFFSET_FILE in os.environ:
         step_the_wall_clock(os.environ[OFFSET_FILE])
-    let_calls_fail(FaultTable(Path(os.environ[FAULTS_FILE])))
+    install_faults(FaultTable(Path(os.environ[FAULTS_FILE])))
     sys.argv = sys.argv[:1]
     from spurdeal.__main__ import main
 
--- a/tests/stations.py
+++ b/tests/stations.py
@@ -31,7 +31,7 @@
 HOSTS = {"n1": "127.0.8.1", "n2": "127.0.8.2"}
 
 
-class Ether(Reactor):
+class MemoryNetwork(Reactor):
     """Delivers datagrams between protocols in the reactor's next iteration, unless a test drops them."""
 
     def __init__(self) -> None:
@@ -39,45 +39,47 @@
         self.bound: dict[tuple[str, int], Any] = {}
         self.drops: Callable[[tuple[str, int], tuple[str, int]], bool] = lambda source, target: False
         self.announced: list[dict[str, Any]] = []
-        self.carried: list[tuple[tuple[str, int], tuple[str, int], bytes]] = []
+        self.delivered: list[tuple[tuple[str, int], tuple[str, int], bytes]] = []
 
     def listenUDP(self, port: int, protocol: Any, interface: str, maxPacketSize: int = 8192) -> Any:
-        place = (interface, port or 40_000 + len(self.bound))
-        self.bound[place] = protocol
-        protocol.makeConnection(Wire(self, place, protocol))
+        address = (interface, port or 40_000 + len(self.bound))
+        self.bound[address] = protocol
+        protocol.makeConnection(DatagramTransport(self, address, protocol))
         return DatagramPort()
 
-    def carry(self, source: tuple[str, int], target: tuple[str, int], datagram: bytes) -> None:
+    def deliver(self, source: tuple[str, int], target: tuple[str, int], datagram: bytes) -> None:
         if target == ("127.0.8.9", 5400):
             self.announced.append(json.loads(datagram))
         elif target in self.bound and not self.drops(source, target):
-            self.carried.append((source, target, datagram))
+            self.delivered.append((source, target, datagram))
             self.callLater(
                 0, lambda: target in self.bound and self.bound[target].datagramReceived(datagram, source)
             )
 
 
-class Wire:
-    def __init__(self, ether: Ether, place: tuple[str, int], owner: object) -> None:
-        self.ether, self.place, self.owner = ether, place, owner
+class DatagramTransport:
+    """The transport of one datagram port, and its socket."""
 
-    def getHandle(self) -> "Wire":
+    def __init__(self, network: MemoryNetwork, address: tuple[str, int], owner: object) -> None:
+        self.network, self.address, self.owner = network, address, owner
+
+    def getHandle(self) -> "DatagramTransport":
         return self
 
     def write(self, datagram: bytes, address: tuple[str, int]) -> None:
-        if self.ether.bound.get(self.place) is self.owner:  # otherwise its process was killed
-            self.ether.carry(self.place, address, datagram)
+        if self.network.bound.get(self.address) is self.owner:  # otherwise its process was killed
+            self.network.deliver(self.address, address, datagram)
 
-    sendto = write  # the socket's method; the wire is its own handle
+    sendto = write  # the socket's method; the transport is its own handle
 
 
-class Side:
-    """One start of one dispatcher."""
+class Node:
+    """One dispatcher process of the pair; a restart makes another."""
 
     def __init__(self, pair: "Pair", name: str, boot: int) -> None:
         self.pair, self.name, self.log = pair, name, io.StringIO()
         other = "n2" if name == "n1" else "n1"
-        told = read_configuration(
+        loaded = read_configuration(
             json.dumps(
                 configuration(
                     0,
@@ -99,8 +101,8 @@
             interval=pair.intervals[name],
         )
         self.plan = read_text("plan", text.encode())
-        self.service = Service(told, pair.ether, pair.unix, logger(name, self.log), lambda: None)
-        runtime = Runtime(cast(Any, pair.ether), pair.mono, self.service.counters, self.service.log)
+        self.service = Service(loaded, pair.network, pair.unix, logger(name, self.log), lambda: None)
+        runtime = Runtime(cast(Any, pair.network), pair.mono, self.service.counters, self.service.log)
         self.station = Station(self.service, self.plan, boot, runtime)
         self.station.start()
         self.service.start()
@@ -109,10 +111,10 @@
         return bool(self.station.groups.held())
 
     def kill(self) -> None:
-        """Remove its sockets; its timers run on, but what they write is lost."""
-        for place in [place for place in self.pair.ether.bound if place[0] == HOSTS[self.name]]:
-            del self.pair.ether.bound[place]
-        self.pair.dead.add(HOSTS[self.name])
+        """Remove its sockets; its timers still run, but what they send is lost."""
+        for address in [address for address in self.pair.network.bound if address[0] == HOSTS[self.name]]:
+            del self.pair.network.bound[address]
+        self.pair.killed_hosts.add(HOSTS[self.name])
 
     def submit(self, ident: bytes, kind: int = 1) -> list[Answer]:
         answers: list[Answer] = []
@@ -128,51 +130,53 @@
 
 
 class Pair:
+    """Both dispatchers, their name service and their clock."""
+
     def __init__(self, case: unittest.TestCase, cold: bool = False, **more: Any) -> None:
-        self.ether, self.settings = Ether(), configuration()["settings"] | {"balancers": 2}
+        self.network, self.settings = MemoryNetwork(), configuration()["settings"] | {"balancers": 2}
         self.priorities = {"n1": 200, "n2": 100} | more.get("priorities", {})
         self.intervals = {"n1": "100ms", "n2": "100ms"} | more.get("intervals", {})
         self.plan = more.get("plan", PLAN)
         self.names = Names([Endpoint(f"s-{number}", f"127.0.9.{number}", 7001) for number in range(3)])
-        self.known, self.dead, self.boots = self.names.known(), set[str](), 0
-        self.ether.listenUDP(5300, self.names, "127.0.8.9")
-        self.ether.drops = lambda source, target: source[0] in self.dead
-        self.sides = {name: self.side(name) for name in HOSTS}
+        self.known, self.killed_hosts, self.boots = self.names.known(), set[str](), 0
+        self.network.listenUDP(5300, self.names, "127.0.8.9")
+        self.network.drops = lambda source, target: source[0] in self.killed_hosts
+        self.nodes = {name: self.node(name) for name in HOSTS}
         case.addCleanup(self.check, case)
 
-    def side(self, name: str) -> Side:
+    def node(self, name: str) -> Node:
         self.boots += 1
-        self.dead.discard(HOSTS[name])
-        return Side(self, name, self.boots)
+        self.killed_hosts.discard(HOSTS[name])
+        return Node(self, name, self.boots)
 
-    def again(self, name: str) -> Side:
-        """A new start, with the first start's list."""
-        self.sides[name] = self.side(name)
-        return self.sides[name]
+    def restart(self, name: str) -> Node:
+        """Start it again, with the initial list of engines."""
+        self.nodes[name] = self.node(name)
+        return self.nodes[name]
 
     def unix(self) -> float:
         return BASE + self.mono()
 
     def mono(self) -> float:
-        return float(self.ether.seconds()) * 1000
+        return float(self.network.seconds()) * 1000
 
     def go(self, ms: float = 0.0) -> None:
-        self.ether.pump([0.0, 0.0] + [0.005] * round(ms / 5) + [0.0] * 4)
+        self.network.pump([0.0, 0.0] + [0.005] * round(ms / 5) + [0.0] * 4)
 
     def peers(self) -> list[Peer]:
-        """The engine ends of all connections dialled so far."""
+        """The engine sides of all connections dialled so far."""
         world: Any = self
-        return [Peer(world, place) for place in range(len(self.reactor.tcpClients))]
+        return [Peer(world, number) for number in range(len(self.reactor.tcpClients))]
 
     @property
-    def reactor(self) -> Ether:
-        return self.ether
+    def reactor(self) -> MemoryNetwork:
+        return self.network
 
     def check(self, case: unittest.TestCase) -> None:
-        for side in self.sides.values():
+        for node in self.nodes.values():
             faults = {
                 name: count
-                for name, count in side.service.counters.sums.items()
+                for name, count in node.service.counters.sums.items()
                 if name in ("faults", "unhandled") or name.startswith("must_")
             }
-            case.assertEqual(faults, {}, side.log.getvalue())
+            case.assertEqual(faults, {}, node.log.getvalue())
--- a/tests/test_holding.py
+++ b/tests/test_holding.py
@@ -38,10 +38,10 @@
         self.ran: list[tuple[Any, list[str]]] = []
         self.busy, self.closed = 0, 0
 
-    def spawnProcess(self, run: Any, name: str, words: list[str], env: object) -> None:
+    def spawnProcess(self, run: Any, name: str, arguments: list[str], env: object) -> None:
         killed = ProcessTerminated(signal=9)
-        run.transport = SimpleNamespace(signalProcess=lambda word: self.ended(run, killed))
-        self.ran.append((run, words))
+        run.transport = SimpleNamespace(signalProcess=lambda signal_name: self.ended(run, killed))
+        self.ran.append((run, arguments))
 
     def ended(self, run: Any, how: Exception) -> None:
         run.processEnded(Failure(how))
@@ -57,8 +57,8 @@
         return SimpleNamespace(stopListening=stop)
 
 
-class Holders(unittest.TestCase):
-    def test_commands_run_one_after_the_other_as_plain_words_and_end_in_time(self) -> None:
+class AddressHolders(unittest.TestCase):
+    def test_commands_run_in_sequence_without_a_shell_and_with_a_timeout(self) -> None:
         reactor, counters = Spawner(), Counters()
         commands = Commands(
             reactor,
@@ -68,7 +68,7 @@
         )
         commands.take(1, [ADDRESS])
         commands.leave(1, [ADDRESS])
-        self.assertEqual([words for _, words in reactor.ran], [["/bin/take", "127.0.7.1; rm"]])
+        self.assertEqual([arguments for _, arguments in reactor.ran], [["/bin/take", "127.0.7.1; rm"]])
         reactor.ended(reactor.ran[0][0], ProcessDone(0))
         self.assertEqual(reactor.ran[1][1], ["/bin/leave", "127.0.7.1"])
         reactor.advance(0.6)
@@ -141,9 +141,9 @@
             key="ab" * 16,
             priority={"n1": 200, "n2": 100}[name],
         )
-        told = configuration(0, name=name, listen=f"{HOSTS[name]}:7302", nameserver=f"{NAMES_HOST}:5300")
+        config = configuration(0, name=name, listen=f"{HOSTS[name]}:7302", nameserver=f"{NAMES_HOST}:5300")
         (self.folder / f"{name}.yaml").write_text(plan if text is None else text)
-        (self.folder / f"{name}.json").write_text(json.dumps(told))
+        (self.folder / f"{name}.json").write_text(json.dumps(config))
         child = subprocess.Popen(
             [sys.executable, "-O", "-m", "spurdeal", "run", "--settings", str(self.folder / f"{name}.yaml")],
             stderr=subprocess.PIPE,
@@ -159,7 +159,7 @@
         self.folder = Path(folder.name)
 
     def who(self, within: float, host: str = SHARED, port: int = 7301) -> dict[str, int]:
-        """The counters of the dispatcher that answers there; retries until one does."""
+        """The counters of the dispatcher that answers at this address; retries until one does."""
         until = time.monotonic() + within
         while True:
             try:
@@ -172,7 +172,7 @@
                 time.sleep(0.02)
 
     def until_other_answers(self, within: float) -> None:
-        """Waits for the other dispatcher: that with the bad file still answers until it handles SIGTERM."""
+        """Wait for the other dispatcher; the one with the bad file still answers until it handles SIGTERM."""
         until = time.monotonic() + within
         while self.who(within).get("installations_unusable") is not None:
             self.assertLess(time.monotonic(), until)
@@ -180,10 +180,10 @@
 
     def test_a_bad_file_ends_the_start_with_a_line_and_code_2(self) -> None:
         child = self.start("n1", "name: n1\nvrrp: 3\n")
-        said = child.communicate(timeout=30)[1]
+        output = child.communicate(timeout=30)[1]
         self.assertEqual(child.returncode, 2)
-        self.assertIn("n1.yaml:2: vrrp:", said)
-        self.assertNotIn("Traceback", said)
+        self.assertIn("n1.yaml:2: vrrp:", output)
+        self.assertNotIn("Traceback", output)
 
     def test_two_processes_pass_an_address_and_keep_running_on_a_bad_file(self) -> None:
         one, two = self.start("n1"), self.start("n2")
@@ -197,10 +197,10 @@
         self.assertEqual([one.poll(), two.poll()], [None, None])
         one.send_signal(signal.SIGTERM)
         self.until_other_answers(5)
-        said = one.communicate(timeout=15)[1]
-        self.assertEqual(one.returncode, 0, said)
-        self.assertIn("event=installation_kept", said)
+        output = one.communicate(timeout=15)[1]
+        self.assertEqual(one.returncode, 0, output)
+        self.assertIn("event=installation_kept", output)
         two.send_signal(signal.SIGTERM)
-        said = two.communicate(timeout=15)[1]
-        self.assertEqual(two.returncode, 0, said)
-        self.assertIn("event=address_taken group=1", said)
+        output = two.communicate(timeout=15)[1]
+        self.assertEqual(two.returncode, 0, output)
+        self.assertIn("event=address_taken group=1", output)
--- a/tests/test_station.py
+++ b/tests/test_station.py
@@ -1,4 +1,4 @@
-"""Two dispatchers that back up one another: takeover, return, handover and tenure, in memory."""
+"""Two dispatchers that back up each other: takeover, return, handover and tenure, in memory."""
 
 import random
 import unittest
@@ -21,7 +21,7 @@
     def settled(self, **more: Any) -> Pair:
         pair = Pair(self, **more)
         pair.go(3500)
-        self.assertEqual([side.holds() for side in pair.sides.values()], [True, False])
+        self.assertEqual([node.holds() for node in pair.nodes.values()], [True, False])
         return pair
 
     def test_two_groups_with_opposite_priorities_keep_both_active(self) -> None:
@@ -29,60 +29,60 @@
         plan = PLAN.replace("{{group: 1,", group)
         pair = Pair(self, plan=plan.replace("OTHER", "100"), priorities={"n1": 150, "n2": 50})
         pair.go(3500)
-        held = [side.station.groups.held() for side in pair.sides.values()]
+        held = [node.station.groups.held() for node in pair.nodes.values()]
         self.assertEqual(held, [[1], [2]])
         self.assertEqual(
-            [side.station.budget_shares.share(pair.mono()) for side in pair.sides.values()], [0.5, 0.5]
+            [node.station.budget_shares.share(pair.mono()) for node in pair.nodes.values()], [0.5, 0.5]
         )
-        pair.sides["n1"].kill()
+        pair.nodes["n1"].kill()
         pair.go(500)
-        self.assertEqual(sorted(pair.sides["n2"].station.groups.held()), [1, 2])
+        self.assertEqual(sorted(pair.nodes["n2"].station.groups.held()), [1, 2])
 
     def test_a_killed_holder_is_replaced_within_active_down_interval(self) -> None:
         pair = self.settled()
-        pair.sides["n1"].kill()
+        pair.nodes["n1"].kill()
         began = pair.mono()
-        while not pair.sides["n2"].holds():
+        while not pair.nodes["n2"].holds():
             pair.go(5)
         self.assertLess(pair.mono() - began, advert_down(100) + 10)
         pair.go(10)
-        self.assertEqual(pair.ether.announced[-1]["at"], [HOSTS["n2"], 7001])
+        self.assertEqual(pair.network.announced[-1]["at"], [HOSTS["n2"], 7001])
 
     def test_a_stopping_holder_is_replaced_within_skew_time(self) -> None:
         pair = self.settled()
-        pair.sides["n1"].station.stop()
+        pair.nodes["n1"].station.stop()
         began = pair.mono()
-        while not pair.sides["n2"].holds():
+        while not pair.nodes["n2"].holds():
             pair.go(5)
         self.assertLess(pair.mono() - began, 156 / 256 * 100 + 15)
 
     def test_a_one_way_partition_makes_two_holders_and_the_higher_priority_prevails_after(self) -> None:
         pair = self.settled()
-        pair.ether.drops = lambda source, target: source[0] == HOSTS["n1"]
+        pair.network.drops = lambda source, target: source[0] == HOSTS["n1"]
         pair.go(600)
-        self.assertEqual([side.holds() for side in pair.sides.values()], [True, True])
-        parts = [side.station.budget_shares.share(pair.mono()) for side in pair.sides.values()]
+        self.assertEqual([node.holds() for node in pair.nodes.values()], [True, True])
+        parts = [node.station.budget_shares.share(pair.mono()) for node in pair.nodes.values()]
         self.assertLessEqual(sum(parts), 1.0)
-        pair.ether.drops = lambda source, target: False
+        pair.network.drops = lambda source, target: False
         pair.go(300)
-        self.assertEqual([side.holds() for side in pair.sides.values()], [True, False])
-        self.assertEqual(pair.ether.announced[-1]["at"], [HOSTS["n1"], 7001])
+        self.assertEqual([node.holds() for node in pair.nodes.values()], [True, False])
+        self.assertEqual(pair.network.announced[-1]["at"], [HOSTS["n1"], 7001])
 
     def test_an_interval_changed_on_one_side_is_learned(self) -> None:
         pair = self.settled(intervals={"n1": "400ms"})
         pair.go(3000)
-        self.assertEqual([side.holds() for side in pair.sides.values()], [True, False])
-        self.assertEqual(pair.sides["n2"].station.groups.machines[1].sender_interval, 400)
+        self.assertEqual([node.holds() for node in pair.nodes.values()], [True, False])
+        self.assertEqual(pair.nodes["n2"].station.groups.machines[1].sender_interval, 400)
 
     def test_a_stale_list_gives_the_address_away_and_a_fresh_one_takes_it_back(self) -> None:
         pair = self.settled()
         names = ("127.0.8.9", 5300)
-        pair.ether.drops = lambda source, target: target == names and source[0] == HOSTS["n1"]
+        pair.network.drops = lambda source, target: target == names and source[0] == HOSTS["n1"]
         pair.go(4000)
-        self.assertEqual([side.holds() for side in pair.sides.values()], [False, True])
-        pair.ether.drops = lambda source, target: False
+        self.assertEqual([node.holds() for node in pair.nodes.values()], [False, True])
+        pair.network.drops = lambda source, target: False
         pair.go(1000)
-        self.assertEqual([side.holds() for side in pair.sides.values()], [True, False])
+        self.assertEqual([node.holds() for node in pair.nodes.values()], [True, False])
 
     def test_a_backup_stopped_during_a_takeover_announces_nothing(self) -> None:
         """SIGTERM to the backup while nobody holds the address: it announces nothing.
@@ -90,12 +90,12 @@
         The returning dispatcher takes the address.
         """
         pair = self.settled()
-        pair.sides["n1"].kill()
+        pair.nodes["n1"].kill()
         pair.go(200)
-        pair.sides["n2"].station.stop()
+        pair.nodes["n2"].station.stop()
         pair.go(600)
-        self.assertIs(pair.sides["n2"].station.groups.machines[1].state, State.INITIALIZE)
-        one = pair.again("n1")
+        self.assertIs(pair.nodes["n2"].station.groups.machines[1].state, State.INITIALIZE)
+        one = pair.restart("n1")
         pair.go(500)
         self.assertTrue(one.holds())
 
@@ -108,21 +108,21 @@
     def test_a_returning_holder_with_an_old_list_waits_and_treats_each_engine_as_cold(self) -> None:
         pair = Pair(self)
         pair.go(3500)
-        pair.sides["n1"].kill()
+        pair.nodes["n1"].kill()
         pair.go(600)
         started = int(pair.unix())
         pair.names.change(
             [Endpoint("s-1", "127.0.9.1", 7001), Endpoint("s-9", "127.0.9.9", 7001, started=started)]
         )
         pair.names.silent = True
-        one = pair.again("n1")
+        one = pair.restart("n1")
         pair.go(2500)
         rules = one.service.adapter.rules
-        self.assertEqual([one.holds(), pair.sides["n2"].holds()], [False, True])
+        self.assertEqual([one.holds(), pair.nodes["n2"].holds()], [False, True])
         self.assertEqual({engine.slow_start_until > pair.unix() for engine in rules.engines.values()}, {True})
         pair.names.silent = False
         pair.go(1000)
-        self.assertEqual([one.holds(), pair.sides["n2"].holds()], [True, False])
+        self.assertEqual([one.holds(), pair.nodes["n2"].holds()], [True, False])
         cold = {
             ident: rules.engines[place].slow_start_until > pair.unix()
             for ident, place in one.service.adapter.index.places.items()
@@ -132,14 +132,14 @@
     def test_without_list_and_peer_it_takes_its_address_back_after_the_configured_time(self) -> None:
         pair = Pair(self)
         pair.go(3500)
-        pair.sides["n1"].kill()
+        pair.nodes["n1"].kill()
         pair.go(600)
         names = ("127.0.8.9", 5300)
         handover = (HOSTS["n2"], 7113)
-        pair.ether.drops = lambda source, target: (
+        pair.network.drops = lambda source, target: (
             (target == names and source[0] == HOSTS["n1"]) or source == handover
         )
-        one = pair.again("n1")
+        one = pair.restart("n1")
         pair.go(2900)
         self.assertFalse(one.holds())
         pair.go(900)
@@ -151,15 +151,15 @@
         pair = Pair(self)
         window = pair.settings["rules"]["tip_after"]
         seen: list[list[float]] = []
-        chance, most = random.Random(4), 0.0
+        rng, most = random.Random(4), 0.0
         for step in range(1600):
             if step == 900:
-                pair.sides["n1"].kill()
+                pair.nodes["n1"].kill()
             pair.go(5)
             parts = []
-            for name, side in pair.sides.items():
-                tenure, now = side.station.budget_shares, pair.mono()
-                uses = chance.random() < 0.05 and HOSTS[name] not in pair.dead and tenure.share(now) > 0
+            for name, node in pair.nodes.items():
+                tenure, now = node.station.budget_shares, pair.mono()
+                uses = rng.random() < 0.05 and HOSTS[name] not in pair.killed_hosts and tenure.share(now) > 0
                 parts.append(tenure.share(now) if uses else 0.0)
                 if uses:
                     tenure.record_use(now)
@@ -167,31 +167,31 @@
             seen = seen[-window // 5 :]
             together = sum(max(column) for column in zip(*seen, strict=True))
             most = max(most, together)
-            pair.ether.drops = lambda source, target: source[0] in pair.dead or chance.random() < 0.2
+            pair.network.drops = lambda source, target: source[0] in pair.killed_hosts or rng.random() < 0.2
         self.assertLessEqual(most, 1.0)
         self.assertGreater(most, 0.9)
-        self.assertEqual(pair.sides["n2"].station.budget_shares.share(pair.mono()), 0.5)
-        self.assertGreater(pair.sides["n1"].count("tenure_changes"), 1)
+        self.assertEqual(pair.nodes["n2"].station.budget_shares.share(pair.mono()), 0.5)
+        self.assertGreater(pair.nodes["n1"].count("tenure_changes"), 1)
 
     def test_an_engine_started_at_the_takeover_gets_nothing_until_the_share_is_owned(self) -> None:
         pair = Pair(self)
         pair.go(3500)
-        pair.sides["n1"].kill()
+        pair.nodes["n1"].kill()
         pair.names.change([Endpoint("s-9", "127.0.9.9", 7001, started=int(pair.unix()))])
-        dialled = len(pair.ether.tcpClients)
-        while not pair.sides["n2"].holds():
+        dialled = len(pair.network.tcpClients)
+        while not pair.nodes["n2"].holds():
             pair.go(5)
-        answers = pair.sides["n2"].submit(X, kind=0)
+        answers = pair.nodes["n2"].submit(X, kind=0)
         pair.go(100)
-        self.assertEqual(pair.sides["n2"].station.budget_shares.share(pair.mono()), 0.0)
-        self.assertEqual(len(pair.ether.tcpClients), dialled)
+        self.assertEqual(pair.nodes["n2"].station.budget_shares.share(pair.mono()), 0.0)
+        self.assertEqual(len(pair.network.tcpClients), dialled)
         pair.go(2200)
-        self.assertEqual(pair.sides["n2"].station.budget_shares.share(pair.mono()), 0.5)
-        self.assertEqual((len(pair.ether.tcpClients), answers), (dialled + 1, []))
+        self.assertEqual(pair.nodes["n2"].station.budget_shares.share(pair.mono()), 0.5)
+        self.assertEqual((len(pair.network.tcpClients), answers), (dialled + 1, []))
 
 
-class Ahead(unittest.TestCase):
-    """A non-idempotent request at each point of its life, and the same id at the other dispatcher."""
+class HandoverBeforeSending(unittest.TestCase):
+    """A non-idempotent request at each stage, and the same id at the other dispatcher."""
 
     def pair(self) -> Pair:
         pair = Pair(self)
@@ -200,7 +200,7 @@
 
     def test_sent_and_not_answered(self) -> None:
         pair = self.pair()
-        one, two = pair.sides.values()
+        one, two = pair.nodes.values()
         answers = one.submit(X)
         pair.go(20)
         sent = pair.peers()[-1].up()
@@ -213,44 +213,44 @@
     def test_the_peer_was_informed_but_its_answer_is_lost(self) -> None:
         """It was never sent, but the informed peer cannot know that: it fails the request there."""
         pair = self.pair()
-        one, two = pair.sides.values()
-        pair.ether.drops = lambda source, target: source == (HOSTS["n2"], 7113)
-        dialled = len(pair.ether.tcpClients)
+        one, two = pair.nodes.values()
+        pair.network.drops = lambda source, target: source == (HOSTS["n2"], 7113)
+        dialled = len(pair.network.tcpClients)
         answers = one.submit(X)
         pair.go(300)
-        self.assertEqual((answers, len(pair.ether.tcpClients)), ([Shed(500.0)], dialled))
-        pair.ether.drops = lambda source, target: False
+        self.assertEqual((answers, len(pair.network.tcpClients)), ([Shed(500.0)], dialled))
+        pair.network.drops = lambda source, target: False
         pair.go(200)
         self.assertEqual(two.submit(X), [])  # the notice of the shed request was revoked
         pair.go(50)
-        self.assertEqual(len(pair.ether.tcpClients), dialled + 1)
+        self.assertEqual(len(pair.network.tcpClients), dialled + 1)
 
     def test_killed_before_the_peer_is_informed(self) -> None:
         pair = self.pair()
-        one, two = pair.sides.values()
-        pair.ether.drops = lambda source, target: source[0] == HOSTS["n1"]
+        one, two = pair.nodes.values()
+        pair.network.drops = lambda source, target: source[0] == HOSTS["n1"]
         one.submit(X)
         pair.go(10)
         one.kill()
-        pair.ether.drops = lambda source, target: False
+        pair.network.drops = lambda source, target: False
         answers = two.submit(X)
         pair.go(30)
         self.assertEqual((one.count("ahead_sent"), answers), (0, []))
 
     def test_a_client_repeats_an_answered_request_whose_answer_it_did_not_get(self) -> None:
         pair = self.pair()
-        one, two = pair.sides.values()
+        one, two = pair.nodes.values()
         answers = one.submit(X)
         pair.go(20)
         pair.peers()[-1].up().say(0xAA, "200", "parts=1", b"a\t1\tx\n")
         self.assertEqual(answers, [Delivered((b"a\t1\tx\n",))])
-        for side in (one, two):
-            self.assertEqual(side.submit(X), [Failed()])
+        for node in (one, two):
+            self.assertEqual(node.submit(X), [Failed()])
 
     def test_a_request_proven_not_to_have_run_may_be_sent_again(self) -> None:
         pair = self.pair()
-        one, two = pair.sides.values()
-        answers, place = one.submit(X), len(pair.ether.tcpClients)
+        one, two = pair.nodes.values()
+        answers, place = one.submit(X), len(pair.network.tcpClients)
         for _ in range(8):  # each engine refuses the connection
             pair.go(40)
             peers = pair.peers()
@@ -263,20 +263,20 @@
 
     def test_both_accept_it_at_once(self) -> None:
         pair = self.pair()
-        answers = [side.submit(X) for side in pair.sides.values()]
+        answers = [node.submit(X) for node in pair.nodes.values()]
         pair.go(400)
-        ran = [side.count("ahead_sent") for side in pair.sides.values()]
+        ran = [node.count("ahead_sent") for node in pair.nodes.values()]
         self.assertLessEqual(sum(ran), 1)
         self.assertIn([Failed()], answers)
 
     def test_both_killed_the_ledger_is_recalled_and_shared(self) -> None:
         pair = self.pair()
-        one, two = pair.sides.values()
+        one, two = pair.nodes.values()
         one.submit(X)
         pair.go(20)
-        for side in (one, two):
-            side.kill()
-        one, two = pair.again("n1"), pair.again("n2")
+        for node in (one, two):
+            node.kill()
+        one, two = pair.restart("n1"), pair.restart("n2")
         one.station.restore_records({X: pair.unix() + 60_000})  # what its ledger holds
         self.assertEqual(two.submit(X), [Shed(500.0)])  # it has not yet learned its peer's ledger
         pair.go(1000)
@@ -284,18 +284,18 @@
 
     def test_without_the_peer_it_is_shed(self) -> None:
         pair = self.pair()
-        pair.sides["n2"].kill()
+        pair.nodes["n2"].kill()
         pair.go(500)
-        self.assertEqual(pair.sides["n1"].submit(X), [Shed(500.0)])
-        self.assertEqual(pair.sides["n1"].count("door_away"), 1)
-        lookups = pair.sides["n1"].submit(b"00000000000000bb", kind=0)
+        self.assertEqual(pair.nodes["n1"].submit(X), [Shed(500.0)])
+        self.assertEqual(pair.nodes["n1"].count("door_away"), 1)
+        lookups = pair.nodes["n1"].submit(b"00000000000000bb", kind=0)
         pair.go(20)
         self.assertEqual(lookups, [])  # idempotent requests are still accepted
 
     def test_withdrawn_while_it_waits_for_the_peer_and_the_wait_expires(self) -> None:
         pair = self.pair()
-        one = pair.sides["n1"]
-        pair.ether.drops = lambda source, target: source == (HOSTS["n2"], 7113)
+        one = pair.nodes["n1"]
+        pair.network.drops = lambda source, target: source == (HOSTS["n2"], 7113)
         one.submit(X)
         pair.go(10)
         self.assertTrue(one.service.adapter.withdraw(X))
@@ -307,11 +307,11 @@
     def test_a_hundred_thousand_malformed_datagrams_of_each_kind_change_nothing_and_are_counted(self) -> None:
         pair = Pair(self)
         pair.go(3500)
-        two, chance = pair.sides["n2"], random.Random(8)
+        two, rng = pair.nodes["n2"], random.Random(8)
         good = advert.write(
             advert.Advert(1, 200, 100, (ip_address("127.0.7.1"),)), *map(ip_address, HOSTS.values())
         )
-        handover = [text for source, target, text in pair.ether.carried if target == (HOSTS["n2"], 7113)]
+        handover = [text for source, target, text in pair.network.delivered if target == (HOSTS["n2"], 7113)]
         forged = Session("n1", "n2", 1, Keys({1: b"x" * 16}))
         station = two.station
         assert station.handover is not None
@@ -328,16 +328,16 @@
         drops = self.dropped(two)
         for number in range(100_000):
             text = bytearray(good)
-            text[chance.choice((0, 3, 6, 7))] ^= 1 << chance.randrange(8)
+            text[rng.choice((0, 3, 6, 7))] ^= 1 << rng.randrange(8)
             station.on_advert(bytes(text), HOSTS["n1"])
-            sort = number % 4
-            if sort == 0:
-                spoilt = bytearray(handover[-1 - number % 50])
-                spoilt[chance.randrange(len(spoilt))] ^= 1 << chance.randrange(8)
-                text = spoilt
-            elif sort == 1:
-                text = bytearray(handover[-1 - number % 50])[: chance.randrange(90)]
-            elif sort == 2:
+            kind = number % 4
+            if kind == 0:
+                corrupt = bytearray(handover[-1 - number % 50])
+                corrupt[rng.randrange(len(corrupt))] ^= 1 << rng.randrange(8)
+                text = corrupt
+            elif kind == 1:
+                text = bytearray(handover[-1 - number % 50])[: rng.randrange(90)]
+            elif kind == 2:
                 text = bytearray(handover[-1 - number % 50])  # intact and replayed
             else:
                 text = bytearray(forged.write(0.0, {"list": 9}))
@@ -354,12 +354,12 @@
         self.assertEqual(self.dropped(two) - drops, 200_000)
 
     @staticmethod
-    def dropped(side: Any) -> int:
-        return sum(count for name, count in side.service.counters.sums.items() if "_drop_" in name)
+    def dropped(node: Any) -> int:
+        return sum(count for name, count in node.service.counters.sums.items() if "_drop_" in name)
 
     def test_unknown_senders_and_groups_are_counted(self) -> None:
         pair = Pair(self)
-        station = pair.sides["n2"].station
+        station = pair.nodes["n2"].station
         good = advert.write(
             advert.Advert(9, 200, 100, (ip_address("127.0.7.1"),)), *map(ip_address, HOSTS.values())
         )
@@ -368,7 +368,7 @@
         station.on_handover_datagram(b"x", ("127.9.9.9", 7113))
         self.assertEqual(
             [
-                pair.sides["n2"].count(name)
+                pair.nodes["n2"].count(name)
                 for name in ("vrrp_drop_group", "vrrp_drop_sender", "handover_drop_sender")
             ],
             [1, 1, 1],
@@ -379,7 +379,7 @@
         pair.go(3500)
         new = "6e" * 16
         for keys in ([(1, KEY), (2, new)], [(2, new), (1, KEY)], [(2, new)]):
-            for name, side in pair.sides.items():
+            for name, node in pair.nodes.items():
                 other = "n2" if name == "n1" else "n1"
                 text = PLAN.format(
                     name=name,
@@ -390,15 +390,15 @@
                     priority=pair.priorities[name],
                     interval="100ms",
                 )
-                told = ", ".join(f"{{id: {ident}, hex: {key}}}" for ident, key in keys)
-                text = text.replace(f"[{{id: 1, hex: {KEY}}}]", f"[{told}]")
-                side.station.read_again(read_text("plan", text.encode()))
+                key_list = ", ".join(f"{{id: {ident}, hex: {key}}}" for ident, key in keys)
+                text = text.replace(f"[{{id: 1, hex: {KEY}}}]", f"[{key_list}]")
+                node.station.read_again(read_text("plan", text.encode()))
                 pair.go(120)
-        taken = [side.count("handover_taken") for side in pair.sides.values()]
+        taken = [node.count("handover_taken") for node in pair.nodes.values()]
         pair.go(500)
-        for side, before in zip(pair.sides.values(), taken, strict=True):
-            self.assertGreaterEqual(side.count("handover_taken") - before, 9)
-            self.assertEqual(side.count("handover_drop_key"), 0)
+        for node, before in zip(pair.nodes.values(), taken, strict=True):
+            self.assertGreaterEqual(node.count("handover_taken") - before, 9)
+            self.assertEqual(node.count("handover_drop_key"), 0)
 
 
 class Models(unittest.TestCase):
--- a/tests/test_system_faults.py
+++ b/tests/test_system_faults.py
@@ -547,13 +547,13 @@
 
     def test_vrrp_ports_tolerate_read_errors(self) -> None:
         pair = Pair(self)
-        for side in pair.sides.values():
-            readers = [cast(Any, port).doRead.__self__ for port in side.station.ports]
+        for node in pair.nodes.values():
+            readers = [cast(Any, port).doRead.__self__ for port in node.station.ports]
             self.assertEqual([(type(reader), reader.max_errors) for reader in readers], TOLERANT * 3)
 
     def test_a_fault_in_a_tick_of_vrrp_ends_no_later_one(self) -> None:
         pair = Pair(self)
-        advertising: Any = pair.sides["n1"].station.advertising
+        advertising: Any = pair.nodes["n1"].station.advertising
         tick, failures = advertising.groups.tick, [ZeroDivisionError("by the test")]
 
         def tick_or_fail(now: float) -> Any:
