--- a/tests/soak/sides.py
+++ b/tests/soak/sides.py
@@ -15,12 +15,8 @@
 from tests.soak.judge import Attempt, End, Records, Request
 
 REJECT_SHARE, MAX_RUN_TIME = 0.02, 0.12  # share that an engine rejects; seconds that a request runs at most
-LEAVE_SHARE, SPLIT_SHARE, IDLE_SHARE, ONCE_SHARE = (
-    0.04,
-    0.1,
-    0.1,
-    0.3,
-)  # shares of requests; IDLE_SHARE: of pauses
+# Shares of requests that are abandoned, split or non-idempotent; IDLE_SHARE: share of long pauses.
+LEAVE_SHARE, SPLIT_SHARE, IDLE_SHARE, ONCE_SHARE = 0.04, 0.1, 0.1, 0.3
 ANSWER_TIMEOUT = 2.0  # seconds after a request's deadline until its client gives up
 LONGEST_WAIT = 3.0  # seconds
 
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -22,10 +22,8 @@
 
 ENGINE_PORT = 7001
 DISPATCHERS, ENGINES, CLIENTS = 3, 5, 8
-SETTLE, LATE_THRESHOLD = (
-    4.5,
-    0.02,
-)  # seconds; LATE_THRESHOLD: delays of the test process above it are recorded
+# Seconds: SETTLE for requests to finish after the run; above LATE_THRESHOLD a delay of the test is recorded.
+SETTLE, LATE_THRESHOLD = 4.5, 0.02
 
 Injector = Callable[["Soak", random.Random], Awaitable[None]]
 INJECTORS: dict[str, tuple[int, Injector]] = {  # relative weight and function
--- a/tests/test_gone_clients.py
+++ b/tests/test_gone_clients.py
@@ -425,7 +425,7 @@
         self.assertEqual(world.count("attempts_after_client_left"), 0)
 
     def test_an_attempt_that_the_system_accepts_in_time_is_left_to_run(self) -> None:
-        """It is counter as sent after its client left, by less than 100 ms."""
+        """It is counted as sent after its client left, by less than 100 ms."""
         world, peer = self.stuck()
         world.go(30)
         peer.pipe.full = False
@@ -454,7 +454,7 @@
         self.assertEqual(world.count("trips_written"), 0)
 
     def test_a_connection_with_other_running_attempts_is_not_aborted(self) -> None:
-        """So this attempt may reach the engine late, and is counter as late."""
+        """So this attempt may reach the engine late, and is counted as late."""
         world = World(self)
         world.service.engines.max_connections = 1
         kept, caller = Caller(world), Caller(world)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -271,7 +271,7 @@
 
     def test_each_attempt_gets_its_own_connection_while_descriptors_last(self) -> None:
         """A failed connection fails its attempts, but raises the failure score of its engine only once."""
-        world = World(self, engines=2, limits={"sockets": 10})  # four connections, two an engine
+        world = World(self, engines=2, limits={"sockets": 10})  # four connections, two per engine
         callers = [Caller(world) for _ in range(6)]
         for ident, caller in enumerate(callers):
             caller.post(ident)
--- a/tests/test_review_findings.py
+++ b/tests/test_review_findings.py
@@ -193,7 +193,7 @@
         return sum(checks) / len(checks)
 
     def test_a_list_whose_answers_all_arrive_within_the_grace_is_followed_most_of_the_time(self) -> None:
-        """A list takes effect 200 ms after it was sent, within the grace period."""
+        """A list takes effect at most 200 ms after it was sent, within the grace period."""
         self.assertGreater(self.followed_share(200.0), 0.5)
 
     def test_a_list_whose_answers_all_take_700_ms_is_followed_at_times(self) -> None:
--- a/tests/test_system_faults.py
+++ b/tests/test_system_faults.py
@@ -220,7 +220,7 @@
         steps.go(REINSTATED_MS)
         self.assertEqual(steps.service.adapter.endpoints["s-0"].life, Life.READY)
 
-    def test_a_fault_in_one_sweep_ends_no_other(self) -> None:
+    def test_a_fault_in_one_sweep_stops_no_other(self) -> None:
         world = World(self)
         sweeps: list[float] = []
         world.service.engines.sweep = lambda: sweeps.append(world.now())  # type: ignore[method-assign]
@@ -451,7 +451,7 @@
         self.assertEqual(steps.until(client.status), 200)
 
     def test_bytes_that_arrived_in_a_poll_gap_may_be_found_by_the_next_poll_only(self) -> None:
-        """The process may have lost its core after the system polled the sockets."""
+        """The process may have been descheduled after the system polled the sockets."""
         now = [0.0]
         watch = LoopWatch(lambda: now[0], Counters(), logging.Logger("n1"))
         watch.polled()
@@ -551,7 +551,7 @@
             readers = [cast(Any, port).doRead.__self__ for port in node.station.ports]
             self.assertEqual([(type(reader), reader.max_errors) for reader in readers], TOLERANT * 3)
 
-    def test_a_fault_in_a_tick_of_vrrp_ends_no_later_one(self) -> None:
+    def test_a_fault_in_a_vrrp_tick_stops_no_later_tick(self) -> None:
         pair = Pair(self)
         advertising: Any = pair.nodes["n1"].station.advertising
         tick, failures = advertising.groups.tick, [ZeroDivisionError("by the test")]
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -59,7 +59,7 @@
         steps.go()
         self.assertEqual(wait_limits_sent(engine), [2000 - int(STALL) - ANSWER_RETURN_TIME])
 
-    def test_behind_another_in_the_backlog(self) -> None:
+    def test_after_another_in_the_backlog(self) -> None:
         """A round accepts a limited number; connections accepted in the next had also arrived before it."""
         steps, _, _ = self.idle()
         for ident in (2, 3, 4):
