--- a/spurdeal/benchlink/host.py
+++ b/spurdeal/benchlink/host.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any, BinaryIO
 
-from ..deployment import deployment
+from ..deployment import parse_deployment
 from ..interface import Ending, EndReason, Life, ListedEngine, ProgressKind
 from ..rules import Dispatcher
 from .frames import BadInputError, Reader, read_frame, write_frame
@@ -48,7 +48,7 @@
         self.who = who
         self.failed = False
         try:
-            self.site = deployment(json.loads(options))
+            self.site = parse_deployment(json.loads(options))
         except ValueError as fault:
             raise BadInputError(f"settings of instance {who}: {fault}") from None
         self.records: list[bytes] = []
@@ -173,7 +173,7 @@
         address = self.addresses[engine]
         self.records.append(struct.pack("<BHQ6sd", 0, self.who, self.tids[number], address, time_limit))
 
-    def terms(self, number: int, memory: float, priority: int) -> None:
+    def set_terms(self, number: int, memory: float, priority: int) -> None:
         """Set memory in MB and priority for the request's next attempts."""
         self.records.append(struct.pack("<BHQfB", 12, self.who, self.tids[number], memory, priority))
 
@@ -195,7 +195,7 @@
         """Set a timer, for LONGEST_SLEEP ms at most."""
         self.records.append(struct.pack("<BHdI", 4, self.who, min(delay, LONGEST_SLEEP), token))
 
-    def watch(self) -> None:
+    def request_list(self) -> None:
         """Ask for the list of engines and its changes."""
         self.records.append(struct.pack("<BHB", 10, self.who, 1))
 
--- a/spurdeal/cli/running.py
+++ b/spurdeal/cli/running.py
@@ -296,7 +296,7 @@
         read_keys(path, "handover", installation.handover)
     if not configuration:
         raise start.Unusable("ROUTER_CONFIG is not set")
-    configured = start.load_within(start.START_WITHIN, configuration, SIGNALS.end_asked)
+    configured = start.load_within(start.START_WITHIN, configuration, SIGNALS.termination_requested)
     loop = install_monotonic_reactor()
     file = installation.fleet.clock_file if installation.fleet is not None else None
     unix = shifted_unix_ms(file) if file is not None else unix_ms
--- a/spurdeal/deployment.py
+++ b/spurdeal/deployment.py
@@ -37,14 +37,14 @@
     return [without_nulls(inner) for inner in value] if isinstance(value, list) else value
 
 
-def reported(options: dict[str, Any]) -> list[str]:
+def report_field_names(options: dict[str, Any]) -> list[str]:
     """The names of the figures in the reports that come with answers; empty if none come."""
     report = options.get("report") or {}
     names = [str(name) for name in report.get("fields") or []]
     return names if report.get("how") == "piggyback" else []
 
 
-def deployment(options: object) -> Deployment:
+def parse_deployment(options: object) -> Deployment:
     """The Deployment that these settings describe.
 
     Args:
@@ -70,7 +70,7 @@
         [*extra.get(name, []), *[None] * len(grades)]
         for name in ("parallelism", "holds_tables", "class_waits")
     )
-    fields = reported(options)
+    fields = report_field_names(options)
     workloads = tuple(
         Workload(
             objective=float(grade["aim"]),
@@ -98,7 +98,7 @@
         zone=int(options.get("zone", 0)),
         workloads=workloads,
         quotas=tuple(float(tenant.get("quota_per_s", 0.0)) for tenant in options.get("tenants", [])),
-        over_share_value=float(options.get("over_share_worth", 1.0)),
+        over_quota_value=float(options.get("over_share_worth", 1.0)),
         cores=tuple(max(1, int(cores or 1)) for cores in extra.get("cpu_of_kind", [])),
         memory_mb=tuple(float(memory) for memory in extra.get("memory_by_kind_mb", [])),
         load_field=fields.index(IN_HAND) if IN_HAND in fields else None,
@@ -110,7 +110,7 @@
         max_attempts=max(1, int(limits.get("send_cap", 1))),
         max_retry_after=float(limits.get("max_retry_after", 0.0)) if limits.get("retry_after") else 0.0,
         grants=bool(extra.get("grants_count", False)),
-        pages=extra.get("memory_short") == "swap",
+        swaps=extra.get("memory_short") == "swap",
         priorities=bool(extra.get("priorities", False)),
         largest_grant=float(extra.get("grant_cap", 1.0)),
         progress_interval=float(extra.get("note_period", 0.0)),
--- a/spurdeal/early.py
+++ b/spurdeal/early.py
@@ -23,7 +23,7 @@
         for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT):
             signal.signal(number, lambda number, _: self.act(number))
 
-    def end_asked(self) -> bool:
+    def termination_requested(self) -> bool:
         """Whether a queued signal asks the process to end."""
         return any(number != signal.SIGHUP for number in self.kept)
 
--- a/spurdeal/interface.py
+++ b/spurdeal/interface.py
@@ -185,7 +185,7 @@
     zone: int
     workloads: tuple[Workload, ...]
     quotas: tuple[float, ...]
-    over_share_value: float
+    over_quota_value: float
     cores: tuple[int, ...]
     memory_mb: tuple[float, ...]
     load_field: int | None
@@ -197,7 +197,7 @@
     max_attempts: int
     max_retry_after: float
     grants: bool
-    pages: bool
+    swaps: bool
     priorities: bool
     largest_grant: float
     progress_interval: float
@@ -239,8 +239,8 @@
     """The decision module, as an adapter calls it.
 
     Each call passes the current time. Events are reported one by one; end_batch() closes a batch of them, and
-    queued requests are then sent. Called outside of batches are may_send(), list_known(), list_asked(),
-    name_service_changed() and list_answered().
+    queued requests are then sent. Called outside of batches are may_send(), initial_list_read(),
+    list_query_sent(), name_service_changed() and list_response_received().
     """
 
     def list_changed(self, now: float, lines: Sequence[ListedEngine], whole: bool) -> None:
@@ -249,16 +249,16 @@
     def list_failed(self, now: float) -> None:
         """The list of engines could not be read."""
 
-    def list_known(self, at: float) -> None:
+    def initial_list_read(self, at: float) -> None:
         """The list read at the start was current at that time. Only where the list is polled."""
 
-    def list_asked(self, now: float) -> float:
+    def list_query_sent(self, now: float) -> float:
         """A query for the list has left. Returns ms after which it is to be repeated without an answer."""
 
     def name_service_changed(self) -> None:
         """From now on another name service is queried."""
 
-    def list_answered(self, now: float, asked_at: float, verdict: Verdict) -> bool:
+    def list_response_received(self, now: float, asked_at: float, verdict: Verdict) -> bool:
         """The query that left at asked_at was answered, and named each engine that gets requests.
 
         Returns:
@@ -352,7 +352,7 @@
     def send(self, number: int, engine: int, time_limit: float) -> None:
         """Send the request's next attempt to an engine. time_limit: ms it may take; 0: up to the deadline."""
 
-    def terms(self, number: int, memory: float, priority: int) -> None:
+    def set_terms(self, number: int, memory: float, priority: int) -> None:
         """Memory grant in MB (0: none) and priority for the request's attempts."""
 
     def shed(self, number: int, retry_after: float, reason: EndReason) -> None:
@@ -367,7 +367,7 @@
     def set_timer(self, delay: float, token: int) -> None:
         """Call timer_fired() with this token after so many ms."""
 
-    def watch(self) -> None:
+    def request_list(self) -> None:
         """Ask for the list of engines and for changes of it, where it is not pushed."""
 
     def log(self, line: str) -> None:
--- a/spurdeal/lab/capacity/request_path.py
+++ b/spurdeal/lab/capacity/request_path.py
@@ -12,7 +12,7 @@
 
 from twisted.internet.task import Clock
 
-from ...deployment import deployment
+from ...deployment import parse_deployment
 from ...interface import Deployment, Ending, EndReason, Life, ListedEngine
 from ...net.counters import Counters
 from ...net.engine_list import Endpoint
@@ -52,18 +52,18 @@
     def send(self, number: int, engine: int, time_limit: float) -> None:
         self.sent.append((number, engine))
 
-    def terms(self, number: int, memory: float, priority: int) -> None: ...
+    def set_terms(self, number: int, memory: float, priority: int) -> None: ...
     def shed(self, number: int, retry_after: float, reason: EndReason) -> None: ...
     def fail_request(self, number: int, reason: EndReason) -> None: ...
     def cancel_attempt(self, number: int, attempt: int) -> None: ...
     def set_timer(self, delay: float, token: int) -> None: ...
-    def watch(self) -> None: ...
+    def request_list(self) -> None: ...
     def log(self, line: str) -> None: ...
 
 
 def site() -> Deployment:
     """One dispatcher of as many as the design has."""
-    return deployment(SETTINGS)
+    return parse_deployment(SETTINGS)
 
 
 class Bench:
--- a/spurdeal/lab/virtual.py
+++ b/spurdeal/lab/virtual.py
@@ -174,7 +174,7 @@
         world.note("send", self.index, number, attempt, engine)
         world.at(world.now + world.way(), world.arrive, self, self.life, request, attempt, engine, job)
 
-    def terms(self, number: int, memory: float, priority: int) -> None:
+    def set_terms(self, number: int, memory: float, priority: int) -> None:
         """Weights are not carried here."""
 
     def shed(self, number: int, retry_after: float, reason: EndReason) -> None:
@@ -209,7 +209,7 @@
     def woken(self, token: int) -> None:
         self.rules.timer_fired(self.world.now, token)
 
-    def watch(self) -> None:
+    def request_list(self) -> None:
         """The list comes unasked."""
 
     def log(self, line: str) -> None:
--- a/spurdeal/list_agreement.py
+++ b/spurdeal/list_agreement.py
@@ -47,7 +47,7 @@
 
 
 @dataclass(frozen=True)
-class Agreement(Generic[Endpoint]):
+class ListState(Generic[Endpoint]):
     """The list in force, and the responses that confirm or contradict it.
 
     Attributes:
@@ -68,8 +68,8 @@
     contradictions: int = 0
 
     @classmethod
-    def of(cls, number: int, endpoints: Mapping[str, Endpoint]) -> Agreement[Endpoint]:
-        """Returns the agreement on a list that is in force as a whole."""
+    def of(cls, number: int, endpoints: Mapping[str, Endpoint]) -> ListState[Endpoint]:
+        """Returns the list_state on a list that is in force as a whole."""
         return cls(number, endpoints, endpoints)
 
 
@@ -79,19 +79,19 @@
 
     Attributes:
         verdict: How the response relates to the list in force.
-        agreement: The list in force after the response.
+        list_state: The list in force after the response.
         covers_serving: Whether the response contains each engine that gets requests.
         query_soon: Whether to send the next query early, as one more response lets a change take effect.
     """
 
     verdict: Verdict
-    agreement: Agreement[Endpoint]
+    list_state: ListState[Endpoint]
     covers_serving: bool = True
     query_soon: bool = False
 
 
 def assess(
-    before: Agreement[Endpoint], number: int, endpoints: Mapping[str, Endpoint], asked_at: float, now: float
+    before: ListState[Endpoint], number: int, endpoints: Mapping[str, Endpoint], asked_at: float, now: float
 ) -> Assessment[Endpoint]:
     """Assesses the response to the query sent at `asked_at`. Times are in ms."""
     is_same = number == before.number and lists_match(endpoints, before.reported)
@@ -103,7 +103,7 @@
 
 
 def confirmed(
-    before: Agreement[Endpoint], endpoints: Mapping[str, Endpoint], asked_at: float
+    before: ListState[Endpoint], endpoints: Mapping[str, Endpoint], asked_at: float
 ) -> Assessment[Endpoint]:
     """Handles a response with the list in force: releases the engines that were withheld until then."""
     in_force, withheld = before.in_force, before.withheld
@@ -116,12 +116,12 @@
         withheld = {ident: since for ident, since in withheld.items() if ident not in released}
     confirmed_at = max(asked_at, before.confirmed_at)
     return Assessment(
-        Verdict.CONFIRMED, Agreement(before.number, endpoints, in_force, confirmed_at, withheld)
+        Verdict.CONFIRMED, ListState(before.number, endpoints, in_force, confirmed_at, withheld)
     )
 
 
 def newer(
-    before: Agreement[Endpoint], number: int, endpoints: Mapping[str, Endpoint], asked_at: float, now: float
+    before: ListState[Endpoint], number: int, endpoints: Mapping[str, Endpoint], asked_at: float, now: float
 ) -> Assessment[Endpoint]:
     """Handles a response with a newer list: removals and drains take effect at once."""
     in_force, withheld = dict[str, Endpoint](), dict[str, float]()
@@ -134,12 +134,12 @@
         withheld[ident] = before.withheld.get(ident, asked_at if known is None else now + RETURN_HOLD)
         if known is not None:
             in_force[ident] = draining(endpoint)
-    after = Agreement(number, endpoints, in_force, max(asked_at, before.confirmed_at), withheld)
+    after = ListState(number, endpoints, in_force, max(asked_at, before.confirmed_at), withheld)
     return Assessment(Verdict.NEWER, after, query_soon=any(since <= now for since in withheld.values()))
 
 
 def older(
-    before: Agreement[Endpoint], number: int, endpoints: Mapping[str, Endpoint], asked_at: float, now: float
+    before: ListState[Endpoint], number: int, endpoints: Mapping[str, Endpoint], asked_at: float, now: float
 ) -> Assessment[Endpoint]:
     """Handles a response with a lower number: engines that drain in it get no more requests."""
     serving = [ident for ident in before.in_force if gets_requests(before, ident)]
@@ -159,7 +159,7 @@
 
 
 def renumbered(
-    before: Agreement[Endpoint], number: int, endpoints: Mapping[str, Endpoint], asked_at: float, now: float
+    before: ListState[Endpoint], number: int, endpoints: Mapping[str, Endpoint], asked_at: float, now: float
 ) -> Assessment[Endpoint]:
     """Adopts a list with a lower number; its additions and removals take effect after RETURN_HOLD."""
     missing = {
@@ -176,19 +176,24 @@
         if ident not in joining or ident in before.in_force
     }
     withheld = dict.fromkeys([*joining, *missing], now + RETURN_HOLD)
-    return Assessment(Verdict.NEWER, Agreement(number, endpoints, in_force, before.confirmed_at, withheld))
+    return Assessment(Verdict.NEWER, ListState(number, endpoints, in_force, before.confirmed_at, withheld))
 
 
-def gets_requests(agreement: Agreement[Endpoint], ident: str) -> bool:
+def gets_requests(list_state: ListState[Endpoint], ident: str) -> bool:
     """Whether the list in force lets an engine get requests."""
-    known = agreement.in_force.get(ident)
+    known = list_state.in_force.get(ident)
     return known is not None and known.life == Life.READY
 
 
-def is_reported_again(before: Agreement[Endpoint], ident: str, endpoint: Endpoint, asked_at: float) -> bool:
+def is_reported_again(before: ListState[Endpoint], ident: str, endpoint: Endpoint, asked_at: float) -> bool:
     """Whether the response to an earlier query already reported a withheld engine alike."""
     since, reported = before.withheld.get(ident), before.reported.get(ident)
-    return since is not None and asked_at > since and reported is not None and same_use(reported, endpoint)
+    return (
+        since is not None
+        and asked_at > since
+        and reported is not None
+        and same_process_and_state(reported, endpoint)
+    )
 
 
 def draining(endpoint: Endpoint) -> Endpoint:
@@ -201,10 +206,10 @@
     if one is other:
         return True
     return one.keys() == other.keys() and all(
-        same_use(endpoint, other[ident]) for ident, endpoint in one.items()
+        same_process_and_state(endpoint, other[ident]) for ident, endpoint in one.items()
     )
 
 
-def same_use(one: Entry, other: Entry) -> bool:
+def same_process_and_state(one: Entry, other: Entry) -> bool:
     """Whether two entries of an engine mean the same process in the same state."""
     return (one.host, one.port, one.life, one.started) == (other.host, other.port, other.life, other.started)
--- a/spurdeal/list_freshness.py
+++ b/spurdeal/list_freshness.py
@@ -27,7 +27,7 @@
 # ms from reading the configuration until the first query has to be sent
 INITIAL_LEASE = PROPAGATION_LIMIT - MAX_CONFIGURATION_AGE
 SETTLING_RESPONSES = 6  # consecutive responses with the list in force that settle an unanswered query
-MAX_OPEN_QUERIES = 64  # unanswered queries whose send time is kept
+MAX_OPEN_QUERY_TIMES = 64  # unanswered queries whose send time is kept
 
 
 class StaleReason(StrEnum):
@@ -59,51 +59,51 @@
         self.is_enabled = drain_grace > 0.0
         self.timeout = max(MIN_RESPONSE_TIMEOUT, RESPONSE_TIMEOUT_SHARE * drain_grace)
         self.confirmed_at: float | None = None
-        self.unanswered_since = deque[float]()
+        self.open_query_times = deque[float]()
         self.unanswered = 0
         self.run_start, self.run_length = 0.0, 0
         self.settles_from = float("-inf")
         self.answer_times = AnswerTimes()
         self.polled_at: Callable[[], float] | None = None
 
-    def known(self, at: float) -> None:
+    def initial_list_read(self, at: float) -> None:
         """Records that the startup configuration was read; it may be up to MAX_CONFIGURATION_AGE old."""
         self.confirmed_at = at + INITIAL_LEASE - MAX_QUERY_GAP
 
-    def asked(self, now: float) -> None:
+    def query_sent(self, now: float) -> None:
         """Records that a query was sent."""
         if self.confirmed_at is None:
             self.confirmed_at = now
-        if len(self.unanswered_since) >= MAX_OPEN_QUERIES:
+        if len(self.open_query_times) >= MAX_OPEN_QUERY_TIMES:
             # The oldest query decides when the lease ends, the latest ones when it is restored.
-            del self.unanswered_since[1]
-        self.unanswered_since.append(now)
+            del self.open_query_times[1]
+        self.open_query_times.append(now)
         self.unanswered += 1
 
-    def moved(self) -> None:
+    def name_server_changed(self) -> None:
         """Records a change of the name server; the new one may lag behind the responses of the old one."""
-        if self.unanswered_since:
-            self.settles_from = self.unanswered_since[-1] + PROPAGATION_LIMIT
+        if self.open_query_times:
+            self.settles_from = self.open_query_times[-1] + PROPAGATION_LIMIT
 
-    def answered(self, now: float, asked_at: float, verdict: Verdict) -> None:
+    def response_received(self, now: float, asked_at: float, verdict: Verdict) -> None:
         """Records a response that listed each engine in use, to the query sent at `asked_at`."""
         if self.confirmed_at is None or asked_at >= self.confirmed_at:
             self.answer_times.record(now - asked_at)
             self.confirmed_at = asked_at
-        if asked_at in self.unanswered_since:
-            self.unanswered_since.remove(asked_at)
+        if asked_at in self.open_query_times:
+            self.open_query_times.remove(asked_at)
         self.unanswered = 0
         self.extend_run(asked_at, verdict)
         if asked_at >= self.settles_from and self.run_length >= SETTLING_RESPONSES:
-            self.unanswered_since = deque(
-                sent_at for sent_at in self.unanswered_since if sent_at > self.run_start
+            self.open_query_times = deque(
+                sent_at for sent_at in self.open_query_times if sent_at > self.run_start
             )
 
     def extend_run(self, asked_at: float, verdict: Verdict) -> None:
         """Counts a response; another list, or an unanswered query in between, starts a new run."""
         if asked_at < self.run_start:
             return
-        has_gap = any(self.run_start < sent_at < asked_at for sent_at in self.unanswered_since)
+        has_gap = any(self.run_start < sent_at < asked_at for sent_at in self.open_query_times)
         if verdict is Verdict.OLDER:
             self.run_start, self.run_length = asked_at, 0
         elif self.run_length and verdict is Verdict.CONFIRMED and not has_gap:
@@ -113,14 +113,14 @@
 
     def has_unsettled_query(self) -> bool:
         """Whether an unanswered query precedes an answered one, so that further responses settle it."""
-        oldest = self.unanswered_since[0] if self.unanswered_since else float("inf")
+        oldest = self.open_query_times[0] if self.open_query_times else float("inf")
         return self.confirmed_at is not None and oldest < self.confirmed_at
 
     def stale_reason(self, now: float) -> StaleReason | None:
         """Why requests may not be sent by the list; None if they may."""
         if not self.is_enabled or self.confirmed_at is None:
             return None
-        oldest_open_at = self.unanswered_since[0] if self.unanswered_since else now
+        oldest_open_at = self.open_query_times[0] if self.open_query_times else now
         if oldest_open_at - self.confirmed_at > MAX_QUERY_GAP:
             return StaleReason.UNASKED
         if self.polled_at is not None and now - self.polled_at() > self.timeout:
--- a/spurdeal/net/configuration.py
+++ b/spurdeal/net/configuration.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from ..deployment import deployment, reported, without_nulls
+from ..deployment import parse_deployment, report_field_names, without_nulls
 from ..interface import Deployment
 from .engine_list import Address, KnownList, known_list, read_address
 from .transient_errors import TRANSIENT_FILE_ERRORS
@@ -111,12 +111,12 @@
         memory_mb=float(process_limits.get("memory_mb", DEFAULT_MEMORY_MB)),
         nameserver=read_address(given["nameserver"]),
         known=known_list(given["known"]),
-        site=replace(deployment(settings), max_open=sockets * OPEN_CALLS_PART),
+        site=replace(parse_deployment(settings), max_open=sockets * OPEN_CALLS_PART),
         workloads=indices_of(str(grade["name"]) for grade in settings["grades"]),
         tenants=indices_of(str(tenant.get("name", "")) for tenant in settings.get("tenants", [])),
         zones=[str(name) for name in settings.get("zones", [])],
         kinds=[str(name) for name in settings.get("models", [])],
-        report_fields=reported(settings),
+        report_fields=report_field_names(settings),
         connect_timeout=float(limits.get("dial_timeout", DEFAULT_CONNECT_TIMEOUT)),
         idle_timeout=float(limits.get("conn_idle", DEFAULT_ENGINE_IDLE)),
         attempts_per_connection=int(limits.get("streams_per_conn", 1)),
--- a/spurdeal/net/engines.py
+++ b/spurdeal/net/engines.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from ..interface import Ending, Life
-from ..slow_start import leads_to_predecessor
+from ..slow_start import connected_before_restart
 from .attempts import Attempt, Outcome, SendTerms
 from .connection import Connection
 from .counters import Counters
@@ -44,7 +44,7 @@
             if (
                 endpoint.started != previous.started
                 and connection.up
-                and leads_to_predecessor(connection.opened, endpoint.started, self.engines.clock())
+                and connected_before_restart(connection.opened, endpoint.started, self.engines.clock())
             ):
                 connection.transport.abortConnection()  # it leads to a process that has ended
                 connection.lost()
--- a/spurdeal/net/link.py
+++ b/spurdeal/net/link.py
@@ -182,7 +182,7 @@
 
     def apply_list(self, endpoints: Mapping[str, Endpoint]) -> None:
         """Apply a complete list of engines; the index of an engine that is gone is released."""
-        began = self.starts.listed(
+        began = self.starts.convert_list(
             self.clock(), {ident: endpoint.started for ident, endpoint in endpoints.items()}
         )
         reported = {ident: endpoint._replace(started=began[ident]) for ident, endpoint in endpoints.items()}
@@ -207,12 +207,12 @@
 
     def list_known(self, at: float) -> None:
         """Record when the initial list was read; it is complete up to that time."""
-        self.rules.list_known(at)
+        self.rules.initial_list_read(at)
 
     def list_asked(self, seconds_ago: float) -> SentQuery:
         """Record that a query for the list was sent."""
         left_at = self.clock() - seconds_ago * 1000
-        return SentQuery(left_at, self.rules.list_asked(left_at))
+        return SentQuery(left_at, self.rules.list_query_sent(left_at))
 
     def name_service_changed(self) -> None:
         """Record that another name service is queried from now on."""
@@ -224,7 +224,7 @@
         Returns:
             Whether another query should be sent soon.
         """
-        return self.rules.list_answered(self.clock(), asked_at, verdict)
+        return self.rules.list_response_received(self.clock(), asked_at, verdict)
 
     def stop(self, until: float) -> None:
         """Start a graceful shutdown: open and new requests are answered by `until`."""
@@ -283,7 +283,7 @@
         self.actions.append((self.start_attempt, (request, request.attempts_made, engine, time_limit)))
         request.attempts_made += 1
 
-    def terms(self, number: int, memory: float, priority: int) -> None:
+    def set_terms(self, number: int, memory: float, priority: int) -> None:
         """Queue a change of a request's priority."""
         self.actions.append((self.weigh, (self.open_requests[number], priority)))
 
@@ -309,7 +309,7 @@
         """Look up `self.rules` when called: the rules set timers before their constructor returns."""
         self.rules.timer_fired(now, token)
 
-    def watch(self) -> None:
+    def request_list(self) -> None:
         """Do nothing: the name service is polled, so the list arrives without a request from the rules."""
 
     def log(self, line: str) -> None:
--- a/spurdeal/net/names.py
+++ b/spurdeal/net/names.py
@@ -10,7 +10,7 @@
 from twisted.internet.protocol import DatagramProtocol
 
 from ..interface import Verdict
-from ..list_agreement import Agreement, assess
+from ..list_agreement import ListState, assess
 from . import dns
 from .counters import Counters
 from .engine_list import Address, Endpoint, KnownList, answered_endpoints
@@ -94,7 +94,7 @@
         log: logging.Logger,
     ) -> None:
         self.reactor, self.address, self.on_list = reactor, address, on_list
-        self.agreement = Agreement.of(known.number, known.endpoints)
+        self.list_state = ListState.of(known.number, known.endpoints)
         self.peers_share_lists = self.is_from_peer = False
         self.last_parsed: ParsedResponse | None = None
         self.counters, self.log = counters, log
@@ -234,11 +234,11 @@
     @property
     def number(self) -> int:
         """The serial number of the list in force."""
-        return self.agreement.number
+        return self.list_state.number
 
-    def apply(self, agreement: Agreement[Endpoint], query: OpenQuery) -> None:
+    def apply(self, agreement: ListState[Endpoint], query: OpenQuery) -> None:
         """Passes a list on; if that fails, the list before stays in force and this one is queried again."""
-        before, self.agreement = self.agreement, agreement
+        before, self.list_state = self.list_state, agreement
         figures = {
             "number": agreement.number,
             "before": before.number,
@@ -249,12 +249,12 @@
         try:
             self.on_list(dict(agreement.in_force))
         except Exception:
-            self.agreement = before
+            self.list_state = before
             raise
 
     def take_known(self, known: KnownList) -> None:
         """Puts a list from another source in force: from a reloaded configuration or from a peer."""
-        self.agreement = Agreement.of(known.number, known.endpoints)
+        self.list_state = ListState.of(known.number, known.endpoints)
 
     def note_contradiction(self, serial: int, query: OpenQuery) -> None:
         """Logs a response with an older list than the one in force."""
@@ -331,7 +331,7 @@
         verdict = Verdict.CONFIRMED
         if received.number > self.number:
             verdict = Verdict.NEWER
-            self.apply(Agreement.of(received.number, received.endpoints), query)
+            self.apply(ListState.of(received.number, received.endpoints), query)
             self.is_from_peer = False
         elif received.number == self.number:
             self.on_confirmed()
@@ -345,13 +345,13 @@
     def take_list(self, received: KnownList, query: OpenQuery) -> None:
         """Assesses a list against the one in force, and puts the result in force."""
         now = query.sent.at + (self.reactor.seconds() - query.sent_at) * 1000
-        assessment = assess(self.agreement, received.number, received.endpoints, query.sent.at, now)
+        assessment = assess(self.list_state, received.number, received.endpoints, query.sent.at, now)
         self.counters.add(f"lists_{assessment.verdict.name.lower()}")
         if assessment.verdict is Verdict.OLDER:
             self.note_contradiction(received.number, query)
-        if assessment.agreement.in_force is not self.agreement.in_force:
-            self.apply(assessment.agreement, query)
-        self.agreement = assessment.agreement
+        if assessment.list_state.in_force is not self.list_state.in_force:
+            self.apply(assessment.list_state, query)
+        self.list_state = assessment.list_state
         if assessment.verdict is Verdict.CONFIRMED:
             self.on_confirmed()
         is_missed = assessment.covers_serving and self.on_response(query.sent.at, assessment.verdict)
--- a/spurdeal/net/start.py
+++ b/spurdeal/net/start.py
@@ -41,7 +41,7 @@
 TRANSIENT_LISTEN_ERRORS = (TRANSIENT - {errno.EADDRNOTAVAIL}) | {errno.EADDRINUSE}
 
 
-def load_within(seconds: float, path: str, end_asked: Callable[[], bool]) -> Configuration:
+def load_within(seconds: float, path: str, termination_requested: Callable[[], bool]) -> Configuration:
     """Load the initial configuration, retrying while the system lacks resources to read it.
 
     Raises:
@@ -52,7 +52,7 @@
         try:
             return load_configuration(path)
         except Unreadable as fault:
-            if not fault.may_pass or time.monotonic() >= until or end_asked():
+            if not fault.may_pass or time.monotonic() >= until or termination_requested():
                 raise
         time.sleep(START_RETRY_DELAY)
 
@@ -80,7 +80,7 @@
     """
     if not path:
         raise Unusable("ROUTER_CONFIG is not set")
-    configuration = load_within(START_WITHIN, path, SIGNALS.end_asked)
+    configuration = load_within(START_WITHIN, path, SIGNALS.termination_requested)
     loop: Any = install_monotonic_reactor()
     log = logger(configuration.name or "spurdeal", sys.stderr)
     service = Service(
@@ -88,7 +88,7 @@
     )
     globalLogBeginner.beginLoggingTo([cast(Any, service.unhandled)], redirectStandardIO=False)
     try:
-        if not start_within(START_WITHIN, service, SIGNALS.end_asked):
+        if not start_within(START_WITHIN, service, SIGNALS.termination_requested):
             return
     except CannotListenError as fault:
         where = f"{configuration.host}:{configuration.port}"
@@ -99,7 +99,7 @@
     loop.run(installSignalHandlers=False)
 
 
-def start_within(seconds: float, service: Service, end_asked: Callable[[], bool]) -> bool:
+def start_within(seconds: float, service: Service, termination_requested: Callable[[], bool]) -> bool:
     """Start the service, retrying while its address is in use.
 
     A killed predecessor holds the address until the system has closed its sockets, one that shuts down until
@@ -121,7 +121,7 @@
             if fault.socketError.errno not in TRANSIENT_LISTEN_ERRORS or time.monotonic() >= until:
                 raise
             why = fault.socketError
-        if end_asked():
+        if termination_requested():
             return False
         if not logged:
             logged = True
--- a/spurdeal/rules.py
+++ b/spurdeal/rules.py
@@ -315,20 +315,20 @@
         )
         self.widest_request = float(max(workload.threads for workload in site.workloads))
         # Engines that page admit everything: nothing beyond the limit may be sent there by chance.
-        self.burst_allowance = 0.0 if site.pages else BURST_REQUESTS * self.widest_request
+        self.burst_allowance = 0.0 if site.swaps else BURST_REQUESTS * self.widest_request
         self.quotas = [quota * self.configured_share / 1000 for quota in site.quotas]
         self.quota_credit, self.over_quota_value = (
             [quota * 1000 for quota in self.quotas],
-            site.over_share_value,
+            site.over_quota_value,
         )
         self.max_attempts, self.may_cancel, self.max_open = (
             site.max_attempts,
             site.may_cancel,
             site.max_open,
         )
-        self.progress_interval, self.pages, self.grant_ratio = (
+        self.progress_interval, self.swaps, self.grant_ratio = (
             site.progress_interval,
-            site.pages,
+            site.swaps,
             GRANT_RATIO if site.grants else 0.0,
         )
         self.slow_start_ms, self.slow_start_window, self.max_retry_after = (
@@ -379,7 +379,7 @@
         self.stages = (*admission, self.queue_stage, self.choice_stage, self.attempt_stage)
         adapter.set_timer(TICK_MS, TICK_TIMER)
         if not site.list_pushed:
-            adapter.watch()
+            adapter.request_list()
 
     def list_changed(self, now: float, lines: Sequence[ListedEngine], whole: bool) -> None:
         """Apply the list of engines or some lines of it; new and restarted engines begin anew."""
@@ -432,22 +432,22 @@
         """Ask for the list again after 0.5 to 1.5 s: many dispatchers must not ask at once."""
         self.adapter.set_timer(500.0 + 1000.0 * self.chance.draw(), WATCH_TIMER)
 
-    def list_known(self, at: float) -> None:
+    def initial_list_read(self, at: float) -> None:
         """Note that the list read at the start was current at that time."""
-        self.freshness.known(at)
+        self.freshness.initial_list_read(at)
 
-    def list_asked(self, now: float) -> float:
+    def list_query_sent(self, now: float) -> float:
         """Note that a query for the list has left; the result is the ms until it is repeated."""
-        self.freshness.asked(now)
+        self.freshness.query_sent(now)
         return self.freshness.retransmit_after(self.chance.draw())
 
     def name_service_changed(self) -> None:
         """Note that another name service is queried from now on."""
-        self.freshness.moved()
+        self.freshness.name_server_changed()
 
-    def list_answered(self, now: float, asked_at: float, verdict: Verdict) -> bool:
+    def list_response_received(self, now: float, asked_at: float, verdict: Verdict) -> bool:
         """Note an answer to the query that left then; True if another query is to leave soon."""
-        self.freshness.answered(now, asked_at, verdict)
+        self.freshness.response_received(now, asked_at, verdict)
         return self.freshness.has_unsettled_query()
 
     # Requests on their way out: the stages.
@@ -573,7 +573,7 @@
             self.retry_times.append(self.now)
             self.retry_budget -= 1.0
         elif self.priorities or self.grant_ratio:
-            self.adapter.terms(
+            self.adapter.set_terms(
                 request.number,
                 self.grant_ratio * request.memory,
                 CHEAP_PRIORITY if request.cheap else HEAVY_PRIORITY,
@@ -689,7 +689,7 @@
         # So much in flight is pressure before answers show it (a burst, a wait queue that is released).
         # Limits below one request fill engines unevenly, and engines that page can do no more than their
         # limit.
-        burst_ratio = 1.0 if self.pages and limits < self.widest_request * len(self.ready) else BURST_RATIO
+        burst_ratio = 1.0 if self.swaps and limits < self.widest_request * len(self.ready) else BURST_RATIO
         calm = self.now >= self.pressure_until and threads_after <= max(
             burst_ratio * limits + self.burst_allowance, workload.threads
         )
@@ -933,7 +933,7 @@
         """Ask for the list, or run the tick: refill quotas, check engines and queue, close an interval."""
         self.now = now
         if token == WATCH_TIMER:
-            self.adapter.watch()
+            self.adapter.request_list()
         else:
             self.adapter.set_timer(TICK_MS, TICK_TIMER)
             self.quota_credit = [
@@ -1204,7 +1204,7 @@
         )
         # Where no report tells what engines hold: all dispatchers together send no more than engines can do.
         self.offered_work_time += INTERVAL_MS
-        if self.load_field is None and not self.pages and self.ready:
+        if self.load_field is None and not self.swaps and self.ready:
             share = max(
                 share,
                 self.offered_work
@@ -1229,7 +1229,7 @@
             if self.now >= engine.ejected_until and not engine.half_open_probe:
                 engine.adjust_limit(self.widest_request * share)
                 # Once an engine's memory has run over, an overload feeds itself.
-                if self.pages and engine.normalized_latency > PAGING_LATENCY_RATIO:
+                if self.swaps and engine.normalized_latency > PAGING_LATENCY_RATIO:
                     engine.concurrency_limit = engine.previous_limit = max(
                         engine.initial_limit / 2, engine.concurrency_limit - engine.initial_limit / 4
                     )
--- a/spurdeal/slow_start.py
+++ b/spurdeal/slow_start.py
@@ -47,7 +47,7 @@
         """Records that the name server has no newer list than the one in force."""
         self.current_at = at
 
-    def listed(self, now: float, reported: Mapping[str, float]) -> dict[str, float]:
+    def convert_list(self, now: float, reported: Mapping[str, float]) -> dict[str, float]:
         """Converts the start times of a list that comes into force.
 
         Args:
@@ -60,11 +60,11 @@
         latest = max(reported.values(), default=0.0)
         if latest:
             self.max_clock_lead = min(self.max_clock_lead, max(0.0, now - latest))
-        self.starts = {ident: self.start(ident, start, now) for ident, start in reported.items()}
+        self.starts = {ident: self.convert_start(ident, start, now) for ident, start in reported.items()}
         self.confirm(now)
         return {ident: start.began for ident, start in self.starts.items()}
 
-    def start(self, ident: str, reported: float, now: float) -> Start:
+    def convert_start(self, ident: str, reported: float, now: float) -> Start:
         """Converts one start time; one that was listed before keeps its earlier result."""
         known = self.starts.get(ident)
         if known is not None and known.reported == reported:
@@ -75,7 +75,7 @@
         return Start(reported, min(now, max(reported + self.max_clock_lead, earliest)))
 
 
-def leads_to_predecessor(opened: float, started: float, now: float) -> bool:
+def connected_before_restart(opened: float, started: float, now: float) -> bool:
     """Whether a connection was opened before its engine restarted, so that its process is gone.
 
     A start time in our future means that the clocks differ, and is not used; the restart was announced within
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -281,7 +281,7 @@
             int(endpoint.life == Life.DRAINING),
             f"kind={endpoint.kind} cell={endpoint.cell} started={endpoint.started}",
         )
-        for endpoint in service.agreement.reported.values()
+        for endpoint in service.list_state.reported.values()
     ]
 
 
--- a/tests/soak/tracing.py
+++ b/tests/soak/tracing.py
@@ -64,7 +64,7 @@
 
     def asked(self, datagram: Datagram) -> None:
         """See NameService.await_answer."""
-        self.freshness.asked(datagram.at * 1000)
+        self.freshness.query_sent(datagram.at * 1000)
         self.open[datagram.ident] = datagram.at
         if len(self.open) > MAX_OPEN_QUERIES:
             del self.open[next(iter(self.open))]
@@ -73,7 +73,7 @@
         """See NameService.take_answer."""
         if (asked_at := self.open.pop(datagram.ident, None)) is not None:
             verdict = Verdict.NEWER if datagram.number > self.highest() else Verdict.CONFIRMED
-            self.freshness.answered(datagram.at * 1000, asked_at * 1000, verdict)
+            self.freshness.response_received(datagram.at * 1000, asked_at * 1000, verdict)
             self.taken.append(Taken(datagram, asked_at))
 
     def highest(self) -> int:
@@ -83,9 +83,9 @@
     def state(self, at: float, told_at: float) -> str:
         """What decides whether the list is followed at a time."""
         freshness, now = self.freshness, at * 1000
-        oldest = now - freshness.unanswered_since[0] if freshness.unanswered_since else 0.0
+        oldest = now - freshness.open_query_times[0] if freshness.open_query_times else 0.0
         figures = (
-            f"{len(freshness.unanswered_since)} open for {oldest:.0f} ms, patience {freshness.timeout:.0f} ms"
+            f"{len(freshness.open_query_times)} open for {oldest:.0f} ms, patience {freshness.timeout:.0f} ms"
         )
         return f"{self.reason(told_at)}; {figures}, doubt {freshness.stale_reason(now)}"
 
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -122,7 +122,7 @@
         world = World(self)
         Caller(world).post(1, wait=1500)
         world.go(200)
-        world.service.adapter.terms(0, 0.0, 1)
+        world.service.adapter.set_terms(0, 0.0, 1)
         world.go(50)
         (message,) = world.peer().up().heard()
         self.assertRegex(message[2], r"^class=lookup,wait=1[12]\d\d,rank=1$")
--- a/tests/test_list_agreement.py
+++ b/tests/test_list_agreement.py
@@ -3,7 +3,7 @@
 import unittest
 
 from spurdeal.interface import Life, Verdict
-from spurdeal.list_agreement import RENUMBERED_AFTER, RETURN_HOLD, Agreement, assess
+from spurdeal.list_agreement import RENUMBERED_AFTER, RETURN_HOLD, ListState, assess
 from spurdeal.net.engine_list import Endpoint
 
 
@@ -25,21 +25,21 @@
     """Responses with higher, equal and lower numbers than the list in force."""
 
     def setUp(self) -> None:
-        self.agreement = Agreement.of(5, listed(A, B))
+        self.list_state = ListState.of(5, listed(A, B))
         self.now = 0.0
 
     def answer(self, number: int, *endpoints: Endpoint, asked_at: float | None = None) -> Verdict:
         """Assesses a response, 200 ms after the last one, to a query sent 1 ms ago by default."""
         self.now += 200.0
         asked_at = self.now - 1.0 if asked_at is None else asked_at
-        found = assess(self.agreement, number, listed(*endpoints), asked_at, self.now)
-        self.agreement = found.agreement
+        found = assess(self.list_state, number, listed(*endpoints), asked_at, self.now)
+        self.list_state = found.list_state
         self.query_soon, self.covers_serving = found.query_soon, found.covers_serving
         return found.verdict
 
     def in_force(self) -> dict[str, str]:
         """Returns the state of each engine in the list in force."""
-        return {ident: each.life.name for ident, each in self.agreement.in_force.items()}
+        return {ident: each.life.name for ident, each in self.list_state.in_force.items()}
 
     def test_the_list_in_force_is_confirmed_whatever_its_weights(self) -> None:
         self.assertEqual(self.answer(5, B, A._replace(weight=3.0)), Verdict.CONFIRMED)
@@ -80,7 +80,7 @@
             self.answer(41, A, B)
         for _ in range(RENUMBERED_AFTER):
             self.answer(6, A_DRAINS, B)
-        self.assertEqual((self.agreement.number, self.in_force()), (6, {"a": "DRAINING", "b": "READY"}))
+        self.assertEqual((self.list_state.number, self.in_force()), (6, {"a": "DRAINING", "b": "READY"}))
 
     def test_a_late_response_to_an_earlier_query_does_not_count_as_a_second_one(self) -> None:
         self.answer(6, A, B, C, asked_at=150.0)
@@ -117,14 +117,14 @@
         for _ in range(RENUMBERED_AFTER):
             self.assertEqual(self.answer(4, A_DRAINS, asked_at=10.0), Verdict.OLDER)
             self.assertEqual(self.in_force(), {"a": "DRAINING", "b": "READY"})
-        self.assertEqual(self.agreement.contradictions, 0)
+        self.assertEqual(self.list_state.contradictions, 0)
 
     def renumber(self, *endpoints: Endpoint) -> None:
         """Passes consecutive responses with a list of number 2, until it is adopted."""
         for _ in range(RENUMBERED_AFTER - 1):
             self.answer(2, *endpoints)
         self.assertEqual(self.answer(2, *endpoints), Verdict.NEWER)
-        self.assertEqual(self.agreement.number, 2)
+        self.assertEqual(self.list_state.number, 2)
 
     def test_older_lists_in_a_row_show_that_the_number_in_force_was_wrong(self) -> None:
         self.renumber(A_DRAINS, B)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -389,7 +389,7 @@
         adapter = world.service.adapter
         Caller(world).post(1)
         peer = world.peer().up()
-        adapter.terms(0, 0.0, 2)
+        adapter.set_terms(0, 0.0, 2)
         world.go(60)
         self.assertEqual(peer.heard()[1:], [["weigh", f"{1:016x}", "2"]])
         peer.say(1, "200", "parts=1,stats=rif:9;q:0")
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -192,10 +192,10 @@
 
 class StartWithin(unittest.TestCase):
     def run_with(
-        self, *faults: int, seconds: float = 10.0, end_asked: Callable[[], bool] = lambda: False
+        self, *faults: int, seconds: float = 10.0, termination_requested: Callable[[], bool] = lambda: False
     ) -> tuple[StubService, bool]:
         stub = StubService(*faults)
-        return stub, start_within(seconds, cast(Any, stub), end_asked)
+        return stub, start_within(seconds, cast(Any, stub), termination_requested)
 
     def test_an_address_in_use_is_retried(self) -> None:
         stub, started = self.run_with(errno.EADDRINUSE, errno.EADDRINUSE)
@@ -215,7 +215,7 @@
             self.run_with(errno.EADDRNOTAVAIL)
 
     def test_not_after_shutdown_is_requested(self) -> None:
-        stub, started = self.run_with(errno.EADDRINUSE, end_asked=lambda: True)
+        stub, started = self.run_with(errno.EADDRINUSE, termination_requested=lambda: True)
         self.assertEqual((stub.starts, started), (1, False))
 
 
--- a/tests/test_review_findings.py
+++ b/tests/test_review_findings.py
@@ -5,7 +5,7 @@
 
 from spurdeal.interface import Life, Verdict
 from spurdeal.lab import names
-from spurdeal.list_agreement import RENUMBERED_AFTER, Agreement, assess, same_use
+from spurdeal.list_agreement import RENUMBERED_AFTER, ListState, assess, same_process_and_state
 from spurdeal.list_freshness import PROPAGATION_LIMIT, SETTLING_RESPONSES, ListFreshness
 from spurdeal.net.engine_list import Endpoint
 from tests.helpers import World
@@ -132,7 +132,9 @@
 
     def test_a_list_that_stays_the_same_is_compared_once(self) -> None:
         self.settle()
-        with patch("spurdeal.list_agreement.same_use", side_effect=same_use) as compared:
+        with patch(
+            "spurdeal.list_agreement.same_process_and_state", side_effect=same_process_and_state
+        ) as compared:
             for _ in range(10):
                 self.next_question()
                 self.told(1, ALL_READY, -1)
@@ -202,8 +204,8 @@
         freshness = ListFreshness(GRACE)
         drained = 0.0
         read = drained + 1000.0
-        freshness.known(read)
-        freshness.asked(read + 900.0)
+        freshness.initial_list_read(read)
+        freshness.query_sent(read + 900.0)
         for passed in range(900, 2000, 5):
             if read + passed > drained + PROPAGATION_LIMIT + GRACE + SLACK:
                 self.assertFalse(freshness.may_be_followed(read + passed), passed)
@@ -217,19 +219,19 @@
 class Agreeing(unittest.TestCase):
     def setUp(self) -> None:
         self.now = 0.0
-        self.agreement = Agreement.of(5, {"a": endpoint("a"), "b": endpoint("b")})
+        self.list_state = ListState.of(5, {"a": endpoint("a"), "b": endpoint("b")})
 
     def answer(self, number: int, *endpoints: Endpoint) -> Verdict:
         """One answer, 40 ms behind the last."""
         self.now += 40.0
         listed = {each.ident: each for each in endpoints}
-        found = assess(self.agreement, number, listed, self.now - 1.0, self.now)
-        self.agreement, self.covers_serving = found.agreement, found.covers_serving
+        found = assess(self.list_state, number, listed, self.now - 1.0, self.now)
+        self.list_state, self.covers_serving = found.list_state, found.covers_serving
         return found.verdict
 
     def life(self, ident: str) -> Life | None:
         """The state of an engine in force."""
-        return self.agreement.in_force[ident].life if ident in self.agreement.in_force else None
+        return self.list_state.in_force[ident].life if ident in self.list_state.in_force else None
 
     def test_a_change_during_the_hold_after_a_renumbering_releases_nothing_early(self) -> None:
         drains = endpoint("b", Life.DRAINING)
@@ -256,13 +258,13 @@
 
     def test_two_numberings_in_turn_with_the_same_list_leave_it_followed(self) -> None:
         freshness, may_be_followed = ListFreshness(GRACE), False
-        freshness.known(0.0)
+        freshness.initial_list_read(0.0)
         for number in range(250):  # 10 s
             asked = self.now + 39.0
-            freshness.asked(asked)
+            freshness.query_sent(asked)
             verdict = self.answer(5 if number % 2 else 3, endpoint("a"), endpoint("b"))
             if self.covers_serving:
-                freshness.answered(self.now, asked, verdict)
+                freshness.response_received(self.now, asked, verdict)
             may_be_followed = freshness.may_be_followed(self.now)
         self.assertTrue(may_be_followed)
 
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -24,7 +24,7 @@
     dispatchers=1,
     zone=0,
     quotas=(),
-    over_share_value=1.0,
+    over_quota_value=1.0,
     cores=(8,),
     memory_mb=(8192.0,),
     load_field=None,
@@ -37,7 +37,7 @@
     max_retry_after=500.0,
     grants=False,
     priorities=False,
-    pages=False,
+    swaps=False,
     largest_grant=0.4,
     progress_interval=0.0,
     drain_grace=500.0,
@@ -72,7 +72,8 @@
     "most_open": "max_open",
     "notes_every": "progress_interval",
     "order_rest": "order_pause",
-    "over_share_utility": "over_share_value",
+    "over_share_utility": "over_quota_value",
+    "pages": "swaps",
     "utility": "value",
 }
 # Attributes of an engine that `set` and `set_all` name.
@@ -135,10 +136,10 @@
     def set_timer(self, delay: float, token: int) -> None:
         self.timers.append((self.now + delay, token))
 
-    def terms(self, number: int, memory: float, priority: int) -> None:
+    def set_terms(self, number: int, memory: float, priority: int) -> None:
         pass
 
-    def watch(self) -> None:
+    def request_list(self) -> None:
         self.actions.append("watch")
 
     def log(self, line: str) -> None:
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -3,7 +3,7 @@
 import unittest
 from typing import Any
 
-from spurdeal.slow_start import MAX_PROPAGATION_DELAY, StartTimes, leads_to_predecessor
+from spurdeal.slow_start import MAX_PROPAGATION_DELAY, StartTimes, connected_before_restart
 from tests.helpers import BASE, LIST_CONFIRMED_MS, SETTINGS, Caller, World, instance
 
 HOUR = 3_600_000.0
@@ -24,41 +24,45 @@
         for name, reported, expected in cases:
             with self.subTest(name):
                 starts = StartTimes()
-                starts.listed(950.0, {"a": 950.0})  # which proves that our clock is not ahead
+                starts.convert_list(950.0, {"a": 950.0})  # which proves that our clock is not ahead
                 starts.confirm(990.0)
-                self.assertEqual(starts.listed(1000.0, {"a": 950.0, "b": reported})["b"], expected)
+                self.assertEqual(starts.convert_list(1000.0, {"a": 950.0, "b": reported})["b"], expected)
 
     def test_the_latest_start_bounds_by_how_much_our_clock_is_ahead(self) -> None:
         for off in (0.0, 20_000.0, HOUR):
             with self.subTest(off):
                 starts, now = StartTimes(), 1e12
-                began = starts.listed(now, {"a": 0.0, "b": now - off - 9000.0, "c": now - off - 2000.0})
+                began = starts.convert_list(now, {"a": 0.0, "b": now - off - 9000.0, "c": now - off - 2000.0})
                 self.assertEqual(began, {"a": 0.0, "b": now - 7000.0, "c": now})
-                later = starts.listed(now + 500.0, {"b": now - off - 9000.0, "d": now - off + 400.0})
+                later = starts.convert_list(now + 500.0, {"b": now - off - 9000.0, "d": now - off + 400.0})
                 self.assertEqual(later, {"b": now - 7000.0, "d": now + 500.0})
                 self.assertEqual(starts.max_clock_lead, off + 100.0)
 
     def test_one_start_in_the_future_does_not_age_the_others(self) -> None:
         starts = StartTimes()
-        began = starts.listed(1e9, {"a": 1e9 + HOUR, "b": 1e9 - 3000.0})
+        began = starts.convert_list(1e9, {"a": 1e9 + HOUR, "b": 1e9 - 3000.0})
         self.assertEqual(began, {"a": 1e9, "b": 1e9 - 3000.0})
 
     def test_a_start_keeps_its_time_while_its_reported_time_is_the_same(self) -> None:
         starts = StartTimes()
-        starts.listed(100.0, {"a": 0.0})
+        starts.convert_list(100.0, {"a": 0.0})
         starts.confirm(200.0)
-        self.assertEqual(starts.listed(300.0, {"a": 0.0, "b": 300.0}), {"a": 0.0, "b": 300.0})
+        self.assertEqual(starts.convert_list(300.0, {"a": 0.0, "b": 300.0}), {"a": 0.0, "b": 300.0})
         starts.confirm(400.0)
-        self.assertEqual(starts.listed(500.0, {"b": 300.0}), {"b": 300.0})
-        self.assertEqual(starts.listed(600.0, {"b": 301.0}), {"b": 500.0})
+        self.assertEqual(starts.convert_list(500.0, {"b": 300.0}), {"b": 300.0})
+        self.assertEqual(starts.convert_list(600.0, {"b": 301.0}), {"b": 500.0})
         self.assertEqual(list(starts.starts), ["b"])
 
     def test_which_connections_lead_to_a_process_that_is_gone(self) -> None:
-        self.assertTrue(leads_to_predecessor(opened=10.0, started=20.0, now=30.0))
-        self.assertFalse(leads_to_predecessor(opened=25.0, started=20.0, now=30.0))
+        self.assertTrue(connected_before_restart(opened=10.0, started=20.0, now=30.0))
+        self.assertFalse(connected_before_restart(opened=25.0, started=20.0, now=30.0))
         now = 100_000.0
-        self.assertFalse(leads_to_predecessor(now - MAX_PROPAGATION_DELAY + 1, started=now + HOUR, now=now))
-        self.assertTrue(leads_to_predecessor(now - MAX_PROPAGATION_DELAY - 1, started=now + HOUR, now=now))
+        self.assertFalse(
+            connected_before_restart(now - MAX_PROPAGATION_DELAY + 1, started=now + HOUR, now=now)
+        )
+        self.assertTrue(
+            connected_before_restart(now - MAX_PROPAGATION_DELAY - 1, started=now + HOUR, now=now)
+        )
 
 
 class Budgets(unittest.TestCase):
