--- a/spurdeal/answer_times.py
+++ b/spurdeal/answer_times.py
@@ -12,14 +12,14 @@
 LATE_FACTOR = 1.5  # a response later than this many times the slowest recent one may have been lost
 MIN_RETRANSMIT = 40.0  # ms; an idle event loop polls its sockets every 50 ms at the latest
 INITIAL_RETRANSMIT = 50.0  # ms, before the first response
-JITTER = 0.5  # width of the random range as a share of the pause, so that processes do not synchronize
-BACKOFF = 1.5  # growth of the pause with each further unanswered query
+JITTER = 0.5  # width of the random range as a share of the timeout, so that processes do not synchronize
+BACKOFF = 1.5  # growth of the retransmission timeout with each further unanswered query
 MAX_BACKOFF_STEPS = 10
 MAX_BACKOFF = 200.0  # ms; the usual query interval
 MAX_RETRANSMIT = 500.0  # ms, with a slow name server
 
 
-class AnswerTimes:
+class ResponseTimes:
     """The response times of the latest queries, in ms."""
 
     def __init__(self) -> None:
--- a/spurdeal/deployment.py
+++ b/spurdeal/deployment.py
@@ -1,4 +1,22 @@
-"""Turns an adapter's settings into a Deployment: names become indices, absent keys become defaults."""
+"""Turns an adapter's settings into a Deployment: names become indices, absent keys become defaults.
+
+Keys of the settings whose names differ from the fields:
+
+- grades -> workloads. In each: aim -> objective, aim_stretch -> stretch, worth -> value,
+  late_worth -> late_value, group -> reach, window -> key_retention, serial_by_key -> in_order,
+  zones_open -> zones, models_allowed -> kinds.
+- balancers -> dispatchers, quota_per_s of tenants -> quotas (per second), membership_mode -> list_pushed,
+  over_share_worth -> over_quota_value.
+- limits: cancelling -> may_cancel, send_cap -> max_attempts; max_retry_after counts only with retry_after.
+- extra, lists by workload: parallelism -> threads, holds_tables, class_waits -> waits_for_loads.
+- extra: cpu_of_kind -> cores, memory_by_kind_mb -> memory_mb, grants_count -> grants, memory_short -> swaps,
+  grant_cap -> largest_grant, note_period -> progress_interval.
+- rules: cold -> cold_for, fall_multiple -> cold_multiple, tip_after -> cold_window,
+  order_settle -> order_pause, extra_floor -> retry_floor, repeat_ratio -> retry_ratio,
+  counted_over -> retry_window.
+
+All durations are in ms.
+"""
 
 from collections.abc import Sequence
 from typing import Any
@@ -7,7 +25,7 @@
 
 EFFECTS = {"repeatable": Effect.IDEMPOTENT, "by_key": Effect.IDEMPOTENT_BY_KEY, "once": Effect.NON_IDEMPOTENT}
 REACHES = {"all": Reach.ALL, "zone": Reach.ZONE, "cell": Reach.CELL}
-IN_HAND = "rif"
+REQUESTS_IN_FLIGHT = "rif"  # the name, in reports, of the number of requests that an engine holds
 
 
 def indices(names: Sequence[Any] | None, known: Sequence[str]) -> tuple[int, ...] | None:
@@ -21,9 +39,9 @@
     return tuple(name if isinstance(name, int) else known.index(name) for name in names)
 
 
-def optional(figure: Any) -> float | None:
-    """The figure as a float, or None where none is set."""
-    return None if figure is None else float(figure)
+def optional_float(value: Any) -> float | None:
+    """The value as a float; None if it is None."""
+    return None if value is None else float(value)
 
 
 class BadSettings(ValueError):
@@ -38,7 +56,7 @@
 
 
 def report_field_names(options: dict[str, Any]) -> list[str]:
-    """The names of the figures in the reports that come with answers; empty if none come."""
+    """The names of the values in the reports that come with responses; empty if none come."""
     report = options.get("report") or {}
     names = [str(name) for name in report.get("fields") or []]
     return names if report.get("how") == "piggyback" else []
@@ -56,14 +74,14 @@
     if not isinstance(options, dict):
         raise BadSettings("settings are not a JSON object")
     try:
-        return _deployment(without_nulls(options))
+        return _parse_deployment(without_nulls(options))
     except KeyError as missing:
         raise BadSettings(f"settings: {missing} is missing or has a value that is not known") from None
     except (TypeError, ValueError, AttributeError, IndexError) as fault:
         raise BadSettings(f"settings cannot be used: {fault}") from None
 
 
-def _deployment(options: dict[str, Any]) -> Deployment:
+def _parse_deployment(options: dict[str, Any]) -> Deployment:
     extra, limits, rules = options.get("extra", {}), options.get("limits", {}), options.get("rules", {})
     zones, models, grades = options.get("zones", []), options.get("models", []), options["grades"]
     threads, holds, waits = (
@@ -84,11 +102,11 @@
             in_order=bool(grade.get("serial_by_key", False)),
             zones=indices(grade.get("zones_open"), zones),
             kinds=indices(grade.get("models_allowed"), models),
-            threads=max(1, int(threads[place] or 1)),
-            holds_tables=bool(holds[place]),
-            waits_for_loads=bool(waits[place]),
+            threads=max(1, int(threads[index] or 1)),
+            holds_tables=bool(holds[index]),
+            waits_for_loads=bool(waits[index]),
         )
-        for place, grade in enumerate(grades)
+        for index, grade in enumerate(grades)
     )
     if not workloads:
         raise ValueError("no workloads")
@@ -101,7 +119,7 @@
         over_quota_value=float(options.get("over_share_worth", 1.0)),
         cores=tuple(max(1, int(cores or 1)) for cores in extra.get("cpu_of_kind", [])),
         memory_mb=tuple(float(memory) for memory in extra.get("memory_by_kind_mb", [])),
-        load_field=fields.index(IN_HAND) if IN_HAND in fields else None,
+        load_field=fields.index(REQUESTS_IN_FLIGHT) if REQUESTS_IN_FLIGHT in fields else None,
         list_pushed=options.get("membership_mode", "pushed") == "pushed",
         may_cancel=bool(limits.get("cancelling", False)),
         may_probe=bool(limits.get("may_probe", False)),
@@ -119,8 +137,8 @@
         cold_share=float(rules.get("cold_share", 1.0)),
         cold_multiple=float(rules.get("fall_multiple", 1.0)),
         cold_window=float(rules.get("tip_after", 0.0)),
-        order_pause=optional(rules.get("order_settle")),
-        retry_floor=optional(rules.get("extra_floor")),
-        retry_ratio=optional(rules.get("repeat_ratio")),
-        retry_window=optional(rules.get("counted_over")),
+        order_pause=optional_float(rules.get("order_settle")),
+        retry_floor=optional_float(rules.get("extra_floor")),
+        retry_ratio=optional_float(rules.get("repeat_ratio")),
+        retry_window=optional_float(rules.get("counted_over")),
     )
--- a/spurdeal/early.py
+++ b/spurdeal/early.py
@@ -10,13 +10,13 @@
     """Handles SIGHUP, SIGTERM and SIGINT: queues them in order until hand_over().
 
     Attributes:
-        kept: Signal numbers that are queued.
+        queued: Signal numbers that are queued.
         act: Called with each signal number, in the signal handler.
     """
 
     def __init__(self) -> None:
-        self.kept: list[int] = []
-        self.act: Callable[[int], object] = self.kept.append
+        self.queued: list[int] = []
+        self.act: Callable[[int], object] = self.queued.append
 
     def catch(self) -> None:
         """Install the handlers. To be called again after other code has installed its own."""
@@ -25,14 +25,14 @@
 
     def termination_requested(self) -> bool:
         """Whether a queued signal asks the process to end."""
-        return any(number != signal.SIGHUP for number in self.kept)
+        return any(number != signal.SIGHUP for number in self.queued)
 
-    def hand_over(self, act: Callable[[int], object]) -> None:
-        """Pass the queued signals, and each later one, to `act`."""
+    def hand_over(self, handler: Callable[[int], object]) -> None:
+        """Pass the queued signals, and each later one, to `handler`."""
         self.catch()
-        self.act = act
-        while self.kept:
-            act(self.kept.pop(0))
+        self.act = handler
+        while self.queued:
+            handler(self.queued.pop(0))
 
 
 SIGNALS = Signals()
--- a/spurdeal/eventloop.py
+++ b/spurdeal/eventloop.py
@@ -58,7 +58,7 @@
 
 
 class Reactor(DatagramLoop, StreamLoop, ProcessLoop, Protocol):
-    """The event loop as the modules beside the adapter use it."""
+    """The event loop with all of these, and with the timers' clock; used by vrrp.setup."""
 
     def seconds(self) -> float:
         """The timers' clock, in seconds."""
--- a/spurdeal/histogram.py
+++ b/spurdeal/histogram.py
@@ -5,9 +5,10 @@
 
 
 class Histogram:
-    """Weights by bin. Bin i holds the values below edges[i] that no bin before it holds, the last all others.
+    """Weights by bin. Bin i holds values with edges[i-1] <= value < edges[i].
 
-    The edges must ascend. total is the sum of all weights.
+    The first bin holds all values below edges[0], the last all from the last edge on. The edges must ascend.
+    total is the sum of all weights.
     """
 
     __slots__ = ("_counts", "_edges", "total")
@@ -32,10 +33,10 @@
 
         The lower bound of the first bin is taken as 0, and values in the last bin count as the last edge.
         """
-        want, floor = share * self.total, 0.0
+        remaining, lower_edge = share * self.total, 0.0
         for edge, count in zip(self._edges, self._counts, strict=False):
-            if count and want <= count:
-                return floor + (edge - floor) * want / count
-            want -= count
-            floor = edge
-        return floor if self.total else 0.0
+            if count and remaining <= count:
+                return lower_edge + (edge - lower_edge) * remaining / count
+            remaining -= count
+            lower_edge = edge
+        return lower_edge if self.total else 0.0
--- a/spurdeal/interface.py
+++ b/spurdeal/interface.py
@@ -38,10 +38,12 @@
     ERROR: the engine reported an error.
     FULL: the engine refused it; nothing ran.
     TIME_OUT: no result within its time.
-    UNREACHED: its connection was refused, or did not come up and the adapter cannot tell which.
+    UNREACHED: its connection was refused, or failed in a way that the adapter cannot tell from a refusal.
     RESET: its connection ended before the result was complete.
     CALLED_OFF: the rules cancelled it.
-    MOOT: it was not sent, as the check at send time failed.
+    MOOT: it is known not to have run, without a fault of the engine: the check at send time failed, no
+        connection could be opened for lack of resources of this process, it was not written before its
+        connection ended, or the engine returned it unrun.
     CONNECT_TIMEOUT: its connection did not come up in time, and nothing refused it.
     """
 
@@ -61,7 +63,17 @@
 
 
 class EndReason(StrEnum):
-    """Why the rules end a request without a result. Logs and counters show the values."""
+    """Why the rules end a request without a result. Logs and counters show the values.
+
+    NO_TIME: its deadline leaves no time for an attempt, or for one to finish.
+    TOO_LATE: its objective cannot be met, and a late answer of its workload has almost no value.
+    CROWDED: clients have almost all of the requests open that they can have.
+    ERRORS: more than one attempt ended with an error of an engine.
+    TIMED_OUT: an attempt had no result within its time.
+    ATTEMPTS: the number of attempts per request is reached.
+    BUDGET: the retry budget is spent.
+    MAY_HAVE_RUN: an attempt may have run, and the request must not run twice.
+    """
 
     NO_TIME = "no_time_left"
     TOO_LATE = "too_late_to_be_of_use"
@@ -82,11 +94,11 @@
 
 
 class Verdict(Enum):
-    """How the list in an answer of the name service compares with the list in force."""
+    """How the list in a response of the name server compares with the list in force."""
 
     CONFIRMED = auto()  # it is the list in force
     NEWER = auto()  # another list, which is in force from now on
-    OLDER = auto()  # a list with a lower number, or the answer to an earlier query
+    OLDER = auto()  # a list with a lower number, or the response to an earlier query
 
 
 class ProgressKind(IntEnum):
@@ -122,8 +134,8 @@
         zones: Indices of the zones whose engines may run it. None: all.
         kinds: Indices of the kinds of machine that may run it. None: all.
         threads: Threads that a request uses at an engine, at least 1.
-        holds_tables: Whether it locks its group of tables while it runs (a load).
-        waits_for_loads: Whether it waits while a load holds its group of tables.
+        holds_tables: Whether it locks its group of tables while it runs (a table load).
+        waits_for_loads: Whether it waits while a table load holds its group of tables.
     """
 
     objective: float
@@ -147,37 +159,38 @@
     """The settings of a dispatcher, fixed at its start.
 
     Attributes:
-        index: Index of this dispatcher.
+        index: Index of this dispatcher. Not used by the rules.
         dispatchers: Number of dispatchers in the deployment, at least 1.
-        zone: Index of this dispatcher's zone.
+        zone: Index of this dispatcher's zone. Not used by the rules.
         workloads: By index; at least one.
         quotas: By tenant, requests per second over all dispatchers.
         over_share_value: Factor on the value of requests of a tenant over its quota.
         cores: Cores by kind of machine. Empty: 1 each.
-        memory_mb: Memory by kind of machine, in MB.
+        memory_mb: Memory by kind of machine, in MB. Not used by the rules.
         load_field: Index, in engines' reports, of the number of requests an engine holds. None: not reported.
         list_pushed: Whether the list of engines is pushed to the dispatcher; if not, it has to be asked for.
         may_cancel: Whether attempts may be cancelled.
-        may_probe: Whether engines may be probed.
-        may_tell: Whether dispatchers may message each other.
-        second_copies: Whether a request may have two attempts running at once.
+        may_probe: Whether engines may be probed. Not used by the rules, whose probes are requests.
+        may_tell: Whether dispatchers may message each other. Not used by the rules.
+        second_copies: Whether a request may have two attempts running at once. Not used by the rules.
         max_attempts: Attempts per request, at least 1.
         max_retry_after: Longest retry-after given with a refusal, in ms. 0: none is given.
         grants: Whether engines bound a request's memory by the grant sent with it.
         pages: Whether engines swap when memory is short.
         priorities: Whether engines honour priorities.
-        largest_grant: Largest grant, as a share of an engine's memory.
+        largest_grant: Largest grant, as a share of an engine's memory. Not used by the rules.
         progress_interval: ms between progress reports of a running attempt. 0: engines send none.
         drain_grace: ms from the start of a drain in which an engine still takes requests.
-        cold_for: ms from an engine's start for which it counts as cold.
+        cold_for: ms from an engine's start for which it counts as cold: the length of slow start.
         cold_share: Share of a warm engine's capacity that a cold engine has.
         cold_multiple: Multiple of the cold capacity at which a cold engine fails.
         cold_window: ms over which the load of a cold engine is summed. 0: there is no such limit.
         max_open: Requests that clients can have open at once.
-        order_pause: ms for which a key's next request waits after a doubtful end. None: not set.
+        order_pause: ms for which a key's next request waits after an attempt whose outcome is unknown. None:
+            not set.
         retry_floor: Retries that are always allowed within retry_window. None: not set.
         retry_ratio: Retries allowed beyond that, per request received within retry_window. None: not set.
-        retry_window: Window of the retry budget, in ms. None: the deployment sets no retry budget.
+        retry_window: Window of the cap on retries (rule 7), in ms. None: the deployment sets no cap.
     """
 
     index: int
@@ -222,7 +235,7 @@
         kind: Index of its kind of machine.
         cell: Index of its cell.
         life: Its state.
-        weight: As the list gives it.
+        weight: Relative weight in the list. Not used by the rules.
         started: Unix ms of its start; 0 for one that is warm already.
     """
 
@@ -240,11 +253,11 @@
 
     Each call passes the current time. Events are reported one by one; end_batch() closes a batch of them, and
     queued requests are then sent. Called outside of batches are may_send(), initial_list_read(),
-    list_query_sent(), name_service_changed() and list_response_received().
+    list_query_sent(), name_server_changed() and list_response_received().
     """
 
-    def list_changed(self, now: float, lines: Sequence[ListedEngine], whole: bool) -> None:
-        """Entries of the list of engines have changed. whole: engines not among them are gone."""
+    def list_changed(self, now: float, entries: Sequence[ListedEngine], is_complete: bool) -> None:
+        """Entries of the list of engines changed. is_complete: engines not among them are gone."""
 
     def list_failed(self, now: float) -> None:
         """The list of engines could not be read."""
@@ -253,29 +266,31 @@
         """The list read at the start was current at that time. Only where the list is polled."""
 
     def list_query_sent(self, now: float) -> float:
-        """A query for the list has left. Returns ms after which it is to be repeated without an answer."""
+        """A query for the list was sent. Returns ms after which it is repeated if no response came."""
 
-    def name_service_changed(self) -> None:
-        """From now on another name service is queried."""
+    def name_server_changed(self) -> None:
+        """From now on another name server is queried."""
 
-    def list_response_received(self, now: float, asked_at: float, verdict: Verdict) -> bool:
-        """The query that left at asked_at was answered, and named each engine that gets requests.
+    def list_response_received(self, now: float, query_sent_at: float, verdict: Verdict) -> bool:
+        """The query sent at query_sent_at got a response that lists each engine that gets requests.
 
         Returns:
-            Whether another query is to leave soon.
+            Whether another query is to be sent soon.
         """
 
-    def capacity_shares_changed(self, now: float, cold: float, start: float) -> None:
-        """This dispatcher's shares, from 0 to 1, of cold engines' budgets and initial concurrency limits."""
+    def capacity_shares_changed(
+        self, now: float, slow_start_share: float, initial_limit_share: float
+    ) -> None:
+        """This dispatcher's shares, from 0 to 1, of slow-start budgets and of initial limits."""
 
-    def engine_suspected(self, now: float, number: int, left: float) -> None:
-        """The previous holder of our address had ejected this engine, for another `left` ms."""
+    def engine_suspected(self, now: float, number: int, remaining_ms: float) -> None:
+        """The dispatcher whose address we took over had ejected this engine, for another remaining_ms."""
 
     def request_received(
         self,
         now: float,
         number: int,
-        kind: int,
+        workload_index: int,
         tenant: int,
         key: int,
         deadline: float,
@@ -288,7 +303,7 @@
         Args:
             now: The time.
             number: Chosen by the adapter; not in use for another open request.
-            kind: Index of its workload.
+            workload_index: Index of its workload.
             tenant: Index of its tenant; the number of quotas, or more, for one without a quota.
             key: Its ordering key; 0: none.
             deadline: Time by which it must be answered.
@@ -298,9 +313,9 @@
         """
 
     def progress_reported(
-        self, now: float, number: int, attempt: int, engine: int, kind: ProgressKind, level: float
+        self, now: float, number: int, attempt: int, engine: int, kind: ProgressKind, value: float
     ) -> None:
-        """An engine has reported on a running attempt; for the meaning of level see ProgressKind."""
+        """An engine has reported on a running attempt; for the meaning of value see ProgressKind."""
 
     def attempt_ended(
         self,
@@ -310,7 +325,7 @@
         engine: int,
         ending: Ending,
         took: float,
-        final: bool,
+        request_done: bool,
         work: float,
         memory: float,
         report: Sequence[float],
@@ -323,8 +338,8 @@
             attempt: Its number within the request, from 0.
             engine: Index of the engine it was sent to.
             ending: How it ended.
-            took: ms since it was sent.
-            final: Whether the request is over with it.
+            took: ms since the adapter was asked to send it, dialling and queueing included.
+            request_done: Whether the request is answered, by this attempt or before it.
             work: Work measured by the engine, in ms of one thread; 0: not reported.
             memory: Memory used, in MB; 0: not reported.
             report: Figures that the engine sent with the answer, see Deployment.load_field; empty: none.
--- a/spurdeal/list_agreement.py
+++ b/spurdeal/list_agreement.py
@@ -18,7 +18,7 @@
 from .interface import Life, Verdict
 
 RENUMBERED_AFTER = 3  # consecutive responses with a lower number
-RETURN_HOLD = 1500.0  # ms; by the protocol no response lags for longer
+RETURN_HOLD = 1500.0  # ms; no response is taken to lag for longer, see list_freshness.PROPAGATION_LIMIT
 
 
 class Entry(Protocol):
@@ -43,11 +43,11 @@
     def _replace(self, *, life: Life) -> Self: ...
 
 
-Endpoint = TypeVar("Endpoint", bound=Entry)
+EntryT = TypeVar("EntryT", bound=Entry)
 
 
 @dataclass(frozen=True)
-class ListState(Generic[Endpoint]):
+class ListState(Generic[EntryT]):
     """The list in force, and the responses that confirm or contradict it.
 
     Attributes:
@@ -55,26 +55,26 @@
         reported: The list as the name server reported it last.
         in_force: The list by which requests are sent: `reported` without the changes that are withheld.
         confirmed_at: When the query was sent whose response reported the list last, in ms.
-        withheld: The engines that may not get requests yet, or not be removed yet, and the time after which a
-            query must be sent whose response agrees.
+        withheld: The pending changes: by engine that may not get requests yet or not be removed yet, the time
+            after which a query must be sent whose response agrees.
         contradictions: Consecutive responses with a lower number.
     """
 
     number: int
-    reported: Mapping[str, Endpoint]
-    in_force: Mapping[str, Endpoint]
+    reported: Mapping[str, EntryT]
+    in_force: Mapping[str, EntryT]
     confirmed_at: float = float("-inf")
     withheld: Mapping[str, float] = field(default_factory=dict)
     contradictions: int = 0
 
     @classmethod
-    def of(cls, number: int, endpoints: Mapping[str, Endpoint]) -> ListState[Endpoint]:
-        """Returns the list_state on a list that is in force as a whole."""
+    def of(cls, number: int, endpoints: Mapping[str, EntryT]) -> ListState[EntryT]:
+        """Returns the state of a list that is in force as a whole."""
         return cls(number, endpoints, endpoints)
 
 
 @dataclass(frozen=True)
-class Assessment(Generic[Endpoint]):
+class Assessment(Generic[EntryT]):
     """The result of one response.
 
     Attributes:
@@ -85,63 +85,71 @@
     """
 
     verdict: Verdict
-    list_state: ListState[Endpoint]
+    list_state: ListState[EntryT]
     covers_serving: bool = True
     query_soon: bool = False
 
 
 def assess(
-    before: ListState[Endpoint], number: int, endpoints: Mapping[str, Endpoint], asked_at: float, now: float
-) -> Assessment[Endpoint]:
-    """Assesses the response to the query sent at `asked_at`. Times are in ms."""
+    before: ListState[EntryT], number: int, endpoints: Mapping[str, EntryT], query_sent_at: float, now: float
+) -> Assessment[EntryT]:
+    """Assesses the response to the query sent at `query_sent_at`. Times are in ms."""
     is_same = number == before.number and lists_match(endpoints, before.reported)
     if is_same:
-        return confirmed(before, endpoints, asked_at)
-    if number > before.number or (number == before.number and asked_at >= before.confirmed_at):
-        return newer(before, number, endpoints, asked_at, now)
-    return older(before, number, endpoints, asked_at, now)
+        return confirmed(before, endpoints, query_sent_at)
+    if number > before.number or (number == before.number and query_sent_at >= before.confirmed_at):
+        return newer(before, number, endpoints, query_sent_at, now)
+    return older(before, number, endpoints, query_sent_at, now)
 
 
 def confirmed(
-    before: ListState[Endpoint], endpoints: Mapping[str, Endpoint], asked_at: float
-) -> Assessment[Endpoint]:
+    before: ListState[EntryT], endpoints: Mapping[str, EntryT], query_sent_at: float
+) -> Assessment[EntryT]:
     """Handles a response with the list in force: releases the engines that were withheld until then."""
     in_force, withheld = before.in_force, before.withheld
-    if released := [ident for ident, since in withheld.items() if asked_at > since]:
+    if released := [ident for ident, not_before in withheld.items() if query_sent_at > not_before]:
         in_force = dict(in_force)
         for ident in released:
             in_force.pop(ident, None)
             if ident in endpoints:
                 in_force[ident] = endpoints[ident]
-        withheld = {ident: since for ident, since in withheld.items() if ident not in released}
-    confirmed_at = max(asked_at, before.confirmed_at)
+        withheld = {ident: not_before for ident, not_before in withheld.items() if ident not in released}
+    # The new state counts no contradictions: only consecutive ones matter.
+    confirmed_at = max(query_sent_at, before.confirmed_at)
     return Assessment(
         Verdict.CONFIRMED, ListState(before.number, endpoints, in_force, confirmed_at, withheld)
     )
 
 
 def newer(
-    before: ListState[Endpoint], number: int, endpoints: Mapping[str, Endpoint], asked_at: float, now: float
-) -> Assessment[Endpoint]:
+    before: ListState[EntryT], number: int, endpoints: Mapping[str, EntryT], query_sent_at: float, now: float
+) -> Assessment[EntryT]:
     """Handles a response with a newer list: removals and drains take effect at once."""
-    in_force, withheld = dict[str, Endpoint](), dict[str, float]()
+    in_force, withheld = dict[str, EntryT](), dict[str, float]()
     for ident, endpoint in endpoints.items():
-        is_proven = gets_requests(before, ident) or is_reported_again(before, ident, endpoint, asked_at)
-        if is_proven or endpoint.life != Life.READY:
+        may_serve_now = gets_requests(before, ident) or is_reported_again(
+            before, ident, endpoint, query_sent_at
+        )
+        if may_serve_now or endpoint.life != Life.READY:
             in_force[ident] = endpoint
             continue
         known = before.in_force.get(ident)
-        withheld[ident] = before.withheld.get(ident, asked_at if known is None else now + RETURN_HOLD)
+        withheld[ident] = before.withheld.get(ident, query_sent_at if known is None else now + RETURN_HOLD)
         if known is not None:
             in_force[ident] = draining(endpoint)
-    after = ListState(number, endpoints, in_force, max(asked_at, before.confirmed_at), withheld)
-    return Assessment(Verdict.NEWER, after, query_soon=any(since <= now for since in withheld.values()))
+    after = ListState(number, endpoints, in_force, max(query_sent_at, before.confirmed_at), withheld)
+    return Assessment(
+        Verdict.NEWER, after, query_soon=any(not_before <= now for not_before in withheld.values())
+    )
 
 
 def older(
-    before: ListState[Endpoint], number: int, endpoints: Mapping[str, Endpoint], asked_at: float, now: float
-) -> Assessment[Endpoint]:
-    """Handles a response with a lower number: engines that drain in it get no more requests."""
+    before: ListState[EntryT], number: int, endpoints: Mapping[str, EntryT], query_sent_at: float, now: float
+) -> Assessment[EntryT]:
+    """Handles a lower number, or another list of the same number in the response to an earlier query.
+
+    Engines that drain in it get no more requests.
+    """
     serving = [ident for ident in before.in_force if gets_requests(before, ident)]
     drained = [ident for ident in serving if ident in endpoints and endpoints[ident].life != Life.READY]
     after = before
@@ -150,17 +158,17 @@
         withheld = {**before.withheld, **dict.fromkeys(drained, now + RETURN_HOLD)}
         after = replace(before, in_force=in_force, withheld=withheld)
     covers_serving = all(ident in endpoints for ident in serving)
-    if asked_at < before.confirmed_at:
+    if query_sent_at < before.confirmed_at:
         return Assessment(Verdict.OLDER, after, covers_serving)
     after = replace(after, contradictions=before.contradictions + 1)
     if after.contradictions < RENUMBERED_AFTER:
         return Assessment(Verdict.OLDER, after, covers_serving, query_soon=True)
-    return renumbered(after, number, endpoints, asked_at, now)
+    return renumbered(after, number, endpoints, query_sent_at, now)
 
 
 def renumbered(
-    before: ListState[Endpoint], number: int, endpoints: Mapping[str, Endpoint], asked_at: float, now: float
-) -> Assessment[Endpoint]:
+    before: ListState[EntryT], number: int, endpoints: Mapping[str, EntryT], query_sent_at: float, now: float
+) -> Assessment[EntryT]:
     """Adopts a list with a lower number; its additions and removals take effect after RETURN_HOLD."""
     missing = {
         ident: draining(endpoint) for ident, endpoint in before.in_force.items() if ident not in endpoints
@@ -179,29 +187,29 @@
     return Assessment(Verdict.NEWER, ListState(number, endpoints, in_force, before.confirmed_at, withheld))
 
 
-def gets_requests(list_state: ListState[Endpoint], ident: str) -> bool:
+def gets_requests(list_state: ListState[EntryT], ident: str) -> bool:
     """Whether the list in force lets an engine get requests."""
     known = list_state.in_force.get(ident)
     return known is not None and known.life == Life.READY
 
 
-def is_reported_again(before: ListState[Endpoint], ident: str, endpoint: Endpoint, asked_at: float) -> bool:
-    """Whether the response to an earlier query already reported a withheld engine alike."""
-    since, reported = before.withheld.get(ident), before.reported.get(ident)
+def is_reported_again(before: ListState[EntryT], ident: str, endpoint: EntryT, query_sent_at: float) -> bool:
+    """Whether the last list had a withheld engine in the same state, and this query was sent late enough."""
+    not_before, reported = before.withheld.get(ident), before.reported.get(ident)
     return (
-        since is not None
-        and asked_at > since
+        not_before is not None
+        and query_sent_at > not_before
         and reported is not None
         and same_process_and_state(reported, endpoint)
     )
 
 
-def draining(endpoint: Endpoint) -> Endpoint:
+def draining(endpoint: EntryT) -> EntryT:
     """Returns the entry with the engine draining."""
     return endpoint._replace(life=Life.DRAINING)
 
 
-def lists_match(one: Mapping[str, Endpoint], other: Mapping[str, Endpoint]) -> bool:
+def lists_match(one: Mapping[str, EntryT], other: Mapping[str, EntryT]) -> bool:
     """Whether two lists agree on where to send requests; weights may differ."""
     if one is other:
         return True
--- a/spurdeal/list_freshness.py
+++ b/spurdeal/list_freshness.py
@@ -3,10 +3,11 @@
 A change counts as announced as soon as a response that holds it is sent, whether or not that response
 arrives; and no response is sent before its query. So requests may be sent while each query that was sent more
 than the response timeout ago has received its own response, and that response held the list in force. Nothing
-else renews the lease: not silence, not an unusable response, nor one with an older list. A query without a
-response is settled by SETTLING_RESPONSES consecutive responses to later queries that hold the same list: a
-single one may come from a lagging replica. While no query can be sent, the lease ends MAX_QUERY_GAP after the
-query that was answered last.
+else renews the lease, neither silence nor an unusable response; a response with an older list renews it only
+if that list contains each engine that gets requests. A query without a response is settled by
+SETTLING_RESPONSES consecutive responses to later queries that hold the same list: a single one may come from
+a lagging replica. While no query can be sent, the lease ends MAX_QUERY_GAP after the query that was answered
+last.
 """
 
 from __future__ import annotations
@@ -15,10 +16,12 @@
 from collections.abc import Callable
 from enum import StrEnum
 
-from .answer_times import AnswerTimes
+from .answer_times import ResponseTimes
 from .interface import Verdict
 
-PROPAGATION_LIMIT = 1500.0  # ms after which a change counts as announced at the latest, by the protocol
+# ms after which the lease takes a change for announced at the latest. Slow start uses another bound:
+# slow_start.MAX_PROPAGATION_DELAY.
+PROPAGATION_LIMIT = 1500.0
 QUERY_GAP_SHARE = 2 / 3  # of PROPAGATION_LIMIT; the rest covers the query interval and the network delay
 MAX_QUERY_GAP = QUERY_GAP_SHARE * PROPAGATION_LIMIT
 RESPONSE_TIMEOUT_SHARE = 0.5  # of the drain grace
@@ -27,11 +30,16 @@
 # ms from reading the configuration until the first query has to be sent
 INITIAL_LEASE = PROPAGATION_LIMIT - MAX_CONFIGURATION_AGE
 SETTLING_RESPONSES = 6  # consecutive responses with the list in force that settle an unanswered query
-MAX_OPEN_QUERY_TIMES = 64  # unanswered queries whose send time is kept
+MAX_OPEN_QUERY_TIMES = 64  # unanswered queries whose send times are kept
 
 
 class StaleReason(StrEnum):
-    """Why the list may not be followed."""
+    """Why the list may not be followed. The values are shown in logs.
+
+    UNASKED: no query was sent within MAX_QUERY_GAP of the query that was answered last.
+    UNPOLLED: the sockets were not polled for the response timeout, so that responses may be unread.
+    UNANSWERED: a query got no response within the response timeout.
+    """
 
     UNASKED = "no question has left"
     UNPOLLED = "sockets were not looked at"
@@ -44,84 +52,87 @@
     Attributes:
         is_enabled: Whether the settings define a drain grace; without one the list may always be followed.
         timeout: The response timeout: how long a query may stay unanswered.
-        confirmed_at: When the query was sent whose response confirmed the list last. At startup it is set so
-            that the lease ends INITIAL_LEASE after reading; None if no name server provides the list.
+        lease_base: The next query has to be sent within MAX_QUERY_GAP of this. It is the time of the latest
+            query that got its response; before the first response, it is set so that the lease ends
+            INITIAL_LEASE after the configuration was read, or is the time of the first query if none was
+            read. None if no name server provides the list.
         unanswered_since: Send times of the queries without a response of their own, oldest first.
-        unanswered: Number of queries sent since the latest response.
+        queries_since_response: Number of queries sent since the latest response.
         run_start: When the first query of the current run of consecutive responses was sent.
         run_length: Number of responses in this run.
-        settles_from: Responses to queries sent before this time do not settle earlier queries.
-        answer_times: The latest response times.
+        no_settling_before: Responses to queries sent before this time do not settle earlier queries.
+        response_times: The latest response times.
         polled_at: Returns when the sockets were polled last, where that is known.
     """
 
     def __init__(self, drain_grace: float) -> None:
         self.is_enabled = drain_grace > 0.0
         self.timeout = max(MIN_RESPONSE_TIMEOUT, RESPONSE_TIMEOUT_SHARE * drain_grace)
-        self.confirmed_at: float | None = None
+        self.lease_base: float | None = None
         self.open_query_times = deque[float]()
-        self.unanswered = 0
+        self.queries_since_response = 0
         self.run_start, self.run_length = 0.0, 0
-        self.settles_from = float("-inf")
-        self.answer_times = AnswerTimes()
+        self.no_settling_before = float("-inf")
+        self.response_times = ResponseTimes()
         self.polled_at: Callable[[], float] | None = None
 
     def initial_list_read(self, at: float) -> None:
         """Records that the startup configuration was read; it may be up to MAX_CONFIGURATION_AGE old."""
-        self.confirmed_at = at + INITIAL_LEASE - MAX_QUERY_GAP
+        self.lease_base = at + INITIAL_LEASE - MAX_QUERY_GAP
 
     def query_sent(self, now: float) -> None:
         """Records that a query was sent."""
-        if self.confirmed_at is None:
-            self.confirmed_at = now
+        if self.lease_base is None:
+            self.lease_base = now
         if len(self.open_query_times) >= MAX_OPEN_QUERY_TIMES:
-            # The oldest query decides when the lease ends, the latest ones when it is restored.
+            # The second oldest is dropped: the oldest decides when the lease ends, the latest ones when it is
+            # restored.
             del self.open_query_times[1]
         self.open_query_times.append(now)
-        self.unanswered += 1
+        self.queries_since_response += 1
 
     def name_server_changed(self) -> None:
         """Records a change of the name server; the new one may lag behind the responses of the old one."""
         if self.open_query_times:
-            self.settles_from = self.open_query_times[-1] + PROPAGATION_LIMIT
-
-    def response_received(self, now: float, asked_at: float, verdict: Verdict) -> None:
-        """Records a response that listed each engine in use, to the query sent at `asked_at`."""
-        if self.confirmed_at is None or asked_at >= self.confirmed_at:
-            self.answer_times.record(now - asked_at)
-            self.confirmed_at = asked_at
-        if asked_at in self.open_query_times:
-            self.open_query_times.remove(asked_at)
-        self.unanswered = 0
-        self.extend_run(asked_at, verdict)
-        if asked_at >= self.settles_from and self.run_length >= SETTLING_RESPONSES:
+            self.no_settling_before = self.open_query_times[-1] + PROPAGATION_LIMIT
+
+    def response_received(self, now: float, query_sent_at: float, verdict: Verdict) -> None:
+        """Records a response that listed each engine in use, to the query sent at `query_sent_at`."""
+        if self.lease_base is None or query_sent_at >= self.lease_base:
+            self.response_times.record(now - query_sent_at)
+            self.lease_base = query_sent_at
+        if query_sent_at in self.open_query_times:
+            self.open_query_times.remove(query_sent_at)
+        self.queries_since_response = 0
+        self.extend_run(query_sent_at, verdict)
+        if query_sent_at >= self.no_settling_before and self.run_length >= SETTLING_RESPONSES:
             self.open_query_times = deque(
                 sent_at for sent_at in self.open_query_times if sent_at > self.run_start
             )
 
-    def extend_run(self, asked_at: float, verdict: Verdict) -> None:
+    def extend_run(self, query_sent_at: float, verdict: Verdict) -> None:
         """Counts a response; another list, or an unanswered query in between, starts a new run."""
-        if asked_at < self.run_start:
+        if query_sent_at < self.run_start:
             return
-        has_gap = any(self.run_start < sent_at < asked_at for sent_at in self.open_query_times)
+        has_gap = any(self.run_start < sent_at < query_sent_at for sent_at in self.open_query_times)
         if verdict is Verdict.OLDER:
-            self.run_start, self.run_length = asked_at, 0
+            self.run_start, self.run_length = query_sent_at, 0
         elif self.run_length and verdict is Verdict.CONFIRMED and not has_gap:
             self.run_length += 1
         else:
-            self.run_start, self.run_length = asked_at, 1
+            self.run_start, self.run_length = query_sent_at, 1
 
     def has_unsettled_query(self) -> bool:
         """Whether an unanswered query precedes an answered one, so that further responses settle it."""
         oldest = self.open_query_times[0] if self.open_query_times else float("inf")
-        return self.confirmed_at is not None and oldest < self.confirmed_at
+        return self.lease_base is not None and oldest < self.lease_base
 
     def stale_reason(self, now: float) -> StaleReason | None:
         """Why requests may not be sent by the list; None if they may."""
-        if not self.is_enabled or self.confirmed_at is None:
+        if not self.is_enabled or self.lease_base is None:
             return None
         oldest_open_at = self.open_query_times[0] if self.open_query_times else now
-        if oldest_open_at - self.confirmed_at > MAX_QUERY_GAP:
+        if oldest_open_at - self.lease_base > MAX_QUERY_GAP:
             return StaleReason.UNASKED
         if self.polled_at is not None and now - self.polled_at() > self.timeout:
             return StaleReason.UNPOLLED
@@ -135,4 +146,4 @@
 
     def retransmit_after(self, chance: float) -> float:
         """Ms until the last query is retransmitted without a response; `chance` (0 to 1) sets the jitter."""
-        return self.answer_times.retransmit_after(self.unanswered, chance)
+        return self.response_times.retransmit_after(self.queries_since_response, chance)
--- a/spurdeal/net/link.py
+++ b/spurdeal/net/link.py
@@ -214,9 +214,9 @@
         left_at = self.clock() - seconds_ago * 1000
         return SentQuery(left_at, self.rules.list_query_sent(left_at))
 
-    def name_service_changed(self) -> None:
+    def name_server_changed(self) -> None:
         """Record that another name service is queried from now on."""
-        self.rules.name_service_changed()
+        self.rules.name_server_changed()
 
     def list_answered(self, asked_at: float, verdict: Verdict) -> bool:
         """Record an answer to the query sent at `asked_at`, which lists every engine that gets requests.
--- a/spurdeal/net/service.py
+++ b/spurdeal/net/service.py
@@ -155,7 +155,7 @@
         """Apply a configuration; discovery goes first, so that a fault in the rest doesn't prevent it."""
         nameserver = configuration.nameserver
         if nameserver != self.names.address:
-            self.adapter.name_service_changed()
+            self.adapter.name_server_changed()
             self.names.move(nameserver)
         known = configuration.known
         if known.number > self.names.number:
--- a/spurdeal/rules.py
+++ b/spurdeal/rules.py
@@ -18,6 +18,10 @@
 - Slow start: a cold engine gets at most this dispatcher's share of a budget of work per window.
 - A retry budget, and a cap on retries over a sliding window.
 
+The words of the log lines are fixed: n* is the concurrency limit, pace the normalized latency, aside means
+ejected, back reinstated, strikes the failure score, silent without a response, own our threads in flight, out
+open attempts, and held queued requests.
+
 "Rule 1" to "rule 7" are the deployment's requirements: one final answer per request; a request runs again
 only where that does no harm; nothing is sent to draining engines; cold engines are not overloaded; requests
 of one key run one at a time in order; requests stay on allowed engines; retries stay within their cap.
@@ -53,18 +57,18 @@
 # Timers: the period of the tick in ms; the tokens of the tick's timer and of the one that asks for the list.
 TICK_MS, TICK_TIMER, WATCH_TIMER = 50.0, 0, 1
 
-# Concurrency limit. The time in ms between two moves; and C, the least relative gain in throughput, as a part
-# of the relative rise of the limit, for which the limit rises further.
+# Concurrency limit. INTERVAL_MS: time between two moves. MIN_GAIN_RATIO: the limit rises further only if
+# throughput rose, relatively, by at least this part of the limit's relative rise.
 INTERVAL_MS, MIN_GAIN_RATIO = 5000.0, 0.4
 # The limit starts at so many threads a core over all dispatchers; lowering stops at this part of the start.
 INITIAL_LIMIT_PER_CORE, MIN_LIMIT_SHARE = 2.0, 0.125
-# So many times the lowest calm median of the normalized latency is pressure, which is taken to last so many
-# ms. That median counts up to the same ratio.
+# Pressure: normalized latency above PRESSURE_RATIO * min(PRESSURE_RATIO, calm_median), where calm_median is
+# the lowest median without pressure; it is taken to last PRESSURE_HOLD_MS.
 PRESSURE_RATIO, PRESSURE_HOLD_MS = 1.5, 1000.0
-# Our share of all sends is at least the work offered to us over so many times what all engines can do.
+# Lower bound of our share of all sends: the work offered to us / (OFFERED_LOAD_RATIO * capacity of engines).
 OFFERED_LOAD_RATIO = 2.0
-# Where engines page, one over this normalized latency loses a quarter of its initial limit per interval.
-PAGING_LATENCY_RATIO = 2.5
+# Where engines swap, one over this normalized latency loses a quarter of its initial limit per interval.
+SWAPPING_LATENCY_RATIO = 2.5
 # In-flight threads beyond this many times the limits, plus this many of the widest requests, count as
 # pressure before any answer shows it.
 BURST_RATIO, BURST_REQUESTS = 1.25, 2.0
@@ -83,14 +87,16 @@
 # The baseline latency of a workload is this low quantile of its ratios, taken from at least so much weight of
 # samples; factors by which the baseline and the lowest calm median may rise per interval.
 BASELINE_QUANTILE, MIN_BASELINE_WEIGHT, BASELINE_DRIFT, CALM_MEDIAN_DRIFT = 0.25, 15.0, 1.1, 1.02
-# An engine over this many medians is ejected, and a probe must stay below it; ms of pause, give or take a
-# half, after an engine refused a request as full.
+# OUTLIER_LATENCY_RATIO: an engine is ejected if its normalized latency exceeds this many times the median; a
+# probe succeeds if its own normalized latency is below this number, whatever the median. FULL_BACKOFF_MS: the
+# pause after an engine refused a request as full, give or take a half at random.
 OUTLIER_LATENCY_RATIO, FULL_BACKOFF_MS = 3.0, 500.0
 # Where work cannot be stopped, a timed-out attempt stays in flight for this part of the time that it took.
 ABANDONED_WORK_RATIO = 0.5
 
-# Outlier ejection: the failure score that ejects; what a refused or lost dial, an error and a reset
-# connection add to it; and how long it lasts: fixed ms, and ms by chance on top.
+# Outlier ejection: EJECTION_SCORE is the failure score that ejects. A refused dial adds UNREACHED_SCORE, an
+# engine's error or a dial without an answer ERROR_SCORE, a reset connection RESET_SCORE. An ejection lasts
+# EJECTION_MS, and a random part of EJECTION_JITTER_MS on top.
 EJECTION_SCORE, UNREACHED_SCORE, ERROR_SCORE, RESET_SCORE, EJECTION_MS, EJECTION_JITTER_MS = (
     3.0,
     1.5,
@@ -99,9 +105,10 @@
     3000.0,
     3000.0,
 )
-# In times of an attempt's best case over its engine's latency: when an attempt that can wait for a load
-# counts as waiting, and when an answer counts as lost, not before so many ms. Where engines send progress
-# reports, it is lost after so many of their intervals.
+# Open attempts. WAITING_RATIO, LOST_RATIO: age / (best case * engine's normalized latency) beyond which an
+# attempt that can wait for a table load counts as waiting, and its answer as lost. MIN_LOST_MS: ms without
+# progress before which no answer counts as lost. LOST_INTERVALS: where engines send progress reports, an
+# answer counts as lost after so many of their intervals without one.
 WAITING_RATIO, LOST_RATIO, MIN_LOST_MS, LOST_INTERVALS = 3.0, 10.0, 2500.0, 2.5
 # An engine does not respond if nothing came for so many ms, and for so many times the time that at least so
 # many of its open attempts should take.
@@ -117,15 +124,16 @@
 
 # Retry budget, in retries: what a request adds, what it adds on top if all retries succeed, and the most.
 RETRY_BUDGET_PER_REQUEST, RETRY_BUDGET_BY_SUCCESS, MAX_RETRY_BUDGET = 0.05, 0.25, 30.0
-# Attempts of one request that never left the process and so don't count as attempts; more of them do count,
-# as an engine that stays unreachable is not to be dialled for ever.
+# Per request, at most this many attempts that ended as MOOT or CONNECT_TIMEOUT are exempt from max_attempts;
+# more of them count, as an engine that stays unreachable is not to be dialled for ever.
 MAX_UNCOUNTED_ATTEMPTS = 3
 # ms left for an idempotent-by-key request's repeat to reach an engine before its key is forgotten there.
 KEY_EXPIRY_MARGIN_MS = 1.0
 
-# Ends without a result: ms before the deadline in which no attempt is made; the least late value for which a
-# late request still runs; the part of the latency objective after which a running one is of no use; and the
-# part of the requests that clients can have open beyond which the last of the wait queue are shed.
+# Ends without a result. MIN_TIME_LEFT_MS: no attempt is made when less is left to the deadline.
+# MIN_LATE_VALUE: a late request still runs if its late value is at least this. TOO_LATE_RATIO: a running
+# request of lower late value ends after this multiple of its objective. MAX_OPEN_RATIO: the last of the wait
+# queue are shed while more than this share of the requests that clients can have open are open.
 MIN_TIME_LEFT_MS, MIN_LATE_VALUE, TOO_LATE_RATIO, MAX_OPEN_RATIO = 2 * TICK_MS, 0.25, 1.5, 0.9
 # Priorities that are sent with a request; the memory grant over the estimate of memory.
 CHEAP_PRIORITY, HEAVY_PRIORITY, GRANT_RATIO = 3, 1, 1.35
@@ -135,7 +143,7 @@
 Attempt: TypeAlias = "state.Attempt[Engine]"
 
 
-def pooled(latencies: Histogram, prior: float) -> float:
+def median_with_prior(latencies: Histogram, prior: float) -> float:
     """The median latency, pooled with a prior that weighs as much as PRIOR_THREADS threads of samples."""
     return (latencies.total * latencies.quantile(0.5) + PRIOR_THREADS * prior) / (
         latencies.total + PRIOR_THREADS
@@ -146,18 +154,22 @@
     """What this dispatcher knows of one engine, and its concurrency limit.
 
     All counts cover this dispatcher's own requests only: what others send shows only in the latency. The
-    limit is called n* and the throughput P in logs and in the scenarios.
+    log line of an interval calls the limit n*.
 
     Attributes:
         listed: its entry in the list of engines.
-        concurrency_limit: the most of our threads in flight there under pressure; before adjust_limit() moved
-            it last, it was previous_limit, and at its start initial_limit.
+        concurrency_limit: the most of our threads in flight there under pressure.
+        previous_limit: the limit of the interval before.
+        initial_limit: cores * INITIAL_LIMIT_PER_CORE * our share, the base of the limit; it moves with the
+            share.
         in_flight_threads: threads of open attempts that run, and of abandoned work.
         overdue_threads: of these, threads of attempts over the pressure threshold.
-        last_response: when it last showed that it works; or when an attempt was sent to it while it had none.
+        silent_since: start of the present silence: the last sign that it works, or the last time that it was
+            chosen for an attempt while it had no other open.
         admission_draw: a number in [0, 1), drawn once an interval: where the limit is below one request's
             threads, a request is admitted if the limit's part of those threads is higher.
-        ejected_until: it gets nothing before that time; also the end of the pause after it refused as full.
+        ejected_until: it gets nothing before that time: the end of an ejection, or of the pause after it
+            refused a request as full.
         half_open_probe: it was ejected, and gets one idempotent request at a time until one succeeds.
         last_failure: when its failure score last rose.
         cold_sends: time and work of each send within the slow start's window.
@@ -165,11 +177,11 @@
             flight.
         pressure_until: under pressure before that time.
         slow_start_began, slow_start_until: it is cold between these times.
-        initial_cold_credit: the part of the next light request, drawn by chance, that was credited at the
-            start.
-        cold_work_sent: work sent there in slow start and credit that has expired; credit is what accrued less
-            this.
-        served_threads: throughput P of this interval, in threads of delivered attempts.
+        initial_cold_credit: credit (ms of work) for light requests accrues at this dispatcher's budget per
+            window; at the start of slow start it is this random part, from 0 to 1, of one request.
+        cold_work_deducted: ms of work deducted from the accrued credit: what was sent there in slow start,
+            and credit that has expired.
+        served_threads: throughput of this interval, in threads of delivered attempts.
         served_work: their cost.
         peak_threads: the most threads in flight within this interval.
         recent_errors: errors since it last delivered, halved each interval.
@@ -179,20 +191,21 @@
     """
 
     def __init__(self, listed: ListedEngine, cores: tuple[int, ...], now: float) -> None:
+        # A kind of machine beyond the configured ones takes the cores of one of these.
         self.number, self.listed, self.cores = listed.engine, listed, cores[listed.kind % len(cores)]
         self.open_attempts: dict[tuple[int, int], Attempt] = {}
-        self.in_flight_threads, self.overdue_threads, self.last_response, self.admission_draw = 0, 0, now, 1.0
+        self.in_flight_threads, self.overdue_threads, self.silent_since, self.admission_draw = 0, 0, now, 1.0
         self.ejected_until, self.last_failure, self.half_open_probe = 0.0, 0.0, False
         self.cold_sends, self.abandoned_work = deque[tuple[float, float]](), deque[tuple[float, int]]()
         self.reset_statistics(0.0)
         self.begin_slow_start(0.0, now, 0.0)
 
-    def begin_slow_start(self, until: float, since: float, part: float) -> None:
-        """Take it for cold; the credit for light requests begins at this part of one, drawn by chance."""
-        self.slow_start_until, self.slow_start_began, self.initial_cold_credit, self.cold_work_sent = (
+    def begin_slow_start(self, until: float, began: float, initial_credit: float) -> None:
+        """Begin slow start; initial_credit is the random part of a light request credited at once."""
+        self.slow_start_until, self.slow_start_began, self.initial_cold_credit, self.cold_work_deducted = (
             until,
-            since,
-            part,
+            began,
+            initial_credit,
             0.0,
         )
 
@@ -210,9 +223,9 @@
         )
 
     def set_waiting(self, attempt: Attempt, waits: bool) -> None:
-        """Note whether an attempt waits for a load: then it holds no core and is not in flight."""
-        if waits != attempt.stands:
-            attempt.stands = waits
+        """Note whether an attempt waits for a table load: then it holds no core and is not in flight."""
+        if waits != attempt.waits_for_load:
+            attempt.waits_for_load = waits
             self.in_flight_threads += (
                 -attempt.request.workload.threads if waits else attempt.request.workload.threads
             )
@@ -230,19 +243,22 @@
         grow while nothing tests it.
         """
         # Fewer but heavier requests are no loss: if no less work was served, throughput has not fallen.
-        served = (
+        throughput = (
             max(self.served_threads, self.previous_served_threads)
             if self.served_work >= self.previous_served_work > 0
             else self.served_threads
         )
-        lowered, gain = self.concurrency_limit < self.previous_limit, served - self.previous_served_threads
-        enough = (
+        lowered, gain = (
+            self.concurrency_limit < self.previous_limit,
+            throughput - self.previous_served_threads,
+        )
+        required_gain = (
             MIN_GAIN_RATIO
             * (self.concurrency_limit - self.previous_limit)
             / self.previous_limit
             * self.previous_served_threads
         )
-        if not lowered and (not self.previous_served_threads or gain >= enough):
+        if not lowered and (not self.previous_served_threads or gain >= required_gain):
             self.previous_limit, self.concurrency_limit = (
                 self.concurrency_limit,
                 self.concurrency_limit + step,
@@ -257,7 +273,7 @@
         # Falling to the demand does not count as lowering in the next interval.
         if (demand := max(self.initial_limit, self.peak_threads)) < self.concurrency_limit:
             self.previous_limit = self.concurrency_limit = demand
-        self.previous_served_threads, self.previous_served_work = served, self.served_work
+        self.previous_served_threads, self.previous_served_work = throughput, self.served_work
         self.served_threads, self.served_work, self.peak_threads = 0.0, 0.0, float(self.in_flight_threads)
 
 
@@ -267,8 +283,8 @@
     Attributes:
         configured_share: this dispatcher's part of all dispatchers' work, as configured or as set by
             capacity_shares_changed().
-        own_in_flight, fleet_in_flight: requests of ours and of all that engines hold, as their reports say;
-            the quotient is our share of the sends.
+        own_in_flight, fleet_in_flight: fading sums, over engines' reports, of the requests of ours and of all
+            that they hold; the quotient is our share of the sends. Before any report, our share and 1.
         widest_request: the most threads of any workload.
         burst_allowance: threads beyond the limits that don't count as pressure.
         quotas, quota_credit: per tenant, our part of the requests per ms, and the requests that it may send
@@ -297,7 +313,7 @@
             fade.
     """
 
-    def __init__(self, site: Deployment, seed: int, adapter: Adapter, now: float) -> None:
+    def __init__(self, deployment: Deployment, seed: int, adapter: Adapter, now: float) -> None:
         self.adapter, self.chance, self.now, self.started_at, self.shutdown_deadline = (
             adapter,
             Chance(seed),
@@ -305,50 +321,51 @@
             now,
             float("inf"),
         )
-        self.workloads, self.cores = site.workloads, site.cores or (1,)
-        self.configured_share, self.retry_budget = 1.0 / site.dispatchers, MAX_RETRY_BUDGET
+        self.workloads, self.cores = deployment.workloads, deployment.cores or (1,)
+        self.configured_share, self.retry_budget = 1.0 / deployment.dispatchers, MAX_RETRY_BUDGET
         self.load_field, self.priorities, self.own_in_flight, self.fleet_in_flight = (
-            site.load_field,
-            site.priorities,
+            deployment.load_field,
+            deployment.priorities,
             self.configured_share,
             1.0,
         )
-        self.widest_request = float(max(workload.threads for workload in site.workloads))
-        # Engines that page admit everything: nothing beyond the limit may be sent there by chance.
-        self.burst_allowance = 0.0 if site.swaps else BURST_REQUESTS * self.widest_request
-        self.quotas = [quota * self.configured_share / 1000 for quota in site.quotas]
+        self.widest_request = float(max(workload.threads for workload in deployment.workloads))
+        # Engines that swap admit everything: nothing beyond the limit may be sent there by chance.
+        self.burst_allowance = 0.0 if deployment.swaps else BURST_REQUESTS * self.widest_request
+        self.quotas = [quota * self.configured_share / 1000 for quota in deployment.quotas]
         self.quota_credit, self.over_quota_value = (
             [quota * 1000 for quota in self.quotas],
-            site.over_quota_value,
+            deployment.over_quota_value,
         )
         self.max_attempts, self.may_cancel, self.max_open = (
-            site.max_attempts,
-            site.may_cancel,
-            site.max_open,
+            deployment.max_attempts,
+            deployment.may_cancel,
+            deployment.max_open,
         )
         self.progress_interval, self.swaps, self.grant_ratio = (
-            site.progress_interval,
-            site.swaps,
-            GRANT_RATIO if site.grants else 0.0,
+            deployment.progress_interval,
+            deployment.swaps,
+            GRANT_RATIO if deployment.grants else 0.0,
         )
         self.slow_start_ms, self.slow_start_window, self.max_retry_after = (
-            site.cold_for,
-            site.cold_window,
-            site.max_retry_after,
+            deployment.cold_for,
+            deployment.cold_window,
+            deployment.max_retry_after,
         )
-        cold_capacity = site.cold_multiple * site.cold_share * USABLE_CAPACITY * MIN_ENGINE_SPEED
-        self.fleet_slow_start_budget = cold_capacity * site.cold_window * COLD_SAFETY_FACTOR
+        cold_capacity = deployment.cold_multiple * deployment.cold_share * USABLE_CAPACITY * MIN_ENGINE_SPEED
+        self.fleet_slow_start_budget = cold_capacity * deployment.cold_window * COLD_SAFETY_FACTOR
         self.slow_start_budget = self.fleet_slow_start_budget * self.configured_share
         self.mean_work = [
-            RunningMean(max(1.0, workload.objective / 4), MEAN_WORK_SAMPLES) for workload in site.workloads
+            RunningMean(max(1.0, workload.objective / 4), MEAN_WORK_SAMPLES)
+            for workload in deployment.workloads
         ]
         self.light_cold_work = LIGHT_WORK_SHARE * self.fleet_slow_start_budget
         self.heavy_cold_work = (
             LIGHT_WORK_SHARE * self.fleet_slow_start_budget / COLD_SAFETY_FACTOR * min(self.cores)
         )
-        self.order_pause, self.retry_window = site.order_pause or 0.0, site.retry_window or 0.0
-        self.retry_floor = site.retry_floor or 0.0 if site.retry_window else float("inf")
-        self.retry_ratio, self.retry_successes = site.retry_ratio or 0.0, Histogram((0.5, 1.5))
+        self.order_pause, self.retry_window = deployment.order_pause or 0.0, deployment.retry_window or 0.0
+        self.retry_floor = deployment.retry_floor or 0.0 if deployment.retry_window else float("inf")
+        self.retry_ratio, self.retry_successes = deployment.retry_ratio or 0.0, Histogram((0.5, 1.5))
         self.request_times, self.retry_times, self.wait_queue = (
             deque[float](),
             deque[float](),
@@ -360,11 +377,14 @@
             list[Engine](),
         )
         self.reserved_engine: Engine | None = None
-        self.freshness, self.list_followed = ListFreshness(site.drain_grace), True
+        self.freshness, self.list_followed = ListFreshness(deployment.drain_grace), True
         self.ordered_queues, self.key_paused_until = dict[int, deque[Request]](), dict[int, float]()
-        self.mean_costs, self.baseline_latency = [0.0 for _ in site.workloads], [1.0 for _ in site.workloads]
+        self.mean_costs, self.baseline_latency = (
+            [0.0 for _ in deployment.workloads],
+            [1.0 for _ in deployment.workloads],
+        )
         self.latency_ratios, self.normalized_latencies = (
-            [Histogram(LATENCY_EDGES) for _ in site.workloads],
+            [Histogram(LATENCY_EDGES) for _ in deployment.workloads],
             Histogram(LATENCY_EDGES),
         )
         self.median_latency, self.pressure_until, self.interval_end = 1.0, 0.0, now + INTERVAL_MS
@@ -375,20 +395,20 @@
             0.0,
         )
         self.offered_work, self.offered_work_time = 0.0, 0.0
-        admission = (self.deadline_stage, self.quota_stage, self.order_stage)
-        self.stages = (*admission, self.queue_stage, self.choice_stage, self.attempt_stage)
+        entry_stages = (self.deadline_stage, self.quota_stage, self.order_stage)
+        self.stages = (*entry_stages, self.queue_stage, self.choice_stage, self.attempt_stage)
         adapter.set_timer(TICK_MS, TICK_TIMER)
-        if not site.list_pushed:
+        if not deployment.list_pushed:
             adapter.request_list()
 
-    def list_changed(self, now: float, lines: Sequence[ListedEngine], whole: bool) -> None:
-        """Apply the list of engines or some lines of it; new and restarted engines begin anew."""
+    def list_changed(self, now: float, entries: Sequence[ListedEngine], is_complete: bool) -> None:
+        """Apply the list of engines or some entries of it; new and restarted engines begin anew."""
         self.now = now
-        for number in (self.engines.keys() - {line.engine for line in lines}) if whole else ():
+        for number in (self.engines.keys() - {entry.engine for entry in entries}) if is_complete else ():
             self.engines[number].listed = self.engines[number].listed._replace(life=Life.GONE)
-        for line in lines:
-            engine = self.engines.get(line.engine) or Engine(line, self.cores, now)
-            if line.engine not in self.engines or line.started != engine.listed.started:
+        for entry in entries:
+            engine = self.engines.get(entry.engine) or Engine(entry, self.cores, now)
+            if entry.engine not in self.engines or entry.started != engine.listed.started:
                 engine.reset_statistics(
                     INITIAL_LIMIT_PER_CORE * engine.cores * self.own_in_flight / self.fleet_in_flight
                 )
@@ -397,12 +417,14 @@
                     False,
                     self.chance.draw(),
                 )
-                part = self.chance.draw() if line.started else 0.0
-                engine.begin_slow_start(line.started + self.slow_start_ms if line.started else 0.0, now, part)
+                initial_credit = self.chance.draw() if entry.started else 0.0
+                engine.begin_slow_start(
+                    entry.started + self.slow_start_ms if entry.started else 0.0, now, initial_credit
+                )
                 # What we sent before our own restart is unknown: the budget counts as spent for one window.
                 engine.cold_sends.append((self.started_at, self.slow_start_budget * engine.cores))
-            engine.listed = line
-            self.engines[line.engine] = engine
+            engine.listed = entry
+            self.engines[entry.engine] = engine
         self.ready = [engine for engine in self.engines.values() if engine.listed.life == Life.READY]
 
     def shutdown_started(self, now: float, until: float) -> None:
@@ -411,20 +433,30 @@
         for request in self.open_requests.values():
             request.deadline = min(request.deadline, until)
 
-    def capacity_shares_changed(self, now: float, cold: float, start: float) -> None:
+    def capacity_shares_changed(
+        self, now: float, slow_start_share: float, initial_limit_share: float
+    ) -> None:
         """Set our parts of slow-start budgets and initial limits: dispatchers stand in for one another."""
-        self.now, self.slow_start_budget = now, self.fleet_slow_start_budget * cold
-        if start != self.configured_share:  # the next interval moves each limit by the difference
-            self.configured_share, self.own_in_flight, self.fleet_in_flight = start, start, 1.0
+        self.now, self.slow_start_budget = now, self.fleet_slow_start_budget * slow_start_share
+        # The next interval moves each limit by the difference.
+        if initial_limit_share != self.configured_share:
+            self.configured_share, self.own_in_flight, self.fleet_in_flight = (
+                initial_limit_share,
+                initial_limit_share,
+                1.0,
+            )
 
-    def engine_suspected(self, now: float, number: int, left: float) -> None:
-        """Eject an engine that the previous holder of our address had ejected, until a probe succeeds."""
+    def engine_suspected(self, now: float, number: int, remaining_ms: float) -> None:
+        """Take over an ejection from the dispatcher whose address we took over.
+
+        It is ignored if at least half of the ready engines would then be ejected or probed.
+        """
         self.now, engine = now, self.engines.get(number)
         if engine is not None and engine.ejected_until <= now and not engine.half_open_probe:
             ejected = sum(other.ejected_until > now or other.half_open_probe for other in self.ready)
             if 2 * (ejected + 1) < len(self.ready):
                 engine.ejected_until, engine.half_open_probe = (
-                    now + min(left, EJECTION_MS + EJECTION_JITTER_MS),
+                    now + min(remaining_ms, EJECTION_MS + EJECTION_JITTER_MS),
                     True,
                 )
 
@@ -437,26 +469,26 @@
         self.freshness.initial_list_read(at)
 
     def list_query_sent(self, now: float) -> float:
-        """Note that a query for the list has left; the result is the ms until it is repeated."""
+        """Note that a query for the list was sent; returns the ms until it is repeated."""
         self.freshness.query_sent(now)
         return self.freshness.retransmit_after(self.chance.draw())
 
-    def name_service_changed(self) -> None:
+    def name_server_changed(self) -> None:
         """Note that another name service is queried from now on."""
         self.freshness.name_server_changed()
 
-    def list_response_received(self, now: float, asked_at: float, verdict: Verdict) -> bool:
-        """Note an answer to the query that left then; True if another query is to leave soon."""
-        self.freshness.response_received(now, asked_at, verdict)
+    def list_response_received(self, now: float, query_sent_at: float, verdict: Verdict) -> bool:
+        """Note a response to the query sent then; True if another query is to be sent soon."""
+        self.freshness.response_received(now, query_sent_at, verdict)
         return self.freshness.has_unsettled_query()
 
-    # Requests on their way out: the stages.
+    # The stages that a request passes before an attempt is sent.
 
     def request_received(
         self,
         now: float,
         number: int,
-        kind: int,
+        workload_index: int,
         tenant: int,
         key: int,
         deadline: float,
@@ -470,20 +502,27 @@
         objective.
         """
         self.now = now
-        workload, mean_cost, estimated = self.workloads[kind], self.mean_costs[kind], cost > 0
-        charge = self.mean_work[kind].add(cost) if estimated else self.mean_work[kind].value
-        charge = max(charge, cost) if cost > self.heavy_cold_work else charge
+        workload, mean_cost, estimated = (
+            self.workloads[workload_index],
+            self.mean_costs[workload_index],
+            cost > 0,
+        )
+        slow_start_charge = (
+            self.mean_work[workload_index].add(cost) if estimated else self.mean_work[workload_index].value
+        )
+        slow_start_charge = max(slow_start_charge, cost) if cost > self.heavy_cold_work else slow_start_charge
         cost = cost or mean_cost or workload.objective / 4
-        self.mean_costs[kind] = mean_cost + (cost - mean_cost) / 30 if mean_cost else cost
-        best_case = cost / workload.threads * self.baseline_latency[kind]
+        # An exponential average with weight 1/30.
+        self.mean_costs[workload_index] = mean_cost + (cost - mean_cost) / 30 if mean_cost else cost
+        best_case_ms = cost / workload.threads * self.baseline_latency[workload_index]
         cheap = workload.threads == 1 and cost <= CHEAP_COST_RATIO * min(
             mean or cost for mean in self.mean_costs
         )
         key, deadline = key if workload.in_order else 0, min(deadline, self.shutdown_deadline)
-        objective = now + workload.objective + workload.stretch * best_case
+        objective_at = now + workload.objective + workload.stretch * best_case_ms
         request: Request = state.Request(
             number,
-            kind,
+            workload_index,
             tenant,
             key,
             deadline,
@@ -492,21 +531,21 @@
             group,
             now,
             workload,
-            best_case,
-            objective,
+            best_case_ms,
+            objective_at,
             workload.value,
             cheap,
         )
-        request.charge, request.estimated = charge, estimated
+        request.slow_start_charge, request.estimated = slow_start_charge, estimated
         self.open_requests[number] = request
-        self.offered_work += cost * min(1.0, self.baseline_latency[kind])
+        self.offered_work += cost * min(1.0, self.baseline_latency[workload_index])
         self.request_times.append(now)
-        credit = (
+        new_budget = (
             self.retry_budget
             + RETRY_BUDGET_PER_REQUEST
             + RETRY_BUDGET_BY_SUCCESS * self.retry_successes.quantile(0.5)
         )
-        self.retry_budget = min(MAX_RETRY_BUDGET, credit)
+        self.retry_budget = min(MAX_RETRY_BUDGET, new_budget)
         self.run_stages(request)
 
     def run_stages(self, request: Request, first: int = 0) -> bool:
@@ -538,38 +577,43 @@
 
         Only cheap requests may pass those that wait; the others queue by aged cost per value.
         """
-        request.rank = self.rank(request)
+        request.queue_position = self.queue_position(request)
         if request.cheap or not self.wait_queue:
-            request.engine = self.choose(request, fewest=request.cheap)
+            request.engine = self.choose(request, prefer_fewest_in_flight=request.cheap)
         if request.engine is None:
-            insort(self.wait_queue, request, key=lambda queued: queued.rank)
+            insort(self.wait_queue, request, key=lambda queued: queued.queue_position)
         return request.engine is not None
 
-    def rank(self, request: Request) -> tuple[float, int]:
-        """Place in the wait queue: the lowest time of arrival plus weighted cost per value leaves first.
+    def queue_position(self, request: Request) -> tuple[float, int]:
+        """Sort key in the wait queue: time of entry plus weighted cost per value; the lowest is sent first.
 
-        A request that will be late has its late value, and is ranked as if it came now.
+        The time of entry is now: a retry, and a request that is found to be late, enter anew. A late one has
+        its late value.
         """
         value = request.value * (request.workload.late_value if request.late else 1.0)
-        return self.now + COST_WEIGHT * request.best_case * request.workload.threads / max(
+        return self.now + COST_WEIGHT * request.best_case_ms * request.workload.threads / max(
             1e-6, value
         ), request.number
 
     def choice_stage(self, request: Request) -> bool:
         """Choose an engine, unless the queue stage did; without one, the request stays queued."""
-        request.engine = request.engine or self.choose(request, fewest=False)
+        request.engine = request.engine or self.choose(request, prefer_fewest_in_flight=False)
         return request.engine is not None
 
     def attempt_stage(self, request: Request) -> bool:
-        """Send the request to the chosen engine, and book the attempt."""
+        """Record a new attempt, and ask the adapter to send it to the chosen engine."""
         engine = request.engine
         assert engine is not None
-        attempt = state.Attempt(request, request.made, engine, self.now, self.now, engine.listed.started)
-        request.out[request.made] = engine.open_attempts[request.number, request.made] = attempt
-        request.made, request.engine = request.made + 1, None
+        attempt = state.Attempt(
+            request, request.attempts_made, engine, self.now, self.now, engine.listed.started
+        )
+        request.open_attempts[request.attempts_made] = engine.open_attempts[
+            request.number, request.attempts_made
+        ] = attempt
+        request.attempts_made, request.engine = request.attempts_made + 1, None
         engine.in_flight_threads += request.workload.threads
         engine.peak_threads = max(engine.peak_threads, engine.in_flight_threads)
-        if attempt.number > request.never_sent:
+        if attempt.number > request.uncounted_attempts:
             self.retry_times.append(self.now)
             self.retry_budget -= 1.0
         elif self.priorities or self.grant_ratio:
@@ -579,10 +623,10 @@
                 CHEAP_PRIORITY if request.cheap else HEAVY_PRIORITY,
             )
         if engine.slow_start_until > self.now:
-            attempt.cold = request.charge
-            engine.cold_sends.append((self.now, attempt.cold))
-            engine.cold_work_sent += attempt.cold
-        engine.last_response = engine.last_response if len(engine.open_attempts) > 1 else self.now
+            attempt.slow_start_charge = request.slow_start_charge
+            engine.cold_sends.append((self.now, attempt.slow_start_charge))
+            engine.cold_work_deducted += attempt.slow_start_charge
+        engine.silent_since = engine.silent_since if len(engine.open_attempts) > 1 else self.now
         self.adapter.send(request.number, engine.number, 0.0)
         return True
 
@@ -590,8 +634,8 @@
         """Check at send time whether an attempt may still leave: dialling or a full connection delays it.
 
         Covers what can have happened since the choice: a new list, a restart, the end of a key's retention, a
-        slow start, a withdrawal, a graceful shutdown. It could do harm only if connections are so slow that
-        every attempt fails this check.
+        slow start, a withdrawal, a graceful shutdown. A refused attempt delays its request; that starves it
+        only if connections are so slow that every attempt fails this check.
         """
         self.now, target = now, self.engines.get(engine)
         open_attempt = target.open_attempts.get((number, attempt)) if target is not None else None
@@ -603,18 +647,18 @@
             or now >= open_attempt.request.deadline
             or target.listed.life != Life.READY
             or not self.freshness.may_be_followed(now)
-            or target.listed.started != open_attempt.started
+            or target.listed.started != open_attempt.engine_started
             or not self.may_repeat(open_attempt.request)
-            or (now < target.slow_start_until and not open_attempt.cold)
+            or (now < target.slow_start_until and not open_attempt.slow_start_charge)
         ):
             return False
         if (
-            open_attempt.cold
-            and now > open_attempt.sent
-            and (open_attempt.sent, open_attempt.cold) in target.cold_sends
+            open_attempt.slow_start_charge
+            and now > open_attempt.chosen_at
+            and (open_attempt.chosen_at, open_attempt.slow_start_charge) in target.cold_sends
         ):  # its work counts from when it leaves
-            target.cold_sends.remove((open_attempt.sent, open_attempt.cold))
-            target.cold_sends.append((now, open_attempt.cold))
+            target.cold_sends.remove((open_attempt.chosen_at, open_attempt.slow_start_charge))
+            target.cold_sends.append((now, open_attempt.slow_start_charge))
         return True
 
     def may_repeat(self, request: Request) -> bool:
@@ -622,7 +666,7 @@
         return (
             request.first_send is None
             or request.workload.effect != Effect.IDEMPOTENT_BY_KEY
-            or self.now < request.first_send.sent + request.workload.key_retention - KEY_EXPIRY_MARGIN_MS
+            or self.now < request.first_send.chosen_at + request.workload.key_retention - KEY_EXPIRY_MARGIN_MS
         )
 
     def end_batch(self, now: float) -> None:
@@ -631,7 +675,7 @@
         The first request that has waited over RESERVE_AFTER_MS reserves an engine, which others then do not
         get.
         """
-        self.now, self.reserved_engine, kept, reserved = now, None, list[Request](), False
+        self.now, self.reserved_engine, still_queued, reservation_made = now, None, list[Request](), False
         stale_reason = self.freshness.stale_reason(now)
         if self.list_followed != (stale_reason is None):
             self.list_followed = stale_reason is None
@@ -644,18 +688,19 @@
         try:
             for request in waiting:
                 if request.closed or (
-                    not blocked[request.kind]
+                    not blocked[request.workload_index]
                     and self.run_stages(request, self.stages.index(self.choice_stage))
                 ):
                     continue
-                kept.append(request)
-                blocked[request.kind] |= not request.made and self.is_next_for_key(request)
+                still_queued.append(request)
+                # A retry, or one behind its key, may have been refused for reasons that others don't share.
+                blocked[request.workload_index] |= not request.attempts_made and self.is_next_for_key(request)
                 if (
-                    not reserved
+                    not reservation_made
                     and now - request.received > RESERVE_AFTER_MS
                     and self.is_next_for_key(request)
                 ):
-                    reserved = True
+                    reservation_made = True
                     wide_enough = [
                         engine
                         for engine in self.eligible_engines(request)
@@ -663,17 +708,21 @@
                     ]
                     self.reserved_engine = max(wide_enough, key=Engine.free_threads, default=None)
         finally:  # also after a fault at one of them: what was sent is not queued any more
-            self.wait_queue = kept + list(waiting)
+            self.wait_queue = still_queued + list(waiting)
 
     # The choice of an engine: eligibility, slow start, concurrency limit, retry budget.
 
-    def choose(self, request: Request, fewest: bool) -> Engine | None:
+    def choose(self, request: Request, prefer_fewest_in_flight: bool) -> Engine | None:
         """Choose an engine for a request, or None if it must wait.
 
-        Of the eligible engines that admit it, the one with most free threads, or with fewest in-flight
-        threads a core if `fewest`; ties go to the lower normalized latency of two drawn by chance.
+        Of the eligible engines that admit it, in this order: most free threads, or fewest in-flight threads a
+        core if prefer_fewest_in_flight; a cold engine where accrued credit pays for the request; where the
+        limit is below the request's threads, fewest open attempts. Remaining ties are broken at random; where
+        the limit is below the request's threads, by the lower normalized latency of two random picks.
         """
-        if not self.is_next_for_key(request) or (request.made > request.never_sent and not self.may_retry()):
+        if not self.is_next_for_key(request) or (
+            request.attempts_made > request.uncounted_attempts and not self.may_retry()
+        ):
             return None
         if not self.freshness.may_be_followed(self.now):
             return None
@@ -687,18 +736,19 @@
             sum(engine.concurrency_limit for engine in self.ready),
         )
         # So much in flight is pressure before answers show it (a burst, a wait queue that is released).
-        # Limits below one request fill engines unevenly, and engines that page can do no more than their
+        # Limits below one request fill engines unevenly, and engines that swap can do no more than their
         # limit.
         burst_ratio = 1.0 if self.swaps and limits < self.widest_request * len(self.ready) else BURST_RATIO
-        calm = self.now >= self.pressure_until and threads_after <= max(
+        no_pressure = self.now >= self.pressure_until and threads_after <= max(
             burst_ratio * limits + self.burst_allowance, workload.threads
         )
         # Randomized admission overshoots the limits where widths mix: it needs room in the sum of all limits.
-        within = threads_after <= max(limits + self.burst_allowance, workload.threads)
+        within_total_limit = threads_after <= max(limits + self.burst_allowance, workload.threads)
         engines = [
             engine
             for engine in engines
-            if engine is not self.reserved_engine and self.admits(engine, workload.threads, calm, within)
+            if engine is not self.reserved_engine
+            and self.admits(engine, workload.threads, no_pressure, within_total_limit)
         ]
         if workload.waits_for_loads or workload.holds_tables:
             engines = [engine for engine in engines if not self.load_blocks(engine, request.group)] or engines
@@ -706,18 +756,19 @@
         # of two drawn by chance. An engine that fails at once has fewest in flight: its recent errors count
         # as threads. A cold engine whose credit suffices for a request goes first: left to chance, most
         # credit would go unused.
-        ranks = [
+        preferences = [
             (
                 -(engine.in_flight_threads + engine.recent_errors) / engine.cores
-                if fewest
+                if prefer_fewest_in_flight
                 else engine.free_threads(),
-                engine.slow_start_until > self.now and self.slow_start_budget * engine.cores < request.charge,
+                engine.slow_start_until > self.now
+                and self.slow_start_budget * engine.cores < request.slow_start_charge,
                 -len(engine.open_attempts) if engine.concurrency_limit < workload.threads else 0,
             )
             for engine in engines
         ]
-        top = max(ranks, default=None)
-        best = [engine for engine, rank in zip(engines, ranks, strict=True) if rank == top]
+        top = max(preferences, default=None)
+        best = [engine for engine, preference in zip(engines, preferences, strict=True) if preference == top]
         draws = best[:2] if best and best[0].concurrency_limit < workload.threads else best[:1]
         return min(
             (self.chance.pick(best) for _ in draws),
@@ -734,7 +785,7 @@
 
     def eligible_engines(self, request: Request) -> list[Engine]:
         """Rules 2, 3, 4 and 6, and outlier ejection: the engines to which a request may go now."""
-        workload, now, ran = (
+        workload, now, first_run = (
             request.workload,
             self.now,
             request.first_send if request.workload.effect == Effect.IDEMPOTENT_BY_KEY else None,
@@ -748,11 +799,19 @@
             and not (
                 engine.half_open_probe and (engine.open_attempts or workload.effect != Effect.IDEMPOTENT)
             )
-            and (now >= engine.slow_start_until or self.fits_slow_start(engine, request.charge))
+            and (now >= engine.slow_start_until or self.fits_slow_start(engine, request.slow_start_charge))
             and (workload.zones is None or engine.listed.zone in workload.zones)
             and (workload.kinds is None or engine.listed.kind in workload.kinds)
-            and not (ran and workload.reach == Reach.ZONE and engine.listed.zone != ran.engine.listed.zone)
-            and not (ran and workload.reach == Reach.CELL and engine.listed.cell != ran.engine.listed.cell)
+            and not (
+                first_run
+                and workload.reach == Reach.ZONE
+                and engine.listed.zone != first_run.engine.listed.zone
+            )
+            and not (
+                first_run
+                and workload.reach == Reach.CELL
+                and engine.listed.cell != first_run.engine.listed.cell
+            )
         ]
 
     def fits_slow_start(self, engine: Engine, work: float) -> bool:
@@ -767,17 +826,22 @@
             return True
         while engine.cold_sends and engine.cold_sends[0][0] <= self.now - self.slow_start_window:
             engine.cold_sends.popleft()
-        budget, sent = self.slow_start_budget * engine.cores, sum(sent for _, sent in engine.cold_sends)
+        budget, sent_work = (
+            self.slow_start_budget * engine.cores,
+            sum(charge for _, charge in engine.cold_sends),
+        )
         windows = (self.now - engine.slow_start_began) / self.slow_start_window
-        credit = engine.initial_cold_credit * work + budget * windows - engine.cold_work_sent
+        credit = engine.initial_cold_credit * work + budget * windows - engine.cold_work_deducted
         if credit >= work:
-            kept = credit % work + (work if credit % work < budget else 0.0)
-            engine.cold_work_sent, credit = engine.cold_work_sent + credit - kept, kept
-        return work + sent <= budget or (
-            work <= self.light_cold_work * engine.cores and not sent and credit >= work
+            # Credit for whole requests expires, except for one that may have accrued within the last window:
+            # then the rest is below one budget.
+            kept_credit = credit % work + (work if credit % work < budget else 0.0)
+            engine.cold_work_deducted, credit = engine.cold_work_deducted + credit - kept_credit, kept_credit
+        return work + sent_work <= budget or (
+            work <= self.light_cold_work * engine.cores and not sent_work and credit >= work
         )
 
-    def admits(self, engine: Engine, threads: int, calm: bool, within: bool) -> bool:
+    def admits(self, engine: Engine, threads: int, no_pressure: bool, within_total_limit: bool) -> bool:
         """Whether the concurrency limit lets so many threads start.
 
         The limit binds only under pressure; without it, an engine takes a request if it has none of ours, or
@@ -786,26 +850,30 @@
         the limit holds.
         """
         after = engine.in_flight_threads + threads
-        calm = (
-            calm
+        no_pressure = (
+            no_pressure
             and self.now >= engine.pressure_until
             and engine.normalized_latency <= self.pressure_threshold
         )
         if after <= engine.concurrency_limit or (
-            calm and (not engine.in_flight_threads or after <= BURST_RATIO * engine.concurrency_limit)
+            no_pressure and (not engine.in_flight_threads or after <= BURST_RATIO * engine.concurrency_limit)
         ):
             return True
         return (
-            within
+            within_total_limit
             and engine.concurrency_limit < threads
             and not engine.open_attempts
             and engine.admission_draw < engine.concurrency_limit / threads
         )
 
     def load_blocks(self, engine: Engine, group: int) -> bool:
-        """Whether a load of ours holds that group of tables there, or one of ours waits for another load."""
+        """Whether a request of ours in that group holds its tables there (a table load) or waits for a load.
+
+        Requests without a group of tables count as one group.
+        """
         return any(
-            attempt.request.group == group and (attempt.request.workload.holds_tables or attempt.stands)
+            attempt.request.group == group
+            and (attempt.request.workload.holds_tables or attempt.waits_for_load)
             for attempt in engine.open_attempts.values()
         )
 
@@ -831,7 +899,7 @@
         engine: int,
         ending: Ending,
         took: float,
-        final: bool,
+        request_done: bool,
         work: float,
         memory: float,
         report: Sequence[float],
@@ -846,20 +914,20 @@
         open_attempt = target.open_attempts.pop((number, attempt))
         request = open_attempt.request
         target.set_waiting(open_attempt, False)
-        del request.out[attempt]
+        del request.open_attempts[attempt]
         if ending == Ending.TIME_OUT and not self.may_cancel:
-            # Its work runs on; counted as gone, it would let an overload grow (slow engine, paging, lost
-            # answer).
+            # Its work may run on: if it did not count, a slow or swapping engine would get more requests
+            # while it is still busy, and its overload would grow.
             target.abandoned_work.append((now + ABANDONED_WORK_RATIO * took, request.workload.threads))
         else:
             target.in_flight_threads -= request.workload.threads
         if ending not in NEVER_RAN:
-            request.first_send = request.first_send or state.SendRecord(open_attempt.sent, target)
-        request.never_sent += ending in (Ending.MOOT, Ending.CONNECT_TIMEOUT)
+            request.first_send = request.first_send or state.SendRecord(open_attempt.chosen_at, target)
+        request.uncounted_attempts += ending in (Ending.MOOT, Ending.CONNECT_TIMEOUT)
         if attempt:
             self.retry_successes.add(1.0 if ending == Ending.DELIVERED else 0.0)
         if report and self.load_field is not None:  # our share of what engines hold is our share of sends
-            # With this one, which is often our only one there: requests go where we have fewest.
+            # One more for this attempt, often our only one there: requests go where we have fewest.
             here = len(target.open_attempts) + 1
             self.own_in_flight, self.fleet_in_flight = (
                 self.own_in_flight + here,
@@ -868,11 +936,11 @@
         self.record_outcome(target, open_attempt, ending, took, work)
         if request.key and ending in (Ending.TIME_OUT, Ending.RESET, Ending.CALLED_OFF):
             self.key_paused_until[request.key] = now + self.order_pause
-        if final or request.closed:
+        if request_done or request.closed:
             self.close(request)
         elif (reason := self.reason_to_end(request, ending)) is not None:
             self.end(request, reason)
-        elif not request.out:
+        elif not request.open_attempts:
             request.failed_engines.append(target)
             self.run_stages(request, self.stages.index(self.queue_stage))
 
@@ -880,14 +948,14 @@
         """Why a request whose attempt has just ended without a result is not tried again, or None."""
         if self.now >= request.deadline - 1.0:
             return EndReason.NO_TIME
-        if request.out:
+        if request.open_attempts:
             return None
         reasons = {
-            EndReason.ERRORS: len(request.erring_engines) > 1,  # it fails anywhere
+            EndReason.ERRORS: len(request.erring_engines) > 1,  # the request itself may be at fault
             EndReason.NO_TIME: self.now >= request.deadline - MIN_TIME_LEFT_MS,
             EndReason.TIMED_OUT: ending == Ending.TIME_OUT,
-            EndReason.ATTEMPTS: request.made
-            >= self.max_attempts + min(request.never_sent, MAX_UNCOUNTED_ATTEMPTS),
+            EndReason.ATTEMPTS: request.attempts_made
+            >= self.max_attempts + min(request.uncounted_attempts, MAX_UNCOUNTED_ATTEMPTS),
             EndReason.BUDGET: self.retry_budget < 1.0,
             EndReason.MAY_HAVE_RUN: request.first_send is not None
             and request.workload.effect == Effect.NON_IDEMPOTENT,
@@ -898,7 +966,7 @@
         """Cancel a request's attempts and forget it: its client wants no answer."""
         self.now = now
         if (request := self.open_requests.get(number)) is not None:
-            self.cancel_attempts(list(request.out.values()))
+            self.cancel_attempts(list(request.open_attempts.values()))
             self.close(request)
 
     def end(self, request: Request, reason: EndReason) -> None:
@@ -907,18 +975,21 @@
         harmless = workload.effect == Effect.IDEMPOTENT or (
             workload.effect == Effect.IDEMPOTENT_BY_KEY and workload.reach == Reach.ALL
         )
-        if harmless or not (request.first_send or request.out):
+        if harmless or not (request.first_send or request.open_attempts):
             self.adapter.shed(request.number, self.max_retry_after, reason)
         else:
             self.adapter.fail_request(request.number, reason)
-        self.cancel_attempts(list(request.out.values()))
+        self.cancel_attempts(list(request.open_attempts.values()))
         self.close(request)
 
     def close(self, request: Request) -> None:
-        """Forget a request that has got its answer or needs none."""
+        """Close a request that has got its answer or needs none.
+
+        While an attempt of it is open, it stays in the queue of its key and blocks the next one.
+        """
         request.closed = True
         self.open_requests.pop(request.number, None)
-        if request.key and not request.out and request in self.ordered_queues.get(request.key, ()):
+        if request.key and not request.open_attempts and request in self.ordered_queues.get(request.key, ()):
             self.ordered_queues[request.key].remove(request)
 
     def cancel_attempts(self, attempts: list[Attempt]) -> None:
@@ -947,24 +1018,26 @@
                 self.close_interval()
 
     def check_wait_queue(self) -> None:
-        """End queued requests that can no longer finish in time, and rank late ones anew.
+        """End queued requests that can no longer finish in time, and requeue late ones.
 
         If clients have almost all of the requests open that they can have, the last of the queue are shed, or
         new requests could not come in.
         """
         for request in [request for request in self.wait_queue if not request.closed]:
             late = (
-                done := self.now + max(MIN_TIME_LEFT_MS, request.best_case * self.median_latency)
-            ) > request.objective
-            if done >= request.deadline:
+                earliest_finish := self.now
+                + max(MIN_TIME_LEFT_MS, request.best_case_ms * self.median_latency)
+            ) > request.objective_at
+            if earliest_finish >= request.deadline:
                 self.end(request, EndReason.NO_TIME)
             elif late and request.workload.late_value < MIN_LATE_VALUE:
                 self.end(request, EndReason.TOO_LATE)
             elif late and not request.late:
                 request.late = True
-                request.rank = self.rank(request)
+                request.queue_position = self.queue_position(request)
         self.wait_queue = sorted(
-            (request for request in self.wait_queue if not request.closed), key=lambda queued: queued.rank
+            (request for request in self.wait_queue if not request.closed),
+            key=lambda queued: queued.queue_position,
         )
         self.thread_demand += sum(request.workload.threads for request in self.wait_queue) + sum(
             engine.in_flight_threads for engine in self.ready
@@ -986,40 +1059,43 @@
                 engine.in_flight_threads -= engine.abandoned_work.popleft()[1]
             engine.overdue_threads = 0
             for attempt in engine.open_attempts.values():
-                age = (self.now - attempt.sent) / attempt.request.best_case
-                self.check_attempt(engine, attempt, age / max(1.0, engine.normalized_latency))
+                age_ratio = (self.now - attempt.chosen_at) / attempt.request.best_case_ms
+                self.check_attempt(engine, attempt, age_ratio / max(1.0, engine.normalized_latency))
                 engine.overdue_threads += (
                     attempt.request.workload.threads
-                    if age > self.pressure_threshold and not attempt.stands
+                    if age_ratio > self.pressure_threshold and not attempt.waits_for_load
                     else 0
                 )
-        late = sum(engine.overdue_threads for engine in busy) / (
+        overdue_share = sum(engine.overdue_threads for engine in busy) / (
             sum(engine.in_flight_threads for engine in busy) + PRIOR_THREADS
         )
-        if 2 * late > 1 or self.median_latency > self.pressure_threshold:
+        if 2 * overdue_share > 1 or self.median_latency > self.pressure_threshold:
             self.pressure_until = self.now + PRESSURE_HOLD_MS
         for engine in busy:
-            if 2 * (engine.overdue_threads + PRIOR_THREADS * late) > engine.in_flight_threads + PRIOR_THREADS:
+            if (
+                2 * (engine.overdue_threads + PRIOR_THREADS * overdue_share)
+                > engine.in_flight_threads + PRIOR_THREADS
+            ):
                 engine.pressure_until = self.now + PRESSURE_HOLD_MS
-            quiet = self.now - engine.last_response
+            quiet = self.now - engine.silent_since
             # No response while most engines respond: a hang, a broken link, answers lost on the way.
             if (
                 quiet > NO_RESPONSE_MS
                 and sum(
-                    quiet > NO_RESPONSE_RATIO * attempt.request.best_case * self.median_latency
+                    quiet > NO_RESPONSE_RATIO * attempt.request.best_case_ms * self.median_latency
                     for attempt in engine.open_attempts.values()
                 )
                 >= NO_RESPONSE_ATTEMPTS
             ):
-                responses = sorted(other.last_response for other in self.ready)
-                if responses and responses[len(responses) // 2] > engine.last_response + NO_RESPONSE_MS / 2:
+                responses = sorted(other.silent_since for other in self.ready)
+                if responses and responses[len(responses) // 2] > engine.silent_since + NO_RESPONSE_MS / 2:
                     self.eject(engine, f"silent {quiet:.0f} ms")
 
-    def check_attempt(self, engine: Engine, attempt: Attempt, relative_age: float) -> None:
-        """End a request that is too late to be of use, and find attempts that wait for a load or are lost.
+    def check_attempt(self, engine: Engine, attempt: Attempt, age_over_latency: float) -> None:
+        """End a request that is too late to be of use, and find attempts that wait or whose answer is lost.
 
-        An attempt without progress while its engine answers others waits for a load, or its answer is lost; a
-        lost one is cancelled if a retry is allowed and can still finish in time.
+        An attempt without progress while its engine answers others waits for a table load, or its answer is
+        lost; then it is cancelled if a retry is allowed and can still finish in time.
         """
         request, workload, quiet = attempt.request, attempt.request.workload, self.now - attempt.last_progress
         if (
@@ -1027,37 +1103,40 @@
             and not request.closed
             and workload.effect == Effect.IDEMPOTENT
             and workload.late_value < MIN_LATE_VALUE
-            and self.now > request.received + TOO_LATE_RATIO * (request.objective - request.received)
+            and self.now > request.received + TOO_LATE_RATIO * (request.objective_at - request.received)
         ):
             self.end(request, EndReason.TOO_LATE)  # its attempt occupies an engine for nothing
         if self.progress_interval:
-            lost = quiet > LOST_INTERVALS * self.progress_interval
-            engine.set_waiting(attempt, attempt.stands or lost)
+            answer_missing = quiet > LOST_INTERVALS * self.progress_interval
+            engine.set_waiting(attempt, attempt.waits_for_load or answer_missing)
         else:
-            lost = quiet > MIN_LOST_MS and relative_age > LOST_RATIO and self.now >= self.pressure_until
+            answer_missing = (
+                quiet > MIN_LOST_MS and age_over_latency > LOST_RATIO and self.now >= self.pressure_until
+            )
             engine.set_waiting(
-                attempt, relative_age > WAITING_RATIO and (workload.waits_for_loads or workload.holds_tables)
+                attempt,
+                age_over_latency > WAITING_RATIO and (workload.waits_for_loads or workload.holds_tables),
             )
         if (
-            lost
+            answer_missing
             and workload.effect == Effect.IDEMPOTENT
-            and request.made < self.max_attempts
+            and request.attempts_made < self.max_attempts
             and self.may_retry()
-            and self.now + request.best_case * self.median_latency < request.deadline - MIN_TIME_LEFT_MS
+            and self.now + request.best_case_ms * self.median_latency < request.deadline - MIN_TIME_LEFT_MS
         ):
             self.cancel_attempts([attempt])
 
     def progress_reported(
-        self, now: float, number: int, attempt: int, engine: int, kind: ProgressKind, level: float
+        self, now: float, number: int, attempt: int, engine: int, kind: ProgressKind, value: float
     ) -> None:
-        """Note progress of an open attempt, and whether it waits for a load."""
+        """Note progress of an open attempt, and whether it waits for a table load."""
         if (target := self.engines.get(engine)) and (
             open_attempt := target.open_attempts.get((number, attempt))
         ):
             open_attempt.last_progress = now
-            target.set_waiting(open_attempt, kind == ProgressKind.WAITS and level == WAITS_FOR_LOAD)
-            if kind == ProgressKind.PROGRESS and level > 0:
-                target.last_response = now
+            target.set_waiting(open_attempt, kind == ProgressKind.WAITS and value == WAITS_FOR_LOAD)
+            if kind == ProgressKind.PROGRESS and value > 0:
+                target.silent_since = now
 
     def record_outcome(
         self, engine: Engine, attempt: Attempt, ending: Ending, took: float, work: float
@@ -1069,7 +1148,7 @@
             self.record_delivery(engine, attempt, took, work)
         elif ending == Ending.FULL:
             # It has fewest of ours and answers at once: without a pause it would attract every request.
-            engine.last_response, engine.pressure_until = self.now, self.now + PRESSURE_HOLD_MS
+            engine.silent_since, engine.pressure_until = self.now, self.now + PRESSURE_HOLD_MS
             engine.ejected_until = max(
                 engine.ejected_until, self.now + FULL_BACKOFF_MS * (0.5 + self.chance.draw())
             )
@@ -1081,8 +1160,9 @@
         elif ending == Ending.UNREACHED or (
             ending == Ending.RESET and (self.now != engine.last_failure or not engine.open_attempts)
         ):
-            # A reset connection counts once, however many attempts it ends, while others are open there. It
-            # shows no crash: a refused dial does.
+            # A reset connection counts once, however many attempts it ends, while others are open there: a
+            # second failure at the very same time is taken for the same reset. A reset does not prove that
+            # the process ended; a refused dial does.
             self.add_failure(engine, UNREACHED_SCORE if ending == Ending.UNREACHED else RESET_SCORE)
         elif ending == Ending.CONNECT_TIMEOUT:  # a broken link, or a late handshake: no crash
             self.add_failure(engine, ERROR_SCORE)
@@ -1098,19 +1178,19 @@
             engine.served_threads + threads,
             engine.served_work + request.cost,
         )
-        engine.last_response, engine.failure_score, engine.recent_errors = self.now, 0.0, 0.0
+        engine.silent_since, engine.failure_score, engine.recent_errors = self.now, 0.0, 0.0
         # Without an estimate, only a guess would count as its work; an estimate has been added on arrival.
         if not request.estimated:
-            self.mean_work[request.kind].add(took * threads)
+            self.mean_work[request.workload_index].add(took * threads)
         for erring in request.erring_engines:
             self.add_failure(erring, ERROR_SCORE)
         ratio = took * threads / (work or request.cost)
-        latency = ratio / self.baseline_latency[request.kind]
-        self.latency_ratios[request.kind].add(ratio, threads)
+        latency = ratio / self.baseline_latency[request.workload_index]
+        self.latency_ratios[request.workload_index].add(ratio, threads)
         engine.normalized_latencies.add(latency, threads)
         self.normalized_latencies.add(latency, threads)
-        self.median_latency = max(1.0, pooled(self.normalized_latencies, 1.0))
-        engine.normalized_latency = pooled(engine.normalized_latencies, self.median_latency)
+        self.median_latency = max(1.0, median_with_prior(self.normalized_latencies, 1.0))
+        engine.normalized_latency = median_with_prior(engine.normalized_latencies, self.median_latency)
         if engine.half_open_probe and latency < OUTLIER_LATENCY_RATIO:
             engine.half_open_probe = False
             self.adapter.log(f"engine {engine.number} back, pace {latency:.2f}")
@@ -1126,22 +1206,25 @@
         engine.failure_score, engine.last_failure = engine.failure_score + weight, self.now
         if engine.failure_score >= EJECTION_SCORE or (engine.half_open_probe and weight > RESET_SCORE):
             self.eject(engine, f"strikes {engine.failure_score:.1f}")
-            if weight == UNREACHED_SCORE:  # it will be cold, even if the list does not say so
-                since = max(self.now, engine.ejected_until)
+            if weight == UNREACHED_SCORE:  # a refused dial: it will be cold, whatever the list says
+                began = max(self.now, engine.ejected_until)
                 engine.begin_slow_start(
                     max(engine.slow_start_until, engine.ejected_until + self.slow_start_ms),
-                    since,
+                    began,
                     self.chance.draw(),
                 )
 
     def eject(self, engine: Engine, why: str) -> None:
         """Eject an engine for a fixed and a random time, and cancel its idempotent attempts.
 
-        Fewer than half of the ready engines are ejected at any time.
+        An engine is not newly ejected if at least half of the ready engines would then be ejected, probed or
+        paused after a refusal. An engine under probe is ejected again in any case.
         """
-        peers = [peer for peer in self.ready if peer.ejected_until > self.now or peer.half_open_probe]
+        already_ejected = [
+            peer for peer in self.ready if peer.ejected_until > self.now or peer.half_open_probe
+        ]
         if engine.ejected_until > self.now or (
-            not engine.half_open_probe and 2 * (len(peers) + 1) >= len(self.ready)
+            not engine.half_open_probe and 2 * (len(already_ejected) + 1) >= len(self.ready)
         ):
             return
         engine.reset_statistics(engine.initial_limit)
@@ -1150,7 +1233,8 @@
             True,
         )
         self.adapter.log(
-            f"engine {engine.number} aside: {why}, {len(engine.open_attempts)} out, {len(peers)} others aside"
+            f"engine {engine.number} aside: {why}, {len(engine.open_attempts)} out, "
+            f"{len(already_ejected)} others aside"
         )
         self.cancel_attempts(
             [
@@ -1211,34 +1295,35 @@
                 / (OFFERED_LOAD_RATIO * self.offered_work_time * sum(engine.cores for engine in self.ready)),
             )
         self.offered_work, self.offered_work_time = self.offered_work / 2, self.offered_work_time / 2
-        # The draws lie evenly over the engines, so that in each interval as many admit as chance means.
-        for place, engine in enumerate(sorted(self.engines.values(), key=lambda _: self.chance.draw())):
-            engine.admission_draw, moved = (
-                (first + place / count) % 1.0,
+        # Stratified draws: the number of engines that admit per interval is close to its expected value.
+        for index, engine in enumerate(sorted(self.engines.values(), key=lambda _: self.chance.draw())):
+            engine.admission_draw, limit_shift = (
+                (first + index / count) % 1.0,
                 INITIAL_LIMIT_PER_CORE * engine.cores * share - engine.initial_limit,
             )
             engine.initial_limit, engine.concurrency_limit, engine.previous_limit = (
-                max(MIN_LIMIT_SHARE * (engine.initial_limit + moved), limit + moved)
+                max(MIN_LIMIT_SHARE * (engine.initial_limit + limit_shift), limit + limit_shift)
                 for limit in (engine.initial_limit, engine.concurrency_limit, engine.previous_limit)
             )
             engine.normalized_latencies.halve()
             engine.normalized_latency, engine.recent_errors = (
-                pooled(engine.normalized_latencies, self.median_latency),
+                median_with_prior(engine.normalized_latencies, self.median_latency),
                 engine.recent_errors / 2,
             )
             if self.now >= engine.ejected_until and not engine.half_open_probe:
                 engine.adjust_limit(self.widest_request * share)
-                # Once an engine's memory has run over, an overload feeds itself.
-                if self.swaps and engine.normalized_latency > PAGING_LATENCY_RATIO:
+                # An engine that swaps gets slower and so holds more requests: the limit must fall faster.
+                if self.swaps and engine.normalized_latency > SWAPPING_LATENCY_RATIO:
                     engine.concurrency_limit = engine.previous_limit = max(
                         engine.initial_limit / 2, engine.concurrency_limit - engine.initial_limit / 4
                     )
-        for kind, ratios in enumerate(self.latency_ratios):
+        # 1.0 is the initial value and means: not measured yet.
+        for workload_index, ratios in enumerate(self.latency_ratios):
             if ratios.total >= MIN_BASELINE_WEIGHT:
                 low = ratios.quantile(BASELINE_QUANTILE)
-                self.baseline_latency[kind] = (
-                    min(low, self.baseline_latency[kind] * BASELINE_DRIFT)
-                    if self.baseline_latency[kind] != 1.0
+                self.baseline_latency[workload_index] = (
+                    min(low, self.baseline_latency[workload_index] * BASELINE_DRIFT)
+                    if self.baseline_latency[workload_index] != 1.0
                     else low
                 )
             ratios.halve()
--- a/spurdeal/slow_start.py
+++ b/spurdeal/slow_start.py
@@ -4,9 +4,9 @@
 the wall clock may have been stepped before this process began. If it is ahead, an engine that has just
 started would look warm. The dispatcher's clock is monotonic, so the difference is constant, and each list
 bounds it: no start time lies in the future, so the clock is ahead by at most the age of the latest listed
-start. A start is taken to be as late as that bound allows, and not before the last list without it. With both
-clocks right, it is taken too late by at most the propagation delay, or at the dispatcher's own startup by the
-age of the latest listed start.
+start. So a start is converted to the reported time plus that bound, but not before the last confirmation of a
+list that does not show it, and at most to the present time. With both clocks right, it is taken too late by
+at most the propagation delay, or at the dispatcher's own startup by the age of the latest listed start.
 """
 
 from __future__ import annotations
@@ -14,19 +14,21 @@
 from collections.abc import Mapping
 from typing import NamedTuple
 
-MAX_PROPAGATION_DELAY = 7000.0  # ms after which a change counts as announced at the latest, by the protocol
+# ms after which a change counts as announced at the latest, whether or not a response arrived. The lease on
+# the list uses a shorter bound: list_freshness.PROPAGATION_LIMIT.
+MAX_PROPAGATION_DELAY = 7000.0
 
 
 class Start(NamedTuple):
     """One start of an engine.
 
     Attributes:
-        reported: Start time in the list, in Unix ms of another machine.
-        began: The same on the dispatcher's clock.
+        on_list_clock: Start time in the list, in Unix ms of another machine.
+        on_our_clock: The same on the dispatcher's clock.
     """
 
-    reported: float
-    began: float
+    on_list_clock: float
+    on_our_clock: float
 
 
 class StartTimes:
@@ -62,12 +64,12 @@
             self.max_clock_lead = min(self.max_clock_lead, max(0.0, now - latest))
         self.starts = {ident: self.convert_start(ident, start, now) for ident, start in reported.items()}
         self.confirm(now)
-        return {ident: start.began for ident, start in self.starts.items()}
+        return {ident: start.on_our_clock for ident, start in self.starts.items()}
 
     def convert_start(self, ident: str, reported: float, now: float) -> Start:
         """Converts one start time; one that was listed before keeps its earlier result."""
         known = self.starts.get(ident)
-        if known is not None and known.reported == reported:
+        if known is not None and known.on_list_clock == reported:
             return known
         if not reported:
             return Start(0.0, 0.0)
--- a/spurdeal/state.py
+++ b/spurdeal/state.py
@@ -7,26 +7,26 @@
 
 from .interface import Workload
 
-E = TypeVar("E")  # the rules' Engine; a type variable, as the rules import this module
+EngineT = TypeVar("EngineT")  # the rules' Engine; a type variable, as the rules import this module
 
 
-class SendRecord(NamedTuple, Generic[E]):
-    """When and where an attempt was sent.
+class SendRecord(NamedTuple, Generic[EngineT]):
+    """Which engine was chosen for an attempt that was sent, and when.
 
     Kept instead of the Attempt, which refers to its request: that would be a reference cycle.
     """
 
-    sent: float
-    engine: E
+    chosen_at: float
+    engine: EngineT
 
 
 @dataclass(slots=True, eq=False)
-class Request(Generic[E]):
+class Request(Generic[EngineT]):
     """An open request.
 
     Attributes:
         number: The adapter's number of it.
-        kind: Index of its workload.
+        workload_index: Index of its workload.
         tenant: Index of its tenant.
         key: Its ordering key, where the workload runs in order; else 0.
         deadline: Time by which it must be answered.
@@ -35,26 +35,28 @@
         group: Its group of tables; negative: none.
         received: When it came.
         workload: Its workload.
-        best_case: Its duration at an engine under no load, in ms.
-        objective: Time by which it should be answered.
+        best_case_ms: Its duration at an engine under no load, in ms.
+        objective_at: Time by which it should be answered.
         value: Value of its answer, lowered for a tenant over its quota.
         cheap: Whether it is small enough to pass the wait queue.
         late: Whether it can no longer be answered by its objective.
         closed: Whether it was answered or withdrawn.
-        made: Attempts made.
-        never_sent: Of these, attempts that were never sent.
-        rank: Its place in the wait queue; the lowest is sent first.
-        out: Running attempts by number.
-        first_send: Of the first attempt that may have run. None: nothing has run.
+        attempts_made: Number of attempts so far, those without an end included.
+        uncounted_attempts: Of these, attempts that ended as MOOT or CONNECT_TIMEOUT; some of them are exempt
+            from the cap on attempts. Refused dials are not among them.
+        queue_position: Sort key in the wait queue; the lowest is sent first.
+        open_attempts: Attempts without an end, by number.
+        first_send: Engine and time of the attempt that ended first of those that may have run. None: no
+            ended attempt may have run.
         failed_engines: Engines where an attempt ended without a result; retries go elsewhere.
         erring_engines: Engines that answered it with an error.
         engine: Chosen for the next attempt.
-        charge: ms of work that it is booked with at a cold engine.
+        slow_start_charge: ms of work that it counts for against a cold engine's budget.
         estimated: Whether an estimate of its work came with it.
     """
 
     number: int
-    kind: int
+    workload_index: int
     tenant: int
     key: int
     deadline: float
@@ -63,46 +65,46 @@
     group: int
     received: float
     workload: Workload
-    best_case: float
-    objective: float
+    best_case_ms: float
+    objective_at: float
     value: float
     cheap: bool
     late: bool = False
     closed: bool = False
-    made: int = 0
-    never_sent: int = 0
-    rank: tuple[float, int] = (0.0, 0)
-    out: dict[int, Attempt[E]] = field(default_factory=dict)
-    first_send: SendRecord[E] | None = None
-    failed_engines: list[E] = field(default_factory=list)
-    erring_engines: list[E] = field(default_factory=list)
-    engine: E | None = None
-    charge: float = 0.0
+    attempts_made: int = 0
+    uncounted_attempts: int = 0
+    queue_position: tuple[float, int] = (0.0, 0)
+    open_attempts: dict[int, Attempt[EngineT]] = field(default_factory=dict)
+    first_send: SendRecord[EngineT] | None = None
+    failed_engines: list[EngineT] = field(default_factory=list)
+    erring_engines: list[EngineT] = field(default_factory=list)
+    engine: EngineT | None = None
+    slow_start_charge: float = 0.0
     estimated: bool = True
 
 
 @dataclass(slots=True, eq=False)
-class Attempt(Generic[E]):
-    """A running attempt.
+class Attempt(Generic[EngineT]):
+    """An open attempt.
 
     Attributes:
         request: Its request.
         number: Its number within the request, from 0.
-        engine: Where it was sent.
-        sent: When it was sent.
-        last_progress: When its engine last reported on it; at first when it was sent.
-        started: Start of its engine, as the list gave it when the engine was chosen.
-        cold: ms of work booked against a cold engine's budget; 0: the engine was warm.
+        engine: Where it is sent.
+        chosen_at: When its engine was chosen; dialling or a full connection may delay the sending.
+        last_progress: When its engine last reported on it; at first chosen_at.
+        engine_started: Start of its engine, as the list gave it when the engine was chosen.
+        slow_start_charge: ms of work counted against a cold engine's budget; 0: the engine was warm.
         cancelled: Whether the adapter was asked to cancel it.
-        stands: Whether it waits for a load, and so uses no threads.
+        waits_for_load: Whether it waits for a table load to end, and so uses no threads.
     """
 
-    request: Request[E]
+    request: Request[EngineT]
     number: int
-    engine: E
-    sent: float
+    engine: EngineT
+    chosen_at: float
     last_progress: float
-    started: float = 0.0
-    cold: float = 0.0
+    engine_started: float = 0.0
+    slow_start_charge: float = 0.0
     cancelled: bool = False
-    stands: bool = False
+    waits_for_load: bool = False
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -78,7 +78,7 @@
 }
 # Attributes of an engine that `set` and `set_all` name.
 ENGINE_FIELDS = {
-    "answered": "last_response",
+    "answered": "silent_since",
     "aside_until": "ejected_until",
     "bound": "concurrency_limit",
     "cold_part": "initial_cold_credit",
