--- a/spurdeal/interface.py
+++ b/spurdeal/interface.py
@@ -164,7 +164,7 @@
         zone: Index of this dispatcher's zone. Not used by the rules.
         workloads: By index; at least one.
         quotas: By tenant, requests per second over all dispatchers.
-        over_share_value: Factor on the value of requests of a tenant over its quota.
+        over_quota_value: Factor on the value of requests of a tenant over its quota.
         cores: Cores by kind of machine. Empty: 1 each.
         memory_mb: Memory by kind of machine, in MB. Not used by the rules.
         load_field: Index, in engines' reports, of the number of requests an engine holds. None: not reported.
@@ -176,7 +176,7 @@
         max_attempts: Attempts per request, at least 1.
         max_retry_after: Longest retry-after given with a refusal, in ms. 0: none is given.
         grants: Whether engines bound a request's memory by the grant sent with it.
-        pages: Whether engines swap when memory is short.
+        swaps: Whether engines swap when memory is short.
         priorities: Whether engines honour priorities.
         largest_grant: Largest grant, as a share of an engine's memory. Not used by the rules.
         progress_interval: ms between progress reports of a running attempt. 0: engines send none.
--- a/spurdeal/list_freshness.py
+++ b/spurdeal/list_freshness.py
@@ -56,7 +56,7 @@
             query that got its response; before the first response, it is set so that the lease ends
             INITIAL_LEASE after the configuration was read, or is the time of the first query if none was
             read. None if no name server provides the list.
-        unanswered_since: Send times of the queries without a response of their own, oldest first.
+        open_query_times: Send times of the queries without a response of their own, oldest first.
         queries_since_response: Number of queries sent since the latest response.
         run_start: When the first query of the current run of consecutive responses was sent.
         run_length: Number of responses in this run.
--- a/spurdeal/rules.py
+++ b/spurdeal/rules.py
@@ -613,7 +613,7 @@
         request.attempts_made, request.engine = request.attempts_made + 1, None
         engine.in_flight_threads += request.workload.threads
         engine.peak_threads = max(engine.peak_threads, engine.in_flight_threads)
-        if attempt.number > request.uncounted_attempts:
+        if attempt.number > request.uncounted_attempts:  # a retry
             self.retry_times.append(self.now)
             self.retry_budget -= 1.0
         elif self.priorities or self.grant_ratio:
@@ -924,7 +924,7 @@
         if ending not in NEVER_RAN:
             request.first_send = request.first_send or state.SendRecord(open_attempt.chosen_at, target)
         request.uncounted_attempts += ending in (Ending.MOOT, Ending.CONNECT_TIMEOUT)
-        if attempt:
+        if attempt:  # attempts after an uncounted one are included
             self.retry_successes.add(1.0 if ending == Ending.DELIVERED else 0.0)
         if report and self.load_field is not None:  # our share of what engines hold is our share of sends
             # One more for this attempt, often our only one there: requests go where we have fewest.
