--- a/spurdeal/extproc/granter.py
+++ b/spurdeal/extproc/granter.py
@@ -89,7 +89,7 @@
         call.send_grant(endpoint.host, endpoint.port, send_terms.wait, send_terms.rank)
         return True
 
-    def weigh(self, attempt: Lease, rank: int) -> None:
+    def set_priority(self, attempt: Lease, rank: int) -> None:
         """Do nothing: a caller gets its rank once, with the grant."""
 
     def give_up(self, attempt: Lease, ending: Ending) -> None:
--- a/spurdeal/fleet/station.py
+++ b/spurdeal/fleet/station.py
@@ -19,7 +19,7 @@
 from ..eventloop import DatagramLoop
 from ..interface import Life
 from ..net.datagram_reading import TolerantReading
-from ..net.engine_list import Endpoint, KnownList
+from ..net.engine_list import Endpoint, NumberedList
 from ..net.link import Answer, Delivered, Failed, Granted, Guard, OpenRequest, Shed, at_most_once
 from ..net.service import Service
 from ..vrrp.sealed import Keys
@@ -203,7 +203,7 @@
             for ident, row in rows.items()
         }
         names = self.service.names
-        names.take_known(KnownList(max(names.number, version.number), endpoints))
+        names.adopt_list(NumberedList(max(names.number, version.number), endpoints))
         names.is_from_peer = True
         self.counters.add("lists_from_peers")
         self.audit_versions("peer")
@@ -356,7 +356,7 @@
     def engine_id(self, engine: int) -> str:
         """The id of the engine at that place."""
         if engine not in self.engine_ids:
-            self.engine_ids = {place: ident for ident, place in self.adapter.index.places.items()}
+            self.engine_ids = {place: ident for ident, place in self.adapter.index.indices.items()}
         return self.engine_ids.get(engine, str(engine))
 
     def attempt_cancelled(self, request: OpenRequest, attempt: int) -> None:
@@ -365,12 +365,12 @@
         if self.inner is not None:
             self.inner.attempt_cancelled(request, attempt)
 
-    def mode_changed(self, line: str) -> None:
+    def rules_logged(self, line: str) -> None:
         """Record a line of the rules in the audit."""
         if self.journal is not None:
             self.journal.pages.add_json(Kind.MODE, {"says": line})
         if self.inner is not None:
-            self.inner.mode_changed(line)
+            self.inner.rules_logged(line)
 
     def batch_ended(self) -> None:
         """Write the batch's frame before anything of the batch leaves."""
--- a/spurdeal/lab/capacity/engine_list.py
+++ b/spurdeal/lab/capacity/engine_list.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Sequence
 
 from ...net import dns
-from ...net.engine_list import answered_endpoints
+from ...net.engine_list import endpoints_from_dns
 from ...net.names import QUERY_INTERVAL, SERVICE
 from ..names import Endpoint, answer
 from . import design
@@ -35,7 +35,7 @@
     """How many engines the dispatcher's reader finds; raises dns.BadDatagram as the reader does."""
     found = dns.decode_response(message, IDENT, SERVICE, dns.SRV)
     assert found is not None
-    return len(answered_endpoints(*found[1:]))
+    return len(endpoints_from_dns(*found[1:]))
 
 
 def most_in_a_datagram() -> int:
@@ -81,7 +81,7 @@
     unread = [size for size in sizes if not readable(size)]
     if unread:
         raise Refused(f"engine list: {unread[0]} engines cannot be read from one answer of the stand-in")
-    by_records = (dns.MOST_RECORDS - RECORDS_OF_LIST) // RECORDS_PER_ENGINE
+    by_records = (dns.MAX_RECORDS - RECORDS_OF_LIST) // RECORDS_PER_ENGINE
     return [
         Role(
             "engine list",
--- a/spurdeal/net/client.py
+++ b/spurdeal/net/client.py
@@ -33,7 +33,7 @@
 # Of a lingering close: ms that it takes, and bytes that are read and discarded in it.
 LINGER_TIMEOUT, MAX_LINGER_BYTES = 1000.0, 262_144
 MAX_READS_PER_REQUEST = 512  # consecutive reads of one call of dataReceived
-MAX_CANCELLED_AHEAD = 16  # pipelined DELETEs that are carried out while the call before them is open
+MAX_EARLY_DELETES = 16  # pipelined DELETEs that are carried out while the call before them is open
 MAX_REQUESTS_PER_ROUND = 16  # of one connection in one round of the event loop, for fairness
 
 
@@ -65,9 +65,9 @@
         self.draining = False  # it is closed after its next response
         self.state_since = self.last_read = clients.clock()
         self.dropped_bytes = 0  # while lingering
-        self.arrivals = ArrivalTimes(clients.adapter.loop, clients.accepted())
+        self.arrivals = ArrivalTimes(clients.adapter.loop, clients.record_accept())
         # Of each DELETE carried out ahead: the status of its response, and whether to keep the connection.
-        self.cancelled_ahead = deque[tuple[int, bool]]()
+        self.early_deletes = deque[tuple[int, bool]]()
         self.next_advance: Any = None  # the delayed call
         self.in_advance = False  # guards `advance` against recursion by a request that is answered at once
 
@@ -195,12 +195,12 @@
                 self.handle_requests()
             finally:
                 self.in_advance = False
-            self.cancel_ahead()
+            self.execute_early_deletes()
 
     def handle_requests(self) -> None:
         """Handles buffered requests up to MAX_REQUESTS_PER_ROUND; the others wait for the next round."""
-        while self.cancelled_ahead and self.is_free():
-            status, keep_alive = self.cancelled_ahead.popleft()
+        while self.early_deletes and self.is_free():
+            status, keep_alive = self.early_deletes.popleft()
             self.respond(status, {}, keep_alive)
         handled = 0
         while self.is_free():
@@ -228,7 +228,7 @@
         """Whether buffered requests wait for the loop's next round."""
         return self.next_advance is not None and self.next_advance.active()
 
-    def cancel_ahead(self) -> None:
+    def execute_early_deletes(self) -> None:
         """Carries out DELETEs that are pipelined behind an open call, as they may cancel that very call.
 
         Their responses are written in order, after that of the open call; if that call was cancelled, none
@@ -236,7 +236,7 @@
         """
         while (
             self.call is not None
-            and len(self.cancelled_ahead) < MAX_CANCELLED_AHEAD
+            and len(self.early_deletes) < MAX_EARLY_DELETES
             and self.parser.next_is(b"DELETE")
         ):
             try:
@@ -246,7 +246,7 @@
             if request is None:
                 return
             _, target, _, _, keep_alive = request
-            self.cancelled_ahead.append((self.cancel(target), keep_alive))
+            self.early_deletes.append((self.cancel(target), keep_alive))
 
     def cancel(self, target: bytes) -> int:
         """Withdraws the request whose id ends the path; returns the status of the response."""
@@ -333,7 +333,7 @@
                 self.respond(503, {"fault": "TryLater"}, keep_alive, wait)
             case Failed():
                 self.respond(500, {"fault": "Aborted"}, keep_alive)
-        if self.parser.remaining() or self.cancelled_ahead:
+        if self.parser.remaining() or self.early_deletes:
             self.advance()
         self.clients.call_ended()
 
--- a/spurdeal/net/clients.py
+++ b/spurdeal/net/clients.py
@@ -86,14 +86,14 @@
 
     def pause_after_error(self) -> None:
         """Pauses accepting after an error; waiting connections stay in the backlog."""
-        self.accepting.failed()
+        self.accepting.record_failure()
         self.port.stopReading()
         self.adapter.reactor.callLater(ACCEPT_RETRY_DELAY, self.resume_after_error)
 
     def resume_after_error(self) -> None:
         """Resumes accepting, unless it is paused for another reason or has ended."""
         if not self.paused and not self.accept_ended and self.port.connected:
-            self.accepting.resumed()
+            self.accepting.record_resumption()
             self.port.startReading()
 
     def workload_of(self, path: bytes) -> int | None:
@@ -120,9 +120,9 @@
         """How many connections wait in the accept queue; None if the system does not report it."""
         return count_waiting_connections(getattr(self.port, "socket", None))
 
-    def accepted(self) -> Unpolled:
+    def record_accept(self) -> Unpolled:
         """Since when a connection that is accepted now may have been waiting."""
-        return self.accepting.accepted(getattr(self.port, "numberAccepts", 0))
+        return self.accepting.record_accept(getattr(self.port, "numberAccepts", 0))
 
     def connection_opened(self, client: Client) -> None:
         """Registers a new connection."""
@@ -188,7 +188,7 @@
             self.port.numberAccepts = min(free_slots, self.accepts)
             if self.paused:
                 self.paused = False
-                self.accepting.resumed()
+                self.accepting.record_resumption()
                 self.port.startReading()
         elif not self.paused:
             self.pause_accepting()
--- a/spurdeal/net/configuration.py
+++ b/spurdeal/net/configuration.py
@@ -9,7 +9,7 @@
 
 from ..deployment import deployment, reported, without_nulls
 from ..interface import Deployment
-from .engine_list import Address, KnownList, known_list, read_address
+from .engine_list import Address, NumberedList, known_list, read_address
 from .transient_errors import TRANSIENT_FILE_ERRORS
 
 DEFAULT_DESCRIPTORS = 1024
@@ -63,7 +63,7 @@
     sockets: int
     memory_mb: float
     nameserver: Address
-    known: KnownList
+    known: NumberedList
     site: Deployment
     workloads: dict[bytes, int]
     tenants: dict[bytes, int]
--- a/spurdeal/net/connection.py
+++ b/spurdeal/net/connection.py
@@ -89,7 +89,7 @@
         self.engines.counters.add("engine_bad_answers")
         self.engine.say("bad_answer", why=why, trips=len(self.attempts))
         self.transport.abortConnection()
-        self.lost()
+        self.remove_and_end_attempts()
 
     def answer_time_left(self) -> float:
         """How many ms the answer that is being received may still take.
@@ -131,7 +131,7 @@
         """Note whether the engine closed it while idle, and end its attempts."""
         if self.up and not self.closing and not self.attempts and isinstance(reason.value, ConnectionDone):
             self.engines.closed_while_idle(self.engines.clock() - max(self.last_used, self.last_received))
-        self.lost()
+        self.remove_and_end_attempts()
         self.transport = None
 
     # Writing.
@@ -297,7 +297,7 @@
         if self.up and self.being_written is attempt:
             self.engines.counters.add("unsent_cut_off")
             self.transport.abortConnection()
-            self.lost()
+            self.remove_and_end_attempts()
 
     def abort_abandoned_write(self, attempt: Attempt) -> None:
         """Cut off an abandoned attempt, whose rest would arrive late, unless other attempts run here."""
@@ -356,7 +356,7 @@
         elif self.closing and not self.attempts and self.up and not self.sending:
             self.transport.loseConnection()
 
-    def lost(self, ending: Ending = Ending.RESET) -> None:
+    def remove_and_end_attempts(self, ending: Ending = Ending.RESET) -> None:
         """Remove the connection and end its attempts; after a reset, unwritten ones as MOOT."""
         self.up, self.closing = False, True
         self.write_queue.clear()
--- a/spurdeal/net/descriptors.py
+++ b/spurdeal/net/descriptors.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 OPEN_DESCRIPTORS = "/proc/self/fd"
-TYPICAL_HELD = 6  # standard streams, the event loop's epoll and its wake-up pipe
+TYPICAL_OPEN = 6  # standard streams, the event loop's epoll and its wake-up pipe
 OPENED_AT_START = 3  # listener, name service, and the descriptor that Twisted keeps in reserve for accept
 OPENED_FOR_NAMES = 3  # more sockets to the name service, opened while it does not answer
 # Plus two: one to reload the configuration, one to list the open descriptors.
@@ -31,14 +31,14 @@
     """
 
     allowed: int | None = None
-    held: int = TYPICAL_HELD
+    already_open: int = TYPICAL_OPEN
 
     @classmethod
     def of_this_process(cls) -> ProcessDescriptors:
         """Reads the soft limit and counts the open descriptors of this process."""
         soft_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
         allowed = None if soft_limit == resource.RLIM_INFINITY else soft_limit
-        return cls(allowed, max(TYPICAL_HELD, count_open_descriptors()))
+        return cls(allowed, max(TYPICAL_OPEN, count_open_descriptors()))
 
 
 def count_open_descriptors() -> int:
@@ -76,7 +76,7 @@
         engines; the remainder goes to clients, up to half of the limit.
         """
         limit = configured if process.allowed is None else min(configured, process.allowed)
-        own = min(process.held + OPENED_LATER, int(limit * MAX_OWN_SHARE))
+        own = min(process.already_open + OPENED_LATER, int(limit * MAX_OWN_SHARE))
         min_clients = int(limit * MIN_CLIENT_SHARE)
         engines = max(1, min(int(limit * MAX_ENGINE_SHARE), limit - own - min_clients))
         clients = max(MIN_CLIENTS, min(int(limit * MAX_CLIENT_SHARE), limit - own - engines))
--- a/spurdeal/net/dial.py
+++ b/spurdeal/net/dial.py
@@ -38,4 +38,4 @@
         else:
             counter, ending = "dials_not_up", Ending.CONNECT_TIMEOUT
         self.connection.engines.counters.add(counter)
-        self.connection.lost(ending)
+        self.connection.remove_and_end_attempts(ending)
--- a/spurdeal/net/discovery_socket.py
+++ b/spurdeal/net/discovery_socket.py
@@ -159,7 +159,7 @@
         if self.reopening is None or not self.reopening.active():
             self.reopening = self.reactor.callLater(REOPEN_AFTER, self.open)
 
-    def look(self) -> None:
+    def check_and_repair(self) -> None:
         """Restarts queries, reads or sockets that have stopped; to be called often."""
         self.read_earlier()
         if self.port is None:
--- a/spurdeal/net/dns.py
+++ b/spurdeal/net/dns.py
@@ -9,7 +9,7 @@
 A, SOA, TXT, SRV, IN = 1, 6, 16, 33, 1
 RESPONSE, TRUNCATED, RESPONSE_CODE = 0x8000, 0x0200, 0x000F
 MAX_NAME_LENGTH, MAX_LABEL_LENGTH = 255, 63
-MOST_RECORDS = 4096
+MAX_RECORDS = 4096
 
 
 class BadDatagram(Exception):
@@ -90,7 +90,7 @@
         at += 4
         if flags & (TRUNCATED | RESPONSE_CODE):
             raise BadDatagram(f"error code or truncated response, flags {flags:#06x}")
-        if sum(counts) > MOST_RECORDS:
+        if sum(counts) > MAX_RECORDS:
             raise BadDatagram("too many records")
         serial, services = None, []
         addresses, texts = dict[str, str](), dict[str, list[str]]()
--- a/spurdeal/net/engine_index.py
+++ b/spurdeal/net/engine_index.py
@@ -18,25 +18,25 @@
 
     def __init__(self, zones: Sequence[str], kinds: Sequence[str]) -> None:
         self.zones, self.kinds = list(zones), list(kinds)
-        self.places: dict[str, int] = {}
-        self.next_place = count()
+        self.indices: dict[str, int] = {}
+        self.next_index = count()
 
-    def place_of(self, ident: str) -> int:
+    def index_of(self, ident: str) -> int:
         """Returns the number of an engine; a new engine gets the next one."""
-        if ident not in self.places:
-            self.places[ident] = next(self.next_place)
-        return self.places[ident]
+        if ident not in self.indices:
+            self.indices[ident] = next(self.next_index)
+        return self.indices[ident]
 
     def forget(self, ident: str) -> None:
         """Drops an engine that has left the list."""
-        del self.places[ident]
+        del self.indices[ident]
 
     def line(self, ident: str, endpoint: Endpoint) -> ListedEngine:
         """Converts an engine's entry for the rules."""
         return ListedEngine(
-            self.place_of(ident),
-            number_of(self.zones, endpoint.zone),
-            number_of(self.kinds, endpoint.kind),
+            self.index_of(ident),
+            index_of_name(self.zones, endpoint.zone),
+            index_of_name(self.kinds, endpoint.kind),
             endpoint.cell,
             endpoint.life,
             endpoint.weight,
@@ -44,7 +44,7 @@
         )
 
 
-def number_of(names: list[str], name: str) -> int:
+def index_of_name(names: list[str], name: str) -> int:
     """Returns the index of a name; appends one that is not in the settings."""
     if name not in names:
         names.append(name)
--- a/spurdeal/net/engine_list.py
+++ b/spurdeal/net/engine_list.py
@@ -34,7 +34,7 @@
     started: float
 
 
-class KnownList(NamedTuple):
+class NumberedList(NamedTuple):
     """A whole list and its serial number, which is the number of its last event."""
 
     number: int
@@ -53,7 +53,7 @@
     return Address(str(IPv4Address(host)), int(port))
 
 
-def known_list(known: Mapping[str, Any]) -> KnownList:
+def known_list(known: Mapping[str, Any]) -> NumberedList:
     """Builds the list from the numbered events of the configuration."""
     endpoints: dict[str, Endpoint] = {}
     last = int(known.get("no", 0))
@@ -65,7 +65,7 @@
             endpoint = known_endpoint(entry)
             endpoints[endpoint.ident] = endpoint
         last = max(last, int(item["no"]))
-    return KnownList(
+    return NumberedList(
         last, {ident: endpoint for ident, endpoint in endpoints.items() if endpoint.life != Life.GONE}
     )
 
@@ -86,7 +86,7 @@
     )
 
 
-def answered_endpoints(
+def endpoints_from_dns(
     services: Sequence[tuple[int, int, int, str]],
     addresses: Mapping[str, str],
     texts: Mapping[str, Sequence[str]],
--- a/spurdeal/net/engines.py
+++ b/spurdeal/net/engines.py
@@ -47,7 +47,7 @@
                 and leads_to_predecessor(connection.opened, endpoint.started, self.engines.clock())
             ):
                 connection.transport.abortConnection()  # it leads to a process that has ended
-                connection.lost()
+                connection.remove_and_end_attempts()
             elif endpoint.life == Life.GONE or endpoint[1:3] != previous[1:3]:
                 connection.retire()
             if (
@@ -57,7 +57,9 @@
             ):
                 connection.withdraw_unsent()
                 if not connection.up:
-                    connection.lost(Ending.MOOT)  # still dialling a state of the endpoint that is outdated
+                    connection.remove_and_end_attempts(
+                        Ending.MOOT
+                    )  # still dialling a state of the endpoint that is outdated
 
     def connection_for(self, attempt: Attempt, at_most_once: bool) -> Connection | None:
         """Return a connection for an attempt, new or open; None if neither is possible.
@@ -230,7 +232,7 @@
         finally:  # also after an exception at one of them
             self.deferred += waiting
 
-    def weigh(self, attempt: Attempt, rank: int) -> None:
+    def set_priority(self, attempt: Attempt, rank: int) -> None:
         """Tell the engine the new priority of an attempt that it has not answered."""
         if attempt.connection is not None and attempt.written and not attempt.page_count:
             attempt.connection.write(b"weigh", attempt.ident, b"%d" % rank)
--- a/spurdeal/net/link.py
+++ b/spurdeal/net/link.py
@@ -193,7 +193,7 @@
         self.enqueue(self.rules.list_changed, lines, True)
         gone = {ident: endpoint._replace(life=Life.GONE) for ident, endpoint in self.endpoints.items()}
         for ident, endpoint in (gone | dict(endpoints)).items():
-            self.call_safely(self.engines.update_engine, self.index.place_of(ident), endpoint)
+            self.call_safely(self.engines.update_engine, self.index.index_of(ident), endpoint)
             if endpoint.life == Life.GONE:
                 self.index.forget(ident)
         self.request_log.states(self.endpoints, endpoints)
@@ -285,7 +285,7 @@
 
     def terms(self, number: int, memory: float, priority: int) -> None:
         """Queue a change of a request's priority."""
-        self.actions.append((self.weigh, (self.open_requests[number], priority)))
+        self.actions.append((self.set_priority, (self.open_requests[number], priority)))
 
     def shed(self, number: int, retry_after: float, reason: EndReason) -> None:
         """Queue the rejection of a request."""
@@ -316,7 +316,7 @@
         """Log a change of mode and pass it to the guard."""
         self.logger.info("rules", extra={"figures": {"says": line}})
         if self.guard is not None:
-            self.guard.mode_changed(line)
+            self.guard.rules_logged(line)
 
     # Execution of decisions.
 
@@ -444,11 +444,11 @@
                 "attempts_late_after_client_left", self.clock() - checked_at > LATE_AFTER_LEAVING
             )
 
-    def weigh(self, request: OpenRequest, priority: int) -> None:
+    def set_priority(self, request: OpenRequest, priority: int) -> None:
         """Set a request's priority, also on its running attempts."""
         request.rank = priority
         for attempt in request.attempts.values():
-            request.sender.weigh(attempt, priority)
+            request.sender.set_priority(attempt, priority)
 
     def cancel(self, number: int, attempt: int) -> None:
         """Cancel an attempt that is out or waits for the guard's verdict."""
--- a/spurdeal/net/names.py
+++ b/spurdeal/net/names.py
@@ -13,7 +13,7 @@
 from ..list_agreement import Agreement, assess
 from . import dns
 from .counters import Counters
-from .engine_list import Address, Endpoint, KnownList, answered_endpoints
+from .engine_list import Address, Endpoint, NumberedList, endpoints_from_dns
 from .transient_errors import errno_name
 
 SERVICE = "_api._tcp.svc.local"
@@ -57,7 +57,7 @@
     """A parsed response: its bytes after the query id, and its list."""
 
     body: bytes
-    listed: KnownList
+    listed: NumberedList
 
 
 class NameService(DatagramProtocol):
@@ -88,7 +88,7 @@
         self,
         reactor: Any,
         address: Address,
-        known: KnownList,
+        known: NumberedList,
         on_list: Callable[[dict[str, Endpoint]], None],
         counters: Counters,
         log: logging.Logger,
@@ -155,9 +155,9 @@
         self.unsent = 0
         self.missed += 1
         sent = self.on_query_sent(self.reactor.seconds() - sent_at)
-        self.await_answer(self.query_id, OpenQuery(sent, sent_at, self.address))
+        self.await_response(self.query_id, OpenQuery(sent, sent_at, self.address))
 
-    def await_answer(self, ident: int, query: OpenQuery) -> None:
+    def await_response(self, ident: int, query: OpenQuery) -> None:
         """Keeps a sent query until its response arrives, and schedules its retransmission."""
         self.open_queries[ident] = query
         if len(self.open_queries) > MAX_OPEN_QUERIES:
@@ -252,7 +252,7 @@
             self.agreement = before
             raise
 
-    def take_known(self, known: KnownList) -> None:
+    def adopt_list(self, known: NumberedList) -> None:
         """Puts a list from another source in force: from a reloaded configuration or from a peer."""
         self.agreement = Agreement.of(known.number, known.endpoints)
 
@@ -273,12 +273,12 @@
             self.counters.add("names_foreign_address", query is not None)
             return
         try:
-            self.take_answer(datagram, query)
+            self.handle_response(datagram, query)
         except dns.BadDatagram as fault:
             self.counters.add("names_bad")
             self.log.warning("bad_datagram", extra={"figures": {"why": str(fault)}})
 
-    def take_answer(self, datagram: bytes, query: OpenQuery) -> None:
+    def handle_response(self, datagram: bytes, query: OpenQuery) -> None:
         """Handles the response to an open query.
 
         Raises:
@@ -298,7 +298,7 @@
         else:
             self.take_list(received, query)
 
-    def read(self, datagram: bytes, ident: int) -> KnownList | None:
+    def read(self, datagram: bytes, ident: int) -> NumberedList | None:
         """Parses a response; returns None if its question section differs.
 
         A response that equals the last one byte for byte is not parsed again.
@@ -316,13 +316,13 @@
             if serial is None:
                 raise dns.BadDatagram("no serial")
             self.last_parsed = ParsedResponse(
-                body, KnownList(serial, answered_endpoints(services, addresses, texts))
+                body, NumberedList(serial, endpoints_from_dns(services, addresses, texts))
             )
         else:
             del self.open_queries[ident]
         return self.last_parsed.listed
 
-    def take_shared(self, received: KnownList, query: OpenQuery) -> None:
+    def take_shared(self, received: NumberedList, query: OpenQuery) -> None:
         """Puts a list in force if its number is higher, where peers share lists and compare equal numbers.
 
         A number lower than that of a list from a peer may come from a lagging name server, and still counts
@@ -342,7 +342,7 @@
             return
         self.advance_next_query(self.on_response(query.sent.at, verdict))
 
-    def take_list(self, received: KnownList, query: OpenQuery) -> None:
+    def take_list(self, received: NumberedList, query: OpenQuery) -> None:
         """Assesses a list against the one in force, and puts the result in force."""
         now = query.sent.at + (self.reactor.seconds() - query.sent_at) * 1000
         assessment = assess(self.agreement, received.number, received.endpoints, query.sent.at, now)
--- a/spurdeal/net/requests.py
+++ b/spurdeal/net/requests.py
@@ -59,7 +59,7 @@
                 If it returns None, nothing is sent and the attempt ends as MOOT.
         """
 
-    def weigh(self, attempt: Any, rank: int) -> None:
+    def set_priority(self, attempt: Any, rank: int) -> None:
         """Change the priority of an attempt that is out."""
 
     def give_up(self, attempt: Any, ending: Ending) -> None:
@@ -96,7 +96,7 @@
     def attempt_cancelled(self, request: OpenRequest, attempt: int) -> None:
         """An attempt that is out is being cancelled."""
 
-    def mode_changed(self, line: str) -> None:
+    def rules_logged(self, line: str) -> None:
         """The rules have changed a mode."""
 
     def batch_ended(self) -> None:
--- a/spurdeal/net/service.py
+++ b/spurdeal/net/service.py
@@ -14,7 +14,7 @@
 from .counters import Counters
 from .descriptors import OPENED_AT_START, DescriptorBudget, ProcessDescriptors
 from .discovery_socket import DiscoverySocket
-from .engine_list import KnownList
+from .engine_list import NumberedList
 from .engines import Engines
 from .link import SocketAdapter
 from .names import NameService
@@ -79,7 +79,7 @@
         self.clients = Clients(
             self.adapter, configuration.workloads, configuration.tenants, clock, self.counters, log
         )
-        self.clients.other_descriptors = self.held_elsewhere
+        self.clients.other_descriptors = self.open_elsewhere
         self.set_limits(configuration)
         self.names = NameService(
             reactor,
@@ -103,9 +103,14 @@
         longest = min(KILL_MOST, max(workload.deadline for workload in configuration.site.workloads))
         self.stop_within = longest + KILL_AFTER - KILL_MARGIN
 
-    def held_elsewhere(self) -> int:
+    def open_elsewhere(self) -> int:
         """How many descriptors are held for other purposes than clients."""
-        return self.process.held + OPENED_AT_START + len(self.discovery.earlier) + self.engines.connections
+        return (
+            self.process.already_open
+            + OPENED_AT_START
+            + len(self.discovery.earlier)
+            + self.engines.connections
+        )
 
     def set_limits(self, configuration: Configuration) -> None:
         """Apply the limits of a configuration."""
@@ -173,10 +178,10 @@
             },
         )
 
-    def apply_list(self, known: KnownList) -> None:
+    def apply_list(self, known: NumberedList) -> None:
         """Apply a list, then record it as current; after a fault, the name service sends it again."""
         self.adapter.apply_list(known.endpoints)
-        self.names.take_known(known)
+        self.names.adopt_list(known)
 
     def start(self) -> None:
         """Listen, and apply the initial list.
@@ -221,8 +226,8 @@
 
         Each step is guarded, because an exception would end the periodic call.
         """
-        self.call_safely("wall_clock", self.wall_clock.look)
-        self.call_safely("discovery", self.discovery.look)
+        self.call_safely("wall_clock", self.wall_clock.check)
+        self.call_safely("discovery", self.discovery.check_and_repair)
         self.call_safely("clients", self.clients.sweep)
         self.call_safely("engines", self.engines.sweep)
 
--- a/spurdeal/net/wall_clock.py
+++ b/spurdeal/net/wall_clock.py
@@ -28,7 +28,7 @@
         self.wall, self.monotonic, self.counters, self.log = wall, monotonic, counters, log
         self.offset = self.offset_at_start = wall() - monotonic()
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Logs a step since the last check; gradual corrections do not count."""
         offset = self.wall() - self.monotonic()
         step, self.offset = offset - self.offset, offset
--- a/spurdeal/net/watch.py
+++ b/spurdeal/net/watch.py
@@ -54,7 +54,7 @@
             reactor._poller = self.poller = RetryingPoller(TimedPoller(reactor._poller, self), self.clock)
             self.installed, self.polled_at = True, self.clock()
 
-    def polled(self) -> None:
+    def record_poll(self) -> None:
         """Records the return of a poll.
 
         On a busy machine the process may be descheduled after the system has checked the sockets and before
@@ -111,7 +111,7 @@
             figures = {"ms": gap, "turns_ms": self.batch_time, "events": self.batch_events}
             self.log.warning("poll_gap", extra={"figures": figures})
 
-    def refused(self, call: str, descriptor: int, error: OSError) -> None:
+    def record_error(self, call: str, descriptor: int, error: OSError) -> None:
         """Counts and logs a failed call on the poller."""
         self.counters.add(f"{call}_failed_errno_{error.errno}")
         self.lines.write("poller_call_failed", call=call, descriptor=descriptor, error=errno_name(error))
@@ -156,7 +156,7 @@
         try:
             change(descriptor, *events)
         except OSError as error:
-            self.watch.refused(f"epoll_{call}", descriptor, error)
+            self.watch.record_error(f"epoll_{call}", descriptor, error)
             raise
 
     def poll(self, timeout: float, limit: int) -> list[tuple[int, int]]:
@@ -164,9 +164,9 @@
         try:
             found: list[tuple[int, int]] = self.poller.poll(timeout, limit)
         except OSError as error:
-            self.watch.refused("epoll_wait", -1, error)
+            self.watch.record_error("epoll_wait", -1, error)
             raise
-        self.watch.polled()
+        self.watch.record_poll()
         return found
 
 
@@ -200,7 +200,7 @@
         ]()  # since the queue was last empty; those that date no connection yet
         self.count_supported = False  # whether the system has ever reported a waiting connection
 
-    def accepted(self, limit: int) -> Unpolled:
+    def record_accept(self, limit: int) -> Unpolled:
         """Records an accept, of at most `limit` in this round; returns since when the connection may wait."""
         if self.loop.round != self.round:
             self.begin_round(limit)
@@ -231,13 +231,13 @@
             self.samples.pop()  # the new one dates all of its connections, and dates them later
         self.samples.append(QueueSample(at, removed + waiting))
 
-    def failed(self) -> None:
+    def record_failure(self) -> None:
         """Records a failed accept: the queue is not empty."""
         if self.loop.round != self.round:
             self.begin_round(0)
             self.sample_queue(self.total)
         self.count = self.limit = 0
 
-    def resumed(self) -> None:
+    def record_resumption(self) -> None:
         """Accepting resumes after a pause: connections may have been waiting since the last accept."""
         self.round, self.count, self.limit = self.loop.round, 0, 0
--- a/spurdeal/store/guard.py
+++ b/spurdeal/store/guard.py
@@ -163,10 +163,10 @@
         if self.inner is not None:
             self.inner.attempt_cancelled(request, attempt)
 
-    def mode_changed(self, line: str) -> None:
+    def rules_logged(self, line: str) -> None:
         """See Guard."""
         if self.inner is not None:
-            self.inner.mode_changed(line)
+            self.inner.rules_logged(line)
 
     def batch_ended(self) -> None:
         """See Guard."""
--- a/spurdeal/vrrp/guard.py
+++ b/spurdeal/vrrp/guard.py
@@ -110,7 +110,7 @@
     def attempt_cancelled(self, request: OpenRequest, attempt: int) -> None:
         """Do nothing: the handover needs no notice of it."""
 
-    def mode_changed(self, line: str) -> None:
+    def rules_logged(self, line: str) -> None:
         """Do nothing: the handover needs no notice of it."""
 
     def batch_ended(self) -> None:
@@ -171,7 +171,7 @@
         """
         unix, rules = self.adapter.clock(), self.adapter.rules
         cold, ejected = [], []
-        for ident, place in self.adapter.index.places.items():
+        for ident, place in self.adapter.index.indices.items():
             engine = rules.engines.get(place)
             if engine is None:
                 continue
--- a/spurdeal/vrrp/station.py
+++ b/spurdeal/vrrp/station.py
@@ -227,9 +227,9 @@
             return
         for known in self.handover.peer_states.values():
             for ident, left in known.ejected:
-                if ident in self.adapter.index.places:
+                if ident in self.adapter.index.indices:
                     self.adapter.enqueue(
-                        self.adapter.rules.engine_suspected, self.adapter.index.place_of(ident), left
+                        self.adapter.rules.engine_suspected, self.adapter.index.index_of(ident), left
                     )
 
     def send_state(self) -> None:
--- a/tests/soak/tracing.py
+++ b/tests/soak/tracing.py
@@ -63,14 +63,14 @@
                 self.arrived(datagram)
 
     def asked(self, datagram: Datagram) -> None:
-        """See NameService.await_answer."""
+        """See NameService.await_response."""
         self.freshness.asked(datagram.at * 1000)
         self.open[datagram.ident] = datagram.at
         if len(self.open) > MAX_OPEN_QUERIES:
             del self.open[next(iter(self.open))]
 
     def arrived(self, datagram: Datagram) -> None:
-        """See NameService.take_answer."""
+        """See NameService.handle_response."""
         if (asked_at := self.open.pop(datagram.ident, None)) is not None:
             verdict = Verdict.NEWER if datagram.number > self.highest() else Verdict.CONFIRMED
             self.freshness.answered(datagram.at * 1000, asked_at * 1000, verdict)
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -16,7 +16,7 @@
 from spurdeal.fleet.station import Clocks, FleetStation, StationSettings
 from spurdeal.fleet.words import status_words
 from spurdeal.lab.names import Endpoint
-from spurdeal.net.engine_list import KnownList
+from spurdeal.net.engine_list import NumberedList
 from spurdeal.net.start import Service
 from spurdeal.settings.reading import read_text
 from spurdeal.vrrp.sealed import Keys
@@ -388,7 +388,7 @@
             call.addErrback(lambda _: None)
             # Queued behind the request: the list is in force before the request's batch carries anything out.
             kept = {ident: endpoint for ident, endpoint in adapter.endpoints.items() if ident == stays}
-            self.station.service.names.take_known(KnownList(2, kept))
+            self.station.service.names.adopt_list(NumberedList(2, kept))
             self.station.list_received(kept)
             world.go(100)
             heard = [
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -18,7 +18,7 @@
 
 from spurdeal.net.descriptors import (
     OPENED_LATER,
-    TYPICAL_HELD,
+    TYPICAL_OPEN,
     DescriptorBudget,
     ProcessDescriptors,
     count_open_descriptors,
@@ -60,10 +60,10 @@
 
     def test_what_the_process_holds_already_is_reserved(self) -> None:
         few, many = (
-            DescriptorBudget.from_limit(200, ProcessDescriptors(held=held))
-            for held in (TYPICAL_HELD, TYPICAL_HELD + 20)
+            DescriptorBudget.from_limit(200, ProcessDescriptors(already_open=held))
+            for held in (TYPICAL_OPEN, TYPICAL_OPEN + 20)
         )
-        self.assertEqual((few.own, many.own), (TYPICAL_HELD + OPENED_LATER, TYPICAL_HELD + 20 + OPENED_LATER))
+        self.assertEqual((few.own, many.own), (TYPICAL_OPEN + OPENED_LATER, TYPICAL_OPEN + 20 + OPENED_LATER))
         self.assertLessEqual(many.own + many.clients + many.engines, 200)
 
     def test_the_system_allows_less_than_is_configured(self) -> None:
--- a/tests/test_gone_clients.py
+++ b/tests/test_gone_clients.py
@@ -383,7 +383,7 @@
         peer = world.peer().up()
         peer.say(1, "200", "parts=1", ROW)
         world.service.adapter.guard = guard
-        guard.batch_ended = lambda: peer.protocol.lost()  # type: ignore[method-assign]  # noqa: PLW0108 - the attribute is replaced below
+        guard.batch_ended = lambda: peer.protocol.remove_and_end_attempts()  # type: ignore[method-assign]  # noqa: PLW0108 - the attribute is replaced below
         caller.post(LOOKUP)
         guard.batch_ended = lambda: None  # type: ignore[method-assign]
         world.go()
@@ -520,7 +520,7 @@
         caller = Caller(world)
         caller.post(LOOKUP)
         caller.say(self.DELETE % 99 * 40 + b"DELETE x HTTP/1.1\r\n\r\n")
-        self.assertEqual(len(caller.protocol.cancelled_ahead), 16)
+        self.assertEqual(len(caller.protocol.early_deletes), 16)
         world.peer().up().say(LOOKUP, "200", "parts=1", ROW)
         world.go()
         self.assertEqual([status for status, _, _ in caller.answers()], [200, *[404] * 40, 400])
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -325,7 +325,7 @@
             peer.lose()
         world.go(6000)
         adapter = world.service.adapter
-        kept = (adapter.index.places, adapter.rules.engines, adapter.engines.engines)
+        kept = (adapter.index.indices, adapter.rules.engines, adapter.engines.engines)
         self.assertEqual([len(engines) for engines in kept], [1, 1, 1])
 
     def test_finished_objects_form_no_reference_cycles(self) -> None:
--- a/tests/test_request_log.py
+++ b/tests/test_request_log.py
@@ -100,7 +100,7 @@
         for step, told in ((0.0, 0), (20.0, 0), (20_000.0, 1), (-3_600_000.0, 2)):
             steady[0] += 250.0
             wall[0] += 250.0 + step
-            watch.look()
+            watch.check()
             self.assertEqual(stream.getvalue().count("event=wall_clock_stepped"), told)
         self.assertEqual(counters.sums["wall_clock_steps"], 2)
         self.assertEqual(counters.sums["wall_clock_largest_step_ms"], 3_600_000)
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -72,7 +72,7 @@
     def cold_for(self, world: World, ident: str) -> float:
         """Returns for how many ms slow start still limits an engine."""
         rules = world.service.adapter.rules
-        return float(rules.engines[world.service.adapter.index.places[ident]].slow_start_until - world.now())
+        return float(rules.engines[world.service.adapter.index.indices[ident]].slow_start_until - world.now())
 
     def test_in_the_list_of_the_start(self) -> None:
         for off in (HOUR, 20_000.0, -HOUR):
--- a/tests/test_station.py
+++ b/tests/test_station.py
@@ -125,7 +125,7 @@
         self.assertEqual([one.holds(), pair.sides["n2"].holds()], [True, False])
         cold = {
             ident: rules.engines[place].slow_start_until > pair.unix()
-            for ident, place in one.service.adapter.index.places.items()
+            for ident, place in one.service.adapter.index.indices.items()
         }
         self.assertEqual(cold, {"s-1": False, "s-9": True})
 
--- a/tests/test_system_faults.py
+++ b/tests/test_system_faults.py
@@ -454,10 +454,10 @@
         """The process may have lost its core after the system polled the sockets."""
         now = [0.0]
         watch = LoopWatch(lambda: now[0], Counters(), logging.Logger("n1"))
-        watch.polled()
+        watch.record_poll()
         for at, since in ((2000.0, 0.0), (2001.0, 0.0), (2002.0, 2002.0), (3000.0, 2002.0), (4000.0, 2002.0)):
             now[0] = at
-            watch.polled()
+            watch.record_poll()
             self.assertEqual(watch.readable_since, since)
 
     def test_a_request_of_which_reads_bring_a_byte_each_is_read_at_once(self) -> None:
@@ -639,7 +639,7 @@
         peer = world.peer()
         peer.factory.clientConnectionFailed(None, Failure(ConnectError(error, "by the test")))
         world.go()
-        number = world.service.adapter.index.places[f"s-{peer.host.rpartition('.')[2]}"]
+        number = world.service.adapter.index.indices[f"s-{peer.host.rpartition('.')[2]}"]
         return world, world.service.adapter.rules.engines[number]
 
     def test_a_want_of_our_own_counts_against_no_engine_and_the_request_goes_on(self) -> None:
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -124,13 +124,13 @@
         for _ in range(10):
             steps.reactor.now += 0.01
             steps.round()
-            dated += [watch.accepted(2).since for _ in range(2)]
+            dated += [watch.record_accept(2).since for _ in range(2)]
         now = steps.clock()
         self.assertAlmostEqual(now - dated[-1], 30.0, places=3)  # three rounds of two
         self.assertLessEqual(len(watch.samples), 4)
         steps.go(10)
         steps.go(10)  # a round with no accept: it was empty
-        self.assertAlmostEqual(steps.clock() - watch.accepted(2).since, 0.0, places=3)
+        self.assertAlmostEqual(steps.clock() - watch.record_accept(2).since, 0.0, places=3)
 
     def test_without_a_stall_the_time_is_that_of_the_reading(self) -> None:
         steps, client, engine = self.resting()
@@ -238,7 +238,7 @@
         for _ in range(8):
             steps.reactor.now += ROUND / 1000
             steps.round()
-            ages.append(round(steps.clock() - watch.accepted(1).since))
+            ages.append(round(steps.clock() - watch.record_accept(1).since))
             kept.append(len(watch.samples))
         self.assertEqual(ages, [0, 10, 20, 30, 40, 30, 30, 30])
         self.assertEqual(kept, [1, 2, 1, 2, 3, 3, 3, 3])
@@ -324,8 +324,8 @@
         if self.paused:
             self.paused -= 1
             if not self.paused:
-                self.watch.resumed()
-        self.loop.polled()
+                self.watch.record_resumption()
+        self.loop.record_poll()
         self.polls.append(self.now)
         if self.paused or not self.queue:
             return
@@ -334,7 +334,7 @@
             if not self.queue:
                 return
             if self.choice.random() < 0.05:
-                self.watch.failed()
+                self.watch.record_failure()
                 self.paused = self.choice.randrange(1, 4)
                 return
             self.accept(most)
@@ -345,7 +345,7 @@
     def accept(self, most: int) -> None:
         came = self.queue.popleft()
         looked = max(at for at in self.looks if at < came)
-        self.accepted.append((came, self.watch.accepted(most).since, looked))
+        self.accepted.append((came, self.watch.record_accept(most).since, looked))
 
 
 class HeldBack(unittest.TestCase):
