--- a/spurdeal/net/answers.py
+++ b/spurdeal/net/answers.py
@@ -6,7 +6,7 @@
 
 
 class Delivered(NamedTuple):
-    """The result of the query, as the pages of an engine's answer."""
+    """The result of the statement, as the pages of an engine's answer."""
 
     pages: tuple[bytes, ...]
 
@@ -22,7 +22,7 @@
 
 
 class Granted(NamedTuple):
-    """The caller sends the query itself; the outcome of its attempt is reported later, or never."""
+    """The caller sends the statement itself; the outcome of its attempt is reported later, or never."""
 
 
 Answer = Delivered | Shed | Failed | Granted
--- a/spurdeal/net/arrival_times.py
+++ b/spurdeal/net/arrival_times.py
@@ -32,9 +32,9 @@
         """Reading resumes after a pause: what the next round reads may have arrived during it."""
         self.unpolled = Unpolled(paused_at, self.loop.round + 1)
 
-    def forget_before(self, left: int) -> None:
-        """Drops the times of consumed bytes, all but the last `left`; keeps that of the last consumed one."""
-        while self.times and self.times[0][0] < self.received - left:
+    def forget_consumed(self, unconsumed_bytes: int) -> None:
+        """Drops the times of consumed bytes, except that of the last one; the others are still unconsumed."""
+        while self.times and self.times[0][0] < self.received - unconsumed_bytes:
             self.times.popleft()
 
     def clear(self) -> None:
--- a/spurdeal/net/attempts.py
+++ b/spurdeal/net/attempts.py
@@ -26,7 +26,7 @@
 
     Attributes:
         wait: For how many ms the engine may work on it.
-        rank: Its priority; None if the deployment has no priorities.
+        rank: The request's priority; None if the deployment has no priorities.
         idempotency_key: Lets engines recognize a repeat; empty if the client gave none.
         at_once: Whether it is written to the socket at once, or by `Engines.write_deferred`.
         taken: Called once the system has accepted its last byte.
@@ -36,11 +36,11 @@
     rank: int | None
     idempotency_key: bytes = b""
     at_once: bool = True
-    taken: Callable[[], object] = lambda: None
+    on_written: Callable[[], object] = lambda: None
 
 
-class Attempt:
-    """An attempt from its sending to its outcome, with which its Deferred fires exactly once."""
+class OutgoingAttempt:
+    """An attempt sent over our own connections; its Deferred fires with the outcome exactly once."""
 
     __slots__ = (
         "at_send",
--- a/spurdeal/net/client.py
+++ b/spurdeal/net/client.py
@@ -33,7 +33,7 @@
 # Of a lingering close: ms that it takes, and bytes that are read and discarded in it.
 LINGER_TIMEOUT, MAX_LINGER_BYTES = 1000.0, 262_144
 MAX_READS_PER_REQUEST = 512  # consecutive reads of one call of dataReceived
-MAX_EARLY_DELETES = 16  # pipelined DELETEs that are carried out while the call before them is open
+MAX_EARLY_DELETES = 16  # DELETEs executed before the response of the request in front of them
 MAX_REQUESTS_PER_ROUND = 16  # of one connection in one round of the event loop, for fairness
 
 
@@ -58,18 +58,19 @@
 
     def __init__(self, clients: Clients) -> None:
         self.clients, self.parser = clients, RequestParser()
-        self.call: Deferred[Answer] | None = None
+        self.pending_answer: Deferred[Answer] | None = None
         self.phase = Phase.OPEN
         self.write_blocked = False  # the client does not read responses, so nothing is read from it either
-        self.has_sent_request = False  # a query that was accepted, at least once
-        self.draining = False  # it is closed after its next response
+        self.has_sent_request = False  # one with a statement that was accepted, at least once
+        self.close_after_response = False  # it is closed after its next response
         self.state_since = self.last_read = clients.clock()
         self.dropped_bytes = 0  # while lingering
         self.arrivals = ArrivalTimes(clients.adapter.loop, clients.record_accept())
-        # Of each DELETE carried out ahead: the status of its response, and whether to keep the connection.
+        # Of each DELETE executed early: the status of its response, and whether to keep the connection.
         self.early_deletes = deque[tuple[int, bool]]()
-        self.next_advance: Any = None  # the delayed call
-        self.in_advance = False  # guards `advance` against recursion by a request that is answered at once
+        self.scheduled_processing: Any = None  # the delayed call
+        # Guards `process_buffer` against recursion by a request that is answered at once.
+        self.is_processing = False
 
     @property
     def closing(self) -> bool:
@@ -98,7 +99,7 @@
         """
         self.take_data(data)
         for _ in range(MAX_READS_PER_REQUEST):
-            if self.call is not None or not self.has_partial_request():
+            if self.pending_answer is not None or not self.has_partial_request():
                 return
             if not (more := immediate.receive(self.transport)):
                 return  # no input, or end of stream, which the transport detects itself
@@ -114,16 +115,16 @@
         self.last_read = self.clients.clock()
         if not self.parser.remaining():
             self.state_since = self.last_read
-        elif self.call is None and not self.is_advance_scheduled():
+        elif self.pending_answer is None and not self.is_processing_scheduled():
             self.arrivals.clear()  # a partial request: its wait counts from its last byte
         self.parser.feed(data)
         self.arrivals.add(len(data))
-        if self.call is not None and self.parser.remaining() > self.clients.max_read_ahead:
+        if self.pending_answer is not None and self.parser.remaining() > self.clients.max_read_ahead:
             self.clients.counters.add("client_ran_ahead")
             self.withdraw()
             self.transport.abortConnection()
             return
-        self.advance()
+        self.process_buffer()
 
     def readConnectionLost(self) -> None:
         """Treats a half-closed connection as closed: the client has left, even if a response is pending."""
@@ -138,16 +139,16 @@
     def connectionLost(self, reason: Failure = connectionDone) -> None:
         """Cancels the open request and removes the connection."""
         self.withdraw()
-        if self.is_advance_scheduled():
-            self.next_advance.cancel()
+        if self.is_processing_scheduled():
+            self.scheduled_processing.cancel()
         self.clients.connection_closed(self)
 
     def withdraw(self) -> None:
         """Cancels the open request: its client has left, and needs no response."""
         self.stop_requests()
-        call, self.call = self.call, None
-        if call is not None:
-            call.cancel()
+        answer, self.pending_answer = self.pending_answer, None
+        if answer is not None:
+            answer.cancel()
 
     def stop_requests(self) -> None:
         """Reads no more requests from this connection."""
@@ -179,7 +180,7 @@
         self.write_blocked, self.last_read = False, self.clients.clock()
         self.arrivals.resume(self.state_since)
         self.transport.resumeProducing()
-        self.advance()
+        self.process_buffer()
 
     def stopProducing(self) -> None:
         """Reads no more requests, as the transport cannot write any more."""
@@ -187,14 +188,14 @@
 
     # Requests and responses.
 
-    def advance(self) -> None:
+    def process_buffer(self) -> None:
         """Handles all whole requests in the buffer, unless a caller up the stack does so already."""
-        if not self.in_advance:
-            self.in_advance = True
+        if not self.is_processing:
+            self.is_processing = True
             try:
                 self.handle_requests()
             finally:
-                self.in_advance = False
+                self.is_processing = False
             self.execute_early_deletes()
 
     def handle_requests(self) -> None:
@@ -205,13 +206,13 @@
         handled = 0
         while self.is_free():
             if handled >= MAX_REQUESTS_PER_ROUND:
-                if not self.is_advance_scheduled():
-                    self.next_advance = self.clients.adapter.reactor.callLater(0, self.advance)
+                if not self.is_processing_scheduled():
+                    self.scheduled_processing = self.clients.adapter.reactor.callLater(0, self.process_buffer)
                 return
             handled += 1
             try:
                 request = self.parser.take()
-                self.arrivals.forget_before(self.parser.remaining())
+                self.arrivals.forget_consumed(self.parser.remaining())
                 if request is None:
                     return
                 self.state_since = self.clients.clock()
@@ -222,27 +223,27 @@
 
     def is_free(self) -> bool:
         """Whether the next request may be handled."""
-        return self.call is None and not self.closing and not self.write_blocked
+        return self.pending_answer is None and not self.closing and not self.write_blocked
 
-    def is_advance_scheduled(self) -> bool:
+    def is_processing_scheduled(self) -> bool:
         """Whether buffered requests wait for the loop's next round."""
-        return self.next_advance is not None and self.next_advance.active()
+        return self.scheduled_processing is not None and self.scheduled_processing.active()
 
     def execute_early_deletes(self) -> None:
-        """Carries out DELETEs that are pipelined behind an open call, as they may cancel that very call.
+        """Executes DELETEs that are pipelined behind an open request, as they may cancel that very request.
 
-        Their responses are written in order, after that of the open call; if that call was cancelled, none
+        Their responses are written in order, after that of the open request; if that one was cancelled, none
         is written.
         """
         while (
-            self.call is not None
+            self.pending_answer is not None
             and len(self.early_deletes) < MAX_EARLY_DELETES
             and self.parser.next_is(b"DELETE")
         ):
             try:
                 request = self.parser.take()
             except BadRequest:
-                return  # reported when its turn comes
+                return  # reported when it is handled in order
             if request is None:
                 return
             _, target, _, _, keep_alive = request
@@ -278,7 +279,7 @@
     def open_request(
         self, path: bytes, fields: dict[bytes, memoryview], body: memoryview, keep_alive: bool
     ) -> None:
-        """Submits a query to the adapter; the call stays open until the adapter answers it.
+        """Submits a statement to the adapter; the request stays open until the adapter answers it.
 
         Raises:
             BadRequest: its workload, id or numbers are invalid, or a request with this id is open.
@@ -294,9 +295,9 @@
         owner, idempotency_key = bytes(fields.get(b"req-owner", b"")), bytes(fields.get(b"req-token", b""))
         if idempotency_key and not IDEMPOTENCY_KEY.fullmatch(idempotency_key):
             raise BadRequest(400, "req-token cannot be used")
-        call = self.clients.adapter.accept_request(
+        answer = self.clients.adapter.accept_request(
             ident,
-            self.clients.names[workload],
+            self.clients.workload_names[workload],
             workload,
             wait - self.arrivals.waited(self.clients.clock()),
             cost,
@@ -308,23 +309,23 @@
             key=key_hash(fields.get(b"req-key", b"")),
             idempotency_key=idempotency_key,
         )
-        if call is None:
+        if answer is None:
             raise BadRequest(400, "a submission with this id is open")
-        self.call, self.has_sent_request = call, True
-        call.addCallbacks(self.answer_received, self.request_cancelled, (keep_alive,))
+        self.pending_answer, self.has_sent_request = answer, True
+        answer.addCallbacks(self.answer_received, self.request_cancelled, (keep_alive,))
 
-    def start_draining(self) -> None:
-        """Closes the connection after its open call, as another dispatcher holds its address now."""
-        self.draining = True
+    def close_after_open_request(self) -> None:
+        """Closes the connection after its open request, as another dispatcher holds its address now."""
+        self.close_after_response = True
         self.close_if_idle()
 
     def answer_received(self, answer: Answer, keep_alive: bool) -> None:
-        """Writes the response to the open call, then handles pipelined requests."""
+        """Writes the response to the open request, then handles pipelined requests."""
         if not self.clients.counters.check_invariant(
-            self.call is not None and not self.closing, "answer_to_a_call"
+            self.pending_answer is not None and not self.closing, "answer_to_a_call"
         ):
             return
-        self.call = None
+        self.pending_answer = None
         match answer:
             case Delivered(pages):
                 self.respond(200, {"result": result_rows(pages)}, keep_alive)
@@ -334,14 +335,14 @@
             case Failed():
                 self.respond(500, {"fault": "Aborted"}, keep_alive)
         if self.parser.remaining() or self.early_deletes:
-            self.advance()
-        self.clients.call_ended()
+            self.process_buffer()
+        self.clients.request_ended()
 
     def request_cancelled(self, failure: Failure) -> None:
-        """Closes the connection: its open call was cancelled, on this or another one, so has no response."""
+        """Closes the connection: its open request was cancelled by some client, and gets no response."""
         if not isinstance(failure.value, CancelledError):
             failure.raiseException()
-        self.call = None
+        self.pending_answer = None
         if not self.closing:
             self.close()
 
@@ -352,7 +353,7 @@
         self.clients.counters.add(f"answers_{status}")
         self.state_since, keep_alive = (
             self.clients.clock(),
-            keep_alive and not self.draining and not self.clients.ending,
+            keep_alive and not self.close_after_response and not self.clients.ending,
         )
         body = json.dumps(value, ensure_ascii=False, separators=(",", ":")).encode()
         self.transport.write(response(status, body, keep_alive, extra))
@@ -376,8 +377,8 @@
         return idle
 
     def timed_out(self, now: float) -> bool:
-        """Whether the timeout of its present state has passed. No timeout applies while a call is open."""
-        if self.call is not None:
+        """Whether the timeout of its present state has passed. No timeout applies while a request is open."""
+        if self.pending_answer is not None:
             return False
         paused = self.has_partial_request() and now - max(self.last_read, self.state_since) > READ_TIMEOUT
         return paused or now - self.state_since > self.state_timeout()
--- a/spurdeal/net/clients.py
+++ b/spurdeal/net/clients.py
@@ -13,13 +13,13 @@
 from .counters import Counters
 from .eviction import MIN_AGE, evict
 from .link import SocketAdapter
-from .patient_socket import ACCEPT_RETRY_DELAY, RetryingListener
+from .patient_socket import ACCEPT_RETRY_DELAY, TolerantListener
 from .pending import count_waiting_connections, has_waiting_connections
 from .watch import AcceptWatch, Unpolled
 
 # Length of the accept queue. Beyond it the system drops SYNs, which clients send again only after 1 s.
 BACKLOG = 4096
-MIN_READ_AHEAD, MAX_READ_AHEAD = 16_384, 131_072  # bytes buffered for one client whose call is open
+MIN_READ_AHEAD, MAX_READ_AHEAD = 16_384, 131_072  # bytes buffered for one client with an open request
 READ_AHEAD_MEMORY_SHARE = 0.25  # of the memory, for the read-ahead of all clients
 MAX_ACCEPT_ROUNDS = BACKLOG  # at exit: at worst, each round accepts one connection of the backlog
 LOG_INTERVAL = 1000.0  # ms between two "accept_paused" log lines, at least
@@ -32,8 +32,8 @@
         connections: Open connections, in the order in which they were accepted.
         max_connections: Limit on their number.
         accepts: Connections accepted per round of the event loop, and free slots that eviction maintains.
-        max_read_ahead: Bytes that a client may pipeline behind its open call.
-        names: The workloads' names by index.
+        max_read_ahead: Bytes that a client may pipeline behind its open request.
+        workload_names: The workloads' names by index.
         port: The listening port; None until it is opened.
         other_descriptors: Returns how many descriptors the process holds for other uses.
         fleet: Returns the state of the fleet for GET /fleet; None without a fleet.
@@ -56,12 +56,12 @@
     ) -> None:
         self.adapter, self.workloads = adapter, workloads
         self.max_connections, self.accepts, self.max_read_ahead = 0, 1, MAX_READ_AHEAD
-        self.names = {workload: name for name, workload in workloads.items()}
+        self.workload_names = {workload: name for name, workload in workloads.items()}
         self.tenants, self.max_slashes = tenants, max(name.count(b"/") for name in workloads)
         self.clock, self.counters, self.log = clock, counters, log
         self.connections: dict[Client, None] = {}
         self.port: Any = None
-        self.admission_call: Any = None  # the delayed call
+        self.accept_limit_call: Any = None  # the delayed call
         self.other_descriptors: Callable[[], int] = lambda: 0
         self.fleet: Callable[[], object] | None = None
         self.pause_logged_at = float("-inf")
@@ -75,14 +75,14 @@
         ahead = READ_AHEAD_MEMORY_SHARE * memory_mb * 1_048_576 / self.max_connections
         self.max_read_ahead = int(min(MAX_READ_AHEAD, max(MIN_READ_AHEAD, ahead)))
         if self.port is not None:
-            self.schedule_admission()
+            self.schedule_accept_limit()
 
     def set_port(self, port: Any) -> None:
         """Sets the listening port, and makes its socket survive transient errors of accept."""
         self.port = port
         real = getattr(port, "socket", None)  # None on an in-memory transport
         if real is not None:
-            port.socket = RetryingListener(real, self.counters, self.pause_after_error)
+            port.socket = TolerantListener(real, self.counters, self.pause_after_error)
 
     def pause_after_error(self) -> None:
         """Pauses accepting after an error; waiting connections stay in the backlog."""
@@ -121,7 +121,7 @@
         return count_waiting_connections(getattr(self.port, "socket", None))
 
     def record_accept(self) -> Unpolled:
-        """Since when a connection that is accepted now may have been waiting."""
+        """Records an accept; returns since when the connection may have been waiting."""
         return self.accepting.record_accept(getattr(self.port, "numberAccepts", 0))
 
     def connection_opened(self, client: Client) -> None:
@@ -129,42 +129,42 @@
         self.connections[client] = None
         self.counters.add("client_connections")
         self.counters.record_max("most_client_connections", len(self.connections))
-        self.schedule_admission()
+        self.schedule_accept_limit()
 
     def connection_closed(self, client: Client) -> None:
         """Removes a connection; its descriptor may be used by one that waits."""
         self.connections.pop(client, None)
         if self.paused:
-            self.schedule_admission()
+            self.schedule_accept_limit()
 
-    def call_ended(self) -> None:
+    def request_ended(self) -> None:
         """A connection may have become idle; if others wait for a descriptor, it may be evicted."""
         if self.paused:
-            self.schedule_admission()
+            self.schedule_accept_limit()
 
-    def schedule_admission(self) -> None:
-        """Schedules `update_admission` for the next round of the loop, once for all changes in this one."""
-        self.schedule_admission_within(0.0)
+    def schedule_accept_limit(self) -> None:
+        """Schedules `update_accept_limit` for the next round of the loop, once for all changes in this."""
+        self.schedule_accept_limit_within(0.0)
 
-    def schedule_admission_within(self, seconds: float) -> None:
-        """Schedules `update_admission` within this time, unless it is due earlier already."""
+    def schedule_accept_limit_within(self, seconds: float) -> None:
+        """Schedules `update_accept_limit` within this time, unless it is due earlier already."""
         reactor = self.adapter.reactor
-        if self.admission_call is None:
-            self.admission_call = reactor.callLater(seconds, self.update_admission)
-        elif self.admission_call.getTime() > reactor.seconds() + seconds:
-            self.admission_call.reset(seconds)
+        if self.accept_limit_call is None:
+            self.accept_limit_call = reactor.callLater(seconds, self.update_accept_limit)
+        elif self.accept_limit_call.getTime() > reactor.seconds() + seconds:
+            self.accept_limit_call.reset(seconds)
 
-    def update_admission(self) -> None:
+    def update_accept_limit(self) -> None:
         """Evicts connections to keep slots free for the next round, and limits accepts to the free slots.
 
         Otherwise Twisted accepts more and more per round; once descriptors run out, it accepts and closes all
         connections of the backlog unread, with whole requests among them.
         """
-        self.admission_call = None
+        self.accept_limit_call = None
         self.record_descriptors()
         excess = len(self.connections) + self.accepts - self.max_connections
         if excess > 0 and self.evict_idle(excess) < excess:
-            self.schedule_admission_within(
+            self.schedule_accept_limit_within(
                 MIN_AGE / 1000
             )  # connections too new to be evicted now can be evicted by then
         self.apply_accept_limit()
@@ -204,13 +204,13 @@
             self.log.warning("accept_paused", extra={"figures": {"connections": len(self.connections)}})
 
     def drain(self, host: str) -> None:
-        """Closes the connections to an address that is no longer held here, after their open calls."""
+        """Closes the connections to an address that is no longer held here, after their open requests."""
         for client in list(self.connections):
             if client.transport.getHost().host == host:
-                client.start_draining()
+                client.close_after_open_request()
 
     def close_idle(self) -> bool:
-        """Closes connections without an open call.
+        """Closes connections without an open request.
 
         Returns:
             Whether connections remain.
@@ -260,4 +260,4 @@
                 self.counters.add("client_timed_out")
                 client.expire()
         if self.paused:
-            self.schedule_admission()
+            self.schedule_accept_limit()
--- a/spurdeal/net/configuration.py
+++ b/spurdeal/net/configuration.py
@@ -9,14 +9,15 @@
 
 from ..deployment import deployment, reported, without_nulls
 from ..interface import Deployment
-from .engine_list import Address, NumberedList, known_list, read_address
+from .engine_list import Address, NumberedList, list_from_configuration, read_address
 from .transient_errors import TRANSIENT_FILE_ERRORS
 
 DEFAULT_DESCRIPTORS = 1024
 DEFAULT_MEMORY_MB = 192.0
 DEFAULT_CONNECT_TIMEOUT = 250.0  # ms
 DEFAULT_ENGINE_IDLE = 30_000.0  # ms
-OPEN_CALLS_PART = 1 / 3  # of the descriptors, as the protocol demands; a connection has one request at a time
+# Of the descriptors, as the protocol demands; a connection has one request at a time.
+OPEN_REQUESTS_SHARE = 1 / 3
 
 
 class Unusable(Exception):
@@ -27,12 +28,12 @@
     """A configuration file that the system cannot read.
 
     Attributes:
-        may_pass: Whether the error may be transient.
+        is_transient: Whether the error may be transient.
     """
 
     def __init__(self, path: str, fault: OSError) -> None:
         super().__init__(f"configuration: {fault.strerror}: {path}")
-        self.may_pass = fault.errno in TRANSIENT_FILE_ERRORS
+        self.is_transient = fault.errno in TRANSIENT_FILE_ERRORS
 
 
 @dataclass(frozen=True, slots=True, kw_only=True)
@@ -43,9 +44,9 @@
         name: The dispatcher's name, for its log.
         host, port: The address that it listens on.
         seed: The source of its random choices.
-        sockets: How many descriptors its process may have open.
+        max_descriptors: How many descriptors its process may have open.
         memory_mb: How much memory its process may use.
-        nameserver: The address of the name service.
+        nameserver: The address of the name server.
         known: The initial list of engines.
         site: The deployment, as the rules take it.
         workloads, tenants: Their indices by name.
@@ -60,7 +61,7 @@
     host: str
     port: int
     seed: int
-    sockets: int
+    max_descriptors: int
     memory_mb: float
     nameserver: Address
     known: NumberedList
@@ -74,8 +75,11 @@
     idle_timeout: float
     attempts_per_connection: int
 
-    def rest_differs(self, other: Configuration) -> bool:
-        """Whether settings that only take effect at a start differ."""
+    def site_or_address_differs(self, other: Configuration) -> bool:
+        """Whether the deployment or the listening address differs, which take effect only at a start.
+
+        Other settings that need a start, such as the seed or the names of tenants, are not compared.
+        """
         return (self.site, self.host, self.port) != (other.site, other.host, other.port)
 
 
@@ -100,18 +104,18 @@
     """Build a configuration from a JSON object; errors are raised as they occur."""
     settings = given["settings"]
     process_limits, limits = given.get("limits", {}), settings.get("limits", {})
-    sockets = int(process_limits.get("sockets", DEFAULT_DESCRIPTORS))
+    max_descriptors = int(process_limits.get("sockets", DEFAULT_DESCRIPTORS))
     listen = read_address(given["listen"])
     return Configuration(
         name=str(given.get("name", "")),
         host=listen.host,
         port=listen.port,
         seed=int(str(given.get("seed", "0")), 16),
-        sockets=sockets,
+        max_descriptors=max_descriptors,
         memory_mb=float(process_limits.get("memory_mb", DEFAULT_MEMORY_MB)),
         nameserver=read_address(given["nameserver"]),
-        known=known_list(given["known"]),
-        site=replace(deployment(settings), max_open=sockets * OPEN_CALLS_PART),
+        known=list_from_configuration(given["known"]),
+        site=replace(deployment(settings), max_open=max_descriptors * OPEN_REQUESTS_SHARE),
         workloads=indices_of(str(grade["name"]) for grade in settings["grades"]),
         tenants=indices_of(str(tenant.get("name", "")) for tenant in settings.get("tenants", [])),
         zones=[str(name) for name in settings.get("zones", [])],
--- a/spurdeal/net/connection.py
+++ b/spurdeal/net/connection.py
@@ -18,22 +18,22 @@
 
 from ..interface import Ending
 from . import engine_answers, immediate
-from .attempts import Attempt, Outcome, SendTerms
+from .attempts import Outcome, OutgoingAttempt, SendTerms
 from .patient_socket import wrap_socket
 from .pending import peek
 from .resp import ArrayParser, BadAnswer, command
 
 if TYPE_CHECKING:
-    from .engines import Engine
+    from .engines import EnginePool
 
 MAX_RESULT_BYTES = 96_000
 MAX_FINISHED_IDS = 16  # finished attempts remembered per connection: more than answers can cross
 # Limits on the time between an answer's first and last byte: a multiple of the connect timeout, at least so
-# many ms, and at most this part of the time that its attempt still has.
-ANSWER_TIME_CONNECTS, MIN_ANSWER_TIME, ANSWER_TIME_PART = 2.0, 200.0, 0.5
+# many ms, and at most this share of the time that its attempt still has.
+ANSWER_TIME_CONNECTS, MIN_ANSWER_TIME, ANSWER_TIME_SHARE = 2.0, 200.0, 0.5
 RESEND_DELAY = 0.005  # seconds after which a message of which the system accepted no byte is written again
 MAX_ABANDONED_WRITE = 50.0  # ms in which the system must accept the rest of an abandoned attempt
-DRAIN_WRITE_PART = 0.5  # part of the drain grace after which bytes not accepted by the system are cut off
+DRAIN_WRITE_SHARE = 0.5  # share of the drain grace after which bytes not accepted by the system are cut off
 
 
 @implementer(IPullProducer)
@@ -42,18 +42,21 @@
 
     transport: Any
 
-    def __init__(self, engine: Engine) -> None:
+    def __init__(self, engine: EnginePool) -> None:
         self.engine, self.engines, self.parser = engine, engine.engines, ArrayParser()
-        self.attempts: dict[bytes | memoryview, Attempt] = {}
+        self.attempts: dict[bytes | memoryview, OutgoingAttempt] = {}
         self.finished_ids: dict[bytes, bool] = {}  # ids sent here before, and whether they were given up
-        self.write_queue = deque[bytes | Attempt]()
+        self.write_queue = deque[bytes | OutgoingAttempt]()
         self.answer_timer: Any = None
-        self.being_written: Attempt | None = None  # its bytes may still be in the transport
+        self.being_written: OutgoingAttempt | None = None  # its bytes may still be in the transport
         self.bytes_ahead = b""  # messages before it in the same write
         self.write_terms: SendTerms | None = None
         self.deferred = b""  # messages to be written by `Engines.write_deferred`
-        self.up = self.closing = self.silent = self.sending = self.peer_closed = False
-        self.unread = False  # part of an answer was received, or there are unread bytes
+        # up: connected. closing: takes no further attempts. unresponsive: suspected dead, so it is aborted
+        # instead of closed. sending: registered as producer, until the transport's buffer is empty.
+        # peer_closed: the end of the stream has arrived.
+        self.up = self.closing = self.unresponsive = self.sending = self.peer_closed = False
+        self.has_unread_bytes = False  # part of an answer was received, or there are unread bytes
         self.opened = self.last_used = self.last_received = self.answer_began = self.engines.clock()
 
     # Callbacks of Twisted.
@@ -80,14 +83,14 @@
                 self.handle_answer(parts)
         except (BadAnswer, ValueError) as fault:
             self.fail_connection(str(fault))
-        self.unread = bool(self.parser.remaining())
+        self.has_unread_bytes = bool(self.parser.remaining())
         if self.up and self.parser.remaining():
             self.start_answer_timer()
 
     def fail_connection(self, why: str) -> None:
         """Fail the connection after a bad answer: attempts may have run, but no answer can be read."""
         self.engines.counters.add("engine_bad_answers")
-        self.engine.say("bad_answer", why=why, trips=len(self.attempts))
+        self.engine.log_warning("bad_answer", why=why, trips=len(self.attempts))
         self.transport.abortConnection()
         self.remove_and_end_attempts()
 
@@ -104,7 +107,7 @@
         attempts = (own,) if own is not None else self.attempts.values()
         deadline = max((attempt.deadline for attempt in attempts), default=float("inf"))
         longest = max(MIN_ANSWER_TIME, ANSWER_TIME_CONNECTS * self.engines.connect_timeout)
-        longest = min(longest, ANSWER_TIME_PART * (deadline - self.answer_began))
+        longest = min(longest, ANSWER_TIME_SHARE * (deadline - self.answer_began))
         return max(0.0, self.answer_began + longest - self.engines.clock())
 
     def start_answer_timer(self) -> None:
@@ -142,7 +145,7 @@
             self.write_queue.append(command(*parts))
             self.flush()
 
-    def carry(self, attempt: Attempt) -> None:
+    def enqueue_attempt(self, attempt: OutgoingAttempt) -> None:
         """Queue an attempt."""
         self.attempts[attempt.ident], attempt.connection = attempt, self
         self.write_queue.append(attempt)
@@ -158,19 +161,19 @@
         """The transport's buffer is empty: write the next messages, up to and including one attempt."""
         self.write_finished()
         while self.write_queue:
-            ready = self.next_messages()
+            message_bytes = self.next_messages()
             if self.write_terms is not None and not self.write_terms.at_once:
-                self.deferred = ready
+                self.deferred = message_bytes
                 self.engines.deferred.append(self)
                 return
-            if not self.fully_written(ready):
+            if not self.fully_written(message_bytes):
                 return
-            self.being_written = self.write_terms = None  # in one step: nothing could happen in between
+            self.being_written = self.write_terms = None  # all bytes were accepted: none to requeue
         self.sending = False
         self.transport.unregisterProducer()
         self.close_if_done()
 
-    def fully_written(self, ready: bytes) -> bool:
+    def fully_written(self, message_bytes: bytes) -> bool:
         """Write to the socket; the transport writes the rest later, then asks for more.
 
         An attempt is written immediately: if the transport wrote it in its own iteration of the event loop,
@@ -180,16 +183,16 @@
             Whether the system has accepted all of it.
         """
         if self.being_written is not None:
-            sent = immediate.send(self.transport, ready)
+            sent = immediate.send(self.transport, message_bytes)
             if sent <= len(self.bytes_ahead):
                 self.requeue(self.being_written, self.bytes_ahead[sent:])
                 return False
-            ready = ready[sent:]
-        if ready:
-            self.transport.write(ready)
-        return not ready
+            message_bytes = message_bytes[sent:]
+        if message_bytes:
+            self.transport.write(message_bytes)
+        return not message_bytes
 
-    def requeue(self, attempt: Attempt, ahead: bytes) -> None:
+    def requeue(self, attempt: OutgoingAttempt, ahead: bytes) -> None:
         """Put back an attempt of which no byte was accepted; its message is rebuilt when it is sent."""
         self.engines.counters.add("trips_put_back")
         self.engines.counters.add("trips_written", -1)
@@ -208,38 +211,38 @@
 
     def write_deferred(self) -> None:
         """Write the messages that were deferred to the end of the batch."""
-        ready, self.deferred = self.deferred, b""
-        if self.up and ready and self.fully_written(ready):
+        message_bytes, self.deferred = self.deferred, b""
+        if self.up and message_bytes and self.fully_written(message_bytes):
             self.resumeProducing()
 
     def write_finished(self) -> None:
         """Handle that the system has accepted everything written so far."""
         terms, self.being_written, self.write_terms = self.write_terms, None, None
         if terms is not None:
-            terms.taken()
+            terms.on_written()
 
     def next_messages(self) -> bytes:
         """Take messages off the queue, up to and including one attempt; invalid attempts end as MOOT."""
-        ready = list[bytes]()
+        messages = list[bytes]()
         while self.write_queue and self.being_written is None:
             message = self.write_queue.popleft()
-            if not isinstance(message, Attempt):
-                ready.append(message)
+            if not isinstance(message, OutgoingAttempt):
+                messages.append(message)
             elif (terms := message.at_send()) is None:
                 self.finish(message, Outcome(Ending.MOOT))
             else:
-                self.bytes_ahead = b"".join(ready)
-                ready.append(self.serve_command(message, terms))
+                self.bytes_ahead = b"".join(messages)
+                messages.append(self.serve_command(message, terms))
                 self.being_written, self.write_terms = message, terms
-        if ready:
+        if messages:
             self.last_used = self.engines.clock()
-        return b"".join(ready)
+        return b"".join(messages)
 
     def stopProducing(self) -> None:
         """Stop writing: the transport is closing."""
         self.sending = False
 
-    def serve_command(self, attempt: Attempt, terms: SendTerms) -> bytes:
+    def serve_command(self, attempt: OutgoingAttempt, terms: SendTerms) -> bytes:
         """Build the command that sends an attempt, and mark the attempt as written."""
         self.engines.counters.add("trips_written")
         attempt.sent, attempt.written = self.engines.clock(), True
@@ -250,26 +253,31 @@
             fields += b",once=%b" % terms.idempotency_key
         return command(b"serve", attempt.ident, fields, attempt.statement)
 
-    def give_up(self, attempt: Attempt, ending: Ending) -> None:
+    def give_up(self, attempt: OutgoingAttempt, ending: Ending) -> None:
         """Give up an attempt: cancel it while it may run, or release its pages once it has run."""
         if not attempt.written:
             self.withdraw(attempt)
             return
         self.write(b"release" if attempt.page_count else b"cancel", attempt.ident)
-        quiet = self.engines.clock() - attempt.sent > self.engines.connect_timeout
-        if self.up and quiet and self.last_received <= attempt.sent and not self.silent:
+        connect_timeout_passed = self.engines.clock() - attempt.sent > self.engines.connect_timeout
+        if (
+            self.up
+            and connect_timeout_passed
+            and self.last_received <= attempt.sent
+            and not self.unresponsive
+        ):
             # An unreachable machine leaves its connections open, and whether an attempt sent on one runs is
             # unknown, while a new connection that never comes up proves that nothing ran. So this connection
             # gets no further attempts. Hangs and long packet loss look the same.
             self.engines.counters.add("silent_connections")
             if self.engine.last_received <= attempt.sent:
-                self.engine.say("silent_engine", trips=len(self.attempts))
-            self.closing = self.silent = True
+                self.engine.log_warning("silent_engine", trips=len(self.attempts))
+            self.closing = self.unresponsive = True
         if attempt is self.being_written:
             self.engines.reactor.callLater(MAX_ABANDONED_WRITE / 1000, self.abort_abandoned_write, attempt)
         self.finish(attempt, Outcome(ending), given_up=True)
 
-    def withdraw(self, attempt: Attempt) -> None:
+    def withdraw(self, attempt: OutgoingAttempt) -> None:
         """Remove an attempt that has not been written: nothing of it has run or will run."""
         if attempt in self.write_queue:
             self.write_queue.remove(attempt)
@@ -278,17 +286,17 @@
     def withdraw_unsent(self) -> None:
         """Withdraw what is not written, when the engine drains, is gone, has moved or was restarted.
 
-        Bytes that the system has not accepted by the time set by DRAIN_WRITE_PART would arrive too late and
+        Bytes that the system has not accepted by the time set by DRAIN_WRITE_SHARE would arrive too late and
         are cut off.
         """
         for attempt in [attempt for attempt in self.attempts.values() if not attempt.written]:
             self.withdraw(attempt)
         if self.being_written is not None and self.up:
             self.engines.reactor.callLater(
-                DRAIN_WRITE_PART * self.engines.drain_grace / 1000, self.abort_write, self.being_written
+                DRAIN_WRITE_SHARE * self.engines.drain_grace / 1000, self.abort_write, self.being_written
             )
 
-    def abort_write(self, attempt: Attempt) -> None:
+    def abort_write(self, attempt: OutgoingAttempt) -> None:
         """Close the connection if an attempt is still being written.
 
         This covers an engine that hangs with its receive window full. Bytes that the system holds for a
@@ -299,12 +307,12 @@
             self.transport.abortConnection()
             self.remove_and_end_attempts()
 
-    def abort_abandoned_write(self, attempt: Attempt) -> None:
+    def abort_abandoned_write(self, attempt: OutgoingAttempt) -> None:
         """Cut off an abandoned attempt, whose rest would arrive late, unless other attempts run here."""
         if not any(other.written for other in self.attempts.values()):
             self.abort_write(attempt)
 
-    def accepts(self, attempt: Attempt) -> bool:
+    def accepts(self, attempt: OutgoingAttempt) -> bool:
         """Whether this connection can take an attempt, as far as is known."""
         return (
             not self.closing
@@ -322,12 +330,12 @@
         """
         waiting = peek(self.transport) if self.up and not self.attempts else None
         peer_closed, unread = waiting == b"", bool(waiting)
-        newly_unfit = (peer_closed and not self.peer_closed) or (unread and not self.unread)
+        newly_unfit = (peer_closed and not self.peer_closed) or (unread and not self.has_unread_bytes)
         self.peer_closed |= peer_closed  # the next read will return the end of the stream
-        self.unread |= unread
+        self.has_unread_bytes |= unread
         return newly_unfit
 
-    def finish(self, attempt: Attempt, outcome: Outcome, given_up: bool = False) -> None:
+    def finish(self, attempt: OutgoingAttempt, outcome: Outcome, given_up: bool = False) -> None:
         """End an attempt with an outcome."""
         if not self.engines.counters.check_invariant(
             self.attempts.pop(attempt.ident, None) is attempt, "trip_ends_once"
@@ -349,9 +357,10 @@
     def close_if_done(self) -> None:
         """Close a connection that is retired and has no attempts.
 
-        A silent one is aborted, otherwise the system would send its buffered bytes when the network recovers.
+        An unresponsive one is aborted, otherwise the system would send its buffered bytes when the network
+        recovers.
         """
-        if self.closing and not self.attempts and self.up and self.silent:
+        if self.closing and not self.attempts and self.up and self.unresponsive:
             self.transport.abortConnection()
         elif self.closing and not self.attempts and self.up and not self.sending:
             self.transport.loseConnection()
@@ -406,7 +415,7 @@
                 self.write(b"release", ident)
             self.finish(attempt, Outcome(ending, (), self.engines.report(fields.get("stats", ""))))
 
-    def page(self, attempt: Attempt, number: int, text: memoryview) -> None:
+    def page(self, attempt: OutgoingAttempt, number: int, text: memoryview) -> None:
         """Store a page of a result, and deliver the result if it is complete."""
         attempt.result_bytes += len(text)
         if attempt.result_bytes > MAX_RESULT_BYTES:
--- a/spurdeal/net/counters.py
+++ b/spurdeal/net/counters.py
@@ -4,7 +4,11 @@
 
 
 class Counters:
-    """Sums and maxima by name."""
+    """Sums and maxima by name.
+
+    The names are read by operators, so they keep older terms: a trip is an attempt and a turn is a batch;
+    `taken` counts accepted requests, `broken_off` failed ones; `names_*` concern the name server.
+    """
 
     def __init__(self) -> None:
         self.sums: Counter[str] = Counter()
--- a/spurdeal/net/descriptors.py
+++ b/spurdeal/net/descriptors.py
@@ -8,8 +8,8 @@
 
 OPEN_DESCRIPTORS = "/proc/self/fd"
 TYPICAL_OPEN = 6  # standard streams, the event loop's epoll and its wake-up pipe
-OPENED_AT_START = 3  # listener, name service, and the descriptor that Twisted keeps in reserve for accept
-OPENED_FOR_NAMES = 3  # more sockets to the name service, opened while it does not answer
+OPENED_AT_START = 3  # listener, discovery socket, and the descriptor that Twisted keeps in reserve for accept
+OPENED_FOR_NAMES = 3  # more sockets to the name server, opened while it does not answer
 # Plus two: one to reload the configuration, one to list the open descriptors.
 OPENED_LATER = OPENED_AT_START + OPENED_FOR_NAMES + 2
 MAX_OWN_SHARE = 1 / 4  # binds only for limits that are too low for all parts
@@ -55,7 +55,7 @@
 
     Attributes:
         limit: All descriptors.
-        own: Reserved for the process: its streams, event loop, listener, name service, files.
+        own: Reserved for the process: those already open, listener, discovery sockets, files.
         clients: Limit on connections from clients.
         engines: Limit on connections to engines.
         accepts: Connections accepted per round of the event loop at most, which is also the number of
--- a/spurdeal/net/discovery_socket.py
+++ b/spurdeal/net/discovery_socket.py
@@ -1,8 +1,8 @@
 """The socket for queries to the name server: opens it, reopens it and supervises it.
 
 Each step of discovery is triggered by the one before: a query by a timer, a read by the poller, a new socket
-by the close of the last one. If such a chain breaks, for whatever reason, `look` detects that and restarts
-it.
+by the close of the last one. If such a chain breaks, for whatever reason, `check_and_repair` detects that and
+restarts it.
 
 If responses stay away, queries are sent from another socket with another source port. The earlier sockets are
 read for as long as responses to them may still matter.
@@ -19,7 +19,7 @@
 from .counters import Counters
 from .datagram_reading import TolerantReading
 from .descriptors import OPENED_FOR_NAMES
-from .earlier_port import KEPT, EarlierPort
+from .earlier_port import RETENTION, EarlierPort
 from .names import NameService
 from .port_renewal import PortRenewal
 
@@ -49,18 +49,18 @@
         self.renewal = PortRenewal(names)
         self.reopening: Any = None
         self.closed = False
-        names.on_closed = self.ended
+        names.on_closed = self.on_port_closed
         names.before_query = self.renew_if_due
 
     def open(self) -> None:
         """Opens the socket; if that fails, tries again after REOPEN_AFTER."""
         self.reopening = None
         try:
-            self.port = self.opened(self.names)
+            self.port = self.open_port(self.names)
         except (CannotListenError, OSError) as fault:
             self.retry_opening(fault)
 
-    def opened(self, protocol: DatagramProtocol) -> Any:
+    def open_port(self, protocol: DatagramProtocol) -> Any:
         """Opens a Twisted port on an ephemeral source port.
 
         Raises:
@@ -85,15 +85,15 @@
         self.note_not_opened(fault, self.names)
         self.open_later()
 
-    def ended(self) -> None:
+    def on_port_closed(self) -> None:
         """Handles the close of the current socket, which loses the responses under way."""
         self.port = None
         if self.closed:
             return
-        self.note_ended()
+        self.note_closed()
         self.open_later()
 
-    def note_ended(self) -> None:
+    def note_closed(self) -> None:
         """Counts and logs a socket that was closed by an error."""
         self.counters.add("names_socket_ended")
         figures = {"unheard_ms": self.names.silent_for() * 1000}
@@ -120,30 +120,30 @@
         self.renewal.renewed()
         earlier = EarlierPort(self.names)
         try:
-            opened = self.opened(earlier)
+            opened = self.open_port(earlier)
         except (CannotListenError, OSError) as fault:
             self.note_not_opened(fault, earlier)
             return
         earlier.exchange(self.port, opened, self.reactor.seconds())
-        earlier.on_ended = self.earlier_ended
+        earlier.on_ended = self.on_earlier_closed
         self.earlier.append(earlier)
         self.port = opened
         self.counters.add("names_ports_renewed")
         figures = {"unheard_ms": self.names.silent_for() * 1000, "open": len(self.earlier) + 1}
         self.log.warning("discovery_port_renewed", extra={"figures": figures})
 
-    def earlier_ended(self, earlier: EarlierPort) -> None:
+    def on_earlier_closed(self, earlier: EarlierPort) -> None:
         """Handles the close of an earlier port by an error."""
         self.earlier.remove(earlier)
         if not self.closed:
-            self.note_ended()
+            self.note_closed()
 
     def read_earlier(self) -> None:
-        """Reads the earlier ports, and closes those that were not used for KEPT seconds."""
+        """Reads the earlier ports, and closes those that were not used for RETENTION seconds."""
         now = self.reactor.seconds()
         for earlier in list(self.earlier):
             self.read_unprompted(earlier.port)
-            if earlier in self.earlier and now - earlier.since > KEPT:
+            if earlier in self.earlier and now - earlier.since > RETENTION:
                 self.earlier.remove(earlier)
                 earlier.close()
 
--- a/spurdeal/net/dns.py
+++ b/spurdeal/net/dns.py
@@ -22,9 +22,9 @@
     return b"".join(bytes([len(label)]) + label for label in labels) + b"\0"
 
 
-def encode_query(ident: int, name: str, kind: int) -> bytes:
+def encode_query(ident: int, name: str, query_type: int) -> bytes:
     """Encodes a query for the records of one type."""
-    return HEADER.pack(ident, 0, 1, 0, 0, 0) + encode_name(name) + struct.pack("!HH", kind, IN)
+    return HEADER.pack(ident, 0, 1, 0, 0, 0) + encode_name(name) + struct.pack("!HH", query_type, IN)
 
 
 def read_name(message: memoryview, at: int) -> tuple[str, int]:
@@ -76,16 +76,24 @@
 
 
 def decode_response(
-    datagram: bytes, ident: int, name: str, kind: int
+    datagram: bytes, ident: int, name: str, query_type: int
 ) -> tuple[int | None, list[tuple[int, int, int, str]], dict[str, str], dict[str, list[str]]] | None:
-    """Decodes a response: serial number, SRV records, addresses and texts by name; None if foreign."""
+    """Decodes a response; None if it answers another query.
+
+    Returns:
+        The serial number of the SOA record, if any; the SRV records of the name as (priority, weight, port,
+        target); the addresses of A records by owner; the strings of TXT records by owner.
+
+    Raises:
+        BadDatagram: It is malformed, truncated, or reports an error.
+    """
     message = memoryview(datagram)
     try:
         response_id, flags, questions, *counts = HEADER.unpack_from(message)
         if response_id != ident or not flags & RESPONSE or questions != 1:
             return None
         query_name, at = read_name(message, HEADER.size)
-        if query_name.lower() != name.lower() or struct.unpack_from("!HH", message, at) != (kind, IN):
+        if query_name.lower() != name.lower() or struct.unpack_from("!HH", message, at) != (query_type, IN):
             return None
         at += 4
         if flags & (TRUNCATED | RESPONSE_CODE):
@@ -97,23 +105,23 @@
         for _ in range(sum(counts)):
             owner, at = read_name(message, at)
             owner = owner.lower()
-            record, family, _, size = RECORD_HEAD.unpack_from(message, at)
+            record_type, record_class, _ttl, data_length = RECORD_HEAD.unpack_from(message, at)
             at += RECORD_HEAD.size
-            data = message[at : at + size]
-            if len(data) < size:
+            data = message[at : at + data_length]
+            if len(data) < data_length:
                 raise BadDatagram("truncated record")
-            if family == IN and record == SRV and owner == query_name.lower():
+            if record_class == IN and record_type == SRV and owner == query_name.lower():
                 priority, weight, port = SRV_HEAD.unpack_from(data)
                 services.append((priority, weight, port, read_name(message, at + SRV_HEAD.size)[0]))
-            elif family == IN and record == A and size == 4:
+            elif record_class == IN and record_type == A and data_length == 4:
                 addresses[owner] = ".".join(str(byte) for byte in data)
-            elif family == IN and record == TXT:
+            elif record_class == IN and record_type == TXT:
                 texts.setdefault(owner, []).extend(read_strings(data))
-            elif family == IN and record == SOA:
+            elif record_class == IN and record_type == SOA:
                 _, after = read_name(message, at)
                 _, after = read_name(message, after)
                 (serial,) = struct.unpack_from("!I", message, after)
-            at += size
+            at += data_length
         return serial, services, addresses, texts
     except struct.error:
         raise BadDatagram("truncated response") from None
--- a/spurdeal/net/earlier_port.py
+++ b/spurdeal/net/earlier_port.py
@@ -7,7 +7,9 @@
 
 from twisted.internet.protocol import DatagramProtocol
 
-KEPT = 7.0  # seconds; a later response holds only changes that count as announced anyway
+# Seconds; well above list_freshness.PROPAGATION_LIMIT, after which changes count as announced: a later
+# response could hold no other ones.
+RETENTION = 7.0
 
 
 class EarlierPort(DatagramProtocol):
--- a/spurdeal/net/engine_answers.py
+++ b/spurdeal/net/engine_answers.py
@@ -7,6 +7,7 @@
 from ..interface import Ending
 from .resp import BadAnswer
 
+# 503: refused as full. 500: failed. 504: not run, so it counts as if it had not been sent.
 ENDINGS = {b"503": Ending.FULL, b"500": Ending.ERROR, b"504": Ending.MOOT}
 STATUSES = (b"200", b"chunk", *ENDINGS)
 PARTS, MAX_PAGES, COLUMNS = 4, 256, 3
--- a/spurdeal/net/engine_index.py
+++ b/spurdeal/net/engine_index.py
@@ -1,4 +1,4 @@
-"""Maps the names of engines, zones and kinds to the numbers that the rules use."""
+"""Maps the names of engines, zones and kinds to the indices that the rules use."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class EngineIndex:
-    """Numbers the engines of the list, without reusing a number, and the zones and kinds.
+    """The indices of the engines of the list, none of which is reused, and of the zones and kinds.
 
     Attributes:
-        places: By engine id, its number.
+        indices: By engine id, its index.
     """
 
     def __init__(self, zones: Sequence[str], kinds: Sequence[str]) -> None:
@@ -22,7 +22,7 @@
         self.next_index = count()
 
     def index_of(self, ident: str) -> int:
-        """Returns the number of an engine; a new engine gets the next one."""
+        """Returns the index of an engine; a new engine gets the next one."""
         if ident not in self.indices:
             self.indices[ident] = next(self.next_index)
         return self.indices[ident]
--- a/spurdeal/net/engine_list.py
+++ b/spurdeal/net/engine_list.py
@@ -53,7 +53,7 @@
     return Address(str(IPv4Address(host)), int(port))
 
 
-def known_list(known: Mapping[str, Any]) -> NumberedList:
+def list_from_configuration(known: Mapping[str, Any]) -> NumberedList:
     """Builds the list from the numbered events of the configuration."""
     endpoints: dict[str, Endpoint] = {}
     last = int(known.get("no", 0))
@@ -62,7 +62,7 @@
         if roster.get("reset"):
             endpoints.clear()
         for entry in roster["instances"]:
-            endpoint = known_endpoint(entry)
+            endpoint = endpoint_from_configuration(entry)
             endpoints[endpoint.ident] = endpoint
         last = max(last, int(item["no"]))
     return NumberedList(
@@ -70,8 +70,8 @@
     )
 
 
-def known_endpoint(entry: Mapping[str, Any]) -> Endpoint:
-    """Reads one engine of a numbered event."""
+def endpoint_from_configuration(entry: Mapping[str, Any]) -> Endpoint:
+    """Reads one engine's entry of a numbered event."""
     address = read_address(entry["hostPort"])
     return Endpoint(
         str(entry["instanceId"]),
--- a/spurdeal/net/engines.py
+++ b/spurdeal/net/engines.py
@@ -9,7 +9,7 @@
 
 from ..interface import Ending, Life
 from ..slow_start import leads_to_predecessor
-from .attempts import Attempt, Outcome, SendTerms
+from .attempts import Outcome, OutgoingAttempt, SendTerms
 from .connection import Connection
 from .counters import Counters
 from .dial import Dial
@@ -17,15 +17,15 @@
 from .resp import BadAnswer
 from .watch import LoopWatch
 
-__all__ = ["Attempt", "Connection", "Engine", "Engines", "Outcome", "SendTerms"]
+__all__ = ["Connection", "EnginePool", "Engines", "Outcome", "OutgoingAttempt", "SendTerms"]
 
-# Part of the engines' idle timeout after which we close idle connections. If the engine closed first, an
+# Share of the engines' idle timeout after which we close idle connections. If the engine closed first, an
 # attempt could be on its way to it at that moment.
-IDLE_CLOSE_PART = 0.5
+IDLE_CLOSE_SHARE = 0.5
 IDLE_TIMEOUT_GROWTH = 1.001  # per sweep: a shorter idle timeout observed once is forgotten within minutes
 
 
-class Engine:
+class EnginePool:
     """One engine's endpoint and the connections to it."""
 
     def __init__(self, engines: Engines, number: int, endpoint: Endpoint) -> None:
@@ -33,7 +33,7 @@
         self.connections: list[Connection] = []
         self.last_received = 0.0
 
-    def say(self, event: str, **figures: object) -> None:
+    def log_warning(self, event: str, **figures: object) -> None:
         """Log a warning about this engine."""
         self.engines.log.warning(event, extra={"figures": {"engine": self.endpoint.ident} | figures})
 
@@ -48,20 +48,19 @@
             ):
                 connection.transport.abortConnection()  # it leads to a process that has ended
                 connection.remove_and_end_attempts()
-            elif endpoint.life == Life.GONE or endpoint[1:3] != previous[1:3]:
+            elif endpoint.life == Life.GONE or endpoint[1:3] != previous[1:3]:  # host and port
                 connection.retire()
             if (
                 endpoint.life != Life.READY
-                or endpoint[1:3] != previous[1:3]
+                or endpoint[1:3] != previous[1:3]  # host and port
                 or endpoint.started != previous.started
             ):
                 connection.withdraw_unsent()
                 if not connection.up:
-                    connection.remove_and_end_attempts(
-                        Ending.MOOT
-                    )  # still dialling a state of the endpoint that is outdated
+                    # It still dials an outdated state of the endpoint.
+                    connection.remove_and_end_attempts(Ending.MOOT)
 
-    def connection_for(self, attempt: Attempt, at_most_once: bool) -> Connection | None:
+    def connection_for(self, attempt: OutgoingAttempt, at_most_once: bool) -> Connection | None:
         """Return a connection for an attempt, new or open; None if neither is possible.
 
         The socket of an open one is checked first: it may have been closed, or hold unread bytes.
@@ -76,7 +75,7 @@
         self.engines.dial(self.endpoint.host, self.endpoint.port, Dial(connection))
         return connection
 
-    def least_loaded(self, attempt: Attempt, at_most_once: bool) -> Connection | None:
+    def least_loaded(self, attempt: OutgoingAttempt, at_most_once: bool) -> Connection | None:
         """The open connection with the fewest attempts; None if a new connection is better.
 
         A new one is better than a shared one because a failing connection fails all its attempts. While a new
@@ -86,13 +85,13 @@
         """
         engines = self.engines
         usable = [connection for connection in self.connections if connection.accepts(attempt)]
-        since = engines.clock() - IDLE_CLOSE_PART * engines.observed_idle_timeout
+        since = engines.clock() - IDLE_CLOSE_SHARE * engines.observed_idle_timeout
         fresh = [
             connection
             for connection in usable
             if connection.attempts
             or (
-                not connection.unread
+                not connection.has_unread_bytes
                 and (not at_most_once or max(connection.last_used, connection.last_received) > since)
             )
         ]
@@ -116,7 +115,8 @@
         """Close connections that have been idle since then."""
         for connection in list(self.connections):
             if connection.up and not connection.attempts and connection.last_used < idle_since:
-                connection.silent |= connection.sending  # it hasn't read for so long what was last written
+                # What was last written has not been read for so long.
+                connection.unresponsive |= connection.sending
                 connection.retire()
 
 
@@ -133,7 +133,7 @@
     ) -> None:
         self.reactor, self.clock, self.counters, self.log = reactor, clock, counters, log
         self.report_fields, self.connections = tuple(report_fields), 0
-        self.engines: dict[int, Engine] = {}
+        self.engines: dict[int, EnginePool] = {}
         self.watch = LoopWatch(clock, counters, log)  # replaced by the adapter's
         self.deferred: list[Connection] = []
 
@@ -174,13 +174,13 @@
 
     def update_engine(self, engine: int, endpoint: Endpoint) -> None:
         """Add or update an engine from a list."""
-        if (known := self.engines.get(engine)) is not None:
-            known.update_endpoint(endpoint)
-            self.drop_if_gone(known)
+        if (existing := self.engines.get(engine)) is not None:
+            existing.update_endpoint(endpoint)
+            self.drop_if_gone(existing)
         elif endpoint.life != Life.GONE:
-            self.engines[engine] = Engine(self, engine, endpoint)
+            self.engines[engine] = EnginePool(self, engine, endpoint)
 
-    def drop_if_gone(self, engine: Engine) -> None:
+    def drop_if_gone(self, engine: EnginePool) -> None:
         """Remove an engine that is gone, once its last connection has ended."""
         if engine.endpoint.life == Life.GONE and not engine.connections:
             self.engines.pop(engine.number, None)
@@ -210,16 +210,16 @@
         deadline: float,
         at_most_once: bool,
         at_send: Callable[[], SendTerms | None],
-    ) -> Attempt:
+    ) -> OutgoingAttempt:
         """Queue an attempt on a connection; it ends as MOOT if there is none."""
-        attempt = Attempt(ident, workload, statement, deadline, at_send)
+        attempt = OutgoingAttempt(ident, workload, statement, deadline, at_send)
         found = self.engines.get(engine)
         connection = found.connection_for(attempt, at_most_once) if found is not None else None
         if connection is None:
             self.counters.add("trips_not_sent")  # gone, or at the connection limit: not the engine's fault
             attempt.done.callback(Outcome(Ending.MOOT))
         else:
-            connection.carry(attempt)
+            connection.enqueue_attempt(attempt)
         return attempt
 
     def write_deferred(self) -> None:
@@ -232,12 +232,12 @@
         finally:  # also after an exception at one of them
             self.deferred += waiting
 
-    def set_priority(self, attempt: Attempt, rank: int) -> None:
+    def set_priority(self, attempt: OutgoingAttempt, rank: int) -> None:
         """Tell the engine the new priority of an attempt that it has not answered."""
         if attempt.connection is not None and attempt.written and not attempt.page_count:
             attempt.connection.write(b"weigh", attempt.ident, b"%d" % rank)
 
-    def give_up(self, attempt: Attempt, ending: Ending) -> None:
+    def give_up(self, attempt: OutgoingAttempt, ending: Ending) -> None:
         """Cancel an attempt if it is still out."""
         if attempt.connection is not None:
             attempt.connection.give_up(attempt, ending)
@@ -246,7 +246,7 @@
         """Close idle connections, and let the observed idle timeout recover."""
         self.observed_idle_timeout = min(self.idle_timeout, self.observed_idle_timeout * IDLE_TIMEOUT_GROWTH)
         for engine in list(self.engines.values()):
-            engine.sweep(self.clock() - IDLE_CLOSE_PART * self.idle_timeout)
+            engine.sweep(self.clock() - IDLE_CLOSE_SHARE * self.idle_timeout)
 
     def close(self) -> None:
         """Close all connections."""
--- a/spurdeal/net/eviction.py
+++ b/spurdeal/net/eviction.py
@@ -11,7 +11,7 @@
 if TYPE_CHECKING:
     from .client import Client
 
-MIN_AGE = 25.0  # ms; a new connection may take this long to send its first bytes, a request to complete
+MIN_AGE = 25.0  # ms that a connection gets to send its first bytes, or the rest of a request
 CLOSING_TIMEOUT = 1000.0  # ms for sending the last response
 
 
@@ -19,16 +19,18 @@
     """States in which a connection may be evicted, in the order of eviction."""
 
     CLOSING = 0  # no more requests are read: its last response is being sent, or it lingers
-    NO_REQUEST = 1  # it never submitted a query: it sent nothing, part of a request, or others such as GET
-    IDLE = 2  # it submitted queries before, and has no open call
-    PARTIAL_REQUEST = 3  # it submitted queries before, and sent part of another request
+    NO_REQUEST = (
+        1  # it never submitted a statement: it sent nothing, part of a request, or others such as GET
+    )
+    IDLE = 2  # it submitted statements before, and has no open request
+    PARTIAL_REQUEST = 3  # it submitted statements before, and sent part of another request
 
 
 def eviction_rank(client: Client) -> EvictionRank | None:
-    """The rank of a connection; None if it must stay, with an open call or with unread responses."""
+    """The rank of a connection; None if it must stay, with an open request or with unread responses."""
     if client.closing:
         return EvictionRank.CLOSING
-    if client.call is not None or client.write_blocked:
+    if client.pending_answer is not None or client.write_blocked:
         return None
     if not client.has_sent_request:
         return EvictionRank.NO_REQUEST
--- a/spurdeal/net/http.py
+++ b/spurdeal/net/http.py
@@ -39,12 +39,12 @@
     def next_is(self, method: bytes) -> bool:
         """Whether the next request has begun and uses this method."""
         self.skip_empty_lines()
-        return self.buffer.startswith(method + b" ", self.at)
+        return self.buffer.startswith(method + b" ", self.position)
 
     def skip_empty_lines(self) -> None:
         """Skips empty lines before a request: some clients send one after a body."""
-        while self.buffer.startswith(b"\r\n", self.at):
-            self.at += 2
+        while self.buffer.startswith(b"\r\n", self.position):
+            self.position += 2
 
     def take(self) -> tuple[bytes, bytes, dict[bytes, memoryview], memoryview, bool] | None:
         """Removes the next whole request from the buffer; None if it is not complete yet.
@@ -56,12 +56,12 @@
             BadRequest: it is malformed or too large.
         """
         self.skip_empty_lines()
-        end = self.buffer.find(b"\r\n\r\n", self.at, self.at + MAX_HEAD_SIZE)
+        end = self.buffer.find(b"\r\n\r\n", self.position, self.position + MAX_HEAD_SIZE)
         if end < 0:
             if self.remaining() >= MAX_HEAD_SIZE:
                 raise BadRequest(431, "the head is too long")
             return None
-        request_line = REQUEST_LINE.match(self.buffer, self.at, end + 2)
+        request_line = REQUEST_LINE.match(self.buffer, self.position, end + 2)
         if request_line is None:
             raise BadRequest(400, "the request line cannot be read")
         view = memoryview(self.buffer)
--- a/spurdeal/net/link.py
+++ b/spurdeal/net/link.py
@@ -57,7 +57,8 @@
         self.priorities, self.no_tenant = site.priorities, len(site.quotas)
         self.open_requests: dict[int, OpenRequest] = {}
         self.by_ident: dict[bytes, OpenRequest] = {}
-        self.answered_pending: dict[bytes, OpenRequest] = {}  # answered, attempts still out: ids in use
+        # Answered requests with attempts that are still out: their ids are in use.
+        self.answered_with_open_attempts: dict[bytes, OpenRequest] = {}
         self.early_withdrawals = EarlyWithdrawals()
         self.at_most_once = at_most_once(site)
         self.in_order = [workload.in_order for workload in site.workloads]
@@ -94,10 +95,25 @@
     ) -> Deferred[Answer] | None:
         """Accept a request; its Deferred fires with the answer, and cancelling it withdraws the request.
 
+        Args:
+            ident: The request's id; case does not matter.
+            workload: The name of its workload.
+            kind: The index of its workload.
+            wait: For how many ms the client still waits for the answer.
+            cost: The client's estimate of the work; 0 if it gave none.
+            memory: The client's estimate of the memory, in MB; 0 if it gave none.
+            group: The group of tables that it uses, see `statement.table_group`; NO_GROUP if it has none.
+            statement: The statement to run.
+            sender: Sends its attempts; None for our own connections to engines.
+            client_connected: Whether the client is still connected.
+            tenant: The index of its tenant; None for one without a quota.
+            key: A hash of its ordering key; 0 if it has none.
+            idempotency_key: Lets engines recognize a repeat; empty if it has none.
+
         Returns:
             None if a request with this id is open, or was answered while an attempt of it is still out.
         """
-        if ident.lower() in self.by_ident or ident.lower() in self.answered_pending:
+        if ident.lower() in self.by_ident or ident.lower() in self.answered_with_open_attempts:
             return None
         if sender is None and self.early_withdrawals.forget(ident.lower(), self.clock()):
             self.counters.add("taken")
@@ -176,7 +192,7 @@
         request = self.by_ident.get(ident.lower())
         if request is not None:
             request.answer.cancel()
-        elif ident.lower() not in self.answered_pending:
+        elif ident.lower() not in self.answered_with_open_attempts:
             self.early_withdrawals.remember(ident.lower(), self.clock())
         return request is not None
 
@@ -196,30 +212,30 @@
             self.call_safely(self.engines.update_engine, self.index.index_of(ident), endpoint)
             if endpoint.life == Life.GONE:
                 self.index.forget(ident)
-        self.request_log.states(self.endpoints, endpoints)
+        self.request_log.log_state_changes(self.endpoints, endpoints)
         self.endpoints = dict(endpoints)
         ready = sum(endpoint.life == Life.READY for endpoint in endpoints.values())
         self.logger.info("listed", extra={"figures": {"engines": len(endpoints), "ready": ready}})
 
     def list_confirmed(self) -> None:
-        """Record that the name service has no newer list than the current one."""
+        """Record that the name server has no newer list than the current one."""
         self.starts.confirm(self.clock())
 
     def list_known(self, at: float) -> None:
         """Record when the initial list was read; it is complete up to that time."""
         self.rules.list_known(at)
 
-    def list_asked(self, seconds_ago: float) -> SentQuery:
-        """Record that a query for the list was sent."""
-        left_at = self.clock() - seconds_ago * 1000
-        return SentQuery(left_at, self.rules.list_asked(left_at))
+    def list_asked(self, age_s: float) -> SentQuery:
+        """Record that a query for the list was sent `age_s` seconds ago."""
+        sent_at = self.clock() - age_s * 1000
+        return SentQuery(sent_at, self.rules.list_asked(sent_at))
 
     def name_service_changed(self) -> None:
-        """Record that another name service is queried from now on."""
+        """Record that another name server is queried from now on."""
         self.rules.name_service_changed()
 
     def list_answered(self, asked_at: float, verdict: Verdict) -> bool:
-        """Record an answer to the query sent at `asked_at`, which lists every engine that gets requests.
+        """Record a response to the query sent at `asked_at`, which lists every engine that gets requests.
 
         Returns:
             Whether another query should be sent soon.
@@ -238,7 +254,7 @@
     # Batch processing.
 
     def batch_begins(self, now: float) -> None:
-        """Let the guard report what has lapsed since the last batch."""
+        """Let the guard tell the rules what has changed since the last batch."""
         if self.guard is not None:
             self.call_safely(self.guard.batch_started, now)
 
@@ -262,7 +278,7 @@
             for attempt in list(request.attempts.values()):
                 request.sender.give_up(attempt, Ending.TIME_OUT)
             for unsent in list(request.awaiting_guard):
-                self.never_sent(request, unsent)
+                self.abandon_unsent(request, unsent)
             if not request.answered:
                 self.call_at(self.clock() + ANSWER_OVERDUE, self.overdue, number)
 
@@ -284,7 +300,7 @@
         request.attempts_made += 1
 
     def terms(self, number: int, memory: float, priority: int) -> None:
-        """Queue a change of a request's priority."""
+        """Queue a change of a request's priority; `memory` is ignored, as this transport grants none."""
         self.actions.append((self.set_priority, (self.open_requests[number], priority)))
 
     def shed(self, number: int, retry_after: float, reason: EndReason) -> None:
@@ -310,10 +326,10 @@
         self.rules.timer_fired(now, token)
 
     def watch(self) -> None:
-        """Do nothing: the name service is polled, so the list arrives without a request from the rules."""
+        """Do nothing: the name server is polled, so the list arrives without a request from the rules."""
 
     def log(self, line: str) -> None:
-        """Log a change of mode and pass it to the guard."""
+        """Log a line of the rules, and pass it to the guard."""
         self.logger.info("rules", extra={"figures": {"says": line}})
         if self.guard is not None:
             self.guard.rules_logged(line)
@@ -321,7 +337,7 @@
     # Execution of decisions.
 
     def start_attempt(self, request: OpenRequest, attempt: int, engine: int, time_limit: float) -> None:
-        """Send an attempt, after the guard's verdict if the guard needs time for one."""
+        """Send an attempt, after the guard's permission if the guard needs time for that."""
         now = self.clock()
         if request.answered or not self.may_run_again(request):
             # The client left before this batch, or the request was answered because its time ran out.
@@ -329,8 +345,8 @@
             return
         if self.guard is not None:
 
-            def go(verdict: bool | None) -> None:
-                self.verdict_received(request, attempt, engine, time_limit, verdict)
+            def go(permission: bool | None) -> None:
+                self.permission_received(request, attempt, engine, time_limit, permission)
 
             request.awaiting_guard[attempt] = engine
             if not self.guard.before_send(request, attempt, go):
@@ -343,16 +359,16 @@
         alone = not self.at_most_once[request.kind] or not (request.attempts or request.awaiting_guard)
         return self.counters.check_invariant(alone, "one_attempt_at_a_time")
 
-    def verdict_received(
-        self, request: OpenRequest, attempt: int, engine: int, time_limit: float, verdict: bool | None
+    def permission_received(
+        self, request: OpenRequest, attempt: int, engine: int, time_limit: float, permission: bool | None
     ) -> None:
-        """Handle the guard's verdict on an attempt: send it, don't, or (None) it may have run elsewhere."""
+        """Handle the guard's permission: whether to send an attempt, or None if the request may have run."""
         now = self.clock()
         if request.awaiting_guard.pop(attempt, None) is None:
             return
-        if verdict is None:
+        if permission is None:
             self.conclude(request, Failed())
-        if verdict:
+        if permission:
             self.send_attempt(request, attempt, engine, time_limit, now)
         else:
             self.enqueue(self.report_attempt_end, request, attempt, engine, now, Outcome(Ending.MOOT))
@@ -419,15 +435,15 @@
         ):
             return None
         if (age := now - (self.starts.current_at or now)) > UNCONFIRMED_LIST_AGE:
-            self.request_log.left_unconfirmed(request, self.engines.name_of(engine), age)
+            self.request_log.sent_on_unconfirmed_list(request, self.engines.name_of(engine), age)
         wait = min(time_limit, request.deadline - now) if time_limit else request.deadline - now
         return SendTerms(
             wait,
             request.rank if self.priorities else None,
             request.idempotency_key,
-            at_once=self.guard is None
-            or not self.in_batch,  # a guard's records go first, see Guard.batch_ended
-            taken=lambda: self.attempt_sent(request, now),
+            # A guard's records go first, see Guard.batch_ended.
+            at_once=self.guard is None or not self.in_batch,
+            on_written=lambda: self.attempt_sent(request, now),
         )
 
     def attempt_sent(self, request: OpenRequest, checked_at: float) -> None:
@@ -451,7 +467,7 @@
             request.sender.set_priority(attempt, priority)
 
     def cancel(self, number: int, attempt: int) -> None:
-        """Cancel an attempt that is out or waits for the guard's verdict."""
+        """Cancel an attempt that is out or waits for the guard's permission."""
         if number in self.open_requests and attempt in self.open_requests[number].attempts:
             if self.guard is not None:
                 self.guard.attempt_cancelled(self.open_requests[number], attempt)
@@ -459,10 +475,10 @@
                 self.open_requests[number].attempts[attempt], Ending.CALLED_OFF
             )
         elif number in self.open_requests and attempt in self.open_requests[number].awaiting_guard:
-            self.never_sent(self.open_requests[number], attempt)
+            self.abandon_unsent(self.open_requests[number], attempt)
 
-    def never_sent(self, request: OpenRequest, attempt: int) -> None:
-        """Abandon an attempt that waits for the guard's verdict: nothing of it ran."""
+    def abandon_unsent(self, request: OpenRequest, attempt: int) -> None:
+        """Abandon an attempt that waits for the guard's permission: nothing of it ran."""
         assert self.guard is not None
         self.guard.attempt_abandoned(request.number, attempt)
         engine = request.awaiting_guard.pop(attempt)
@@ -483,14 +499,14 @@
         request.answered = True
         del self.by_ident[request.ident.lower()]
         if request.sender is self.engines:  # extproc checks the ids of requests that callers send
-            self.answered_pending[request.ident.lower()] = request
+            self.answered_with_open_attempts[request.ident.lower()] = request
 
     def drop(self, request: OpenRequest) -> None:
         """Forget a request that is answered and has no attempt left."""
         if request.answered and not request.attempts and not request.awaiting_guard:
             self.open_requests.pop(request.number, None)
-            if self.answered_pending.get(request.ident.lower()) is request:
-                del self.answered_pending[request.ident.lower()]
+            if self.answered_with_open_attempts.get(request.ident.lower()) is request:
+                del self.answered_with_open_attempts[request.ident.lower()]
 
     def attempt_finished(
         self, outcome: Outcome, request: OpenRequest, attempt: int, engine: int, sent: float
--- a/spurdeal/net/names.py
+++ b/spurdeal/net/names.py
@@ -18,7 +18,7 @@
 
 SERVICE = "_api._tcp.svc.local"
 QUERY_INTERVAL = 0.2  # seconds; a lost response is thus made up for well before changes count as announced
-MIN_QUERY_GAP = 0.1  # seconds between a response and the next query, at least
+MIN_DELAY_AFTER_RESPONSE = 0.1  # seconds between a response and the next query, at least
 RETRY_DELAY = 0.04  # seconds until the next query after one that was not sent or that settled nothing
 QUERY_ID_SIZE = 2  # bytes; RFC 1035, section 4.1.1
 QUERY_IDS = 1 << 8 * QUERY_ID_SIZE
@@ -28,14 +28,14 @@
 
 
 class SentQuery(NamedTuple):
-    """What the rules decided on a query that was sent.
+    """A sent query as the rules recorded it.
 
     Attributes:
-        at: When it was sent, on the rules' clock.
-        retransmit_after: Ms until it is retransmitted without a response.
+        sent_ms: When it was sent, in ms of the rules' clock.
+        retransmit_after: ms until it is retransmitted if no response arrives.
     """
 
-    at: float
+    sent_ms: float
     retransmit_after: float
 
 
@@ -43,13 +43,13 @@
     """A query whose response is still accepted.
 
     Attributes:
-        sent: What the rules decided on it.
-        sent_at: When it was sent, in the reactor's seconds.
+        sent: The query as the rules recorded it.
+        sent_s: When it was sent, in seconds of the reactor's clock.
         address: The name server that it was sent to.
     """
 
     sent: SentQuery
-    sent_at: float
+    sent_s: float
     address: Address
 
 
@@ -73,11 +73,11 @@
         on_unchanged: Called with the endpoints of each response that has the number in force; None if unused.
         on_closed: Called when the socket was closed by an error.
         before_query: Called before each query; may replace the transport.
-        on_query_sent: Called after each query with the seconds since then; decides on its retransmission.
+        on_query_sent: Called after each query with the seconds since then; returns what the rules recorded.
         on_response: Called once the list of a response is in force, with the time at which its query was sent
             and the verdict; returns whether to send the next query early.
-        answered_at: When the latest response with a list arrived, in the reactor's seconds.
-        silent_since: When the latest response arrived, or when this object was created.
+        answered_at: When the latest response with a list arrived, in the reactor's seconds; -inf if none has.
+        silent_since: The same, but the time of this object's creation if none has.
         missed: Queries sent since the one that was answered last.
         unsent: Consecutive queries that could not be sent.
     """
@@ -129,7 +129,7 @@
             self.next_query.cancel()
         self.next_query = None
 
-    def move(self, address: Address) -> None:
+    def switch_server(self, address: Address) -> None:
         """Switches to another name server; the serial numbers continue."""
         self.address = address
         self.cancel_query()
@@ -145,7 +145,7 @@
         try:
             # Not with the transport's write, which ignores some errors.
             message = dns.encode_query(self.query_id, SERVICE, dns.SRV)
-            sent_at = self.reactor.seconds()
+            sent_s = self.reactor.seconds()
             self.transport.getHandle().sendto(message, self.address)
         except OSError as fault:
             self.next_query.reset(RETRY_DELAY)
@@ -154,8 +154,8 @@
         self.counters.add("names_asked")
         self.unsent = 0
         self.missed += 1
-        sent = self.on_query_sent(self.reactor.seconds() - sent_at)
-        self.await_response(self.query_id, OpenQuery(sent, sent_at, self.address))
+        sent = self.on_query_sent(self.reactor.seconds() - sent_s)
+        self.await_response(self.query_id, OpenQuery(sent, sent_s, self.address))
 
     def await_response(self, ident: int, query: OpenQuery) -> None:
         """Keeps a sent query until its response arrives, and schedules its retransmission."""
@@ -168,8 +168,8 @@
     def schedule_after_response(self, query: OpenQuery) -> None:
         """Schedules the next query at the usual interval after the latest one, which was answered."""
         if self.next_query is not None and self.next_query.active():
-            passed = self.reactor.seconds() - query.sent_at
-            self.next_query.reset(max(MIN_QUERY_GAP, QUERY_INTERVAL - passed))
+            passed = self.reactor.seconds() - query.sent_s
+            self.next_query.reset(max(MIN_DELAY_AFTER_RESPONSE, QUERY_INTERVAL - passed))
 
     def ensure_querying(self) -> None:
         """Sends a query unless the next one is scheduled."""
@@ -202,7 +202,7 @@
     def note_response(self, query: OpenQuery) -> None:
         """Records a response with a list."""
         now = self.reactor.seconds()
-        self.counters.record_max("names_longest_answer_ms", (now - query.sent_at) * 1000)
+        self.counters.record_max("names_longest_answer_ms", (now - query.sent_s) * 1000)
         self.note_missed(now)
         silence, self.answered_at = now - self.silent_since, now
         self.silent_since = now
@@ -242,7 +242,7 @@
         figures = {
             "number": agreement.number,
             "before": before.number,
-            "asked_ms_ago": (self.reactor.seconds() - query.sent_at) * 1000,
+            "asked_ms_ago": (self.reactor.seconds() - query.sent_s) * 1000,
             "withheld": len(agreement.withheld),
         }
         self.log.info("list_answered", extra={"figures": figures})
@@ -253,7 +253,7 @@
             raise
 
     def adopt_list(self, known: NumberedList) -> None:
-        """Puts a list from another source in force: from a reloaded configuration or from a peer."""
+        """Replaces the list in force by one from a reloaded configuration or from a peer."""
         self.agreement = Agreement.of(known.number, known.endpoints)
 
     def note_contradiction(self, serial: int, query: OpenQuery) -> None:
@@ -261,7 +261,7 @@
         figures = {
             "number": serial,
             "in_force": self.number,
-            "asked_ms_ago": (self.reactor.seconds() - query.sent_at) * 1000,
+            "asked_ms_ago": (self.reactor.seconds() - query.sent_s) * 1000,
         }
         self.log.warning("list_contradicted", extra={"figures": figures})
 
@@ -285,7 +285,7 @@
             dns.BadDatagram: It cannot be parsed, or does not contain the whole list.
         """
         ident = int.from_bytes(datagram[:QUERY_ID_SIZE], "big")
-        received = self.read(datagram, ident)
+        received = self.parse_and_close(datagram, ident)
         if received is None:
             self.counters.add("names_foreign")
             return
@@ -294,14 +294,15 @@
         if ident == self.query_id:
             self.schedule_after_response(query)
         if self.peers_share_lists:
-            self.take_shared(received, query)
+            self.apply_if_newer(received, query)
         else:
-            self.take_list(received, query)
+            self.apply_assessed(received, query)
 
-    def read(self, datagram: bytes, ident: int) -> NumberedList | None:
-        """Parses a response; returns None if its question section differs.
+    def parse_and_close(self, datagram: bytes, ident: int) -> NumberedList | None:
+        """Parses a response and removes its query from the open ones; None if it answers another query.
 
-        A response that equals the last one byte for byte is not parsed again.
+        A response that equals the last one byte for byte is not parsed again. The query stays open if
+        `dns.decode_response` rejects the message.
 
         Raises:
             dns.BadDatagram: It cannot be parsed, or does not contain the whole list.
@@ -322,8 +323,8 @@
             del self.open_queries[ident]
         return self.last_parsed.listed
 
-    def take_shared(self, received: NumberedList, query: OpenQuery) -> None:
-        """Puts a list in force if its number is higher, where peers share lists and compare equal numbers.
+    def apply_if_newer(self, received: NumberedList, query: OpenQuery) -> None:
+        """Puts a list in force if its number is higher; for peers that share lists and compare equal numbers.
 
         A number lower than that of a list from a peer may come from a lagging name server, and still counts
         as a confirmation. A number lower than one from the name server itself confirms nothing.
@@ -340,12 +341,12 @@
         elif not self.is_from_peer:
             self.note_contradiction(received.number, query)
             return
-        self.advance_next_query(self.on_response(query.sent.at, verdict))
+        self.advance_next_query(self.on_response(query.sent.sent_ms, verdict))
 
-    def take_list(self, received: NumberedList, query: OpenQuery) -> None:
+    def apply_assessed(self, received: NumberedList, query: OpenQuery) -> None:
         """Assesses a list against the one in force, and puts the result in force."""
-        now = query.sent.at + (self.reactor.seconds() - query.sent_at) * 1000
-        assessment = assess(self.agreement, received.number, received.endpoints, query.sent.at, now)
+        now = query.sent.sent_ms + (self.reactor.seconds() - query.sent_s) * 1000
+        assessment = assess(self.agreement, received.number, received.endpoints, query.sent.sent_ms, now)
         self.counters.add(f"lists_{assessment.verdict.name.lower()}")
         if assessment.verdict is Verdict.OLDER:
             self.note_contradiction(received.number, query)
@@ -354,8 +355,10 @@
         self.agreement = assessment.agreement
         if assessment.verdict is Verdict.CONFIRMED:
             self.on_confirmed()
-        is_missed = assessment.covers_serving and self.on_response(query.sent.at, assessment.verdict)
-        self.advance_next_query(is_missed or assessment.query_soon)
+        rules_want_query = assessment.covers_serving and self.on_response(
+            query.sent.sent_ms, assessment.verdict
+        )
+        self.advance_next_query(rules_want_query or assessment.query_soon)
 
     def advance_next_query(self, wanted: bool) -> None:
         """Sends the next query early if one more response can settle something."""
--- a/spurdeal/net/ordered.py
+++ b/spurdeal/net/ordered.py
@@ -2,9 +2,12 @@
 
 Clients space out the requests of one key to make their order unambiguous. A request that has to wait for
 earlier ones waits at its client, invisible to the dispatcher; its time runs, but it still reports its whole
-wait budget (`Req-Wait-Ms`). It was created after the first request of its run, or else it would have been
-sent before that. A run ends when a key has had no request for as long as the settings let it rest after an
-attempt of unknown outcome (`order_settle`).
+wait budget (`Req-Wait-Ms`).
+
+Requests of one key form a run; it ends when the key has had no request for longer than `order_settle`, the
+setting that also delays a key's next request after an attempt of unknown outcome. A request of a run was
+created after the run's first request was sent, or else the client would have sent it earlier. So the time
+since that first request is an upper bound for how long it was held back.
 """
 
 from __future__ import annotations
--- a/spurdeal/net/patient_socket.py
+++ b/spurdeal/net/patient_socket.py
@@ -1,10 +1,10 @@
-"""Stream sockets that report transient errors of system calls as EWOULDBLOCK, so that they are retried.
+"""Stream sockets that report transient errors of system calls as EWOULDBLOCK, so that Twisted retries them.
 
 Twisted closes a connection, with its open requests, at the first error of recv or send; when it runs out of
 descriptors, it accepts connections only to close them. But a shortage of local resources says nothing about
 the peer. The call is retried, as the level-triggered poller reports the socket while input waits. Input that
-waited meanwhile is dated from the first error, see `watch.LoopWatch`, and connections by what is known of
-the accept queue, see `watch.AcceptWatch`.
+waited meanwhile counts as arrived by the first error, see `watch.LoopWatch`; for connections, the accept
+queue gives a bound, see `watch.AcceptWatch`.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 ACCEPT_RETRY_DELAY = 0.01  # seconds after a failed accept
 
 
-class RetryingSocket:
+class TolerantSocket:
     """Wraps a connected, non-blocking socket; delegates all but recv, send and close."""
 
     def __init__(self, real: Any, watch: LoopWatch) -> None:
@@ -73,7 +73,7 @@
         self.real.close()
 
 
-class RetryingListener:
+class TolerantListener:
     """Wraps a listening, non-blocking socket; delegates all but accept.
 
     failed: Called after an error; it pauses accepting, so that a lasting error does not make the loop spin.
@@ -113,4 +113,4 @@
     """Wraps a transport's socket to survive transient errors; in-memory transports are left as they are."""
     real = getattr(transport, "socket", None)
     if real is not None:
-        transport.socket = RetryingSocket(real, watch)
+        transport.socket = TolerantSocket(real, watch)
--- a/spurdeal/net/request_log.py
+++ b/spurdeal/net/request_log.py
@@ -66,14 +66,14 @@
             attempts_out=len(request.attempts),
         )
 
-    def left_unconfirmed(self, request: OpenRequest, server: str, age: float) -> None:
+    def sent_on_unconfirmed_list(self, request: OpenRequest, server: str, age: float) -> None:
         """Log and count an attempt sent while the list of engines has not been confirmed for long."""
         self.counters.add("attempts_on_unconfirmed_list")
         self.lines.write(
             "attempt_on_unconfirmed_list", **self.figures(request), server=server, list_age_ms=age
         )
 
-    def states(self, before: Mapping[str, Endpoint], after: Mapping[str, Endpoint]) -> None:
+    def log_state_changes(self, before: Mapping[str, Endpoint], after: Mapping[str, Endpoint]) -> None:
         """Log the engines whose state or start time differs between two lists."""
         for ident in before.keys() | after.keys():
             old, new = state_of(before.get(ident)), state_of(after.get(ident))
--- a/spurdeal/net/requests.py
+++ b/spurdeal/net/requests.py
@@ -17,10 +17,15 @@
 
 
 def at_most_once(site: Deployment) -> tuple[bool, ...]:
-    """Per workload: whether it must not run twice, even if the client repeats it by another path."""
+    """Per workload: whether an attempt with an unknown outcome must not be repeated on just any engine.
+
+    That holds if it is non-idempotent, or idempotent by a key that not all engines share. The rules repeat
+    the latter only at engines that know the key, but another dispatcher might choose others.
+    """
     return tuple(
-        w.effect == Effect.NON_IDEMPOTENT or (w.effect == Effect.IDEMPOTENT_BY_KEY and w.reach != Reach.ALL)
-        for w in site.workloads
+        workload.effect == Effect.NON_IDEMPOTENT
+        or (workload.effect == Effect.IDEMPOTENT_BY_KEY and workload.reach != Reach.ALL)
+        for workload in site.workloads
     )
 
 
@@ -54,7 +59,7 @@
             workload: The name of its workload.
             statement: The statement to run.
             deadline: When the request's time is over.
-            at_most_once: Whether an attempt with an unknown outcome must not be retried.
+            at_most_once: Whether an attempt with an unknown outcome must not be repeated on just any engine.
             at_send: Called just before the first byte is written, and again if the system accepted none.
                 If it returns None, nothing is sent and the attempt ends as MOOT.
         """
@@ -67,25 +72,29 @@
 
 
 class Guard(Protocol):
-    """An interceptor beside the adapter, used where dispatchers take over from one another.
+    """An interceptor beside the adapter, for requests that another dispatcher or process may have run.
 
-    It can refuse requests and attempts that may have run by way of another dispatcher.
+    It can refuse requests and attempts. `vrrp.guard` guards the takeover of an address, `store.guard` keeps
+    a ledger across restarts, and `fleet.station` checks the lease.
     """
 
     def batch_started(self, now: float) -> None:
-        """A batch begins; tell the rules first what has lapsed since the last one, also during a pause."""
+        """A batch begins; tell the rules first what has changed with time, such as capacity shares."""
 
     def immediate_answer(self, kind: int, ident: bytes) -> Answer | None:
         """The answer to a request that may have run elsewhere or cannot be guarded; None for all others."""
 
     def before_send(self, request: OpenRequest, attempt: int, go: Callable[[bool | None], None]) -> bool:
-        """Whether an attempt may be sent now; if False, go() is called with the verdict later."""
+        """Whether an attempt may be sent now; if False, go() is called later with the permission.
+
+        The permission is True, False, or None if the request may have run already.
+        """
 
     def never_ran(self, request: OpenRequest) -> None:
         """A granted request ended, and the caller has proved that nothing ran."""
 
     def attempt_abandoned(self, number: int, attempt: int) -> None:
-        """An attempt that waits for its verdict will not be sent."""
+        """An attempt that waits for its permission will not be sent."""
 
     def answered(self, request: OpenRequest, answer: Answer | None) -> None:
         """The request was answered, or its client has left (None)."""
@@ -97,7 +106,7 @@
         """An attempt that is out is being cancelled."""
 
     def rules_logged(self, line: str) -> None:
-        """The rules have changed a mode."""
+        """The rules have logged a line, for instance on a change of mode."""
 
     def batch_ended(self) -> None:
         """A batch is over; the attempts that it sends are written after this call."""
@@ -125,7 +134,8 @@
     rank: int | None = None
     attempts_made: int = 0
     attempts: dict[int, PendingAttempt] = field(default_factory=dict)
-    awaiting_guard: dict[int, int] = field(default_factory=dict)  # engine of each attempt without a verdict
+    # The engine of each attempt that waits for the guard's permission.
+    awaiting_guard: dict[int, int] = field(default_factory=dict)
     last_ending: Ending | None = None  # how the most recent attempt ended
 
 
--- a/spurdeal/net/resp.py
+++ b/spurdeal/net/resp.py
@@ -20,7 +20,7 @@
         Raises:
             BadAnswer: The bytes are not an array of bulk strings, or a size is over its limit.
         """
-        head = self.length(self.at, b"*", MAX_PARTS)
+        head = self.length(self.position, b"*", MAX_PARTS)
         if head is None:
             return None
         count, at = head
@@ -41,7 +41,7 @@
 
     def first_part(self) -> bytes | None:
         """The first part of an incomplete array, if that part is complete."""
-        head = self.length(self.at, b"*", MAX_PARTS)
+        head = self.length(self.position, b"*", MAX_PARTS)
         sized = self.length(head[1], b"$", MAX_PART_BYTES) if head is not None else None
         if sized is None:
             return None
--- a/spurdeal/net/service.py
+++ b/spurdeal/net/service.py
@@ -21,8 +21,8 @@
 from .wall_clock import WallClockWatch
 
 SWEEP_EVERY = 0.25  # seconds
-# ms. The supervisor kills the process KILL_AFTER after SIGTERM plus the longest deadline, of which it allows
-# at most KILL_MOST; shutdown ends KILL_MARGIN before that.
+# ms. The supervisor kills the process at SIGTERM + KILL_AFTER + min(longest deadline, KILL_MOST); shutdown
+# ends KILL_MARGIN before that.
 KILL_AFTER, KILL_MOST, KILL_MARGIN = 700.0, 3000.0, 400.0
 STOP_NOT_BEFORE = 900.0  # ms after SIGTERM; clients send new connections and requests for up to 600 ms
 LAST_WRITES = 200.0  # ms allowed for writing the last answers
@@ -46,6 +46,7 @@
         retry: The delayed call that reads an unusable configuration again.
         stopped_at: When its shutdown started, by its clock; 0 before.
         wall_clock: Reports steps of the system's wall clock, which no decision uses.
+        on_exit: Called once the shutdown is complete.
         stop_within: How many ms after the start of a shutdown the last request is answered.
     """
 
@@ -55,14 +56,14 @@
         reactor: Any,
         clock: Callable[[], float],
         log: logging.Logger,
-        done: Callable[[], None],
+        on_exit: Callable[[], None],
         process: ProcessDescriptors = UNKNOWN_PROCESS,
         wall_clock: Callable[[], float] = unix_ms,
     ) -> None:
         self.configuration, self.reactor, self.clock = configuration, reactor, clock
         self.configured_at = clock()
         self.process = process
-        self.log, self.done = log, done
+        self.log, self.on_exit = log, on_exit
         self.counters = Counters()
         self.engines = Engines(reactor, clock, configuration.report_fields, self.counters, log)
         self.adapter = SocketAdapter(
@@ -114,7 +115,7 @@
 
     def set_limits(self, configuration: Configuration) -> None:
         """Apply the limits of a configuration."""
-        self.budget = DescriptorBudget.from_limit(configuration.sockets, self.process)
+        self.budget = DescriptorBudget.from_limit(configuration.max_descriptors, self.process)
         self.engines.set_limits(
             configuration.connect_timeout,
             configuration.idle_timeout,
@@ -125,7 +126,7 @@
         self.clients.set_limits(self.budget.clients, self.budget.accepts, configuration.memory_mb)
 
     def reload_configuration(self, read: Callable[[], Configuration], tries: int = 0) -> None:
-        """Reload the configuration: name service, newer list of engines and limits take effect at once.
+        """Reload the configuration: name server, newer list of engines and limits take effect at once.
 
         Everything else takes effect at the next start. An unusable configuration may be half written, so it
         is read again several times with exponential backoff; a file that the system cannot read, until it
@@ -161,25 +162,25 @@
         nameserver = configuration.nameserver
         if nameserver != self.names.address:
             self.adapter.name_service_changed()
-            self.names.move(nameserver)
+            self.names.switch_server(nameserver)
         known = configuration.known
         if known.number > self.names.number:
-            self.call_safely("list", lambda: self.apply_list(known))
+            self.run_step("list", lambda: self.apply_list(known))
         self.set_limits(configuration)
-        later = configuration.rest_differs(self.configuration)
+        later = configuration.site_or_address_differs(self.configuration)
         self.log.info(
             "configuration_read",
             extra={
                 "figures": {
                     "nameserver": f"{nameserver.host}:{nameserver.port}",
-                    "sockets": configuration.sockets,
+                    "sockets": configuration.max_descriptors,
                     "rest_at_a_start": later,
                 }
             },
         )
 
     def apply_list(self, known: NumberedList) -> None:
-        """Apply a list, then record it as current; after a fault, the name service sends it again."""
+        """Apply a list, then record it as current; after a fault, the name server sends it again."""
         self.adapter.apply_list(known.endpoints)
         self.names.adopt_list(known)
 
@@ -226,12 +227,12 @@
 
         Each step is guarded, because an exception would end the periodic call.
         """
-        self.call_safely("wall_clock", self.wall_clock.check)
-        self.call_safely("discovery", self.discovery.check_and_repair)
-        self.call_safely("clients", self.clients.sweep)
-        self.call_safely("engines", self.engines.sweep)
+        self.run_step("wall_clock", self.wall_clock.check)
+        self.run_step("discovery", self.discovery.check_and_repair)
+        self.run_step("clients", self.clients.sweep)
+        self.run_step("engines", self.engines.sweep)
 
-    def call_safely(self, step: str, call: Callable[[], object]) -> None:
+    def run_step(self, step: str, call: Callable[[], object]) -> None:
         """Run a step; an exception is logged and counted, and the following steps still run."""
         try:
             call()
@@ -262,7 +263,7 @@
         passed = self.clock() - self.stopped_at
         self.may_exit = passed >= self.stop_within + LAST_WRITES
         if not self.may_exit:
-            self.call_safely("leave", lambda: self.check_exit(passed))
+            self.run_step("leave", lambda: self.check_exit(passed))
         if not self.may_exit:
             self.reactor.callLater(EXIT_CHECK_EVERY, self.exit_when_done)
             return
@@ -271,7 +272,7 @@
         self.counters.check_invariant(not self.adapter.by_ident, "all_answered_at_exit")
         self.sweeping.stop()
         self.discovery.close()
-        self.call_safely("close", self.engines.close)
+        self.run_step("close", self.engines.close)
         self.log.info("counters", extra={"figures": self.counters.figures()})
         self.log.info("stopped", extra={"figures": {"after_ms": passed}})
-        self.done()
+        self.on_exit()
--- a/spurdeal/net/start.py
+++ b/spurdeal/net/start.py
@@ -36,7 +36,8 @@
 
 START_WITHIN = 5.0  # seconds; a predecessor that shuts down has exited or was killed after at most 3.7 s
 START_RETRY_DELAY = 0.05  # seconds
-START_DELAYED = {errno.EADDRINUSE: "address_in_use"}
+# By error: the event that is logged when the start is delayed; "start_delayed" for all others.
+DELAY_EVENTS = {errno.EADDRINUSE: "address_in_use"}
 # EADDRNOTAVAIL is not transient here: an address that this host does not have.
 TRANSIENT_LISTEN_ERRORS = (TRANSIENT - {errno.EADDRNOTAVAIL}) | {errno.EADDRINUSE}
 
@@ -52,7 +53,7 @@
         try:
             return load_configuration(path)
         except Unreadable as fault:
-            if not fault.may_pass or time.monotonic() >= until or end_asked():
+            if not fault.is_transient or time.monotonic() >= until or end_asked():
                 raise
         time.sleep(START_RETRY_DELAY)
 
@@ -102,8 +103,8 @@
 def start_within(seconds: float, service: Service, end_asked: Callable[[], bool]) -> bool:
     """Start the service, retrying while its address is in use.
 
-    A killed predecessor holds the address until the system has closed its sockets, one that shuts down until
-    it has answered its last request.
+    A killed predecessor holds the address until the system has closed its sockets; a predecessor in graceful
+    shutdown holds it until it has answered its last request.
 
     Returns:
         False if shutdown was requested before the address was free.
@@ -126,5 +127,5 @@
         if not logged:
             logged = True
             figures = {"retried_for_s": seconds, "why": str(why)}
-            service.log.warning(START_DELAYED.get(why.errno, "start_delayed"), extra={"figures": figures})
+            service.log.warning(DELAY_EVENTS.get(why.errno, "start_delayed"), extra={"figures": figures})
         time.sleep(START_RETRY_DELAY)
--- a/spurdeal/net/unread.py
+++ b/spurdeal/net/unread.py
@@ -9,19 +9,19 @@
 
     def __init__(self) -> None:
         self.buffer = b""
-        self.at = 0
+        self.position = 0
 
     def feed(self, data: bytes) -> None:
         """Appends the bytes of one read."""
-        left = self.buffer[self.at :]
-        self.buffer, self.at = left + data if left else data, 0
+        left = self.buffer[self.position :]
+        self.buffer, self.position = left + data if left else data, 0
 
     def consume(self, at: int) -> None:
         """Moves on to this position; an empty buffer is released, so idle connections hold no bytes."""
-        self.at = at
+        self.position = at
         if at == len(self.buffer):
-            self.buffer, self.at = b"", 0
+            self.buffer, self.position = b"", 0
 
     def remaining(self) -> int:
         """How many bytes were not consumed yet."""
-        return len(self.buffer) - self.at
+        return len(self.buffer) - self.position
--- a/spurdeal/net/watch.py
+++ b/spurdeal/net/watch.py
@@ -1,4 +1,4 @@
-"""Measures event loop gaps, times without a poll, and dates input by when it may have arrived.
+"""Measures gaps between polls of the event loop, and estimates the earliest arrival time of input.
 
 Polling is level-triggered: each poll reports every readable socket. So bytes that are read in one round of
 the loop arrived after the poll of the previous round had returned.
@@ -24,14 +24,20 @@
 
 
 class Unpolled(NamedTuple):
-    """A socket that was not polled from `since` on, and is read by round `last_round`, or was empty then."""
+    """A time without polling a socket: input read up to round `last_round` may date back to `since`."""
 
     since: float
     last_round: int
 
 
 class LoopWatch:
-    """Dates input by arrival. Without an instrumented reactor, input counts as arrived when it is read."""
+    """Estimates when input arrived. Without an instrumented reactor, it counts as arrived when it is read.
+
+    Attributes:
+        round: The number of polls so far.
+        polled_at: When the last poll returned.
+        readable_since: The earliest arrival time of input that is read in this round.
+    """
 
     def __init__(self, clock: Callable[[], float], counters: Counters, log: logging.Logger) -> None:
         self.clock, self.counters, self.log = clock, counters, log
@@ -178,7 +184,7 @@
 
 
 class AcceptWatch:
-    """Dates connections: since when one that is accepted now may have been waiting, with input of its own.
+    """Estimates since when a connection that is accepted now may have been waiting, with input of its own.
 
     The accept queue is first in, first out. So a connection entered it after it was last empty, and after any
     sample of its length once that many connections were accepted. If the system does not report the length,
@@ -186,37 +192,43 @@
 
     waiting: Returns the present length of the queue, or None.
     queue_length: Its maximum length.
+
+    Attributes:
+        accept_round: The round of the loop of the latest accept.
+        waiting_since: Since when a connection accepted in that round may have been waiting.
+        accepted_in_round: Connections accepted in that round.
+        round_limit: The limit on them.
+        total_accepted: Connections accepted so far.
     """
 
     def __init__(
         self, loop: LoopWatch, queue_length: int, waiting: Callable[[], int | None] = lambda: None
     ) -> None:
         self.loop, self.queue_length, self.waiting = loop, queue_length, waiting
-        self.round, self.since = -1, 0.0
-        self.count, self.limit = 0, 0  # accepted in that round, and the limit on them
-        self.total = 0  # accepted so far
-        self.samples = deque[
-            QueueSample
-        ]()  # since the queue was last empty; those that date no connection yet
+        self.accept_round, self.waiting_since = -1, 0.0
+        self.accepted_in_round, self.round_limit = 0, 0
+        self.total_accepted = 0
+        # Taken since the queue was last empty, and not used by an accept yet.
+        self.samples = deque[QueueSample]()
         self.count_supported = False  # whether the system has ever reported a waiting connection
 
     def record_accept(self, limit: int) -> Unpolled:
         """Records an accept, of at most `limit` in this round; returns since when the connection may wait."""
-        if self.loop.round != self.round:
+        if self.loop.round != self.accept_round:
             self.begin_round(limit)
-            self.sample_queue(self.total + 1)
-        while self.samples and self.total >= self.samples[0].first_newer:
-            self.since = max(self.since, self.samples.popleft().at)
-        self.count += 1
-        self.total += 1
-        return Unpolled(self.since, self.round + 1)
+            self.sample_queue(self.total_accepted + 1)
+        while self.samples and self.total_accepted >= self.samples[0].first_newer:
+            self.waiting_since = max(self.waiting_since, self.samples.popleft().at)
+        self.accepted_in_round += 1
+        self.total_accepted += 1
+        return Unpolled(self.waiting_since, self.accept_round + 1)
 
     def begin_round(self, limit: int) -> None:
         """Starts a round of the loop, at its first accept, whether that succeeded or failed."""
-        if self.loop.round > self.round + 1 or self.count < self.limit:
-            self.since = self.loop.arrival()
+        if self.loop.round > self.accept_round + 1 or self.accepted_in_round < self.round_limit:
+            self.waiting_since = self.loop.arrival()
             self.samples.clear()
-        self.round, self.count, self.limit = self.loop.round, 0, limit
+        self.accept_round, self.accepted_in_round, self.round_limit = self.loop.round, 0, limit
 
     def sample_queue(self, removed: int) -> None:
         """Samples the queue's length after `removed` connections left it.
@@ -226,18 +238,18 @@
         at, waiting = self.loop.clock(), self.waiting()
         self.count_supported = self.count_supported or bool(waiting)
         if waiting is None or not self.count_supported:
-            at, removed, waiting = self.loop.arrival(), self.total, self.queue_length
+            at, removed, waiting = self.loop.arrival(), self.total_accepted, self.queue_length
         while self.samples and self.samples[-1].first_newer >= removed + waiting:
-            self.samples.pop()  # the new one dates all of its connections, and dates them later
+            self.samples.pop()  # the new one gives a later bound for all of its connections
         self.samples.append(QueueSample(at, removed + waiting))
 
     def record_failure(self) -> None:
         """Records a failed accept: the queue is not empty."""
-        if self.loop.round != self.round:
+        if self.loop.round != self.accept_round:
             self.begin_round(0)
-            self.sample_queue(self.total)
-        self.count = self.limit = 0
+            self.sample_queue(self.total_accepted)
+        self.accepted_in_round = self.round_limit = 0
 
     def record_resumption(self) -> None:
         """Accepting resumes after a pause: connections may have been waiting since the last accept."""
-        self.round, self.count, self.limit = self.loop.round, 0, 0
+        self.accept_round, self.accepted_in_round, self.round_limit = self.loop.round, 0, 0
