--- a/spurdeal/net/answers.py
+++ b/spurdeal/net/answers.py
@@ -12,7 +12,7 @@
 
 
 class Shed(NamedTuple):
-    """Rejected to limit load; the client may retry after so many ms (0: not told)."""
+    """Rejected to limit load; the client may retry after so many ms (0: no time is given)."""
 
     retry_after: float
 
--- a/spurdeal/net/attempts.py
+++ b/spurdeal/net/attempts.py
@@ -29,7 +29,7 @@
         rank: The request's priority; None if the deployment has no priorities.
         idempotency_key: Lets engines recognize a repeat; empty if the client gave none.
         at_once: Whether it is written to the socket at once, or by `Engines.write_deferred`.
-        taken: Called once the system has accepted its last byte.
+        on_written: Called once the system has accepted its last byte.
     """
 
     wait: float
--- a/spurdeal/net/connection.py
+++ b/spurdeal/net/connection.py
@@ -390,7 +390,7 @@
         attempt = self.attempts.get(ident)
         if attempt is None or (status == b"200" and attempt.page_count):
             # The attempt was given up in the meantime, and its further pages are released; or the engine has
-            # sent 200 twice, or an answer that nobody asked for. Valid, but superfluous.
+            # sent 200 twice, or an unsolicited answer. Valid, but superfluous.
             self.engines.counters.add("answers_crossed")
             if attempt is None and pages > 1 and self.finished_ids.get(bytes(ident)):
                 self.write(b"release", ident)
--- a/spurdeal/net/descriptors.py
+++ b/spurdeal/net/descriptors.py
@@ -27,7 +27,7 @@
 
     Attributes:
         allowed: The limit that the system enforces (RLIMIT_NOFILE); None if there is none or it is unknown.
-        held: Descriptors that are open already.
+        already_open: How many descriptors are open already.
     """
 
     allowed: int | None = None
--- a/spurdeal/net/engine_index.py
+++ b/spurdeal/net/engine_index.py
@@ -31,8 +31,8 @@
         """Drops an engine that has left the list."""
         del self.indices[ident]
 
-    def line(self, ident: str, endpoint: Endpoint) -> ListedEngine:
-        """Converts an engine's entry for the rules."""
+    def to_listed(self, ident: str, endpoint: Endpoint) -> ListedEngine:
+        """Converts an engine's endpoint to the form that the rules take."""
         return ListedEngine(
             self.index_of(ident),
             index_of_name(self.zones, endpoint.zone),
--- a/spurdeal/net/engine_list.py
+++ b/spurdeal/net/engine_list.py
@@ -71,7 +71,7 @@
 
 
 def endpoint_from_configuration(entry: Mapping[str, Any]) -> Endpoint:
-    """Reads one engine's entry of a numbered event."""
+    """Reads the endpoint of one engine in a numbered event."""
     address = read_address(entry["hostPort"])
     return Endpoint(
         str(entry["instanceId"]),
--- a/spurdeal/net/link.py
+++ b/spurdeal/net/link.py
@@ -204,9 +204,9 @@
         reported = {ident: endpoint._replace(started=began[ident]) for ident, endpoint in endpoints.items()}
         if self.guard is not None:
             reported = {ident: self.guard.endpoint(endpoint) for ident, endpoint in reported.items()}
-        lines = [self.index.line(ident, endpoint) for ident, endpoint in reported.items()]
+        listed = [self.index.to_listed(ident, endpoint) for ident, endpoint in reported.items()]
         # The rules go first: attempts that the connections return must not be sent to the same engine again.
-        self.enqueue(self.rules.list_changed, lines, True)
+        self.enqueue(self.rules.list_changed, listed, True)
         gone = {ident: endpoint._replace(life=Life.GONE) for ident, endpoint in self.endpoints.items()}
         for ident, endpoint in (gone | dict(endpoints)).items():
             self.call_safely(self.engines.update_engine, self.index.index_of(ident), endpoint)
--- a/spurdeal/net/service.py
+++ b/spurdeal/net/service.py
@@ -105,7 +105,7 @@
         self.stop_within = longest + KILL_AFTER - KILL_MARGIN
 
     def open_elsewhere(self) -> int:
-        """How many descriptors are held for other purposes than clients."""
+        """How many descriptors are open for other purposes than clients."""
         return (
             self.process.already_open
             + OPENED_AT_START
