--- a/spurdeal/net/clients.py
+++ b/spurdeal/net/clients.py
@@ -164,9 +164,8 @@
         self.record_descriptors()
         excess = len(self.connections) + self.accepts - self.max_connections
         if excess > 0 and self.evict_idle(excess) < excess:
-            self.schedule_accept_limit_within(
-                MIN_AGE / 1000
-            )  # connections too new to be evicted now can be evicted by then
+            # Connections too new to be evicted now can be evicted by then.
+            self.schedule_accept_limit_within(MIN_AGE / 1000)
         self.apply_accept_limit()
 
     def evict_idle(self, count: int = 1) -> int:
--- a/spurdeal/net/discovery_socket.py
+++ b/spurdeal/net/discovery_socket.py
@@ -23,7 +23,7 @@
 from .names import NameService
 from .port_renewal import PortRenewal
 
-REOPEN_AFTER = 0.02  # seconds until another attempt to open a socket
+REOPEN_AFTER = 0.02  # seconds until opening a socket is tried again
 LARGEST_DATAGRAM = 65_535  # bytes of a response
 # seconds without a response after which the socket is read although the poller reports nothing
 UNPROMPTED_READ_AFTER = 0.5
@@ -73,7 +73,7 @@
         return port
 
     def note_not_opened(self, fault: Exception, protocol: DatagramProtocol) -> None:
-        """Counts and logs a failed attempt, and stops a protocol that was half started."""
+        """Counts and logs that no socket could be opened, and stops a protocol that was half started."""
         self.counters.add("names_socket_not_opened")
         why = fault.socketError if isinstance(fault, CannotListenError) else fault
         self.log.warning("names_socket_not_opened", extra={"figures": {"why": str(why)}})
@@ -81,7 +81,7 @@
             cast(Any, protocol).doStop()
 
     def retry_opening(self, fault: Exception) -> None:
-        """Handles a failed attempt to open the socket."""
+        """Handles that the socket could not be opened."""
         self.note_not_opened(fault, self.names)
         self.open_later()
 
@@ -155,7 +155,7 @@
             self.reopening.cancel()
 
     def open_later(self) -> None:
-        """Schedules another attempt to open a socket, without which no drain would be noticed."""
+        """Schedules opening a socket again, without which no drain would be noticed."""
         if self.reopening is None or not self.reopening.active():
             self.reopening = self.reactor.callLater(REOPEN_AFTER, self.open)
 
--- a/spurdeal/net/port_renewal.py
+++ b/spurdeal/net/port_renewal.py
@@ -53,6 +53,6 @@
         return self.silence.missed >= MIN_UNANSWERED and self.silence.silent_for() >= self.due
 
     def renewed(self) -> None:
-        """Records an attempt to open another port, successful or not."""
+        """Records that another port was opened, or could not be."""
         self.interval = min(MAX_RENEWAL_INTERVAL, 2 * self.interval)
         self.due = self.silence.silent_for() + self.interval
--- a/spurdeal/net/statement.py
+++ b/spurdeal/net/statement.py
@@ -77,9 +77,8 @@
     """
     tokenized = list(tokens(statement.decode("utf-8", "replace")))
     lists: list[bool] = [False]  # by depth of parentheses: whether a comma is followed by another table
-    calls: list[bool] = [
-        False
-    ]  # by depth: whether it is a function call, in which FROM is not followed by a table
+    # By depth: whether it is a function call, in which FROM is not followed by a table.
+    calls: list[bool] = [False]
     table, fallback, index, before = False, NO_GROUP, 0, ""
     while index < len(tokenized):
         word, quoted = tokenized[index]
--- a/spurdeal/net/unread.py
+++ b/spurdeal/net/unread.py
@@ -16,10 +16,10 @@
         left = self.buffer[self.position :]
         self.buffer, self.position = left + data if left else data, 0
 
-    def consume(self, at: int) -> None:
+    def consume(self, position: int) -> None:
         """Moves on to this position; an empty buffer is released, so idle connections hold no bytes."""
-        self.position = at
-        if at == len(self.buffer):
+        self.position = position
+        if position == len(self.buffer):
             self.buffer, self.position = b"", 0
 
     def remaining(self) -> int:
