--- a/spurdeal/lab/crowd.py
+++ b/spurdeal/lab/crowd.py
@@ -1,24 +1,24 @@
-"""Clients of all dispatchers of a rig together: open-loop load."""
+"""Open-loop load on all dispatchers of a rig."""
 
 from __future__ import annotations
 
 import time
 from typing import TYPE_CHECKING
 
-from .cables import Place, Switch
-from .front import AGAIN, Asked, Dial, Front
+from .cables import HostPort, Switch
+from .front import RETRY_DELAY, ClientRequest, ConnectionFactory, OpenLoopLoad
 from .rig_process import WAIT
 
 if TYPE_CHECKING:
     from .rig import Rig
 
-COST = 12.0  # ms of work of a request, in the middle
-MOST_WAYS = 8
+COST = 12.0  # ms of work of a request on average
+MAX_SENDS = 8
 DIAL_TIMEOUT = 0.5  # seconds
 
 
-class Crowd(Front):
-    """Clients of all dispatchers together."""
+class FleetLoad(OpenLoopLoad):
+    """Clients that may use each dispatcher of a rig."""
 
     def __init__(self, rig: Rig, seed: int, rate: float, non_idempotent: float) -> None:
         super().__init__(
@@ -34,24 +34,24 @@
         )
         self.rig = rig
 
-    def send(self, asked: Asked) -> None:
-        """To one of the dispatchers that are up and have not had it; later, where there is none."""
+    def send(self, request: ClientRequest) -> None:
+        """Send to a random dispatcher that is presumed up and has not had the request, or try later."""
         now = self.clock()
-        if asked.over or now >= asked.deadline - 1 or len(asked.ways) >= MOST_WAYS:
-            asked.over = True
+        if request.finished or now >= request.deadline - 1 or len(request.sent_to) >= MAX_SENDS:
+            request.finished = True
             return
-        places = [each.place for each in self.rig.front_knows() if each.place not in asked.ways]
+        places = [each.place for each in self.rig.presumed_up() if each.place not in request.sent_to]
         if not places:
-            self.reactor.callLater(AGAIN / 1000, self.send, asked)
+            self.reactor.callLater(RETRY_DELAY / 1000, self.send, request)
             return
         place = self.chance.choice(places)
-        self.reactor.connectTCP(*place, Dial(self, asked, place), timeout=DIAL_TIMEOUT)
+        self.reactor.connectTCP(*place, ConnectionFactory(self, request, place), timeout=DIAL_TIMEOUT)
 
-    def lost(self, asked: Asked, place: Place, sent: bool) -> None:
-        """The connection was refused or ended: again, where the request may go again."""
+    def on_connection_lost(self, request: ClientRequest, place: HostPort, sent: bool) -> None:
+        """A connection failed: try again, unless the request may have run and is non-idempotent."""
         if sent:
-            asked.unanswered.append(place)
-            if asked.non_idempotent:  # it may have run: a client that cares does not ask again
-                asked.over = True
+            request.unanswered.append(place)
+            if request.non_idempotent:  # it may have run, so it is not sent again
+                request.finished = True
                 return
-        self.reactor.callLater(AGAIN / 1000, self.send, asked)
+        self.reactor.callLater(RETRY_DELAY / 1000, self.send, request)
--- a/spurdeal/lab/front.py
+++ b/spurdeal/lab/front.py
@@ -1,4 +1,4 @@
-"""A stand-in front: open-loop load on an address that moves, each request's answers counted."""
+"""An open-loop load generator for an address that moves between dispatchers; it counts the answers."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 from twisted.internet.protocol import ClientFactory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from .cables import Place, Switch
+from .cables import HostPort, Switch
 
-AGAIN = 20.0  # ms until a front that found nobody looks again
-MOST_WAYS = 400
+RETRY_DELAY = 20.0  # ms until a request without a connection is tried again
+MAX_SENDS = 400
 COUNTS = (
     "submissions",
     "answers_missing",
@@ -29,22 +29,34 @@
 
 
 @dataclass(slots=True)
-class Asked:
-    """One request, from its first byte to the end of its time."""
+class ClientRequest:
+    """One request of a client; times in ms.
+
+    Attributes:
+        sent_to: The dispatchers that were sent the whole request, in order.
+        answers: The statuses it got; 0 for bytes beyond an answer.
+        unanswered: The dispatchers whose connection ended, or did not answer in time.
+        finished: Whether it is not sent again.
+    """
 
     ident: str
     non_idempotent: bool
     cost: float
     began: float
     deadline: float
-    ways: list[Place] = field(default_factory=list)  # who had it whole, in order
+    sent_to: list[HostPort] = field(default_factory=list)
     answers: list[int] = field(default_factory=list)
-    unanswered: list[Place] = field(default_factory=list)  # whose connection ended, or time ran out, first
-    over: bool = False
+    unanswered: list[HostPort] = field(default_factory=list)
+    finished: bool = False
+
 
+class OpenLoopLoad:
+    """Sends requests at a rate; one whose connection failed is sent again with the same id.
 
-class Front:
-    """Sends at a rate, and the same request with the same id again where its connection was lost."""
+    Attributes:
+        non_idempotent: The share of non-idempotent requests, which cost four times as much.
+        cost: Of an idempotent request on average, in ms of work.
+    """
 
     def __init__(
         self,
@@ -61,117 +73,136 @@
         self.reactor, self.clock, self.switch, self.address = reactor, clock, switch, address
         self.chance, self.rate, self.wait = random.Random(seed), rate, wait
         self.non_idempotent, self.cost, self.running = non_idempotent, cost, False
-        self.asked: list[Asked] = []
-        self.connections: set[Way] = set()
+        self.requests: list[ClientRequest] = []
+        self.connections: set[ClientConnection] = set()
 
     def start(self) -> None:
+        """Start sending."""
         self.running = True
-        self.next()
+        self.send_next()
 
-    def next(self) -> None:
+    def send_next(self) -> None:
+        """Send a new request and schedule the one after it, with exponential gaps."""
         if self.running:
-            self.reactor.callLater(self.chance.expovariate(self.rate), self.next)
-            heavy = self.chance.random() < self.non_idempotent
-            cost = self.cost * (4.0 if heavy else 1.0) * self.chance.uniform(0.5, 1.5)
+            self.reactor.callLater(self.chance.expovariate(self.rate), self.send_next)
+            non_idempotent = self.chance.random() < self.non_idempotent
+            cost = self.cost * (4.0 if non_idempotent else 1.0) * self.chance.uniform(0.5, 1.5)
             now = self.clock()
-            asked = Asked(f"{self.chance.getrandbits(64):016x}", heavy, cost, now, now + self.wait)
-            self.asked.append(asked)
-            self.send(asked)
-
-    def send(self, asked: Asked) -> None:
+            request = ClientRequest(
+                f"{self.chance.getrandbits(64):016x}", non_idempotent, cost, now, now + self.wait
+            )
+            self.requests.append(request)
+            self.send(request)
+
+    def send(self, request: ClientRequest) -> None:
+        """Send to the holder of the address, or try later if there is none."""
         now = self.clock()
-        if asked.over:
+        if request.finished:
             return
-        if now >= asked.deadline - 1 or len(asked.ways) >= MOST_WAYS:
-            asked.over = True
+        if now >= request.deadline - 1 or len(request.sent_to) >= MAX_SENDS:
+            request.finished = True
             return
         place = self.switch.table.get(self.address)
         if place is None:
-            self.reactor.callLater(AGAIN / 1000, self.send, asked)
+            self.reactor.callLater(RETRY_DELAY / 1000, self.send, request)
             return
-        self.reactor.connectTCP(*place, Dial(self, asked, place), timeout=0.2)
+        self.reactor.connectTCP(*place, ConnectionFactory(self, request, place), timeout=0.2)
 
-    def lost(self, asked: Asked, place: Place, sent: bool) -> None:
+    def on_connection_lost(self, request: ClientRequest, place: HostPort, sent: bool) -> None:
+        """A connection failed, before or after the request was `sent`: try again after a delay."""
         if sent:
-            asked.unanswered.append(place)
-        self.reactor.callLater(AGAIN / 1000, self.send, asked)
-
-    def counts(self, excused: Callable[[Place, Asked], bool]) -> dict[str, int]:
-        """excused: whoever had it was killed or stood still meanwhile, and its client may ask again."""
-        counts: Counter[str] = Counter(dict.fromkeys(COUNTS, 0) | {"submissions": len(self.asked)})
-        for asked in self.asked:
-            statuses = asked.answers
+            request.unanswered.append(place)
+        self.reactor.callLater(RETRY_DELAY / 1000, self.send, request)
+
+    def counts(self, in_outage: Callable[[HostPort, ClientRequest], bool]) -> dict[str, int]:
+        """The counts of all requests.
+
+        Args:
+            in_outage: Whether the dispatcher was killed or paused while the request was open; its answer
+                is then not counted as missing.
+        """
+        counts: Counter[str] = Counter(dict.fromkeys(COUNTS, 0) | {"submissions": len(self.requests)})
+        for request in self.requests:
+            statuses = request.answers
             counts["answers_double"] += max(0, len(statuses) - 1)
-            for place in asked.unanswered:
-                counts["held_by_killed" if excused(place, asked) else "answers_missing"] += 1
+            for place in request.unanswered:
+                counts["held_by_killed" if in_outage(place, request) else "answers_missing"] += 1
             counts["delivered"] += 200 in statuses
             counts["shed"] += 503 in statuses
             counts["broken_off"] += 500 in statuses
-            counts["irreversible_sent"] += asked.non_idempotent
+            counts["irreversible_sent"] += request.non_idempotent
             counts["never_answered"] += not statuses
         return dict(counts)
 
 
-class Dial(ClientFactory):
+class ConnectionFactory(ClientFactory):
+    """Connects to a dispatcher for one attempt of a request."""
+
     noisy = False
 
-    def __init__(self, front: Front, asked: Asked, place: Place) -> None:
-        self.front, self.asked, self.place = front, asked, place
+    def __init__(self, load: OpenLoopLoad, request: ClientRequest, place: HostPort) -> None:
+        self.load, self.request, self.place = load, request, place
 
-    def buildProtocol(self, addr: Any) -> Way:
-        return Way(self.front, self.asked, self.place)
+    def buildProtocol(self, addr: Any) -> ClientConnection:
+        """The connection that sends the request."""
+        return ClientConnection(self.load, self.request, self.place)
 
     def clientConnectionFailed(self, connector: Any, reason: Failure) -> None:
-        self.front.lost(self.asked, self.place, sent=False)
+        """Report that nothing was sent."""
+        self.load.on_connection_lost(self.request, self.place, sent=False)
 
 
-class Way(Protocol):
-    """One call on one connection."""
+class ClientConnection(Protocol):
+    """One attempt of a request, on a connection of its own."""
 
     transport: Any
 
-    def __init__(self, front: Front, asked: Asked, place: Place) -> None:
-        self.front, self.asked, self.place = front, asked, place
-        self.text, self.done = b"", False
+    def __init__(self, load: OpenLoopLoad, request: ClientRequest, place: HostPort) -> None:
+        self.load, self.request, self.place = load, request, place
+        self.received, self.done = b"", False
         self.timer: Any = None
 
     def connectionMade(self) -> None:
-        front, asked = self.front, self.asked
-        left = asked.deadline - front.clock()
-        workload = "load" if asked.non_idempotent else "lookup"
-        body = f"SELECT a FROM s_1.t /* cost={asked.cost:.2f} */"
+        """Send the request and start its timeout."""
+        load, request = self.load, self.request
+        left = request.deadline - load.clock()
+        workload = "load" if request.non_idempotent else "lookup"
+        body = f"SELECT a FROM s_1.t /* cost={request.cost:.2f} */"
         self.transport.setTcpNoDelay(True)
         self.transport.write(
-            f"POST /ops/{workload} HTTP/1.1\r\nHost: front\r\nReq-Id: {asked.ident}\r\n"
-            f"Req-Wait-Ms: {max(1.0, left):.0f}\r\nReq-Cost: {asked.cost:.2f}\r\n"
+            f"POST /ops/{workload} HTTP/1.1\r\nHost: front\r\nReq-Id: {request.ident}\r\n"
+            f"Req-Wait-Ms: {max(1.0, left):.0f}\r\nReq-Cost: {request.cost:.2f}\r\n"
             f"Content-Length: {len(body)}\r\nConnection: close\r\n\r\n{body}".encode()
         )
-        asked.ways.append(self.place)
-        front.connections.add(self)
-        self.timer = front.reactor.callLater(max(0.0, left + 50) / 1000, self.out_of_time)
+        request.sent_to.append(self.place)
+        load.connections.add(self)
+        self.timer = load.reactor.callLater(max(0.0, left + 50) / 1000, self.on_timeout)
 
-    def out_of_time(self) -> None:
+    def on_timeout(self) -> None:
+        """Give up a request that has no answer 50 ms after its deadline."""
         if not self.done:
-            self.done = self.asked.over = True
-            self.asked.unanswered.append(self.place)
+            self.done = self.request.finished = True
+            self.request.unanswered.append(self.place)
             self.transport.abortConnection()
 
     def dataReceived(self, data: bytes) -> None:
-        self.text += data
-        head, mark, body = self.text.partition(b"\r\n\r\n")
-        if not mark:
+        """Record the answer once it is complete."""
+        self.received += data
+        head, separator, body = self.received.partition(b"\r\n\r\n")
+        if not separator:
             return
         size = next(int(line.split(b":")[1]) for line in head.split(b"\r\n") if line.startswith(b"Content-L"))
         if len(body) >= size and not self.done:
-            self.done = self.asked.over = True
-            self.asked.answers.append(int(head.split()[1]))
+            self.done = self.request.finished = True
+            self.request.answers.append(int(head.split()[1]))
             if len(body) > size:
-                self.asked.answers.append(0)  # bytes beyond one answer
+                self.request.answers.append(0)  # bytes beyond one answer
 
     def connectionLost(self, reason: Failure = connectionDone) -> None:
-        self.front.connections.discard(self)
+        """Report a connection that ended without a complete answer."""
+        self.load.connections.discard(self)
         if self.timer.active():
             self.timer.cancel()
         if not self.done:
             self.done = True
-            self.front.lost(self.asked, self.place, sent=True)
+            self.load.on_connection_lost(self.request, self.place, sent=True)
--- a/spurdeal/net/discovery_socket.py
+++ b/spurdeal/net/discovery_socket.py
@@ -1,8 +1,8 @@
 """The socket for queries to the name server: opens it, reopens it and supervises it.
 
 Each step of discovery is triggered by the one before: a query by a timer, a read by the poller, a new socket
-by the close of the last one. If such a chain breaks, for whatever reason, `look` detects that and restarts
-it.
+by the close of the last one. If such a chain breaks, for whatever reason, `check_and_repair` detects that and
+restarts it.
 
 If responses stay away, queries are sent from another socket with another source port. The earlier sockets are
 read for as long as responses to them may still matter.
@@ -19,11 +19,11 @@
 from .counters import Counters
 from .datagram_reading import TolerantReading
 from .descriptors import OPENED_FOR_NAMES
-from .earlier_port import KEPT, EarlierPort
+from .earlier_port import RETENTION, EarlierPort
 from .names import NameService
 from .port_renewal import PortRenewal
 
-REOPEN_AFTER = 0.02  # seconds until another attempt to open a socket
+REOPEN_AFTER = 0.02  # seconds until opening a socket is tried again
 LARGEST_DATAGRAM = 65_535  # bytes of a response
 # seconds without a response after which the socket is read although the poller reports nothing
 UNPROMPTED_READ_AFTER = 0.5
@@ -49,18 +49,18 @@
         self.renewal = PortRenewal(names)
         self.reopening: Any = None
         self.closed = False
-        names.on_closed = self.ended
+        names.on_closed = self.on_port_closed
         names.before_query = self.renew_if_due
 
     def open(self) -> None:
         """Opens the socket; if that fails, tries again after REOPEN_AFTER."""
         self.reopening = None
         try:
-            self.port = self.opened(self.names)
+            self.port = self.open_port(self.names)
         except (CannotListenError, OSError) as fault:
             self.retry_opening(fault)
 
-    def opened(self, protocol: DatagramProtocol) -> Any:
+    def open_port(self, protocol: DatagramProtocol) -> Any:
         """Opens a Twisted port on an ephemeral source port.
 
         Raises:
@@ -73,7 +73,7 @@
         return port
 
     def note_not_opened(self, fault: Exception, protocol: DatagramProtocol) -> None:
-        """Counts and logs a failed attempt, and stops a protocol that was half started."""
+        """Counts and logs that no socket could be opened, and stops a protocol that was half started."""
         self.counters.add("names_socket_not_opened")
         why = fault.socketError if isinstance(fault, CannotListenError) else fault
         self.log.warning("names_socket_not_opened", extra={"figures": {"why": str(why)}})
@@ -81,19 +81,19 @@
             cast(Any, protocol).doStop()
 
     def retry_opening(self, fault: Exception) -> None:
-        """Handles a failed attempt to open the socket."""
+        """Handles that the socket could not be opened."""
         self.note_not_opened(fault, self.names)
         self.open_later()
 
-    def ended(self) -> None:
+    def on_port_closed(self) -> None:
         """Handles the close of the current socket, which loses the responses under way."""
         self.port = None
         if self.closed:
             return
-        self.note_ended()
+        self.note_closed()
         self.open_later()
 
-    def note_ended(self) -> None:
+    def note_closed(self) -> None:
         """Counts and logs a socket that was closed by an error."""
         self.counters.add("names_socket_ended")
         figures = {"unheard_ms": self.names.silent_for() * 1000}
@@ -120,30 +120,30 @@
         self.renewal.renewed()
         earlier = EarlierPort(self.names)
         try:
-            opened = self.opened(earlier)
+            opened = self.open_port(earlier)
         except (CannotListenError, OSError) as fault:
             self.note_not_opened(fault, earlier)
             return
         earlier.exchange(self.port, opened, self.reactor.seconds())
-        earlier.on_ended = self.earlier_ended
+        earlier.on_ended = self.on_earlier_closed
         self.earlier.append(earlier)
         self.port = opened
         self.counters.add("names_ports_renewed")
         figures = {"unheard_ms": self.names.silent_for() * 1000, "open": len(self.earlier) + 1}
         self.log.warning("discovery_port_renewed", extra={"figures": figures})
 
-    def earlier_ended(self, earlier: EarlierPort) -> None:
+    def on_earlier_closed(self, earlier: EarlierPort) -> None:
         """Handles the close of an earlier port by an error."""
         self.earlier.remove(earlier)
         if not self.closed:
-            self.note_ended()
+            self.note_closed()
 
     def read_earlier(self) -> None:
-        """Reads the earlier ports, and closes those that were not used for KEPT seconds."""
+        """Reads the earlier ports, and closes those that were not used for RETENTION seconds."""
         now = self.reactor.seconds()
         for earlier in list(self.earlier):
             self.read_unprompted(earlier.port)
-            if earlier in self.earlier and now - earlier.since > KEPT:
+            if earlier in self.earlier and now - earlier.since > RETENTION:
                 self.earlier.remove(earlier)
                 earlier.close()
 
@@ -155,11 +155,11 @@
             self.reopening.cancel()
 
     def open_later(self) -> None:
-        """Schedules another attempt to open a socket, without which no drain would be noticed."""
+        """Schedules opening a socket again, without which no drain would be noticed."""
         if self.reopening is None or not self.reopening.active():
             self.reopening = self.reactor.callLater(REOPEN_AFTER, self.open)
 
-    def look(self) -> None:
+    def check_and_repair(self) -> None:
         """Restarts queries, reads or sockets that have stopped; to be called often."""
         self.read_earlier()
         if self.port is None:
--- a/spurdeal/net/engine_index.py
+++ b/spurdeal/net/engine_index.py
@@ -1,4 +1,4 @@
-"""Maps the names of engines, zones and kinds to the numbers that the rules use."""
+"""Maps the names of engines, zones and kinds to the indices that the rules use."""
 
 from __future__ import annotations
 
@@ -10,33 +10,33 @@
 
 
 class EngineIndex:
-    """Numbers the engines of the list, without reusing a number, and the zones and kinds.
+    """The indices of the engines of the list, none of which is reused, and of the zones and kinds.
 
     Attributes:
-        places: By engine id, its number.
+        indices: By engine id, its index.
     """
 
     def __init__(self, zones: Sequence[str], kinds: Sequence[str]) -> None:
         self.zones, self.kinds = list(zones), list(kinds)
-        self.places: dict[str, int] = {}
-        self.next_place = count()
+        self.indices: dict[str, int] = {}
+        self.next_index = count()
 
-    def place_of(self, ident: str) -> int:
-        """Returns the number of an engine; a new engine gets the next one."""
-        if ident not in self.places:
-            self.places[ident] = next(self.next_place)
-        return self.places[ident]
+    def index_of(self, ident: str) -> int:
+        """Returns the index of an engine; a new engine gets the next one."""
+        if ident not in self.indices:
+            self.indices[ident] = next(self.next_index)
+        return self.indices[ident]
 
     def forget(self, ident: str) -> None:
         """Drops an engine that has left the list."""
-        del self.places[ident]
+        del self.indices[ident]
 
-    def line(self, ident: str, endpoint: Endpoint) -> ListedEngine:
-        """Converts an engine's entry for the rules."""
+    def to_listed(self, ident: str, endpoint: Endpoint) -> ListedEngine:
+        """Converts an engine's endpoint to the form that the rules take."""
         return ListedEngine(
-            self.place_of(ident),
-            number_of(self.zones, endpoint.zone),
-            number_of(self.kinds, endpoint.kind),
+            self.index_of(ident),
+            index_of_name(self.zones, endpoint.zone),
+            index_of_name(self.kinds, endpoint.kind),
             endpoint.cell,
             endpoint.life,
             endpoint.weight,
@@ -44,7 +44,7 @@
         )
 
 
-def number_of(names: list[str], name: str) -> int:
+def index_of_name(names: list[str], name: str) -> int:
     """Returns the index of a name; appends one that is not in the settings."""
     if name not in names:
         names.append(name)
--- a/spurdeal/net/start.py
+++ b/spurdeal/net/start.py
@@ -36,12 +36,13 @@
 
 START_WITHIN = 5.0  # seconds; a predecessor that shuts down has exited or was killed after at most 3.7 s
 START_RETRY_DELAY = 0.05  # seconds
-START_DELAYED = {errno.EADDRINUSE: "address_in_use"}
+# By error: the event that is logged when the start is delayed; "start_delayed" for all others.
+DELAY_EVENTS = {errno.EADDRINUSE: "address_in_use"}
 # EADDRNOTAVAIL is not transient here: an address that this host does not have.
 TRANSIENT_LISTEN_ERRORS = (TRANSIENT - {errno.EADDRNOTAVAIL}) | {errno.EADDRINUSE}
 
 
-def load_within(seconds: float, path: str, end_asked: Callable[[], bool]) -> Configuration:
+def load_within(seconds: float, path: str, termination_requested: Callable[[], bool]) -> Configuration:
     """Load the initial configuration, retrying while the system lacks resources to read it.
 
     Raises:
@@ -52,7 +53,7 @@
         try:
             return load_configuration(path)
         except Unreadable as fault:
-            if not fault.may_pass or time.monotonic() >= until or end_asked():
+            if not fault.is_transient or time.monotonic() >= until or termination_requested():
                 raise
         time.sleep(START_RETRY_DELAY)
 
@@ -80,7 +81,7 @@
     """
     if not path:
         raise Unusable("ROUTER_CONFIG is not set")
-    configuration = load_within(START_WITHIN, path, SIGNALS.end_asked)
+    configuration = load_within(START_WITHIN, path, SIGNALS.termination_requested)
     loop: Any = install_monotonic_reactor()
     log = logger(configuration.name or "spurdeal", sys.stderr)
     service = Service(
@@ -88,7 +89,7 @@
     )
     globalLogBeginner.beginLoggingTo([cast(Any, service.unhandled)], redirectStandardIO=False)
     try:
-        if not start_within(START_WITHIN, service, SIGNALS.end_asked):
+        if not start_within(START_WITHIN, service, SIGNALS.termination_requested):
             return
     except CannotListenError as fault:
         where = f"{configuration.host}:{configuration.port}"
@@ -99,11 +100,11 @@
     loop.run(installSignalHandlers=False)
 
 
-def start_within(seconds: float, service: Service, end_asked: Callable[[], bool]) -> bool:
+def start_within(seconds: float, service: Service, termination_requested: Callable[[], bool]) -> bool:
     """Start the service, retrying while its address is in use.
 
-    A killed predecessor holds the address until the system has closed its sockets, one that shuts down until
-    it has answered its last request.
+    A killed predecessor holds the address until the system has closed its sockets; a predecessor in graceful
+    shutdown holds it until it has answered its last request.
 
     Returns:
         False if shutdown was requested before the address was free.
@@ -121,10 +122,10 @@
             if fault.socketError.errno not in TRANSIENT_LISTEN_ERRORS or time.monotonic() >= until:
                 raise
             why = fault.socketError
-        if end_asked():
+        if termination_requested():
             return False
         if not logged:
             logged = True
             figures = {"retried_for_s": seconds, "why": str(why)}
-            service.log.warning(START_DELAYED.get(why.errno, "start_delayed"), extra={"figures": figures})
+            service.log.warning(DELAY_EVENTS.get(why.errno, "start_delayed"), extra={"figures": figures})
         time.sleep(START_RETRY_DELAY)
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -16,7 +16,7 @@
 from spurdeal.fleet.station import Clocks, FleetStation, StationSettings
 from spurdeal.fleet.words import status_words
 from spurdeal.lab.names import Endpoint
-from spurdeal.net.engine_list import KnownList
+from spurdeal.net.engine_list import NumberedList
 from spurdeal.net.start import Service
 from spurdeal.settings.reading import read_text
 from spurdeal.vrrp.sealed import Keys
@@ -346,7 +346,7 @@
 
         peer.pipe.write = written  # type: ignore[method-assign]
         peer.up()
-        self.assertEqual(["serve"], [each[0] for each in peer.heard()])
+        self.assertEqual(["serve"], [each[0] for each in peer.received()])
         self.assertEqual([f"{7:016x}"], [record.ident for record in self.entries(Kind.SENT)])
 
     def test_a_withdrawn_request_is_in_the_log(self) -> None:
@@ -388,13 +388,13 @@
             call.addErrback(lambda _: None)
             # Queued behind the request: the list is in force before the request's batch carries anything out.
             kept = {ident: endpoint for ident, endpoint in adapter.endpoints.items() if ident == stays}
-            self.station.service.names.take_known(KnownList(2, kept))
+            self.station.service.names.adopt_list(NumberedList(2, kept))
             self.station.list_received(kept)
             world.go(100)
             heard = [
                 peer.host
                 for peer in map(world.peer, range(len(world.reactor.tcpClients)))
-                if peer.up().heard()
+                if peer.up().received()
             ]
             self.assertEqual([f"127.0.9.{stays[-1]}"], heard)
             world.go(200)
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -189,7 +189,7 @@
         self.names.change(
             lambda endpoint: endpoint._replace(started=unix_ms if endpoint.ident == ident else 0)
         )
-        instances = [endpoint.told() for endpoint in self.names.endpoints]
+        instances = [endpoint.instance_entry() for endpoint in self.names.endpoints]
         roster = {"generation": 1, "reset": True, "instances": instances}
         known = {"no": self.names.serial, "items": [{"no": self.names.serial, "roster": roster}]}
         rules = SETTINGS["rules"] | {"tip_after": WINDOW * 1000}
@@ -269,7 +269,7 @@
         del rules.choose, rules.check_wait_queue
         world.go(300)
         peers = [world.peer(place).up() for place in range(len(world.reactor.tcpClients))]
-        served = [sent[1] for peer in peers for sent in peer.heard() if sent[0] == "serve"]
+        served = [sent[1] for peer in peers for sent in peer.received() if sent[0] == "serve"]
         self.assertEqual(sorted(served), [f"{0:016x}", f"{2:016x}"])
 
 
