--- a/spurdeal/cli/main.py
+++ b/spurdeal/cli/main.py
@@ -161,9 +161,9 @@
     if as_json:
         click.echo(json.dumps(found))
         return
-    from ..fleet.words import status_words
+    from ..fleet.words import status_lines
 
-    click.echo("\n".join(status_words(found)))
+    click.echo("\n".join(status_lines(found)))
 
 
 def read_logs(folders: tuple[str, ...], strict: bool) -> list[Any]:
--- a/spurdeal/cli/running.py
+++ b/spurdeal/cli/running.py
@@ -206,7 +206,7 @@
         if self.fleet is not None:
             self.fleet.start()
             if self.station is not None:
-                self.station.shut_out = self.fleet.lowers
+                self.station.shut_out = self.fleet.lowers_vrrp_priority
         if self.server is not None and self.installation.extproc is not None:
             self.listen_for_callers(self.server, self.installation.extproc)
 
--- a/spurdeal/fleet/asking.py
+++ b/spurdeal/fleet/asking.py
@@ -13,9 +13,9 @@
 from .audit import COLD, DOUBTFUL, BrokenLogError, Kind, ParsedFile, Record, read, read_head
 from .errors import FleetError
 from .hybrid import Stamp
-from .versions import WITNESSES, Artifact
+from .versions import MIN_CLAIMANTS, Artifact
 
-READY = 2
+READY = 2  # a ready engine's state in the "engines" of a VERSIONS record; see engine_life
 ARTIFACTS = tuple(artifact.name.lower() for artifact in Artifact)
 
 
@@ -44,27 +44,30 @@
         return self.record.stamp, self.name
 
     def to_json(self) -> dict[str, Any]:
-        """The entry as a dict that can be encoded as JSON."""
+        """The entry as a dict that can be encoded as JSON.
+
+        The keys keep former names: "submission" is the request's id, "trip" the attempt's number.
+        """
         record = self.record
-        found: dict[str, Any] = {
+        encoded: dict[str, Any] = {
             "at": str(record.stamp),
             "dispatcher": self.name,
             "boot": self.boot,
             "what": record.kind.name.lower(),
         }
         if record.ident:
-            found["submission"] = record.ident
+            encoded["submission"] = record.ident
         if record.engine:
-            found |= {
+            encoded |= {
                 "engine": record.engine,
                 "trip": record.attempt,
                 "cold": bool(record.flags & COLD),
                 "doubtful": bool(record.flags & DOUBTFUL),
             }
         if record.kind is Kind.CALLED_OFF:
-            found["trip"] = record.attempt
-        found |= {key: value for key, value in record.fields.items() if key != "engines"}
-        return found | {
+            encoded["trip"] = record.attempt
+        encoded |= {key: value for key, value in record.fields.items() if key != "engines"}
+        return encoded | {
             "versions": {
                 artifact: self.versions[artifact] for artifact in ARTIFACTS if artifact in self.versions
             }
@@ -72,10 +75,10 @@
 
     def to_text(self) -> str:
         """The entry as one line of text."""
-        found = self.to_json()
-        versions = found.pop("versions")
-        text = " ".join(f"{key}={value}" for key, value in found.items() if key not in ("at", "boot"))
-        return f"{found['at']} {text} list={versions.get('list', '?')}"
+        encoded = self.to_json()
+        versions = encoded.pop("versions")
+        text = " ".join(f"{key}={value}" for key, value in encoded.items() if key not in ("at", "boot"))
+        return f"{encoded['at']} {text} list={versions.get('list', '?')}"
 
 
 @dataclass
@@ -122,7 +125,7 @@
     for file in files:
         data = file.read_bytes()
         try:
-            found = read(data)
+            parsed = read(data)
         except BrokenLogError as fault:
             if strict:
                 raise UnreadableLogError(f"{file}: at byte {fault.offset}: {fault.why}") from None
@@ -130,26 +133,26 @@
             log.name = log.name or str(read_head(data).get("name", folder.name))
             before = None
             continue
-        log.torn += found.end < len(data) or not found.head
-        if found.head:
-            add_file(log, file, found, before)
-            before = found.digest.hex()
+        log.torn += parsed.end < len(data) or not parsed.head
+        if parsed.head:
+            add_file(log, file, parsed, before)
+            before = parsed.digest.hex()
     return log
 
 
-def add_file(log: DispatcherLog, file: Path, found: ParsedFile, before: str | None) -> None:
+def add_file(log: DispatcherLog, file: Path, parsed: ParsedFile, before: str | None) -> None:
     """Add a file's contents to its log, and check that it continues the chain.
 
     Args:
         log: The contents of the earlier files.
         file: The file's path.
-        found: The file's contents.
+        parsed: The file's contents.
         before: The digest in hex at the end of the previous file; None if it is not known.
 
     Raises:
         UnreadableLogError: The file is another dispatcher's.
     """
-    head = found.head
+    head = parsed.head
     if log.name and head["name"] != log.name:
         raise UnreadableLogError(
             f"{file}: at byte 0: it is {head['name']}'s, the files before are {log.name}'s"
@@ -158,12 +161,12 @@
     if before is not None and head["before"] != before:
         log.problems.append(f"{file.name}: a page before it was altered or cut")
     boot = str(head["boot"])
-    add_records(log, boot, found.records)
-    for page, seal in found.seals.items():
+    add_records(log, boot, parsed.records)
+    for page, seal in parsed.seals.items():
         log.seals[boot, page] = seal.digest
         log.last_page[boot] = max(page, log.last_page.get(boot, -1))
-    if found.unsealed:  # the next start continues after this page, which has no seal
-        log.last_page.setdefault(boot, found.page - 2)
+    if parsed.unsealed_records:  # the next start continues after this page, which has no seal
+        log.last_page.setdefault(boot, parsed.next_page - 2)
 
 
 def add_records(log: DispatcherLog, boot: str, records: Iterable[Record]) -> None:
@@ -220,8 +223,8 @@
             continue
         if query.dispatcher and query.dispatcher not in (entry.name, record.fields.get("name")):
             continue
-        under = [str(entry.versions.get(artifact, "")) for artifact in ARTIFACTS]
-        if query.version and not any(each.startswith(query.version) for each in under):
+        versions_in_force = [str(entry.versions.get(artifact, "")) for artifact in ARTIFACTS]
+        if query.version and not any(each.startswith(query.version) for each in versions_in_force):
             continue
         yield entry
 
@@ -249,7 +252,7 @@
             draining or gone.
     """
     entries = merge_logs(logs)
-    findings = [*check_own_list(entries), *check_newer_lists(entries, grace), *check_conflicts(entries)]
+    findings = [*check_own_list(entries), *check_newer_lists(entries, grace), *check_clashes(entries)]
     for log in logs:
         findings += [Finding("chain", f"{log.name}: {problem}") for problem in log.problems]
         if log.lost:
@@ -287,7 +290,9 @@
 
 
 def check_newer_lists(entries: Sequence[Entry], grace: float) -> Iterator[Finding]:
-    """Find attempts to engines that are draining or gone in a newer list, acted on before the grace.
+    """Find attempts to engines that are draining or gone in a list newer than the sender's.
+
+    The newer list must have been acted on first more than `grace` before the attempt.
 
     Args:
         entries: In the order of their timestamps.
@@ -317,7 +322,7 @@
     for entry in entries:
         if entry.record.kind is Kind.VERSIONS and "list" in entry.record.fields:
             acted.setdefault(entry.record.fields["list"], set()).add(entry.name)
-    return {version for version, by in acted.items() if len(by) >= min(WITNESSES, len(names) - 1)}
+    return {version for version, by in acted.items() if len(by) >= min(MIN_CLAIMANTS, len(names) - 1)}
 
 
 def newest_list_before(first: list[ListInForce], beyond: int, before: float) -> ListInForce | None:
@@ -348,10 +353,10 @@
     return int(version.partition("/")[0].partition(".")[2])
 
 
-def check_conflicts(entries: Iterable[Entry]) -> Iterator[Finding]:
+def check_clashes(entries: Iterable[Entry]) -> Iterator[Finding]:
     """Find versions that dispatchers acted on with different contents.
 
-    The program is left out: it has no version numbers, so different contents are no conflict.
+    The program is left out: it has no version numbers, so different contents are no clash.
     """
     seen: dict[tuple[str, str], dict[str, str]] = {}
     for entry in entries:
--- a/spurdeal/fleet/audit.py
+++ b/spurdeal/fleet/audit.py
@@ -29,7 +29,7 @@
 MAGIC = b"SPA1\n"
 FRAME = struct.Struct("!II")  # length and CRC-32 of the body
 FRAME_STAMP = struct.Struct("!HIHI")  # ms in 2 and 4 bytes, tally, index of versions
-# Kind, attempt, flags, length of the id; then the id and, for SENT, the engine's place (4 bytes).
+# Kind, attempt, flags, length of the id; then the id and, for SENT, the engine's index (4 bytes).
 REQUEST_RECORD = struct.Struct("!BBBB")
 JSON_RECORD = struct.Struct("!BH")  # kind, length; then that many bytes of zlib-compressed JSON
 SEAL_RECORD = struct.Struct("!BQQ")  # kind, page, records up to its end; then the digest
@@ -40,7 +40,7 @@
 
 
 class Kind(IntEnum):
-    """The kind of a record. The values are stored on disk."""
+    """The kind of a record. The values are stored on disk; the names in lower case go into JSON and text."""
 
     HEAD = 0  # first record of a file: dispatcher, start, and the state of the chain before the file
     VERSIONS = 1  # the versions that an index denotes from here on, with the engines of the list
@@ -50,7 +50,7 @@
     WITHDRAWN = 5  # the client withdrew the request
     GRANTED = 6  # the caller was granted an engine to which it sends the request itself
     CALLED_OFF = 7  # an attempt was cancelled
-    MODE = 8  # a change of state that the rules report, such as an ejected engine
+    MODE = 8  # a line of the rules on a change of their state, such as an ejected engine
     STANDING = 9  # a change of this dispatcher's standing in the fleet
     MEMBER = 10  # a change of a member's state
     WITNESS = 11  # the seal of another member's page, as that member announced it
@@ -59,11 +59,13 @@
     STOPPED = 14  # a graceful shutdown
     OTHER = 15  # another event of the fleet, named in the fields
     SEAL = 16
-    ENGINE = 17  # assigns an engine to a place in this file's table of engines
+    ENGINE = 17  # assigns an engine to an index in this file's table of engines
 
 
 REQUEST_EVENTS = (Kind.SHED, Kind.BROKEN_OFF, Kind.WITHDRAWN, Kind.GRANTED, Kind.CALLED_OFF)
-COLD, DOUBTFUL = 1, 2  # flags of a SENT record: a cold engine; an at-most-once request
+# Flags of a SENT record: COLD, the engine was cold; DOUBTFUL, the request must run at most once (it is
+# non-idempotent). DOUBTFUL does not include COLD, unlike Allowed.at_most_once_or_cold in standing.py.
+COLD, DOUBTFUL = 1, 2
 
 
 NO_FIELDS: Mapping[str, Any] = MappingProxyType({})
@@ -112,7 +114,7 @@
 class LogEnd(NamedTuple):
     """Where a log continues: the next page's number, the records so far, and the digest before the page."""
 
-    page: int
+    next_page: int
     records: int
     digest: bytes
 
@@ -143,32 +145,32 @@
 
     Args:
         page: The number of the first page.
-        count: The records of the log so far.
+        record_count: The records of the log so far.
         digest: The digest of the previous page.
     """
 
-    def __init__(self, page: int = 0, count: int = 0, digest: bytes = INITIAL_DIGEST) -> None:
-        self.page, self.count, self.digest = page, count, digest
+    def __init__(self, page: int = 0, record_count: int = 0, digest: bytes = INITIAL_DIGEST) -> None:
+        self.page, self.record_count, self.digest = page, record_count, digest
         self.records: list[bytes] = []
-        self.unsealed = hashlib.blake2b(digest, digest_size=DIGEST_SIZE)
+        self.page_hash = hashlib.blake2b(digest, digest_size=DIGEST_SIZE)
         self.in_page = 0
         self.engines: dict[str, int] = {}
 
-    # Records, kept until the next frame.
+    # Adding records; they are kept until the next frame.
 
     def add_attempt(self, ident: bytes, attempt: int, engine: str, flags: int) -> None:
         """Add a SENT record: an attempt was sent to an engine; flags are COLD and DOUBTFUL.
 
         An attempt above 255 is recorded as 255. ident is at most 255 bytes of ASCII.
         """
-        place = self.engines.get(engine)
-        if place is None:
-            place = self.engines[engine] = len(self.engines)
-            self.add_json(Kind.ENGINE, {"place": place, "engine": engine})
+        engine_index = self.engines.get(engine)
+        if engine_index is None:
+            engine_index = self.engines[engine] = len(self.engines)
+            self.add_json(Kind.ENGINE, {"place": engine_index, "engine": engine})
         self.records.append(
             REQUEST_RECORD.pack(Kind.SENT, min(attempt, 255), flags, len(ident))
             + ident
-            + place.to_bytes(4, "big")
+            + engine_index.to_bytes(4, "big")
         )
 
     def add_event(self, kind: Kind, ident: bytes, attempt: int = 0) -> None:
@@ -181,7 +183,7 @@
         if len(text) < 1 << 16:
             self.records.append(JSON_RECORD.pack(kind, len(text)) + text)
 
-    # Bytes.
+    # Encoding.
 
     def frame(self, stamp: Stamp, index: int) -> bytes:
         """Encode all records since the last frame with one timestamp; b"" if there are none."""
@@ -198,35 +200,38 @@
         if not written:
             self.engines.clear()  # the lost records may have included ENGINE records
             return count
-        self.count += count
+        self.record_count += count
         self.in_page += count
-        self.unsealed.update(data)
+        self.page_hash.update(data)
         return 0
 
     def seal(self, stamp: Stamp, index: int) -> bytes:
         """Encode the frame of the page's seal; b"" if the page has no records."""
         if not self.in_page:
             return b""
-        digest = self.unsealed.digest()
+        digest = self.page_hash.digest()
         body = (
             FRAME_STAMP.pack(stamp.ms >> 32, stamp.ms & 0xFFFFFFFF, stamp.tally, index)
-            + SEAL_RECORD.pack(Kind.SEAL, self.page, self.count)
+            + SEAL_RECORD.pack(Kind.SEAL, self.page, self.record_count)
             + digest
         )
         return FRAME.pack(len(body), zlib.crc32(body)) + body
 
     def on_sealed(self) -> SealedPage:
         """Report that the seal was written, start the next page and return the sealed one."""
-        page = SealedPage(self.page, self.unsealed.hexdigest(), self.count)
-        self.close()
+        page = SealedPage(self.page, self.page_hash.hexdigest(), self.record_count)
+        self.end_page()
         return page
 
-    def close(self) -> None:
-        """End the page and advance the chain, also if the file ends before the page's seal."""
+    def end_page(self) -> None:
+        """End the page and advance the chain; an empty page does not end.
+
+        A page that ends without a seal, since a new file begins, still uses up its number.
+        """
         if self.in_page:
-            self.digest = self.unsealed.digest()
+            self.digest = self.page_hash.digest()
             self.page, self.in_page = self.page + 1, 0
-            self.unsealed = hashlib.blake2b(self.digest, digest_size=DIGEST_SIZE)
+            self.page_hash = hashlib.blake2b(self.digest, digest_size=DIGEST_SIZE)
 
 
 class ParsedFile(NamedTuple):
@@ -235,22 +240,22 @@
     Attributes:
         records: All records but seals.
         seals: By number of the page.
-        page: The number of the next page.
-        total: Records of the log up to the file's end.
-        digest: Over everything in the file, sealed or not.
+        next_page: The number of the page after the file's last one.
+        record_count: Records of the log up to the file's end.
+        digest: The chain's digest after the file's last record, sealed or not.
         end: Length in bytes of the intact part; anything behind it is a torn tail.
         head: The fields of the file's HEAD record; empty if that record is torn.
-        unsealed: Records after the last seal.
+        unsealed_records: Records after the last seal.
     """
 
     records: list[Record]
     seals: dict[int, PageSeal]
-    page: int
-    total: int
+    next_page: int
+    record_count: int
     digest: bytes
     end: int
     head: Mapping[str, Any]
-    unsealed: int
+    unsealed_records: int
 
 
 def read(data: bytes) -> ParsedFile:
@@ -275,26 +280,26 @@
         if frame is None:
             break
         body, after = frame
-        found = list(decode_records(body, at, engines))
-        if found and found[0].kind is Kind.HEAD and not head:
-            head = found[0].fields
+        frame_records = list(decode_records(body, at, engines))
+        if frame_records and frame_records[0].kind is Kind.HEAD and not head:
+            head = frame_records[0].fields
             page, count, digest = int(head["page"]), int(head["records"]), bytes.fromhex(head["before"])
         elif not head:
             raise BrokenLogError(at, "no head")
-        if found and found[0].kind is Kind.SEAL:
-            seal = found[0].fields
+        if frame_records and frame_records[0].kind is Kind.SEAL:
+            seal = frame_records[0].fields
             digest = digest_after(digest, pending)
             if seal["page"] != page or seal["digest"] != digest.hex() or seal["records"] != count + in_page:
                 raise BrokenLogError(
                     at, f"page {page} is not what its seal says: altered, or a part is cut out"
                 )
             count, in_page, pending = count + in_page, 0, b""
-            seals[page] = PageSeal(digest.hex(), count, found[0].stamp)
+            seals[page] = PageSeal(digest.hex(), count, frame_records[0].stamp)
             page += 1
         else:
-            in_page += len(found)
+            in_page += len(frame_records)
             pending += data[at:after]
-            records += found
+            records += frame_records
         at = after
     if at < len(data) and is_followed_by_frame(data, at):
         raise BrokenLogError(at, "a frame is spoilt, and whole ones follow it")
@@ -306,10 +311,10 @@
     """The fields of a file's HEAD record, even if the rest is broken; {} if it has none."""
     frame = frame_at(data, len(MAGIC))
     try:
-        found = list(decode_records(frame[0], len(MAGIC), {})) if frame is not None else []
+        frame_records = list(decode_records(frame[0], len(MAGIC), {})) if frame is not None else []
     except BrokenLogError:
         return {}
-    return found[0].fields if found and found[0].kind is Kind.HEAD else {}
+    return frame_records[0].fields if frame_records and frame_records[0].kind is Kind.HEAD else {}
 
 
 def frame_at(data: bytes, at: int) -> tuple[bytes, int] | None:
@@ -328,7 +333,7 @@
 
     Every later offset within 64 KiB is tried, since the damaged frame's length may be wrong.
     """
-    return any(frame_at(data, place) is not None for place in range(at + 1, min(len(data), at + 65_536)))
+    return any(frame_at(data, offset) is not None for offset in range(at + 1, min(len(data), at + 65_536)))
 
 
 def decode_records(body: bytes, offset: int, engines: dict[int, str]) -> Iterator[Record]:
--- a/spurdeal/fleet/bringing.py
+++ b/spurdeal/fleet/bringing.py
@@ -2,9 +2,9 @@
 
 A member fetches from one holder at a time, chosen at random among all that claim the version, so that no
 holder is overloaded. A holder serves a limited number of pieces per period and answers when it is busy. A
-fetched list is used only if it has the claimed digest, and only if it would not drop more engines at once
-than one witness may: a member that invents lists must not empty the fleet. Pieces are parts of a JSON text
-compressed with zlib, small enough for one packet each.
+fetched list is used only if it has the claimed digest. A list that fewer than MIN_CLAIMANTS members claim may
+drop at most MAX_SINGLE_CLAIMANT_DROP of our ready engines: a member that invents lists must not empty the
+fleet. Pieces are parts of a JSON text compressed with zlib, small enough for one packet each.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 
 PIECE_SIZE = 600  # bytes of compressed text in one datagram
 MAX_PIECES = 128
-LARGEST = 1_048_576  # bytes of a decompressed list
+MAX_LIST_SIZE = 1_048_576  # bytes of a decompressed list
 KEPT_LISTS = 8  # lists kept for members that are behind
 MAX_SERVED = 24  # pieces served per period
 MAX_REFUSED = 64  # versions remembered as refused
 PIECE_TIMEOUT = 200.0  # ms
 RETRY_PAUSE = 50.0, 150.0  # ms after a failure until another holder is asked, randomized in this range
-MAX_SINGLE_WITNESS_DROP = 0.34  # share of our ready engines that a list with one witness may drop
+MAX_SINGLE_CLAIMANT_DROP = 0.34  # share of our ready engines that a list with one claimant may drop
 
 Rows = dict[str, Row]
 
@@ -47,11 +47,11 @@
     """The JSON value in these pieces.
 
     Raises:
-        UnusableListError: They are truncated, damaged, or larger than LARGEST when decompressed.
+        UnusableListError: They are truncated, damaged, or larger than MAX_LIST_SIZE when decompressed.
     """
     opened = zlib.decompressobj()
     try:
-        data = opened.decompress(b"".join(pieces), LARGEST)
+        data = opened.decompress(b"".join(pieces), MAX_LIST_SIZE)
         if opened.unconsumed_tail or not opened.eof:
             raise UnusableListError("too large, or truncated")
         return json.loads(data)
@@ -94,7 +94,7 @@
     data: bytes
 
 
-BUSY = Piece(0, b"")
+BUSY = Piece(0, b"")  # 0 pieces: the holder serves no more in this period; `Fetch.on_piece` counts a failure
 
 
 class ListStore:
@@ -113,8 +113,8 @@
             self.lists.popitem(last=False)
         self.packed.clear()
 
-    def piece(self, now: float, have: Version, want: Version, place: int) -> Piece | None:
-        """The piece at a place; BUSY beyond the period's limit; None if there is no such list or piece."""
+    def piece(self, now: float, have: Version, want: Version, index: int) -> Piece | None:
+        """The piece at an index; BUSY beyond the period's limit; None if there is no such list or piece."""
         if want not in self.lists:
             return None
         if now - self.since >= self.period:
@@ -131,10 +131,10 @@
             while len(self.packed) > 4 * KEPT_LISTS:
                 self.packed.popitem(last=False)
         pieces = self.packed[have, want]
-        if place >= len(pieces) or len(pieces) > MAX_PIECES:
+        if index >= len(pieces) or len(pieces) > MAX_PIECES:
             return None
         self.served += 1
-        return Piece(len(pieces), pieces[place])
+        return Piece(len(pieces), pieces[index])
 
 
 class PieceRequest(NamedTuple):
@@ -143,14 +143,14 @@
     to: str
     have: Version
     want: Version
-    place: int
+    piece_index: int
 
 
 class ReceivedPiece(NamedTuple):
-    """A piece as sent by a holder: version, place, number of pieces, and data as base64 text."""
+    """A piece as sent by a holder: version, index, number of pieces, and data as base64 text."""
 
     want: Version
-    place: int
+    piece_index: int
     total: int
     data: str
 
@@ -194,7 +194,7 @@
 
     def on_piece(self, now: float, sender: str, piece: ReceivedPiece) -> PieceRequest | list[bytes] | None:
         """Take a piece; returns the next request, or all pieces after the last."""
-        if sender != self.holder or piece.want != self.want or piece.place != len(self.pieces):
+        if sender != self.holder or piece.want != self.want or piece.piece_index != len(self.pieces):
             return None
         if not 0 < piece.total <= MAX_PIECES or (self.pieces and piece.total != self.count):
             self.fail(now)
@@ -210,13 +210,13 @@
         return self.pieces
 
     def fail(self, now: float, unusable: bool = False) -> None:
-        """The holder gave nothing usable: try another one after a randomized pause."""
+        """Count a failure of the holder and end the fetch; the next begins after a randomized pause."""
         self.failed[self.holder] = self.failed.get(self.holder, 0) + 1
         self.unusable += unusable
         self.end(now, self.chance.uniform(*RETRY_PAUSE))
 
     def refuse(self, now: float) -> None:
-        """The content is the claimed one but must not be acted on."""
+        """Never fetch this version again: its content is the claimed one but must not be put in force."""
         if self.want is not None and len(self.refused) < MAX_REFUSED:
             self.refused.add(self.want)
         self.fail(now, True)
--- a/spurdeal/fleet/fleet.py
+++ b/spurdeal/fleet/fleet.py
@@ -1,6 +1,6 @@
 """One dispatcher's side of the fleet: membership, versions, lease, standing and list synchronization.
 
-Free of I/O. The caller calls `tick` every TICK ms and `take` for each datagram, sends what is in `out` and
+Free of I/O. The caller calls `tick` every TICK ms and `receive` for each datagram, sends what is in `out` and
 logs what is in `events`. Both clocks are passed with each call: ms of a monotonic clock that keeps running
 while the process is suspended, and Unix ms. Nothing that comes from outside raises; what cannot be used is
 counted by its reason and changes nothing.
@@ -20,7 +20,7 @@
 from .audit import SealedPage
 from .bringing import ListStore, Rows
 from .hybrid import HybridClock
-from .lease import GRANTORS, Grantor, Lease
+from .lease import MAX_GRANTORS, Grantor, Lease
 from .list_sync import READY, ListSync
 from .members import Address, Change, Life, Members, Record
 from .messenger import Messenger
@@ -37,9 +37,9 @@
 __all__ = ["READY", "TICK", "Fleet", "FleetEvent", "FleetSettings", "SharedSettings"]
 
 MIN_CLOCKS = 3  # other members whose clocks must be known before ours can be judged
-SHIFT_EVERY = 250.0  # ms
+OFFSET_UPDATE_INTERVAL = 250.0  # ms
 CLOCK_AGE = 10_000.0  # ms for which a member's reported clock is valid
-MAX_TOLD_ONCE = 1024
+MAX_REPORTED_ONCE = 1024  # lasting conditions reported; further ones are not reported
 MAX_STRANGERS = 256  # names with a valid key that are not members yet
 
 
@@ -52,7 +52,7 @@
         address: The address at which the others reach it.
         seeds: Members to contact at a start, by name; a member without seeds acts alone.
         shared: Settings that all members share.
-        keys: Keys of the sealed datagrams.
+        keys: Keys of the authenticated datagrams.
     """
 
     name: str
@@ -94,8 +94,9 @@
         self.tracker = StandingTracker(self.name, limits, now)
         self.rows: Rows = {}
         self.page: SealedPage | None = None  # the newest sealed page of our own audit log
-        self.clock_shift, self.next_shift = 0.0, now
-        self.skew = 0.0  # ms by which the system's Unix time is ahead of the non-stepping time passed to us
+        self.offset_from_peers, self.next_offset_update = 0.0, now  # ms; see compute_offset_from_peers
+        # ms by which the system's Unix time is ahead of the non-stepping Unix time passed to us
+        self.system_time_offset = 0.0
         self.leaving = False
         self.list_sync, self.receiver = ListSync(self, now), Receiver(self)
         self.name_conflict = NameConflict(self)
@@ -119,7 +120,7 @@
 
     @property
     def sessions(self) -> dict[str, Session]:
-        """Sealed sessions by member."""
+        """Authenticated sessions by member."""
         return self.messenger.sessions
 
     @property
@@ -128,8 +129,8 @@
         return self.list_sync.list_store
 
     @property
-    def twin(self) -> bool:
-        """Whether another process has our name and we have yielded it."""
+    def name_yielded(self) -> bool:
+        """Whether another process has our name and we have yielded it; the standing is then TWIN."""
         return self.name_conflict.yielded
 
     @property
@@ -149,10 +150,10 @@
         The lease is checked again, as the process may have been paused since the last tick.
         """
         allowed = self.tracker.allowed
-        return allowed if self.lease.holds(now) else allowed._replace(doubtful=False)
+        return allowed if self.lease.holds(now) else allowed._replace(at_most_once_or_cold=False)
 
-    def in_force(
-        self, artifact: Artifact, version: Version, rows: Rows | None = None, by_source: bool = True
+    def put_in_force(
+        self, artifact: Artifact, version: Version, rows: Rows | None = None, from_own_source: bool = True
     ) -> bool:
         """Record the version that this dispatcher acts on from now on.
 
@@ -160,12 +161,13 @@
             artifact: What is versioned: engine list, configuration, program or keys.
             version: The version now in force.
             rows: The engine list itself, if `artifact` is LIST.
-            by_source: Whether it comes from our own source rather than from a peer.
+            from_own_source: Whether it comes from this dispatcher's own source (its name service, its files)
+                rather than from a peer.
 
         Returns:
             Whether it is newer than what was in force.
         """
-        taken = self.registry.put_in_force(artifact, version, by_source)
+        taken = self.registry.put_in_force(artifact, version, from_own_source)
         if taken and rows is not None:
             self.rows = rows
             self.list_store.keep(version, rows)
@@ -192,7 +194,7 @@
         """Announce a graceful shutdown to some members at once; gossip spreads it."""
         self.leaving = True
         self.members.leave()
-        for name in self.members.alive()[: 2 * GRANTORS]:
+        for name in self.members.live()[: 2 * MAX_GRANTORS]:
             self.messenger.ping(now, unix, name)
 
     def status(self, now: float) -> dict[str, Any]:
@@ -219,7 +221,10 @@
         self.update_standing(now)
 
     def note_pause(self, now: float) -> bool:
-        """Whether the process was paused; if so, shift the timers, as silence proves nothing then."""
+        """Whether the process was paused; if so, shift the timers, as silence proves nothing then.
+
+        `Members.tick` detects the same pause for its own timers.
+        """
         gap = now - self.ticked
         self.ticked = now
         if gap <= 2 * self.shared.period:
@@ -229,15 +234,18 @@
         return True
 
     def update_standing(self, now: float) -> None:
-        """Update our standing, and begin a new start if the lease is lost for good."""
+        """Update our standing, and begin a new start if the lease cannot be regained by this one."""
         held = self.renewal.held(now)
-        if now >= self.next_shift:
-            self.next_shift, self.clock_shift = now + SHIFT_EVERY, self.shift(now)
+        if now >= self.next_offset_update:
+            self.next_offset_update, self.offset_from_peers = (
+                now + OFFSET_UPDATE_INTERVAL,
+                self.compute_offset_from_peers(now),
+            )
         if self.tracker.step(now, self.observe(now, held)):
             self.report_standing()
             if self.tracker.standing is Standing.JOINING:
                 self.table_sync.restart(now)
-        if self.renewal.lost_for_good(now):
+        if self.renewal.should_rejoin(now):
             self.rejoin(now)
 
     def observe(self, now: float, held: bool) -> Observations:
@@ -249,14 +257,14 @@
             self.others_behind,
             self.members.size(),
             self.synced,
-            self.clock_shift,
-            self.twin,
+            self.offset_from_peers,
+            self.name_yielded,
         )
 
     def rejoin(self, now: float) -> None:
         """Continue as a new start, with all that a new start must do first.
 
-        Called when the grantors are lost for good, or refuse the present start.
+        Called when there was no lease for long, as its grantors are lost or refuse the present start.
         """
         incarnation, others = self.members.highest_incarnation, dict(self.members.others)
         before = self.boot
@@ -266,7 +274,7 @@
                 self.members.set_record(now, record, self.name)
         self.members.raise_incarnation(incarnation)
         self.lease.sole_member = self.lease.sole_member and not self.members.others
-        self.tracker.returned += 1
+        self.tracker.returns += 1
         self.events.append(FleetEvent("rejoined", {"before": f"{before:016x}", "boot": f"{self.boot:016x}"}))
 
     def others_behind(self) -> list[str]:
@@ -281,12 +289,12 @@
             or (name in self.peer_reports and self.peer_reports[name].standing is Standing.SHUT)
         ]
 
-    def shift(self, now: float) -> float:
+    def compute_offset_from_peers(self, now: float) -> float:
         """How far our Unix time is ahead of the median of the others', in ms.
 
         0 while too few have reported theirs.
         """
-        clocks = [heard.clock for heard in self.peer_reports.values() if now - heard.at <= CLOCK_AGE]
+        clocks = [heard.clock_offset for heard in self.peer_reports.values() if now - heard.at <= CLOCK_AGE]
         return -median(clocks) if len(clocks) >= MIN_CLOCKS else 0.0
 
     # Changes of the members.
@@ -322,32 +330,32 @@
 
     def report_change(self, change: Change) -> None:
         """Report a member's change of state."""
-        figures = {
+        fields = {
             "name": change.name,
             "life": change.life.name.lower(),
             "boot": f"{change.boot:016x}",
             "why": change.why,
         }
-        self.events.append(FleetEvent("member", figures))
+        self.events.append(FleetEvent("member", fields))
 
     def report_standing(self) -> None:
         """Report our standing."""
-        figures = {
+        fields = {
             "standing": self.tracker.standing.name.lower(),
             "why": self.tracker.why,
             "list": str(self.registry.in_force.get(Artifact.LIST, "")),
         }
-        self.events.append(FleetEvent("standing", figures))
+        self.events.append(FleetEvent("standing", fields))
 
     def report_clash(self, clash: Clash) -> None:
         """Report a clash, once."""
         self.report_once(f"clash {clash}", "clash", {"says": str(clash)})
 
-    def report_once(self, key: str, what: str, figures: dict[str, Any]) -> None:
+    def report_once(self, key: str, what: str, fields: dict[str, Any]) -> None:
         """Report a lasting condition once; `key` identifies it."""
-        if key not in self.reported_once and len(self.reported_once) < MAX_TOLD_ONCE:
+        if key not in self.reported_once and len(self.reported_once) < MAX_REPORTED_ONCE:
             self.reported_once.add(key)
-            self.events.append(FleetEvent(what, figures))
+            self.events.append(FleetEvent(what, fields))
 
     # Datagrams.
 
@@ -361,7 +369,7 @@
         """A message's body: the fields that every message has, and these."""
         return {
             "h": list(self.hybrid.stamp(unix)),
-            "u": int(unix + self.skew),
+            "u": int(unix + self.system_time_offset),
             "v": wire.versions_row(self.registry.in_force),
             "s": int(self.tracker.standing),
         } | dict(fields)
--- a/spurdeal/fleet/hybrid.py
+++ b/spurdeal/fleet/hybrid.py
@@ -15,7 +15,7 @@
 
 
 class Stamp(NamedTuple):
-    """Unix ms, and a counter of the events in that ms; compared as pairs."""
+    """Unix ms, and a counter (tally) of the events in that ms; compared as pairs."""
 
     ms: int
     tally: int
@@ -33,7 +33,7 @@
         self.refused = 0
 
     def stamp(self, unix: float) -> Stamp:
-        """A stamp for a local event or an outgoing datagram, later than all stamps given or received."""
+        """A stamp for a local event or an outgoing datagram, later than all stamps given or accepted."""
         if int(unix) > self.last.ms:
             self.last = Stamp(int(unix), 0)
         else:
@@ -46,11 +46,11 @@
             self.refused += 1
             return False
         ms = max(int(unix), self.last.ms, other.ms)
-        count = max(self.last.tally if ms == self.last.ms else -1, other.tally if ms == other.ms else -1)
-        self.last = self.after(ms, count + 1)
+        tally = max(self.last.tally if ms == self.last.ms else -1, other.tally if ms == other.ms else -1)
+        self.last = self.after(ms, tally + 1)
         return True
 
     @staticmethod
-    def after(ms: int, count: int) -> Stamp:
+    def after(ms: int, tally: int) -> Stamp:
         """The stamp with this tally, or the first of the next ms if the tally is exhausted."""
-        return Stamp(ms, count) if count <= MAX_TALLY else Stamp(ms + 1, 0)
+        return Stamp(ms, tally) if tally <= MAX_TALLY else Stamp(ms + 1, 0)
--- a/spurdeal/fleet/journal.py
+++ b/spurdeal/fleet/journal.py
@@ -1,9 +1,9 @@
-"""The audit log on disk: one directory of files, their retention by size, and the handling of write failures.
+"""The audit log on disk, written by class Journal: files in one directory, retention, and write failures.
 
 A write failure never delays a request: records that cannot be written are counted, and their number is
 recorded once the disk accepts writes again. A batch's frame is written before anything decided in it is sent,
-so after a crash of the process the log holds every attempt that reached an engine. Frames are not flushed: a
-crash of the machine may lose the latest ones.
+so after a crash of the process the log holds every attempt that reached an engine. Frames are not flushed to
+disk as they are written: a crash of the machine may lose the latest ones.
 """
 
 from __future__ import annotations
@@ -52,7 +52,16 @@
 
 
 class Journal:
-    """One dispatcher's log. Opening it recovers the existing files; see `recover` for its errors.
+    """One dispatcher's audit log. Opening it recovers the existing files; see `recover` for its errors.
+
+    Attributes:
+        torn: Files with a torn tail or a torn head, found at the start.
+        failures: Opens and writes that failed.
+        lost: Records that could not be written.
+        dropped: Files deleted to make room.
+        broken: Files found broken at the start and renamed.
+        written: Bytes of frames written, without seals and MAGIC.
+        file_size: Bytes of the current file.
 
     Args:
         settings: Location, owner and size.
@@ -70,7 +79,7 @@
     ) -> None:
         self.path, self.name, self.boot = settings.path, settings.name, settings.boot
         self.max_bytes, self.stamp, self.now, self.calls = settings.max_bytes, stamp, now, calls
-        self.descriptor, self.bytes, self.file_number = -1, 0, 0
+        self.descriptor, self.file_size, self.file_number = -1, 0, 0
         self.torn = self.failures = self.lost = self.dropped = self.broken = self.written = 0
         self.lost_unreported, self.next_retry = 0, 0.0
         self.versions_index = 0
@@ -92,33 +101,33 @@
             OSError: The directory cannot be created, read or written.
         """
         self.path.mkdir(parents=True, exist_ok=True)
-        found: ParsedFile | None = None
+        parsed: ParsedFile | None = None
         for file in sorted(self.path.glob("audit-*.log")):
             self.file_number = max(self.file_number, int(file.stem[6:]))
             self.file_sizes[int(file.stem[6:])] = file.stat().st_size
-        while self.file_sizes and found is None:
+        while self.file_sizes and parsed is None:
             newest = max(self.file_sizes)
             file = self.path_of(newest)
             data = file.read_bytes()
             try:
-                found = read(data)
+                parsed = read(data)
             except BrokenLogError:
                 self.broken += 1
                 file.rename(file.with_suffix(".broken"))
                 del self.file_sizes[newest]
                 continue
-            if not found.head:  # the process was killed, or the disk was full, while the file was started
+            if not parsed.head:  # the process was killed, or the disk was full, while the file was started
                 self.torn += 1
                 file.unlink()
                 del self.file_sizes[newest]
-                found = None
-            elif found.end < len(data):
+                parsed = None
+            elif parsed.end < len(data):
                 self.torn += 1
-                os.truncate(file, found.end)
-                self.file_sizes[newest] = found.end
+                os.truncate(file, parsed.end)
+                self.file_sizes[newest] = parsed.end
         return (
-            LogEnd(found.page, found.total, found.digest)
-            if found is not None
+            LogEnd(parsed.next_page, parsed.record_count, parsed.digest)
+            if parsed is not None
             else LogEnd(0, 0, INITIAL_DIGEST)
         )
 
@@ -133,9 +142,9 @@
             return False
         if self.descriptor >= 0:
             self.calls.close(self.descriptor)
-        self.descriptor, self.bytes, self.file_sizes[self.file_number] = descriptor, 0, 0
+        self.descriptor, self.file_size, self.file_sizes[self.file_number] = descriptor, 0, 0
         pending, self.pages.records = self.pages.records, []
-        self.pages.close()
+        self.pages.end_page()
         self.pages.engines.clear()
         self.pages.add_json(
             Kind.HEAD,
@@ -144,7 +153,7 @@
                 "boot": f"{self.boot:016x}",
                 "file": self.file_number,
                 "page": self.pages.page,
-                "records": self.pages.count,
+                "records": self.pages.record_count,
                 "before": self.pages.digest.hex(),
             },
         )
@@ -163,13 +172,13 @@
 
     def set_versions(self, versions: dict[str, Any]) -> None:
         """Record the versions in force from here on; every later frame holds their index."""
-        self.flush()
+        self.write_pending()
         self.versions_index += 1
         self.versions = versions | {"index": self.versions_index}
         self.pages.add_json(Kind.VERSIONS, self.versions)
-        self.flush()
+        self.write_pending()
 
-    def flush(self) -> None:
+    def write_pending(self) -> None:
         """Write the records added since the last frame as one frame. A failure is counted, not raised."""
         if not self.pages.records:
             return
@@ -187,15 +196,17 @@
             self.lost_unreported = 0
             self.pages.add_json(Kind.LOST, {"records": lost})
 
-    def write_frame(self, data: bytes, before: bytes = b"") -> bool:
-        """Write one frame, after the bytes in `before`, and return whether it was written.
+    def write_frame(self, data: bytes, prefix: bytes = b"") -> bool:
+        """Write one frame, after the bytes in `prefix`, and return whether it was written.
 
+        While losses are unreported, only the first frame of a new file, which has a prefix, is written: no
+        frame may follow lost records in the same file.
         A torn write is truncated; if that fails, the file is abandoned and a later call starts a new one.
         """
         written = False
-        if self.descriptor >= 0 and (not self.lost_unreported or before):
+        if self.descriptor >= 0 and (not self.lost_unreported or prefix):
             try:
-                view = memoryview(before + data)
+                view = memoryview(prefix + data)
                 while view:
                     view = view[self.calls.write(self.descriptor, view) :]
                 written = True
@@ -206,15 +217,15 @@
         self.lost += lost
         self.lost_unreported += lost
         if written:
-            self.bytes += len(before) + len(data)
+            self.file_size += len(prefix) + len(data)
             self.written += len(data)
-            self.file_sizes[self.file_number] = self.bytes
+            self.file_sizes[self.file_number] = self.file_size
         return written
 
     def truncate_torn_write(self) -> None:
         """Truncate a torn write; abandon the file if that fails."""
         try:
-            self.calls.ftruncate(self.descriptor, self.bytes)
+            self.calls.ftruncate(self.descriptor, self.file_size)
         except OSError:
             with suppress(OSError):
                 self.calls.close(self.descriptor)
@@ -225,7 +236,7 @@
 
         None if the page has no records, or if the seal could not be written.
         """
-        self.flush()
+        self.write_pending()
         data = self.pages.seal(self.stamp(), self.versions_index)
         if not data or self.descriptor < 0 or self.lost_unreported:
             return None
@@ -237,10 +248,10 @@
             self.failures += 1
             self.truncate_torn_write()
             return None
-        self.bytes += len(data)
-        self.file_sizes[self.file_number] = self.bytes
+        self.file_size += len(data)
+        self.file_sizes[self.file_number] = self.file_size
         page = self.pages.on_sealed()
-        if self.bytes > max(MIN_FILE_SIZE, self.max_bytes // MAX_FILES):
+        if self.file_size > max(MIN_FILE_SIZE, self.max_bytes // MAX_FILES):
             self.start_file()
         return page
 
@@ -257,7 +268,10 @@
             self.dropped += 1
 
     def close(self) -> None:
-        """Record the graceful shutdown, seal the page, flush and close the file; failures are ignored."""
+        """Record the graceful shutdown, seal the page, flush the file to disk and close it.
+
+        Failures to write or flush are ignored.
+        """
         self.pages.add_json(Kind.STOPPED, {})
         self.seal()
         if self.descriptor >= 0:
--- a/spurdeal/fleet/lease.py
+++ b/spurdeal/fleet/lease.py
@@ -4,9 +4,10 @@
 `lease` ago. Its grantors are a few members chosen by rendezvous hashing (`members.rendezvous`), so that the
 cost per member stays constant in large fleets; in small fleets they are all other members. The holder counts
 from when it sent the request, a grantor from when it answered, which is later. So no clocks are compared,
-and a grantor knows by its own clock when its answer has expired (Gray and Cheriton, "Leases", 1989). Of k
-grantors w must grant; a member that k - w + 1 grantors refuse cannot hold a lease (intersecting quorums:
-Gifford, "Weighted voting", 1979). To acquire a lease, at a start or after it was lost, k - w + 1 must grant.
+and a grantor knows by its own clock when its answer has expired (Gray and Cheriton, "Leases", 1989). Of the
+k = len(grantors) grantors w = `Term.quorum` must grant; a member that k - w + 1 grantors refuse cannot hold a
+lease (intersecting quorums: Gifford, "Weighted voting", 1979). To acquire a lease, at a start or after it was
+lost, k - w + 1 must grant (`Term.quorum_to_acquire`).
 A grantor answers only one start of a name at a time, so two processes with one name never both hold the
 lease (with a quorum of 3 of 7 for both, duplicate processes on the test rig did).
 
@@ -30,12 +31,12 @@
 from typing import NamedTuple
 
 MAX_CLOCK_DRIFT = 0.01  # upper bound on the relative rate difference of two clocks
-GRANTORS = 7
+MAX_GRANTORS = 7  # of one member
 NEVER = -math.inf
 
 
 class Term(NamedTuple):
-    """One set of grantors. The number only grows within a start."""
+    """One set of grantors, not an election term as in Raft. The number only grows within a start."""
 
     number: int
     grantors: tuple[str, ...]
@@ -56,30 +57,30 @@
     """Our own lease. `grants` holds, by grantor, the send time of the newest request that it granted."""
 
     def __init__(self, lease: float, part: float) -> None:
-        self.lease, self.part = lease, part
+        self.duration, self.required_share = lease, part
         self.term, self.grants = NO_TERM, dict[str, float]()
         self.proposed: Term | None = None
         self.proposed_grants: dict[str, float] = {}
         self.proposal_acked_by: set[str] = set()  # grantors of the term in force that know the proposed one
         self.refused_by: set[str] = set()
         self.sole_member = True  # no other member was ever known: no grant is needed
-        self.held = False  # acquired and not lost since
+        self.acquired = False  # acquired and not lost since
 
     def expires_at(self) -> float:
         """When it expires if no further grant arrives."""
         if not self.term.grantors:
             return math.inf if self.sole_member else NEVER
         times = sorted((self.grants.get(name, NEVER) for name in self.term.grantors), reverse=True)
-        return times[self.term.quorum(self.part) - 1] + self.lease if self.held else NEVER
+        return times[self.term.quorum(self.required_share) - 1] + self.duration if self.acquired else NEVER
 
     def holds(self, now: float) -> bool:
-        """Whether the lease is held at `now`."""
-        self.held = self.held and now < self.expires_at()
+        """Whether the lease is held at `now`; one that is found expired must be acquired again."""
+        self.acquired = self.acquired and now < self.expires_at()
         return now < self.expires_at()
 
-    def live_grants(self, now: float, asked: dict[str, float]) -> int:
+    def live_grants(self, now: float, request_times: dict[str, float]) -> int:
         """How many of these grants, given by their request times, are still valid."""
-        return sum(at + self.lease > now for at in asked.values())
+        return sum(at + self.duration > now for at in request_times.values())
 
     def propose(self, grantors: Sequence[str]) -> None:
         """Propose a term with these grantors, if they differ or if some have refused the newest term."""
@@ -97,34 +98,45 @@
         """Grantors of the term in force and of the proposed one."""
         return sorted({*self.term.grantors, *(self.proposed.grantors if self.proposed is not None else ())})
 
-    def answered(self, now: float, name: str, asked: float, heard_of: int, granted: bool) -> None:
-        """Record a grantor's answer to our request sent at `asked`.
+    def on_reply(self, now: float, name: str, sent_at: float, highest_known_term: int, granted: bool) -> None:
+        """Record a grantor's answer to our request sent at `sent_at`.
 
         Args:
             now: Monotonic clock, in ms.
             name: The grantor.
-            asked: When we sent the request.
-            heard_of: Our highest term that the grantor knows.
+            sent_at: When we sent the request.
+            highest_known_term: Our highest term that the grantor knows.
             granted: Whether it granted.
         """
         self.holds(now)  # a lease that expired meanwhile must be acquired again
         newest = self.proposed or self.term
         if not granted:
-            if heard_of == newest.number and name in newest.grantors:
+            if highest_known_term == newest.number and name in newest.grantors:
                 self.refused_by.add(name)
         elif name in self.term.grantors:
-            self.grants[name] = max(asked, self.grants.get(name, NEVER))
-            self.held |= self.live_grants(now, self.grants) >= self.term.quorum_to_acquire(self.part)
-        if self.proposed is None or heard_of < self.proposed.number:
+            self.grants[name] = max(sent_at, self.grants.get(name, NEVER))
+            self.acquired |= self.live_grants(now, self.grants) >= self.term.quorum_to_acquire(
+                self.required_share
+            )
+        if self.proposed is None or highest_known_term < self.proposed.number:
             return
         if name in self.term.grantors:
             self.proposal_acked_by.add(name)
         if granted and name in self.proposed.grantors:
-            self.proposed_grants[name] = max(asked, self.proposed_grants.get(name, NEVER))
-        acks = self.term.quorum(self.part) if self.term.grantors else 0
-        quorum = self.proposed.quorum(self.part) if self.held else self.proposed.quorum_to_acquire(self.part)
+            self.proposed_grants[name] = max(sent_at, self.proposed_grants.get(name, NEVER))
+        acks = self.term.quorum(self.required_share) if self.term.grantors else 0
+        quorum = (
+            self.proposed.quorum(self.required_share)
+            if self.acquired
+            else self.proposed.quorum_to_acquire(self.required_share)
+        )
         if len(self.proposal_acked_by) >= acks and self.live_grants(now, self.proposed_grants) >= quorum:
-            self.term, self.grants, self.proposed, self.held = self.proposed, self.proposed_grants, None, True
+            self.term, self.grants, self.proposed, self.acquired = (
+                self.proposed,
+                self.proposed_grants,
+                None,
+                True,
+            )
             self.proposed_grants, self.proposal_acked_by = {}, set()
 
 
@@ -145,9 +157,9 @@
 
 
 class Reply(NamedTuple):
-    """A grantor's reply to a lease request. heard_of: the requester's highest term that we know."""
+    """A grantor's reply to a lease request. highest_known_term: the requester's highest term that we know."""
 
-    heard_of: int
+    highest_known_term: int
     granted: bool
 
 
@@ -171,17 +183,17 @@
     """The grantor's side: whom we granted a lease, and until when. Bounded by the number of members."""
 
     def __init__(self, lease: float, now: float) -> None:
-        self.lease = lease * (1 + MAX_CLOCK_DRIFT)
+        self.grant_duration = lease * (1 + MAX_CLOCK_DRIFT)
         self.grants: dict[str, Grant] = {}
-        # Grants and bars of an earlier start of ours are unknown: stay silent until they have expired.
-        self.silent_until = now + self.lease
+        # Grants and bars of an earlier start of ours are unknown: refuse until they have expired.
+        self.refuses_until = now + self.grant_duration
 
     def on_request(self, now: float, name: str, boot: int, term: Term, proposed: Term | None) -> Reply:
         """Handle a member's request for its lease."""
-        if now < self.silent_until:
-            return Reply(
-                0, False
-            )  # not recorded: an earlier start may have reported a refusal (found by the model)
+        if now < self.refuses_until:
+            # The term is not recorded, and 0 acknowledges none: an earlier start of ours may have reported a
+            # refusal without that term to an inquirer, which would not learn of it while the report is valid.
+            return Reply(0, False)
         newest = (proposed or term).number
         known = self.grants.get(name)
         if known is not None and now < known.barred_until:
@@ -195,7 +207,7 @@
             known = known._replace(term=term, proposed=proposed)
         granted = newest > known.refused_term and newest >= known.newest
         if granted:
-            known = known._replace(valid_until=now + self.lease)
+            known = known._replace(valid_until=now + self.grant_duration)
         self.grants[name] = known
         return Reply(known.newest, granted)
 
@@ -216,7 +228,7 @@
             return None
         refused = known.refused_term >= known.newest
         if refused:
-            self.grants[name] = known._replace(barred_until=now + self.lease)
+            self.grants[name] = known._replace(barred_until=now + self.grant_duration)
         return StopReport(known.term, known.proposed, refused, max(0.0, known.valid_until - now))
 
 
@@ -224,7 +236,7 @@
     """Finds out from the grantors of one start of a member whether it has stopped, by our clock alone."""
 
     def __init__(self, name: str, boot: int, part: float, lease: float) -> None:
-        self.name, self.boot, self.part, self.lease = name, boot, part, lease
+        self.name, self.boot, self.required_share, self.report_validity = name, boot, part, lease
         self.terms: dict[int, Term] = {}  # those that may be in force, by number
         self.in_force = 0
         # By grantor: when its grants expire, and until when its report is valid.
@@ -242,14 +254,14 @@
         """Grantors of all terms that may be in force."""
         return sorted({name for term in self.terms.values() for name in term.grantors})
 
-    def add_report(self, now: float, asked: float, name: str, report: StopReport) -> None:
-        """Add a grantor's report, in answer to our request sent at `asked`."""
+    def add_report(self, now: float, sent_at: float, name: str, report: StopReport) -> None:
+        """Add a grantor's report, in answer to our request sent at `sent_at`."""
         self.note_terms(report.term, report.proposed)
         if report.refused:
             ends = now + report.remaining
             if name in self.reports:
                 ends = min(ends, self.reports[name][0])
-            self.reports[name] = (ends, asked + self.lease)
+            self.reports[name] = (ends, sent_at + self.report_validity)
         else:
             self.reports.pop(name, None)
 
@@ -258,6 +270,6 @@
         ended = {name for name, (ends, until) in self.reports.items() if ends <= now < until}
         terms = [term for term in self.terms.values() if term.grantors]  # without grantors no lease is held
         return bool(terms) and all(
-            len(ended.intersection(term.grantors)) > len(term.grantors) - term.quorum(self.part)
+            len(ended.intersection(term.grantors)) > len(term.grantors) - term.quorum(self.required_share)
             for term in terms
         )
--- a/spurdeal/fleet/list_sync.py
+++ b/spurdeal/fleet/list_sync.py
@@ -6,7 +6,7 @@
 
 from ..interface import Life as EngineLife
 from .bringing import (
-    MAX_SINGLE_WITNESS_DROP,
+    MAX_SINGLE_CLAIMANT_DROP,
     Fetch,
     ListStore,
     PieceRequest,
@@ -19,25 +19,30 @@
 )
 from .messenger import RequestKind
 from .terms import FleetEvent
-from .versions import ROW, WITNESSES, Artifact, Offer, Version, list_digest
+from .versions import MIN_CLAIMANTS, ROW_LENGTH, Artifact, Offer, Version, list_digest
 
 if TYPE_CHECKING:
     from .fleet import Fleet
 
 READY = int(EngineLife.READY)
-SOURCE_FIRST = 450.0  # ms for which our own name service, if it answers, has precedence over peers
+# Our own name service has precedence over peers: a newer list is fetched only this many ms after it was first
+# claimed, if the name service has answered within as many ms; else at once.
+SOURCE_FIRST = 450.0
 OFFERS_EVERY = 60.0  # ms between two checks for newer lists
 NAMED_HOLDERS = 3  # holders named in the event
 
 
 class ListSync:
-    """Fetches newer engine lists from peers. It is kept across the member's starts. Times are ms."""
+    """Fetches newer engine lists from peers, and keeps ours for those behind. Times are ms.
+
+    It is kept across the member's starts.
+    """
 
     def __init__(self, fleet: Fleet, now: float) -> None:
         self.fleet = fleet
         self.list_store, self.fetch = ListStore(fleet.shared.period, now), Fetch(fleet.chance)
         self.source_answered_at, self.next_offers = now, now
-        self.max_single_drop = MAX_SINGLE_WITNESS_DROP
+        self.max_single_drop = MAX_SINGLE_CLAIMANT_DROP
         self.offered: dict[Version, float] = {}  # since when each newer version is claimed
 
     def tick(self, now: float, unix: float) -> None:
@@ -60,19 +65,19 @@
         offers = fleet.registry.offers() if self.fetch.want is None else []
         for version, holders in offers:
             if version not in self.offered:
-                figures = {"list": str(version), "at": " ".join(holders[:NAMED_HOLDERS])}
-                fleet.events.append(FleetEvent("newer_seen", figures))
+                fields = {"list": str(version), "at": " ".join(holders[:NAMED_HOLDERS])}
+                fleet.events.append(FleetEvent("newer_seen", fields))
         self.offered = {version: self.offered.get(version, now) for version, _ in offers}
-        patience = SOURCE_FIRST if now - self.source_answered_at < SOURCE_FIRST else 0.0
+        delay = SOURCE_FIRST if now - self.source_answered_at < SOURCE_FIRST else 0.0
         return [
             Offer(version, [name for name in holders if name in fleet.peer_reports])
             for version, holders in offers
-            if now - self.offered[version] >= patience
+            if now - self.offered[version] >= delay
         ]
 
     def request_piece(self, now: float, unix: float, ask: PieceRequest) -> None:
         """Request one piece of a list."""
-        fields = {"k": "f", "have": list(ask.have), "want": list(ask.want), "i": ask.place}
+        fields = {"k": "f", "have": list(ask.have), "want": list(ask.want), "i": ask.piece_index}
         self.fleet.messenger.request(now, unix, ask.to, RequestKind.FETCH, fields)
 
     def piece_arrived(self, now: float, unix: float, name: str, piece: ReceivedPiece) -> None:
@@ -93,13 +98,16 @@
             fleet.events.append(FleetEvent("bring_up_failed", {"from": name, "why": str(fault)}))
             return
         dropped = dropped_share(fleet.rows, rows, READY)
-        if dropped > self.max_single_drop and len(fleet.registry.holders(Artifact.LIST, want)) < WITNESSES:
+        if (
+            dropped > self.max_single_drop
+            and len(fleet.registry.holders(Artifact.LIST, want)) < MIN_CLAIMANTS
+        ):
             self.fetch.refuse(now)
-            figures = {"from": name, "drops": round(dropped, 2), "list": str(want)}
-            fleet.events.append(FleetEvent("list_refused", figures))
+            fields = {"from": name, "drops": round(dropped, 2), "list": str(want)}
+            fleet.events.append(FleetEvent("list_refused", fields))
             return
         self.fetch.end(now, 0.0)
-        if fleet.in_force(Artifact.LIST, want, rows, by_source=False):
+        if fleet.put_in_force(Artifact.LIST, want, rows, from_own_source=False):
             fleet.events.append(FleetEvent("brought_up", {"from": name, "list": str(want)}))
             fleet.apply_list(want, rows)
 
@@ -110,6 +118,6 @@
             UnusableListError: It is not the list that was claimed.
         """
         rows = apply_changes(self.fleet.rows, unpack(pieces))
-        if any(len(row) != ROW for row in rows.values()) or list_digest(rows) != want.digest:
+        if any(len(row) != ROW_LENGTH for row in rows.values()) or list_digest(rows) != want.digest:
             raise UnusableListError("not what was claimed")
         return rows
--- a/spurdeal/fleet/local_versions.py
+++ b/spurdeal/fleet/local_versions.py
@@ -14,7 +14,7 @@
     from ..settings.installation import FleetSection, Installation
 
 
-def program() -> Version:
+def program_version() -> Version:
     """The version of the program: the digest of its source files on disk."""
     root = Path(__file__).parent.parent
     parts = [
@@ -25,9 +25,10 @@
     return Version(0, 0, digest_of(*parts))
 
 
-def configured(configuration: bytes, plan: Installation) -> Version:
-    """The version of the settings that all dispatchers of a fleet share, from both files.
+def configuration_version(configuration: bytes, plan: Installation) -> Version:
+    """The version of the settings that all dispatchers of a fleet share.
 
+    They come from the JSON configuration and the operator's settings file.
     Settings of a single dispatcher, such as names and addresses, are left out.
     """
     assert plan.fleet is not None
@@ -38,8 +39,11 @@
     return Version(0, plan.fleet.revision, digest_of(json.dumps([settings, shared], sort_keys=True).encode()))
 
 
-def keyed(keys: Keys) -> Version:
-    """The version of the keys in use; it reveals nothing about them."""
+def keys_version(keys: Keys) -> Version:
+    """The version of the keys in use; it reveals nothing about them.
+
+    The signing key's id is the number, so a new signing key needs a higher id: versions never go back.
+    """
     return Version(
         0,
         keys.signing_key_id,
--- a/spurdeal/fleet/members.py
+++ b/spurdeal/fleet/members.py
@@ -9,8 +9,8 @@
 
 Records are ordered by `incarnation`, which only their subject raises: at a new start, at a refutation, and
 after a partition. At equal incarnation the graver state wins. Two starts with one incarnation are two
-processes with one name, or a new start that does not know the old one yet: see `contested`. Times are ms of
-one monotonic clock.
+processes with one name, or a new start that does not know the old one yet: see `other_start_of_our_name`.
+Times are ms of one monotonic clock.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-from .probes import Probe, Probes, Suspicion
+from .probes import Probe, ProbeActions, Suspicion
 
 Address = tuple[str, int]
 MAX_MEMBERS = 1024
@@ -34,7 +34,9 @@
 # The shortest suspicion in periods, times log10 of the fleet; the longest, as a multiple of the shortest.
 MIN_SUSPICION_PERIODS, MAX_SUSPICION_FACTOR = 4.0, 6.0
 CONFIRMATIONS = 3  # with so many confirmations the shortest time applies
-MIN_WITNESSED = 2  # with no more live others, nobody can confirm a suspicion
+# With no more live others, the suspect among them, a suspicion waits for no confirmation: it lasts the
+# shortest time.
+MIN_OTHERS_TO_CONFIRM = 2
 GONE_PROBE_PROBABILITY = 0.3  # with which a gone member is probed when the ring reaches it
 MAX_INCARNATION = 1 << 40
 
@@ -80,36 +82,36 @@
     def __init__(self, own: Record, period: float, forget: float, chance: random.Random, now: float) -> None:
         self.own, self.period, self.forget_after, self.chance = own, period, forget, chance
         self.others: dict[str, Record] = {}
-        self.living: set[str] = set()  # of the others, those alive or suspected
+        self.live_names: set[str] = set()  # of the others, those that are live: ALIVE or SUSPECT
         self.live_checksum = self.left = 0
         self.since: dict[str, float] = {}
         self.suspicions: dict[str, Suspicion] = {}
         self.ring: list[str] = []
         self.probe: Probe | None = None
         self.next_probe, self.ticked, self.next_forget = now, now, now
-        self.health = 0
+        self.health = 0  # Lifeguard's local health score: 0 is healthy, MAX_HEALTH_SCORE the worst
         self.gossip: dict[str, int] = {own.name: 0}  # how often each update was sent
         self.changes: list[Change] = []
-        self.contested: Record | None = None  # another start with our name, until it is settled
+        self.other_start_of_our_name: Record | None = None  # until NameConflict.settle
         self.highest_incarnation = own.incarnation
 
     # The member table.
 
-    def alive(self) -> list[str]:
-        """Other members that are alive or suspected."""
-        return sorted(self.living)
+    def live(self) -> list[str]:
+        """Names of other members that are live: ALIVE or SUSPECT."""
+        return sorted(self.live_names)
 
     def known(self) -> list[str]:
         """Other members that have not left. One hidden by a partition still belongs to the fleet."""
         return [name for name, record in self.others.items() if record.life != Life.LEFT]
 
     def size(self) -> int:
-        """Size of the fleet, ourselves included."""
+        """How many members have not left, gone ones and ourselves included."""
         return len(self.others) - self.left + 1
 
     def scale(self) -> float:
         """Factor on suspicion times in a large fleet: log10 of its size, at least 1."""
-        return max(1.0, math.log10(max(2, len(self.living) + 1)))
+        return max(1.0, math.log10(max(2, len(self.live_names) + 1)))
 
     def table(self) -> list[Record]:
         """All records, our own first."""
@@ -132,14 +134,14 @@
         )
         if before is not None and before.life <= Life.SUSPECT:
             self.live_checksum ^= zlib.crc32(self.checksum_input(before))
-            self.living.discard(name)
+            self.live_names.discard(name)
         if record is None:
             self.others.pop(name, None)
             return
         self.others[name] = record
         if record.life <= Life.SUSPECT:
             self.live_checksum ^= zlib.crc32(self.checksum_input(record))
-            self.living.add(name)
+            self.live_names.add(name)
 
     # Incoming gossip.
 
@@ -184,30 +186,30 @@
     def suspicion(self, now: float, by: str) -> Suspicion:
         """A new suspicion, first reported by that member."""
         least = MIN_SUSPICION_PERIODS * self.scale() * self.period
-        others = len(self.living)
-        most = least * (MAX_SUSPICION_FACTOR if others > MIN_WITNESSED else 1.0)
+        others = len(self.live_names)
+        most = least * (MAX_SUSPICION_FACTOR if others > MIN_OTHERS_TO_CONFIRM else 1.0)
         return Suspicion(now, now + most, least, most, frozenset((by,)))
 
     def confirm(self, now: float, name: str, by: str) -> None:
         """Add a confirmation: the time falls with the logarithm of their number (Lifeguard, section IV B)."""
-        found = self.suspicions.get(name)
-        if found is None or by in found.by or len(found.by) > CONFIRMATIONS:
+        suspicion = self.suspicions.get(name)
+        if suspicion is None or by in suspicion.by or len(suspicion.by) > CONFIRMATIONS:
             return
-        names = found.by | {by}
+        names = suspicion.by | {by}
         part = math.log(len(names)) / math.log(CONFIRMATIONS + 1)
-        left = max(found.least, found.most - (found.most - found.least) * part)
-        self.suspicions[name] = found._replace(by=names, end=found.since + left)
+        left = max(suspicion.least, suspicion.most - (suspicion.most - suspicion.least) * part)
+        self.suspicions[name] = suspicion._replace(by=names, end=suspicion.since + left)
         self.gossip[name] = 0
 
     def merge_own_record(self, record: Record) -> None:
         """Merge a record about ourselves: a wrong one is refuted with a higher incarnation.
 
-        Another start with our name is kept as `contested`, for the caller to decide on.
+        Another start with our name is kept as `other_start_of_our_name`, for the caller to decide on.
         """
         self.highest_incarnation = max(self.highest_incarnation, record.incarnation)
         if record.boot != self.own.boot:
             if record.incarnation >= self.own.incarnation and record.life is not Life.LEFT:
-                self.contested = record
+                self.other_start_of_our_name = record
             if record.life < Life.GONE:
                 return
         if (
@@ -236,7 +238,7 @@
         If the receiver `to` is known as anything else than alive with its start `boot`, that record goes
         first.
         """
-        limit = math.ceil(GOSSIP_FACTOR * math.log2(len(self.living) + 2))
+        limit = math.ceil(GOSSIP_FACTOR * math.log2(len(self.live_names) + 2))
         ranked = heapq.nsmallest(
             most, self.gossip, key=lambda name: (self.gossip[name], name != self.own.name, name)
         )
@@ -259,12 +261,14 @@
 
         A suspicion names one of the members that report it, as only different reporters confirm it.
         """
-        found = self.suspicions.get(record.name)
-        return record._replace(by=self.chance.choice(sorted(found.by))) if found is not None else record
+        suspicion = self.suspicions.get(record.name)
+        return (
+            record._replace(by=self.chance.choice(sorted(suspicion.by))) if suspicion is not None else record
+        )
 
     # Probes.
 
-    def tick(self, now: float) -> Probes:
+    def tick(self, now: float) -> ProbeActions:
         """The probes that are due. Call it often; it keeps its own periods."""
         pause = now - self.ticked
         if pause > 2 * self.period:
@@ -284,10 +288,10 @@
         if now >= self.next_forget:
             self.next_forget = now + self.period * 5
             self.forget(now)
-        asked = self.check_probe(now)
+        helpers = self.check_probe(now)
         if self.probe is None and now >= self.next_probe:
-            return Probes(self.next_target(now), asked)
-        return Probes(None, asked)
+            return ProbeActions(self.next_target(now), helpers)
+        return ProbeActions(None, helpers)
 
     def check_probe(self, now: float) -> list[str]:
         """Helpers to ask once the pending probe's answer is late; at its end the probe has failed."""
@@ -300,10 +304,10 @@
                 self.degrade_health()
             self.probe_failed(now, probe.name)
         elif now >= probe.due:
-            others = [name for name in self.alive() if name != probe.name]
-            asked = self.chance.sample(others, min(INDIRECT_PROBES, len(others)))
-            self.probe = probe._replace(due=math.inf, pending_nacks=len(asked))
-            return asked
+            others = [name for name in self.live() if name != probe.name]
+            helpers = self.chance.sample(others, min(INDIRECT_PROBES, len(others)))
+            self.probe = probe._replace(due=math.inf, pending_nacks=len(helpers))
+            return helpers
         return []
 
     def probe_failed(self, now: float, name: str) -> None:
@@ -334,24 +338,24 @@
         return None if not self.ring else self.start_probe(now, self.ring.pop())
 
     def start_probe(self, now: float, name: str) -> str:
-        """Begin a probe of that member."""
+        """Begin a probe of that member; helpers are asked after 0.4 of its time."""
         scale = 1 + self.health
         self.probe = Probe(name, now + 0.4 * self.period * scale, now + self.period * scale, 0)
         return name
 
-    def answered(self, now: float, name: str) -> None:
+    def on_answer(self, now: float, name: str) -> None:
         """A message from that member itself, in answer to any request."""
         if self.probe is not None and self.probe.name == name:
             self.probe = None
             self.health = max(0, self.health - 1)
 
-    def nacked(self) -> None:
+    def on_nack(self) -> None:
         """A helper answered that it hears us: the fault is not on our side."""
         if self.probe is not None:
             self.probe = self.probe._replace(pending_nacks=max(0, self.probe.pending_nacks - 1))
 
     def degrade_health(self) -> None:
-        """Raise our local health score by one: we probe slower."""
+        """Raise our local health score by one, which is worse: we probe slower."""
         self.health = min(MAX_HEALTH_SCORE, self.health + 1)
 
     def forget(self, now: float) -> None:
--- a/spurdeal/fleet/messenger.py
+++ b/spurdeal/fleet/messenger.py
@@ -1,4 +1,7 @@
-"""Outgoing datagrams of one fleet member: sealed sessions and open requests."""
+"""Outgoing datagrams of one fleet member: authenticated sessions and open requests.
+
+A greeting is an empty datagram that answers a peer whose start is not known here; see `Session.greet`.
+"""
 
 from __future__ import annotations
 
@@ -23,7 +26,7 @@
 
 
 class RequestKind(StrEnum):
-    """What a request asks for."""
+    """What a request asks for. The values stay inside the process; the wire has the kinds of `wire`."""
 
     PING = "ping"
     RENEW = "renew"  # a ping that also asks for the lease
@@ -52,7 +55,7 @@
 
 
 class Messenger:
-    """Seals and queues a member's datagrams, and matches answers to its requests.
+    """Authenticates and queues a member's datagrams, and matches answers to its requests.
 
     One lives as long as one start of the member. `unix` is Unix time in ms throughout.
     """
@@ -65,7 +68,7 @@
         self.greeted, self.greeted_since = 0, now
 
     def session(self, name: str) -> Session:
-        """The sealed session with a member, created if there is none."""
+        """The authenticated session with a member, created if there is none."""
         if name not in self.sessions:
             self.sessions[name] = self.new_session(name)
         return self.sessions[name]
@@ -103,7 +106,7 @@
             self.queue(now, name, self.fleet.body(unix, fields), address)
 
     def queue(self, now: float, name: str, body: dict[str, Any], address: Address) -> None:
-        """Seal a message's body and queue the datagram."""
+        """Encode and authenticate a message's body, and queue the datagram."""
         fleet = self.fleet
         datagram = self.session(name).write(now, body)
         fleet.out.append((address, datagram))
@@ -138,18 +141,18 @@
         fields: Mapping[str, Any],
     ) -> None:
         """Send a request without gossip, and await its answer."""
-        sequence = self.opened_in_bound(Request(name, now, kind))
+        sequence = self.register_request_bounded(Request(name, now, kind))
         self.send_without_gossip(now, unix, name, {"q": sequence} | dict(fields))
 
-    def opened_in_bound(self, request: Request) -> int:
+    def register_request_bounded(self, request: Request) -> int:
         """Register a request and return its number; the oldest are dropped if too many are open."""
-        sequence = self.opened(request)
+        sequence = self.register_request(request)
         while len(self.open) > MAX_OPEN_REQUESTS:
             self.open.popitem(last=False)
         return sequence
 
-    def opened(self, request: Request) -> int:
-        """Register a request and return its number."""
+    def register_request(self, request: Request) -> int:
+        """Register a request and return its number, without dropping any; relayed pings use it."""
         self.sequence += 1
         self.open[self.sequence] = request
         return self.sequence
@@ -170,7 +173,7 @@
             fields["l"] = [wire.term_row(lease.term), proposed]
             if self.fleet.page is not None:
                 fields["d"] = list(self.fleet.page)
-        sequence = self.opened_in_bound(Request(name, now, kind, relay))
+        sequence = self.register_request_bounded(Request(name, now, kind, relay))
         address = relay.address if relay is not None else None
         self.send(now, unix, name, {"q": sequence} | fields, address)
 
@@ -190,18 +193,20 @@
             self.greeted += 1
             self.fleet.out.append((source, session.greet(now, datagram)))
 
-    def on_greeting(self, now: float, unix: float, name: str, asked: float | None) -> None:
+    def on_greeting(self, now: float, unix: float, name: str, echoed_sent_at: float | None) -> None:
         """The peer has learned our start: repeat the requests that it could not read.
 
         Args:
             now: Monotonic clock, in ms.
             unix: Unix clock, in ms.
             name: The peer.
-            asked: When we sent what it could not read, in ms; None if nothing is to be repeated.
+            echoed_sent_at: When we sent what it could not read, in ms; None if nothing is to be repeated.
         """
-        if asked is None:
+        if echoed_sent_at is None:
             return
-        again = [(seq, each) for seq, each in self.open.items() if each.to == name and each.sent >= asked]
+        again = [
+            (seq, each) for seq, each in self.open.items() if each.to == name and each.sent >= echoed_sent_at
+        ]
         for sequence, request in again[:MAX_REPEATED]:
             del self.open[sequence]
             if request.kind in (RequestKind.PING, RequestKind.RENEW):
@@ -209,11 +214,11 @@
             elif request.kind is RequestKind.PULL:
                 self.fleet.table_sync.repeat(now, unix, name)
 
-    def answered(self, body: Mapping[str, Any], name: str, *kinds: RequestKind) -> Request | None:
+    def close_request(self, body: Mapping[str, Any], name: str, *kinds: RequestKind) -> Request | None:
         """Close and return the request that a message answers; None if it is not open any more."""
         sequence = wire.integer(body.get("q"))
-        found = self.open.get(sequence)
-        if found is None or found.to != name or found.kind not in kinds:
+        request = self.open.get(sequence)
+        if request is None or request.to != name or request.kind not in kinds:
             return None
         del self.open[sequence]
-        return found
+        return request
--- a/spurdeal/fleet/name_conflict.py
+++ b/spurdeal/fleet/name_conflict.py
@@ -12,14 +12,14 @@
 if TYPE_CHECKING:
     from .fleet import Fleet
 
-MAX_RAISES = 3  # incarnations raised against another start of our name before it is taken for alive
+MAX_RAISES = 3  # refutations of another start of our name; if its record still contradicts ours, it is alive
 
 
 class NameConflict:
     """Decides who keeps our name when another start of it is heard of.
 
     The holder of a lease keeps the name. A start that has lapsed, or is refuted again and again, yields it.
-    An earlier start that has ended refutes nothing, so a new start gets past its last incarnation.
+    An earlier start that has ended refutes nothing: one incarnation above its last record overrides that.
     """
 
     def __init__(self, fleet: Fleet) -> None:
@@ -37,7 +37,7 @@
     def settle(self, now: float) -> None:
         """Decide on the other start that was heard of, if there is one."""
         members = self.fleet.members
-        other, members.contested = members.contested, None
+        other, members.other_start_of_our_name = members.other_start_of_our_name, None
         if other is None or self.yielded:
             return
         standing = self.fleet.tracker.standing
--- a/spurdeal/fleet/probes.py
+++ b/spurdeal/fleet/probes.py
@@ -14,8 +14,8 @@
     pending_nacks: int  # helpers that were asked and have not answered
 
 
-class Probes(NamedTuple):
-    """The member to probe now, and the helpers to ask for an indirect probe of one that did not answer."""
+class ProbeActions(NamedTuple):
+    """What to do now: the member to probe, and the helpers to ask to probe one that did not answer."""
 
     target: str | None
     helpers: list[str]
--- a/spurdeal/fleet/receiver.py
+++ b/spurdeal/fleet/receiver.py
@@ -22,12 +22,12 @@
 
 
 class PeerReport(NamedTuple):
-    """A member's last report on itself. at: ms; clock: its Unix time less ours, in ms."""
+    """A member's last report on itself. at: ms; clock_offset: its Unix time less ours, in ms."""
 
     at: float
     standing: Standing
     page: SealedPage | None
-    clock: float
+    clock_offset: float
 
 
 class Header(NamedTuple):
@@ -73,21 +73,21 @@
             name = wire.name_of(datagram)
             if name == fleet.name and name not in fleet.sessions:
                 raise RefusedError("own_name")
-            body, asked = self.opened(now, source, name, datagram)
+            body, echoed_sent_at = self.verified_body(now, source, name, datagram)
             if body:
-                self.act_on(Message(now, unix, source, name, body))
+                self.apply_message(Message(now, unix, source, name, body))
             else:
-                fleet.messenger.on_greeting(now, unix, name, asked)
+                fleet.messenger.on_greeting(now, unix, name, echoed_sent_at)
         except RefusedError as fault:
             fleet.counts["drop_" + fault.reason] += 1
 
-    def opened(
+    def verified_body(
         self, now: float, source: Address, name: str, datagram: bytes
     ) -> tuple[dict[str, Any], float | None]:
-        """The body of a datagram, as `Session.read` gives it.
+        """Verify a datagram and return its body and the echoed send time, as `Session.read` gives them.
 
         Raises:
-            RefusedError: Its seal or number is wrong, or the member table is full.
+            RefusedError: Its authentication tag or sequence number is wrong, or the member table is full.
         """
         messenger = self.fleet.messenger
         session = messenger.sessions.get(name)
@@ -113,41 +113,41 @@
             raise RefusedError("full")
         return self.fleet.messenger.new_session(name)
 
-    def act_on(self, message: Message) -> None:
+    def apply_message(self, message: Message) -> None:
         """Read the whole message, then apply it."""
         fleet, name = self.fleet, message.name
         header = read_header(message.body)
         handler = HANDLERS.get(header.kind)
         if handler is None:
             raise RefusedError("kind")
-        act = handler(fleet, message)
+        apply = handler(fleet, message)
         boot = fleet.sessions[name].peer_boot
         if not fleet.hybrid.receive(message.unix, header.stamp):
             fleet.counts["stamp_ahead"] += 1
         self.note_sender(message, header, boot)
         for clash in fleet.registry.claim(name, header.claims):
             fleet.report_clash(clash)
-        fleet.members.answered(message.now, name)
+        fleet.members.on_answer(message.now, name)
         for record in header.gossip:
             fleet.members.merge(message.now, record, name)
         if name not in fleet.members.others:  # no record of the sender has arrived yet
             record = Record(name, *message.source, boot, 0, Life.ALIVE)
             fleet.members.merge(message.now, record, name)
         fleet.table_sync.compare(message.now, message.unix, name, message.body.get("e"))
-        act()
+        apply()
 
     def note_sender(self, message: Message, header: Header, boot: int) -> None:
         """Store the sender's report on itself; a newly sealed page of its audit log is an event."""
         fleet, name, page = self.fleet, message.name, header.page
         before = fleet.peer_reports[name].page if name in fleet.peer_reports else None
         if page is not None and page != before:
-            figures = {
+            fields = {
                 "name": name,
                 "boot": f"{boot:016x}",
                 "page": page.number,
                 "digest": page.digest,
                 "records": page.records,
             }
-            fleet.events.append(FleetEvent("page", figures))
-        offset = header.unix - message.unix - fleet.skew
+            fleet.events.append(FleetEvent("page", fields))
+        offset = header.unix - message.unix - fleet.system_time_offset
         fleet.peer_reports[name] = PeerReport(message.now, header.standing, page or before, offset)
--- a/spurdeal/fleet/renewal.py
+++ b/spurdeal/fleet/renewal.py
@@ -1,11 +1,11 @@
-"""Renewal of our lease at its grantors, and detection of a lease that is lost for good."""
+"""Renewal of our lease at its grantors, and detection of a lease that this start cannot regain."""
 
 from __future__ import annotations
 
 import math
 from typing import TYPE_CHECKING
 
-from .lease import GRANTORS, Lease
+from .lease import MAX_GRANTORS, Lease
 from .members import Life, rendezvous
 from .messenger import RequestKind
 
@@ -24,18 +24,18 @@
         self.fleet, self.lease = fleet, lease
         self.next_renewal, self.held_at = now, now
 
-    def tick(self, now: float, unix: float, at_once: bool) -> None:
-        """Renew the lease if due. at_once: the process was paused."""
-        if now < self.next_renewal and not at_once:
+    def tick(self, now: float, unix: float, paused: bool) -> None:
+        """Renew the lease if due. paused: the process was paused."""
+        if now < self.next_renewal and not paused:
             return
         fleet = self.fleet
         self.next_renewal = now + fleet.shared.lease / RENEWALS
-        if fleet.twin:
+        if fleet.name_yielded:
             return
         # A member that leaves renews its lease, as it still has accepted requests to answer. A new start
         # waits until it knows the members: the seeds alone would give other grantors than the full view.
         if not fleet.leaving and (fleet.synced or self.lease.term.grantors):
-            self.lease.propose(rendezvous(fleet.name, self.candidates(now), GRANTORS))
+            self.lease.propose(rendezvous(fleet.name, self.candidates(now), MAX_GRANTORS))
         for name in self.lease.grantors_to_ask():
             fleet.messenger.ping(now, unix, name, RequestKind.RENEW)
 
@@ -60,10 +60,10 @@
             self.held_at = now
         return held
 
-    def lost_for_good(self, now: float) -> bool:
-        """Whether there was no lease for long, although enough members are heard to grant one."""
+    def should_rejoin(self, now: float) -> bool:
+        """Whether a new start is due: no lease for long, although enough members are heard to grant one."""
         fleet = self.fleet
-        if now - self.held_at <= LOST_AFTER * fleet.shared.lease or fleet.twin or fleet.leaving:
+        if now - self.held_at <= LOST_AFTER * fleet.shared.lease or fleet.name_yielded or fleet.leaving:
             return False
         near = sum(now - heard.at < fleet.shared.lease for heard in fleet.peer_reports.values())
-        return near >= math.ceil(fleet.shared.part * min(GRANTORS, fleet.members.size() - 1))
+        return near >= math.ceil(fleet.shared.part * min(MAX_GRANTORS, fleet.members.size() - 1))
--- a/spurdeal/fleet/standing.py
+++ b/spurdeal/fleet/standing.py
@@ -6,8 +6,8 @@
 | CURRENT | yes | yes | accepted |
 | BEHIND: a newer list exists and is being fetched | yes | yes | accepted |
 | LAPSED: no lease, behind for too long, or its clock is off | yes | no | accepted, non-idempotent ones shed |
-| SHUT: shut out | no | no | shed with a retry time |
-| TWIN: another process has its name | no | no | shed until it is restarted |
+| SHUT: lapsed for too long, and cut off or behind | no | no | shed with a retry time |
+| TWIN: a second process has its name, and keeps it | no | no | shed until it is restarted |
 
 The protection must not do more harm than the fault. A dispatcher that hears no peer but still hears its name
 service becomes LAPSED and nothing worse. Dispatchers that are behind are shut out only up to a configured
@@ -24,7 +24,11 @@
 
 
 class Standing(IntEnum):
-    """What a dispatcher may do; see the table above."""
+    """What a dispatcher may do; see the table above.
+
+    The names in lower case go into logs and JSON, the values onto the wire. "Shut out" means SHUT. A twin is
+    one of two processes with one name: the one that has yielded the name gets the standing TWIN.
+    """
 
     JOINING = 0
     CURRENT = 1
@@ -38,8 +42,8 @@
     """What may be sent, also for requests that were accepted earlier."""
 
     idempotent: bool
-    doubtful: bool  # non-idempotent, or to a cold engine
-    lowers: bool  # the VRRP priority is lowered
+    at_most_once_or_cold: bool  # non-idempotent attempts, and any attempt to a cold engine
+    lowers_vrrp_priority: bool
 
 
 ALLOWED = {
@@ -64,14 +68,14 @@
 class Observations(NamedTuple):
     """The inputs of one step."""
 
-    lease: bool
-    behind: int
-    source: float  # ms since the name service last answered
+    lease_held: bool
+    versions_behind: int  # by how many numbers our list is behind the newest
+    source_silent_for: float  # ms since the name service last answered
     others_behind: Callable[[], Sequence[str]]  # members behind, by their last message, or shut out
     size: int  # of the fleet, ourselves included
     synced: bool  # a member table was pulled since the start, or since the return
-    clock: float  # our Unix time less the median of the others'
-    twin: bool
+    clock_offset: float  # ms: our Unix time less the median of the others'
+    name_yielded: bool  # another process has our name, and we have left it to that process
 
 
 class StandingTracker:
@@ -81,8 +85,11 @@
         self.own, self.limits = own, limits
         self.standing, self.since, self.why = Standing.JOINING, now, "a new start"
         self.behind_since: float | None = None
-        self.lapsed_since = now
-        self.returned = 0  # how often it went back to JOINING; a return needs a newly pulled table
+        # When CURRENT or BEHIND was last left for LAPSED; at first the process's begin. A return to JOINING
+        # leaves it unchanged, so that it is then the time of the lapse before the return.
+        self.not_current_since = now
+        # How often it went back to JOINING, or `Fleet.rejoin` began a new start; 0 until the first of these.
+        self.returns = 0
 
     @property
     def allowed(self) -> Allowed:
@@ -92,12 +99,12 @@
     def discount_pause(self, gap: float) -> None:
         """Shift the timers by a pause of the process: silence during it proves nothing."""
         self.since += gap
-        self.lapsed_since += gap
+        self.not_current_since += gap
         self.behind_since = self.behind_since + gap if self.behind_since is not None else None
 
     def step(self, now: float, observed: Observations) -> bool:
         """Update the standing; True if it has changed."""
-        if not observed.behind:
+        if not observed.versions_behind:
             self.behind_since = None
         elif self.behind_since is None:
             self.behind_since = now
@@ -105,55 +112,63 @@
         if standing is self.standing:
             return False
         if standing is Standing.LAPSED and self.standing not in (Standing.SHUT, Standing.JOINING):
-            self.lapsed_since = now
+            self.not_current_since = now
         if standing is Standing.JOINING:
-            self.returned += 1
+            self.returns += 1
         self.standing, self.since, self.why = standing, now, why
         return True
 
     def evaluate(self, now: float, observed: Observations) -> tuple[Standing, str]:
         """The standing that follows from the observations, and the reason for people."""
-        if observed.twin or self.standing is Standing.TWIN:
+        if observed.name_yielded or self.standing is Standing.TWIN:
             return Standing.TWIN, "another process has our name"
         behind_too_long = self.behind_since is not None and now - self.behind_since > self.limits.behind_for
-        clock_is_off = abs(observed.clock) > self.limits.clock_off
+        clock_is_off = abs(observed.clock_offset) > self.limits.clock_off
         reason = (
             "no lease: too few grantors have answered"
-            if not observed.lease
-            else f"behind by {observed.behind} for too long"
+            if not observed.lease_held
+            else f"behind by {observed.versions_behind} for too long"
             if behind_too_long
-            else f"our clock is {observed.clock:.0f} ms off the others'"
+            else f"our clock is {observed.clock_offset:.0f} ms off the others'"
             if clock_is_off
             else ""
         )
         if reason:
             return self.degraded(now, observed, reason)
         if self.standing in (Standing.LAPSED, Standing.SHUT):
-            return Standing.JOINING, "returns: it has a lease, and the newest list"
-        if self.standing is Standing.JOINING and (not observed.synced or observed.behind):
+            return Standing.JOINING, "returns: it has a lease"
+        if self.standing is Standing.JOINING and (not observed.synced or observed.versions_behind):
             return Standing.JOINING, self.why
-        if observed.behind:
-            return Standing.BEHIND, f"behind by {observed.behind}"
+        if observed.versions_behind:
+            return Standing.BEHIND, f"behind by {observed.versions_behind}"
         return Standing.CURRENT, "lease held, newest list"
 
     def degraded(self, now: float, observed: Observations, reason: str) -> tuple[Standing, str]:
-        """LAPSED, or SHUT if that has lasted too long."""
-        if self.standing is Standing.JOINING and not self.returned:
+        """LAPSED, or SHUT if that has lasted too long; the first start stays JOINING while it has no lease.
+
+        "Too long" counts from the begin of the first start, and in a return from the lapse before it.
+        """
+        if self.standing is Standing.JOINING and not self.returns:
             lapsed_too_long = now - self.since > self.limits.shut_after
         else:
             lapsed_too_long = (
                 self.standing in (Standing.LAPSED, Standing.SHUT, Standing.JOINING)
-                and now - self.lapsed_since > self.limits.shut_after
+                and now - self.not_current_since > self.limits.shut_after
             )
-        source_silent = observed.source > self.limits.shut_after
-        if lapsed_too_long and not observed.lease and source_silent:
+        source_silent = observed.source_silent_for > self.limits.shut_after
+        if lapsed_too_long and not observed.lease_held and source_silent:
             return (
                 Standing.SHUT,
-                f"{reason}, and no answer from the name service for {observed.source:.0f} ms",
+                f"{reason}, and no answer from the name service for {observed.source_silent_for:.0f} ms",
             )
-        if lapsed_too_long and observed.lease and observed.behind and self.may_be_shut_out(observed):
+        if (
+            lapsed_too_long
+            and observed.lease_held
+            and observed.versions_behind
+            and self.may_be_shut_out(observed)
+        ):
             return Standing.SHUT, reason
-        if self.standing is Standing.JOINING and not self.returned and not observed.lease:
+        if self.standing is Standing.JOINING and not self.returns and not observed.lease_held:
             return Standing.JOINING, self.why
         return Standing.LAPSED, reason
 
--- a/spurdeal/fleet/station.py
+++ b/spurdeal/fleet/station.py
@@ -1,7 +1,7 @@
-"""Connects a `Fleet` with one dispatcher: its datagrams, timers, log and audit, and a Guard of its adapter.
+"""Connects a `Fleet` with one dispatcher: datagrams, timers, log, audit log, and a Guard of its adapter.
 
-It decides nothing; `Fleet` does. The audit has what was decided in a batch before any of it leaves: the frame
-is written at the batch's end, and what the batch sends leaves in the reactor's next iteration.
+It decides nothing; `Fleet` does. The audit log has what was decided in a batch before any of it leaves: the
+frame is written at the batch's end, and what the batch sends leaves in the reactor's next iteration.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from twisted.internet.protocol import DatagramProtocol
 
 from ..eventloop import DatagramLoop
-from ..interface import Life
+from ..interface import Life as EngineLife
 from ..net.datagram_reading import TolerantReading
 from ..net.engine_list import Endpoint, KnownList
 from ..net.link import Answer, Delivered, Failed, Granted, Guard, OpenRequest, Shed, at_most_once
@@ -26,13 +26,13 @@
 from .audit import COLD, DOUBTFUL, Kind
 from .fleet import READY, TICK, Fleet, FleetEvent, FleetSettings
 from .journal import Journal, JournalSettings
-from .local_versions import configured, keyed, program, shared_settings
+from .local_versions import configuration_version, keys_version, program_version, shared_settings
 from .versions import Artifact, Row, Version, list_digest, rows_of
 
 if TYPE_CHECKING:
     from ..settings.installation import FleetSection, Installation
 
-LARGEST = 65_535
+MAX_UDP_DATAGRAM = 65_535
 KINDS = {"standing": Kind.STANDING, "member": Kind.MEMBER, "page": Kind.WITNESS, "clash": Kind.CLASH}
 ANSWERS = {Shed: Kind.SHED, Failed: Kind.BROKEN_OFF, Granted: Kind.GRANTED}
 COUNT_EVERY = 500.0  # ms
@@ -77,7 +77,7 @@
 
 
 class FleetStation:
-    """One dispatcher's member of the fleet, and a Guard of its adapter."""
+    """The I/O of one dispatcher's `Fleet`: datagrams, timers, logs; also a Guard of its adapter."""
 
     def __init__(
         self,
@@ -93,7 +93,7 @@
         self.monotonic, self.unix, self.raw, self.log = clocks.monotonic, clocks.unix, clocks.raw, log
         self.adapter, self.counters = service.adapter, service.counters
         part, site = plan.fleet, service.configuration.site
-        self.guarded = at_most_once(site)
+        self.guarded = at_most_once(site)  # by workload: whether its requests must run at most once
         self.retry_after, self.share = site.max_retry_after, 1.0 / site.dispatchers
         self.inner: Guard | None = None
         self.fleet = self.make_fleet(plan.name, part, keys)
@@ -102,10 +102,10 @@
         self.next_seal, self.source_heard_at = self.monotonic(), float("-inf")
         self.next_count = self.monotonic()
         self.has_cold_share = True
-        self.engine_ids: dict[int, str] = {}  # engine ids by place, as the audit names them
-        self.fleet.in_force(Artifact.CONFIGURATION, configured(settings.configuration, plan))
-        self.fleet.in_force(Artifact.PROGRAM, program())
-        self.fleet.in_force(Artifact.KEYS, keyed(keys))
+        self.engine_ids: dict[int, str] = {}  # engine ids by place, as the audit log names them
+        self.fleet.put_in_force(Artifact.CONFIGURATION, configuration_version(settings.configuration, plan))
+        self.fleet.put_in_force(Artifact.PROGRAM, program_version())
+        self.fleet.put_in_force(Artifact.KEYS, keys_version(keys))
 
     def make_fleet(self, name: str, part: FleetSection, keys: Keys) -> Fleet:
         """Create the member that the operator's file describes."""
@@ -136,11 +136,13 @@
         self.service.names.on_unchanged = self.list_unchanged
         self.service.names.peers_share_lists = True
         self.service.clients.fleet = lambda: self.fleet.status(self.monotonic())
-        self.act_on(self.service.names.number, self.service.endpoints, "start")
+        self.put_list_in_force(self.service.names.number, self.service.endpoints, "start")
         host, port = self.plan.fleet.listen
-        opened = self.reactor.listenUDP(port, self.datagrams, interface=str(host), maxPacketSize=LARGEST)
+        opened = self.reactor.listenUDP(
+            port, self.datagrams, interface=str(host), maxPacketSize=MAX_UDP_DATAGRAM
+        )
         TolerantReading(opened, self.reactor, self.counters, self.log, max_errors=None)
-        if not self.fleet.allowed(self.monotonic()).doubtful:
+        if not self.fleet.allowed(self.monotonic()).at_most_once_or_cold:
             self.set_cold_share(False)
         self.tick()
 
@@ -159,19 +161,19 @@
         self.fleet.keys = keys
         for session in self.fleet.sessions.values():
             session.keys = keys
-        self.fleet.in_force(Artifact.KEYS, keyed(keys))
-        self.fleet.in_force(Artifact.CONFIGURATION, configured(configuration, plan))
+        self.fleet.put_in_force(Artifact.KEYS, keys_version(keys))
+        self.fleet.put_in_force(Artifact.CONFIGURATION, configuration_version(configuration, plan))
         self.audit_versions("reload")
 
-    def lowers(self) -> bool:
-        """Whether VRRP lowers its priority: it does while the standing calls for it, as without a lease."""
-        return self.fleet.tracker.allowed.lowers
+    def lowers_vrrp_priority(self) -> bool:
+        """Whether the standing lowers our VRRP priority: all but CURRENT and BEHIND do."""
+        return self.fleet.tracker.allowed.lowers_vrrp_priority
 
     # Versions.
 
     def list_received(self, endpoints: dict[str, Endpoint]) -> None:
         """The name service gave a newer list."""
-        self.act_on(self.service.names.number, endpoints, "names")
+        self.put_list_in_force(self.service.names.number, endpoints, "names")
         self.adapter.apply_list(endpoints)
 
     def list_unchanged(self, endpoints: dict[str, Endpoint]) -> None:
@@ -180,10 +182,10 @@
         if rows != self.fleet.rows:
             self.fleet.note_source_content(Version(0, self.service.names.number, list_digest(rows)))
 
-    def act_on(self, number: int, endpoints: Mapping[str, Endpoint], by: str) -> None:
-        """Put a list of the name service in force, and record it in the audit."""
+    def put_list_in_force(self, number: int, endpoints: Mapping[str, Endpoint], by: str) -> None:
+        """Put a list of the name service in force, and record it in the audit log."""
         rows = rows_of(endpoints.values())
-        self.fleet.in_force(Artifact.LIST, Version(0, number, list_digest(rows)), rows)
+        self.fleet.put_in_force(Artifact.LIST, Version(0, number, list_digest(rows)), rows)
         self.audit_versions(by)
 
     def apply_peer_list(self, version: Version, rows: Mapping[str, Row]) -> None:
@@ -196,7 +198,7 @@
                 str(row[3]),
                 str(row[4]),
                 int(row[5]),
-                Life(row[6]),
+                EngineLife(row[6]),
                 float(row[7]),
                 float(row[8]),
             )
@@ -210,13 +212,14 @@
         self.adapter.apply_list(endpoints)
 
     def audit_versions(self, by: str) -> None:
-        """Record in the audit which versions are in force, and from which source."""
+        """Record in the audit log which versions are in force, and from which source."""
         if self.journal is not None:
-            force = {
-                line.name.lower(): str(version) for line, version in self.fleet.registry.in_force.items()
+            versions_in_force = {
+                artifact.name.lower(): str(version)
+                for artifact, version in self.fleet.registry.in_force.items()
             }
             engines = {ident: row[6] for ident, row in self.fleet.rows.items()}
-            self.journal.set_versions(force | {"by": by, "engines": engines})
+            self.journal.set_versions(versions_in_force | {"by": by, "engines": engines})
 
     # Timers and datagrams.
 
@@ -227,7 +230,7 @@
         if self.service.names.answered_at != self.source_heard_at:
             self.source_heard_at = self.service.names.answered_at
             self.fleet.source_answered(now)
-        self.fleet.skew = self.raw() - self.unix()
+        self.fleet.system_time_offset = self.raw() - self.unix()
         self.fleet.tick(now, self.unix())
         if now >= self.next_count:
             self.next_count = now + COUNT_EVERY
@@ -256,9 +259,9 @@
         events, self.fleet.events = self.fleet.events, []
         for event in events:
             self.record_event(event)
-        doubtful = self.fleet.tracker.allowed.doubtful
-        if doubtful != self.has_cold_share:
-            self.set_cold_share(doubtful)
+        at_most_once_or_cold = self.fleet.tracker.allowed.at_most_once_or_cold
+        if at_most_once_or_cold != self.has_cold_share:
+            self.set_cold_share(at_most_once_or_cold)
 
     def send(self) -> None:
         """Send the datagrams that the fleet has queued."""
@@ -270,25 +273,27 @@
                 self.counters.add("fleet_not_sent")
 
     def record_event(self, event: FleetEvent) -> None:
-        """Write an event to the log and the audit."""
+        """Write an event to the log and the audit log."""
         if event.what not in UNLOGGED_EVENTS:
-            self.log.info("fleet_" + event.what, extra={"figures": event.figures})
+            self.log.info("fleet_" + event.what, extra={"figures": event.fields})
         if self.journal is not None:
             kind = KINDS.get(event.what, Kind.OTHER)
-            figures = event.figures if kind is not Kind.OTHER else {"event": event.what} | event.figures
-            self.journal.pages.add_json(kind, figures)
+            fields = event.fields if kind is not Kind.OTHER else {"event": event.what} | event.fields
+            self.journal.pages.add_json(kind, fields)
             if not self.adapter.in_batch:
-                self.journal.flush()
+                self.journal.write_pending()
 
-    def set_cold_share(self, doubtful: bool) -> None:
+    def set_cold_share(self, usable: bool) -> None:
         """Set our share of cold budgets: none without a lease, so that the rules choose no cold engine.
 
         Where VRRP's tenure sets the shares, it keeps doing so, and `allow_send` withholds the sends.
         """
-        self.has_cold_share = doubtful
+        self.has_cold_share = usable
         if self.inner is None or self.plan.vrrp is None:
             self.adapter.enqueue(
-                self.adapter.rules.capacity_shares_changed, self.share if doubtful else 0.0, self.share
+                self.adapter.rules.capacity_shares_changed,
+                self.share if usable else 0.0,
+                self.share,
             )
 
     # The adapter's Guard.
@@ -301,7 +306,7 @@
     def immediate_answer(self, kind: int, ident: bytes) -> Answer | None:
         """Shed requests that must not be accepted in our standing."""
         allowed = self.fleet.allowed(self.monotonic())
-        if not allowed.idempotent or (self.guarded[kind] and not allowed.doubtful):
+        if not allowed.idempotent or (self.guarded[kind] and not allowed.at_most_once_or_cold):
             self.counters.add("fleet_shed")
             self.audit_request(Kind.SHED, ident)
             return Shed(self.retry_after)
@@ -317,7 +322,7 @@
             self.inner.attempt_abandoned(number, attempt)
 
     def answered(self, request: OpenRequest, answer: Answer | None) -> None:
-        """Record the answer in the audit, unless an attempt delivered it."""
+        """Record the answer in the audit log, unless an attempt delivered it."""
         if not isinstance(answer, Delivered):
             self.audit_request(ANSWERS[type(answer)] if answer is not None else Kind.WITHDRAWN, request.ident)
         if self.inner is not None:
@@ -330,11 +335,11 @@
 
     def allow_send(self, request: OpenRequest, attempt: int, engine: int) -> bool:
         """Check at send time: the lease may have expired since the rules chose, for instance in a pause."""
-        found = self.adapter.rules.engines.get(engine)
-        cold = found is not None and found.slow_start_until > self.adapter.clock()
-        doubtful = cold or self.guarded[request.kind]
+        known_engine = self.adapter.rules.engines.get(engine)
+        cold = known_engine is not None and known_engine.slow_start_until > self.adapter.clock()
+        at_most_once_or_cold = cold or self.guarded[request.kind]
         allowed = self.fleet.allowed(self.monotonic())
-        if not allowed.idempotent or (doubtful and not allowed.doubtful):
+        if not allowed.idempotent or (at_most_once_or_cold and not allowed.at_most_once_or_cold):
             self.counters.add("fleet_withheld")
             return False
         ident = self.engine_id(engine)
@@ -350,7 +355,7 @@
             flags = COLD * cold | DOUBTFUL * self.guarded[request.kind]
             self.journal.pages.add_attempt(request.ident, attempt, ident, flags)
             if not self.adapter.in_batch:
-                self.journal.flush()
+                self.journal.write_pending()
         return True
 
     def engine_id(self, engine: int) -> str:
@@ -360,13 +365,13 @@
         return self.engine_ids.get(engine, str(engine))
 
     def attempt_cancelled(self, request: OpenRequest, attempt: int) -> None:
-        """Record the cancellation in the audit."""
+        """Record the cancellation in the audit log."""
         self.audit_request(Kind.CALLED_OFF, request.ident, attempt)
         if self.inner is not None:
             self.inner.attempt_cancelled(request, attempt)
 
     def mode_changed(self, line: str) -> None:
-        """Record a line of the rules in the audit."""
+        """Record a line of the rules in the audit log."""
         if self.journal is not None:
             self.journal.pages.add_json(Kind.MODE, {"says": line})
         if self.inner is not None:
@@ -375,7 +380,7 @@
     def batch_ended(self) -> None:
         """Write the batch's frame before anything of the batch leaves."""
         if self.journal is not None:
-            self.journal.flush()
+            self.journal.write_pending()
         if self.inner is not None:
             self.inner.batch_ended()
 
@@ -384,8 +389,8 @@
         return self.inner.endpoint(endpoint) if self.inner is not None else endpoint
 
     def audit_request(self, kind: Kind, ident: bytes, attempt: int = 0) -> None:
-        """Record in the audit what happened to a request; at once if no batch is running."""
+        """Record in the audit log what happened to a request; at once if no batch is running."""
         if self.journal is not None:
             self.journal.pages.add_event(kind, ident, attempt)
             if not self.adapter.in_batch:
-                self.journal.flush()
+                self.journal.write_pending()
--- a/spurdeal/fleet/status.py
+++ b/spurdeal/fleet/status.py
@@ -39,7 +39,7 @@
         "versions": versions,
         "newest_list": str(newest) if newest is not None else None,
         "behind": fleet.registry.behind(),
-        "clock_shift_ms": round(fleet.clock_shift),
+        "clock_shift_ms": round(fleet.offset_from_peers),
         "size": fleet.members.size(),
         "health": fleet.members.health,
     }
@@ -50,7 +50,7 @@
     record, heard = fleet.members.others[name], fleet.peer_reports.get(name)
     claims = fleet.registry.claims.get(name, {})
     newest = fleet.registry.newest(Artifact.LIST)
-    found: dict[str, Any] = {
+    encoded: dict[str, Any] = {
         "name": name,
         "life": record.life.name.lower(),
         "boot": f"{record.boot:016x}",
@@ -59,12 +59,12 @@
         "stopped": fleet.stopped(now, name),
     }
     if heard is not None:
-        found |= {
+        encoded |= {
             "standing": heard.standing.name.lower(),
             "heard_ms_ago": round(now - heard.at),
             "page": heard.page.number if heard.page is not None else None,
         }
     if Artifact.LIST in claims and newest is not None:
         claimed = claims[Artifact.LIST]
-        found |= {"list": str(claimed), "behind": max(0, newest.number - claimed.number)}
-    return found
+        encoded |= {"list": str(claimed), "behind": max(0, newest.number - claimed.number)}
+    return encoded
--- a/spurdeal/fleet/stop_inquiries.py
+++ b/spurdeal/fleet/stop_inquiries.py
@@ -8,7 +8,7 @@
 import math
 from typing import TYPE_CHECKING
 
-from .lease import GRANTORS, Inquiry
+from .lease import MAX_GRANTORS, Inquiry
 from .members import Life, rendezvous
 from .messenger import RequestKind
 from .terms import FleetEvent
@@ -27,12 +27,12 @@
         self.fleet = fleet
         self.inquiries: dict[str, Inquiry] = {}
         self.asked_at: dict[str, float] = {}
-        self.relied: set[tuple[str, int]] = set()  # name and start
+        self.reported_stopped: set[tuple[str, int]] = set()  # name and start, by the last events
 
     def stopped(self, now: float, name: str) -> bool:
         """Whether that member, gone in our view, is known by our clock alone to hold no lease."""
-        found = self.inquiries.get(name)
-        return found is not None and found.stopped(now)
+        inquiry = self.inquiries.get(name)
+        return inquiry is not None and inquiry.stopped(now)
 
     def begin(self, name: str, boot: int) -> None:
         """Begin an inquiry into one start of a member, unless too many are open."""
@@ -47,7 +47,7 @@
             if now - self.asked_at.get(name, -math.inf) >= ASK_EVERY:
                 self.asked_at[name] = now
                 self.ask_grantors(now, unix, name, inquiry)
-        if self.inquiries or self.relied:
+        if self.inquiries or self.reported_stopped:
             self.report(now)
 
     def drop_finished(self) -> None:
@@ -66,14 +66,17 @@
             inquiry.add_report(now, now, fleet.name, report)
         known = (other for other in fleet.members.known() if other != name)
         fields = {"k": "w", "who": name, "boot": inquiry.boot}
-        for grantor in inquiry.grantors_to_ask() or rendezvous(name, known, GRANTORS):
+        for grantor in inquiry.grantors_to_ask() or rendezvous(name, known, MAX_GRANTORS):
             if grantor != fleet.name:
                 fleet.messenger.request(now, unix, grantor, RequestKind.WORD, fields)
 
     def report(self, now: float) -> None:
         """Emit events for members that we begin or cease to rely on as stopped."""
         stopped = {(name, each.boot) for name, each in self.inquiries.items() if each.stopped(now)}
-        for what, starts in (("stopped", stopped - self.relied), ("stopped_over", self.relied - stopped)):
+        for what, starts in (
+            ("stopped", stopped - self.reported_stopped),
+            ("stopped_over", self.reported_stopped - stopped),
+        ):
             for name, boot in sorted(starts):
                 self.fleet.events.append(FleetEvent(what, {"name": name, "boot": f"{boot:016x}"}))
-        self.relied = stopped
+        self.reported_stopped = stopped
--- a/spurdeal/fleet/table_sync.py
+++ b/spurdeal/fleet/table_sync.py
@@ -56,7 +56,7 @@
         seeds = [name for name in fleet.seeds if name not in fleet.members.others]
         if fleet.lease.term is NO_TERM and seeds:
             return seeds
-        return fleet.members.alive() or seeds
+        return fleet.members.live() or seeds
 
     def start(self, now: float, unix: float, name: str) -> None:
         """Begin to pull the table of that member."""
@@ -75,8 +75,8 @@
             self.request_page(now, unix, name)
 
     def restart(self, now: float) -> None:
-        """We return to the fleet: another table must be pulled before we act."""
-        self.synced = not self.fleet.members.alive()
+        """Require another whole table, as we return to the fleet. Called on a return to JOINING."""
+        self.synced = not self.fleet.members.live()
         self.source, self.next_pull = "", now
 
     def page_arrived(self, now: float, unix: float, name: str, page: TablePage) -> None:
--- a/spurdeal/fleet/terms.py
+++ b/spurdeal/fleet/terms.py
@@ -1,4 +1,7 @@
-"""Settings that all members of a fleet share, and the events that a member reports."""
+"""Settings that all members of a fleet share, and the events that a member reports.
+
+The terms of leases are in `lease`.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
     Attributes:
         period: Time between two probes.
         lease: How long a grant of the lease counts.
-        part: Share of the lease's grantors that must grant.
+        part: Share of the lease's grantors that must grant to keep it; see `Term.quorum`.
         forget: How long a member that is gone or has left stays in the table.
         behind_for: A member that has been behind for longer has lapsed.
         shut_after: A member that has been lapsed for longer may be shut out.
@@ -32,7 +35,7 @@
 
 
 class FleetEvent(NamedTuple):
-    """An event for the log and the audit: its name, and its fields ready for JSON."""
+    """An event for the log and the audit log: its name, and its fields ready for JSON."""
 
     what: str
-    figures: dict[str, Any]
+    fields: dict[str, Any]
--- a/spurdeal/fleet/versions.py
+++ b/spurdeal/fleet/versions.py
@@ -1,13 +1,13 @@
 """Versions of what a dispatcher acts on, and what other members claim about theirs. Free of I/O and clocks.
 
-Each artifact has a single writer: the name service writes the engine list, operators write configuration and
-program, whoever rotates keys writes the keys. So versions are ordered by what the writer states, generation
-and number, and nothing is ever merged. Two contents with one version are a clash: it is reported, and each
-member stays on the content that it has.
-
-A claim is what one dispatcher says it acts on. A version counts as existing only if two members claim it or
-our own name service reported it, so that one member that invents versions makes nobody count as behind. A
-claim far ahead of everything seen is ignored.
+Each artifact is written outside the fleet: the engine list by the name service, configuration, program and
+keys by operators. Members only copy it. So versions are ordered by what the writer states, generation and
+number, and nothing is ever merged. Two contents with one version are a clash: it is reported, and each member
+stays on the content that it has.
+
+A claim is a version that a member says it has in force. A version counts as existing only if MIN_CLAIMANTS
+members claim it, or our own source reported it (for lists: this dispatcher's name service), so that one
+member that invents versions makes nobody count as behind. A claim far ahead of everything seen is ignored.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 from enum import IntEnum
 from typing import Any, NamedTuple
 
-WITNESSES = 2
+MIN_CLAIMANTS = 2  # members that must claim a version before it counts as existing
 MAX_NUMBER_AHEAD = 10_000  # how far a claimed number may be ahead of ours
 MAX_CLASHES = 64
 DIGEST = 8  # bytes
@@ -69,14 +69,14 @@
 
 def digest_of(*parts: bytes) -> str:
     """Digest of these contents, in hex. Each part is prefixed with its length."""
-    found = hashlib.blake2b(digest_size=DIGEST)
+    hasher = hashlib.blake2b(digest_size=DIGEST)
     for part in parts:
-        found.update(len(part).to_bytes(8, "big") + part)
-    return found.hexdigest()
+        hasher.update(len(part).to_bytes(8, "big") + part)
+    return hasher.hexdigest()
 
 
-ROW = 9
-Row = tuple[Any, ...]
+ROW_LENGTH = 9
+Row = tuple[Any, ...]  # an engine: id, host, port, zone, kind, cell, life, weight, start; see rows_of
 
 
 def rows_of(endpoints: Iterable[Any]) -> dict[str, Row]:
@@ -103,7 +103,7 @@
 
 
 class Offer(NamedTuple):
-    """A version newer than ours, and the members that claim to hold it."""
+    """A version newer than ours, and the members that claim to have it in force."""
 
     version: Version
     holders: list[str]
@@ -117,13 +117,13 @@
         self.in_force: dict[Artifact, Version] = {}
         self.claims: dict[str, dict[Artifact, Version]] = {}
         self.clashes: dict[tuple[Artifact, int, int], Clash] = {}
-        self.by_source: dict[Artifact, Version] = {}  # reported by our own source, in force or not
+        self.source_versions: dict[Artifact, Version] = {}  # newest from our own source, in force or not
         self.implausible: dict[str, int] = {}
         # Cached results of `newest` and `offers`, cleared by each change.
         self.newest_cache: dict[Artifact, Version | None] = {}
         self.offers_cache: dict[Artifact, list[Offer]] = {}
 
-    def put_in_force(self, artifact: Artifact, version: Version, by_source: bool = True) -> bool:
+    def put_in_force(self, artifact: Artifact, version: Version, from_own_source: bool = True) -> bool:
         """Put a version in force.
 
         Returns:
@@ -132,8 +132,10 @@
         """
         before = self.in_force.get(artifact)
         self.clear_caches()
-        if by_source and (artifact not in self.by_source or version.order >= self.by_source[artifact].order):
-            self.by_source[artifact] = version
+        if from_own_source and (
+            artifact not in self.source_versions or version.order >= self.source_versions[artifact].order
+        ):
+            self.source_versions[artifact] = version
         if before is not None and version.order <= before.order:
             if version.order == before.order and version.digest != before.digest:
                 self.clash(artifact, version, f"{self.own}'s source")
@@ -143,7 +145,7 @@
 
     def claim(self, name: str, claims: Mapping[Artifact, Version]) -> list[Clash]:
         """Record a member's claims and return new clashes. Implausible claims are counted and dropped."""
-        kept, found = dict[Artifact, Version](), list[Clash]()
+        kept, new_clashes = dict[Artifact, Version](), list[Clash]()
         for artifact, version in claims.items():
             own = self.in_force.get(artifact)
             if own is not None and (
@@ -153,11 +155,11 @@
                 continue
             kept[artifact] = version
             if own is not None and version.order == own.order and version.digest != own.digest:
-                found += self.clash(artifact, version, name)
+                new_clashes += self.clash(artifact, version, name)
         if self.claims.get(name) != kept:
             self.claims[name] = kept
             self.clear_caches()
-        return found
+        return new_clashes
 
     def clash(self, artifact: Artifact, version: Version, name: str) -> list[Clash]:
         """Record a clash with the version in force. Empty if it is known or there are too many."""
@@ -193,9 +195,11 @@
         for claims in self.claims.values():
             if artifact in claims:
                 counted[claims[artifact]] = counted.get(claims[artifact], 0) + 1
-        found = [version for version, count in counted.items() if count >= WITNESSES]
-        found += [versions[artifact] for versions in (self.in_force, self.by_source) if artifact in versions]
-        return max(found, key=lambda version: version.order, default=None)
+        candidates = [version for version, count in counted.items() if count >= MIN_CLAIMANTS]
+        candidates += [
+            versions[artifact] for versions in (self.in_force, self.source_versions) if artifact in versions
+        ]
+        return max(candidates, key=lambda version: version.order, default=None)
 
     def behind(self, artifact: Artifact = Artifact.LIST) -> int:
         """By how many numbers ours is behind the newest; a newer generation counts as at least one."""
@@ -205,11 +209,11 @@
         return max(1, newest.number - (own.number if own is not None else 0))
 
     def holders(self, artifact: Artifact, version: Version) -> list[str]:
-        """Members that claim to act on that version, sorted."""
+        """Members that claim to have that version in force, sorted."""
         return sorted(name for name, claims in self.claims.items() if claims.get(artifact) == version)
 
     def offers(self, artifact: Artifact = Artifact.LIST) -> list[Offer]:
-        """Claimed versions newer than ours, newest first, also those with a single witness.
+        """Claimed versions newer than ours, newest first, also those with a single claimant.
 
         They may be fetched, as the content is checked against its digest and against the list in force.
         """
--- a/spurdeal/fleet/wire.py
+++ b/spurdeal/fleet/wire.py
@@ -1,7 +1,42 @@
-"""The wire format: JSON bodies in the sealed datagrams that handover uses as well. Free of I/O and clocks.
+"""The wire format: JSON bodies in the authenticated datagrams that handover uses as well. No I/O, no clocks.
+
+Every message has the keys
+
+| key | value |
+| --- | --- |
+| k | kind of the message, see below |
+| h | hybrid timestamp: [Unix ms, tally] |
+| u | the sender's system time, Unix ms |
+| v | its versions in force, in the order of Artifact: [generation, number, digest] or null |
+| s | its standing, a value of Standing |
+
+and may have
+
+| key | value |
+| --- | --- |
+| n | member records, of gossip or of a table's page; see `record_row` |
+| e | checksum of the sender's member table; with gossip only |
+| d | newest sealed page of its audit log: [number, digest, records]; in pings that ask for the lease |
+
+| kind | message | further keys |
+| --- | --- | --- |
+| p | ping | q; l: [term, proposed term or null] if it asks for the lease |
+| a | answer to a ping | q; g: [highest known term, 1 if granted, else 0] if the lease was asked for |
+| r | request for an indirect probe | q; on: [name, host, port] of the member to ping |
+| n | the helper has received such a request | q |
+| y | the helper has received the member's answer | q |
+| j | request for a page of the member table | q; i: offset |
+| J | page of the member table | q; i: offset; of: records of the table; n |
+| w | question whether a member has stopped | q; who: its name; boot: its start |
+| W | report on that | q; who; boot; r: 1 if refused; left: ms; t: term; f: proposed term or null |
+| f | request for a piece of an engine list | q; have: version; want: version; i: index of the piece |
+| F | piece of an engine list | q; want; i; of: number of pieces, 0 if the holder is busy; b: base64 |
+
+q is the number of the request, and an answer repeats it. A term is [number, [grantor, ...]]. An empty body
+({}) is a greeting: it only echoes the start of a peer that we do not know yet, see `Session.greet`.
 
 A body is parsed completely, and rejected as a whole, before any of it takes effect. A datagram fits into one
-packet: LARGEST leaves room for headers within the minimum MTU (RFC 8200, section 5: 1,280 bytes).
+packet: MAX_DATAGRAM_SIZE leaves room for headers within the minimum MTU (RFC 8200, section 5: 1,280 bytes).
 """
 
 from __future__ import annotations
@@ -15,22 +50,22 @@
 from ..vrrp.sealed import HEAD, SEAL, RefusedError
 from .audit import SealedPage
 from .hybrid import Stamp
-from .lease import GRANTORS, Term
+from .lease import MAX_GRANTORS, Term
 from .members import MAX_INCARNATION, Life, Record
 from .standing import Standing
 from .versions import Artifact, Version
 
-LARGEST = 1200  # bytes of a datagram
+MAX_DATAGRAM_SIZE = 1200  # bytes of a datagram
 MAX_NAME_LENGTH = 32
 MAX_RECORDS = 12
 MAX_REMAINING = 3_600_000.0  # ms
 
 
 def name_of(datagram: bytes) -> str:
-    """The sender's name in the header. The seal has not been verified yet."""
+    """The sender's name in the header. The authentication tag has not been verified yet."""
     if len(datagram) < HEAD.size + SEAL:
         raise RefusedError("short")
-    if len(datagram) > LARGEST:
+    if len(datagram) > MAX_DATAGRAM_SIZE:
         raise RefusedError("long")
     size = datagram[5]
     text = datagram[HEAD.size : HEAD.size + size]
@@ -41,7 +76,7 @@
 
 def room(name: str, body: Mapping[str, Any]) -> int:
     """Bytes left in a datagram that carries this body."""
-    return LARGEST - HEAD.size - SEAL - len(name) - len(json.dumps(body, separators=(",", ":")))
+    return MAX_DATAGRAM_SIZE - HEAD.size - SEAL - len(name) - len(json.dumps(body, separators=(",", ":")))
 
 
 # Parsing: each function raises RefusedError("body") for a malformed value.
@@ -112,9 +147,17 @@
     )
 
 
-def record_row(found: Record) -> list[Any]:
+def record_row(member: Record) -> list[Any]:
     """A member's record as a row for JSON."""
-    return [found.name, found.host, found.port, found.boot, found.incarnation, int(found.life), found.by]
+    return [
+        member.name,
+        member.host,
+        member.port,
+        member.boot,
+        member.incarnation,
+        int(member.life),
+        member.by,
+    ]
 
 
 def records(body: Mapping[str, Any], key: str = "n") -> list[Record]:
@@ -131,12 +174,14 @@
 def versions(body: Mapping[str, Any]) -> dict[Artifact, Version]:
     """The sender's versions in force."""
     rows = array(body.get("v", []), 0, len(Artifact))
-    return {Artifact(place): version(row) for place, row in enumerate(rows) if row is not None}
+    return {Artifact(index): version(row) for index, row in enumerate(rows) if row is not None}
 
 
-def versions_row(force: Mapping[Artifact, Version]) -> list[Any]:
+def versions_row(versions_in_force: Mapping[Artifact, Version]) -> list[Any]:
     """Versions in force as a row for JSON, in the order of Artifact."""
-    return [list(force[artifact]) if artifact in force else None for artifact in Artifact]
+    return [
+        list(versions_in_force[artifact]) if artifact in versions_in_force else None for artifact in Artifact
+    ]
 
 
 def stamp(body: Mapping[str, Any]) -> Stamp:
@@ -148,12 +193,14 @@
 def term(value: object) -> Term:
     """A lease term: its number and grantors."""
     row = array(value, 2, 2)
-    return Term(integer(row[0], 1 << 48), tuple(sorted(text(name) for name in array(row[1], 0, GRANTORS))))
+    return Term(
+        integer(row[0], 1 << 48), tuple(sorted(text(name) for name in array(row[1], 0, MAX_GRANTORS)))
+    )
 
 
-def term_row(found: Term) -> list[Any]:
+def term_row(lease_term: Term) -> list[Any]:
     """A lease term as a row for JSON."""
-    return [found.number, list(found.grantors)]
+    return [lease_term.number, list(lease_term.grantors)]
 
 
 def standing(body: Mapping[str, Any]) -> Standing:
--- a/spurdeal/fleet/words.py
+++ b/spurdeal/fleet/words.py
@@ -19,7 +19,7 @@
     return f"{ms / MINUTE:.0f}min"
 
 
-def status_words(status: Mapping[str, Any]) -> Iterator[str]:
+def status_lines(status: Mapping[str, Any]) -> Iterator[str]:
     """Lines on the dispatcher itself, its versions, and each member."""
     grantors = status["grantors"] if "grantors" in status else status["wardens"]  # from an older dispatcher
     yield (
@@ -27,8 +27,8 @@
         f"({status['why']}); lease {'held' if status['lease'] else 'not held'}, term {status['term']}, "
         f"grantors {' '.join(grantors) or 'none'}"
     )
-    for line, version in status["versions"].items():
-        yield f"  {line}: {version}"
+    for artifact, version in status["versions"].items():
+        yield f"  {artifact}: {version}"
     if status["behind"]:
         yield f"  behind by {status['behind']}: the newest list is {status['newest_list']}"
     if abs(status["clock_shift_ms"]) > SHOWN_CLOCK_SHIFT:
--- a/spurdeal/lab/capacity/storms.py
+++ b/spurdeal/lab/capacity/storms.py
@@ -45,7 +45,7 @@
     """All that live hold each other for alive, have one list, and hold their leases."""
     living = {name for name, node in world.nodes.items() if node.life}
     return (
-        all(world.nodes[name].fleet.members.living == living - {name} for name in living)
+        all(world.nodes[name].fleet.members.live_names == living - {name} for name in living)
         and world.all_have(world.newest)
         and world.standings() == {"CURRENT": len(living)}
     )
--- a/spurdeal/lab/fleet_walk.py
+++ b/spurdeal/lab/fleet_walk.py
@@ -49,7 +49,7 @@
         self.states += 1
         live = {name: node.fleet for name, node in world.nodes.items() if node.life}
         for name, fleet in live.items():
-            if not fleet.allowed(world.now).doubtful:
+            if not fleet.allowed(world.now).at_most_once_or_cold:
                 continue
             for other in live.values():
                 found = other.stops.inquiries.get(name)
--- a/spurdeal/lab/fleet_world.py
+++ b/spurdeal/lab/fleet_world.py
@@ -113,14 +113,14 @@
     def start(self, node: Node) -> None:
         node.life = self.next()
         version = node.source_old or self.newest
-        node.fleet.in_force(Artifact.LIST, version, self.lists[version])
+        node.fleet.put_in_force(Artifact.LIST, version, self.lists[version])
         node.had[version] = self.now
         self.at(self.now + self.chance.uniform(0.0, TICK), self.tick, node, node.life)
         self.at(self.now + self.chance.uniform(0.0, ASK_EVERY), self.ask_source, node, node.life)
 
     def unix(self, node: Node | None) -> float:
         if node is not None:
-            node.fleet.skew = node.unix_off
+            node.fleet.system_time_offset = node.unix_off
         return UNIX + self.now
 
     # Time.
@@ -166,7 +166,7 @@
         if node.source and self.now >= node.paused_until:
             node.fleet.source_answered(self.now)
             version = node.source_old or self.newest
-            if node.fleet.in_force(Artifact.LIST, version, self.lists[version]):
+            if node.fleet.put_in_force(Artifact.LIST, version, self.lists[version]):
                 node.had[version] = self.now
 
     def brought(self, name: str, version: Version) -> None:
@@ -178,7 +178,7 @@
     def sent(self, node: Node) -> None:
         out, node.fleet.out = node.fleet.out, []
         for told in node.fleet.events:
-            self.log.append((self.now, node.name, told.what, told.figures))
+            self.log.append((self.now, node.name, told.what, told.fields))
             self.trace.update(f"{self.now:.6f} {node.name} {told}\n".encode())
         node.fleet.events.clear()
         for address, datagram in out:
--- a/spurdeal/lab/lease_faults.py
+++ b/spurdeal/lab/lease_faults.py
@@ -7,17 +7,17 @@
 
 
 class CountsFromTheAnswer(Lease):
-    def answered(self, now: float, name: str, asked: float, heard_of: int, granted: bool) -> None:
-        super().answered(now, name, max(asked, now), heard_of, granted)
+    def on_reply(self, now: float, name: str, asked: float, highest_known_term: int, granted: bool) -> None:
+        super().on_reply(now, name, max(asked, now), highest_known_term, granted)
 
 
 class TellsNobody(Lease):
     """A new term counts though the old grantors do not know of it."""
 
-    def answered(self, now: float, name: str, asked: float, heard_of: int, granted: bool) -> None:
-        if self.proposed is not None and heard_of >= self.proposed.number:
+    def on_reply(self, now: float, name: str, asked: float, highest_known_term: int, granted: bool) -> None:
+        if self.proposed is not None and highest_known_term >= self.proposed.number:
             self.proposal_acked_by |= set(self.term.grantors)
-        super().answered(now, name, asked, heard_of, granted)
+        super().on_reply(now, name, asked, highest_known_term, granted)
 
 
 class AnswersThoughBarred(Grantor):
@@ -31,7 +31,7 @@
     """A new start answers at once, whatever the one before has said."""
 
     def on_request(self, now: float, name: str, boot: int, term: Term, proposed: Term | None) -> Reply:
-        self.silent_until = NEVER
+        self.refuses_until = NEVER
         return super().on_request(now, name, boot, term, proposed)
 
 
@@ -54,7 +54,7 @@
         if name in self.grants:
             known = self.grants[name]
             heard, _ = super().on_request(now, name, boot, term, proposed)
-            self.grants[name] = known._replace(valid_until=now + self.lease)
+            self.grants[name] = known._replace(valid_until=now + self.grant_duration)
             return Reply(heard, True)
         return super().on_request(now, name, boot, term, proposed)
 
--- a/spurdeal/lab/lease_model.py
+++ b/spurdeal/lab/lease_model.py
@@ -75,7 +75,7 @@
 class GrantorState(NamedTuple):
     """One grantor, with moments relative to now."""
 
-    silent_until: float
+    refuses_until: float
     grant: GrantState | None
 
 
@@ -136,7 +136,7 @@
         relative(lease.proposed_grants),
         tuple(sorted(lease.proposal_acked_by)),
         tuple(sorted(lease.refused_by)),
-        lease.held,
+        lease.acquired,
     )
 
 
@@ -147,7 +147,7 @@
 
 def frozen_grantor(grantor: Grantor) -> GrantorState:
     """A grantor's state at time 0."""
-    rests, found = ago(grantor.silent_until, 0.0), grantor.grants.get(SUBJECT)
+    rests, found = ago(grantor.refuses_until, 0.0), grantor.grants.get(SUBJECT)
     if found is None:
         return GrantorState(rests, None)
     until, barred_until = ago(found.valid_until, 0.0), ago(found.barred_until, 0.0)
@@ -186,7 +186,7 @@
         grantors = {name: self.kinds.grantor(LEASE, -10 * LEASE) for name in self.names}
         for name in SETS[0]:
             heard, granted = grantors[name].on_request(0.0, SUBJECT, BOOT, lease.term, lease.proposed)
-            lease.answered(0.0, name, 0.0, heard, granted)
+            lease.on_reply(0.0, name, 0.0, heard, granted)
         inquiry = self.kinds.inquiry(SUBJECT, BOOT, PART, LEASE)
         inquiry.note_terms(lease.term)
         return self.frozen(Parts(lease, grantors, inquiry), (), self.faults)
@@ -216,7 +216,7 @@
     def thawed_lease(self, state: LeaseState, shift: float) -> Lease:
         """The subject's lease of that state."""
         lease = self.kinds.lease(LEASE, PART)
-        lease.sole_member, lease.held = False, state.held
+        lease.sole_member, lease.acquired = False, state.held
         lease.term, lease.proposed = state.term, state.proposed
         lease.grants = {name: at - shift for name, at in state.asked}
         lease.proposed_grants = {name: at - shift for name, at in state.proposed_grants}
@@ -226,7 +226,7 @@
     def thawed_grantor(self, state: GrantorState, shift: float) -> Grantor:
         """A grantor of that state."""
         grantor = self.kinds.grantor(LEASE, 0.0)
-        grantor.silent_until = state.silent_until - shift
+        grantor.refuses_until = state.refuses_until - shift
         if state.grant is not None:
             term, proposed, until, refused, barred_until = state.grant
             grantor.grants[SUBJECT] = Grant(
@@ -302,7 +302,7 @@
     def deliver(parts: Parts, answer: Answer) -> None:
         """Whoever asked has the answer now."""
         if answer.kind is MoveKind.ASK:
-            parts.lease.answered(0.0, answer.grantor, answer.asked, *answer.told)
+            parts.lease.on_reply(0.0, answer.grantor, answer.asked, *answer.told)
         else:
             parts.inquiry.add_report(0.0, answer.asked, answer.grantor, StopReport(*answer.told))
 
--- a/spurdeal/store/guard.py
+++ b/spurdeal/store/guard.py
@@ -1,8 +1,9 @@
-"""A guard that records guarded attempts in the ledger before they are sent, whichever front they came by.
+"""A Guard that records attempts in the ledger before they are sent, if they must run at most once.
 
-After a crash the ledger thus names every guarded request that may have run. The attempts of one batch are
-written in one append. With `flush: always` they are sent after a worker thread has flushed them; attempts
-that arrive during a flush wait for the next append (group commit).
+It does so for requests of HTTP clients and for those of ext_proc callers. "Guarded" means here: of a workload
+whose requests must run at most once. After a crash the ledger thus names every guarded request that may have
+run. The attempts of one batch are written in one append. With `flush: always` they are sent after a worker
+thread has flushed them; attempts that arrive during a flush wait for the next append (group commit).
 """
 
 from __future__ import annotations
@@ -21,7 +22,8 @@
 from .ledger import FLUSH_INTERVAL, Ledger, LedgerFullError
 from .records import Kind, Record
 
-Verdict = Callable[[bool | None], None]
+# Called back with True: send the attempt; False: it must not be sent; None: it may have run elsewhere.
+VerdictCallback = Callable[[bool | None], None]
 RunInThread = Callable[[Callable[[], None]], Deferred[None]]
 
 
@@ -70,7 +72,7 @@
         self.ledger, self.settings, self.inner = ledger, settings, inner
         self.reactor, self.counters, self.log = runtime.reactor, runtime.counters, runtime.log
         self.in_thread = runtime.in_thread
-        self.pending: dict[tuple[int, int], tuple[OpenRequest, Verdict]] = {}
+        self.pending: dict[tuple[int, int], tuple[OpenRequest, VerdictCallback]] = {}
         self.append_queue: list[tuple[int, int]] = []
         self.append_scheduled = self.flushing = False
         if ledger.settings.flush == "turn":
@@ -108,7 +110,7 @@
                 return Shed(self.settings.retry_after)
         return self.inner.immediate_answer(kind, ident) if self.inner is not None else None
 
-    def before_send(self, request: OpenRequest, attempt: int, go: Verdict) -> bool:
+    def before_send(self, request: OpenRequest, attempt: int, go: VerdictCallback) -> bool:
         """Delay a guarded attempt until its record is written; `go` is then called with the verdict.
 
         Returns:
@@ -133,7 +135,7 @@
         return False
 
     def attempt_abandoned(self, number: int, attempt: int) -> None:
-        """Drop an attempt that still waits for its record; its `go` is not called."""
+        """Drop an attempt that waits for its record and will not be sent; its `go` is not called."""
         self.pending.pop((number, attempt), None)
         if self.inner is not None:
             self.inner.attempt_abandoned(number, attempt)
@@ -159,7 +161,7 @@
         return self.inner.allow_send(request, attempt, engine) if self.inner is not None else True
 
     def attempt_cancelled(self, request: OpenRequest, attempt: int) -> None:
-        """See Guard."""
+        """An attempt that was sent is being cancelled; the ledger keeps its record. See Guard."""
         if self.inner is not None:
             self.inner.attempt_cancelled(request, attempt)
 
@@ -219,9 +221,9 @@
             self.append_scheduled = True
             self.reactor.callLater(0, self.append_queued)
 
-    def resume(self, tokens: list[tuple[int, int]], go: bool) -> None:
+    def resume(self, tokens: list[tuple[int, int]], allowed: bool) -> None:
         """Call back each of these attempts that still waits, with whether it may be sent."""
         for token in tokens:
-            found = self.pending.pop(token, None)
-            if found is not None:
-                found[1](go)
+            waiting = self.pending.pop(token, None)
+            if waiting is not None:
+                waiting[1](allowed)
--- a/spurdeal/store/ledger.py
+++ b/spurdeal/store/ledger.py
@@ -6,7 +6,8 @@
 
 Flush policies: `always` (a record is on the disk before its request is sent; survives a crash of the
 machine), `turn` (flushed by a timer every 50 ms; survives a crash of the process, and one of the machine
-except for the last 50 ms), `never` (not flushed; survives a crash of the process only).
+except for the last 50 ms; the name is historic, it is no turn of the event loop), `never` (not flushed;
+survives a crash of the process only).
 """
 
 from __future__ import annotations
@@ -65,6 +66,15 @@
             since expiration times must stay valid after a restart of the machine.
         settings: Flush policy and bounds.
         calls: The system calls for writing; tests inject failures.
+
+    Attributes:
+        appended: Records appended.
+        torn: Torn tails found at the start, 0 or 1.
+        recovered: Ids kept from an earlier process.
+        failures: System calls that failed in writing, flushing, truncating or compacting.
+        rewritten: Compactions, the one at the start included.
+        bytes: Bytes of the log file.
+        bytes_most: Most bytes that the log file has had.
     """
 
     def __init__(
@@ -298,9 +308,12 @@
     """
     if settings.retention is None:
         return {ident: expires_at for ident, expires_at in expirations.items() if expires_at > now}
-    may_count = [
+    possibly_valid = [
         (expires_at, ident) for ident, expires_at in expirations.items() if expires_at > now - MAX_CLOCK_STEP
     ]
-    may_count.sort(reverse=True)
-    least, most = now + settings.retention, now + settings.retention + MAX_CLOCK_STEP
-    return {ident: min(max(expires_at, least), most) for expires_at, ident in may_count[: settings.max_ids]}
+    possibly_valid.sort(reverse=True)
+    earliest_end, latest_end = now + settings.retention, now + settings.retention + MAX_CLOCK_STEP
+    return {
+        ident: min(max(expires_at, earliest_end), latest_end)
+        for expires_at, ident in possibly_valid[: settings.max_ids]
+    }
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -14,7 +14,7 @@
 from spurdeal.fleet.hybrid import Stamp
 from spurdeal.fleet.journal import Journal, JournalSettings
 from spurdeal.fleet.station import Clocks, FleetStation, StationSettings
-from spurdeal.fleet.words import status_words
+from spurdeal.fleet.words import status_lines
 from spurdeal.lab.names import Endpoint
 from spurdeal.net.engine_list import KnownList
 from spurdeal.net.start import Service
@@ -71,7 +71,7 @@
     def send(self, journal: Journal, ident: str, engine: str = "s-0", attempt: int = 0) -> None:
         self.now += 1
         journal.pages.add_attempt(ident.encode(), attempt, engine, 0)
-        journal.flush()
+        journal.write_pending()
 
     def sealed_journal(self, name: str = "d1") -> Journal:
         """Thirty sends in six sealed pages."""
@@ -87,7 +87,7 @@
         journal = self.sealed_journal()
         journal.pages.add_event(Kind.SHED, b"00ff")
         journal.pages.add_json(Kind.MODE, {"says": "engine 3 aside"})
-        journal.flush()
+        journal.write_pending()
         log = read_log(self.root / "d1")
         kinds = [entry.record.kind for entry in log.entries]
         self.assertEqual(30, kinds.count(Kind.SENT))
@@ -252,12 +252,12 @@
 
     def test_a_log_cut_short_is_found_by_the_seal_that_another_recorded(self) -> None:
         journal, other = self.sealed_journal(), self.journal("d2")
-        page, digest, count = journal.pages.page - 1, journal.pages.digest.hex(), journal.pages.count
+        page, digest, count = journal.pages.page - 1, journal.pages.digest.hex(), journal.pages.record_count
         other.pages.add_json(
             Kind.WITNESS,
             {"name": "d1", "boot": f"{1:016x}", "page": page, "digest": digest, "records": count},
         )
-        other.flush()
+        other.write_pending()
         self.assertEqual([], self.findings("d1", "d2"))
         file = next((self.root / "d1").glob("*.log"))
         whole = file.read_bytes()
@@ -407,7 +407,7 @@
         caller.say(b"GET /fleet HTTP/1.1\r\nHost: x\r\n\r\n")
         ((status, _, found),) = caller.answers()
         self.assertEqual((200, "n1", "joining"), (status, found["name"], found["standing"]))
-        self.assertIn("lease not held", next(status_words(found)))
+        self.assertIn("lease not held", next(status_lines(found)))
 
     def test_without_a_fleet_the_view_is_not_found(self) -> None:
         caller = world_caller(World(self))
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -65,24 +65,24 @@
         lease = Lease(1000.0, 0.5)
         lease.propose(grantors)
         for name in grantors:
-            lease.answered(0.0, name, 0.0, 1, True)
+            lease.on_reply(0.0, name, 0.0, 1, True)
         return lease
 
     def test_a_grant_counts_from_when_it_was_requested(self) -> None:
         lease = self.settled(("a", "b", "c", "d"))
-        lease.answered(500.0, "a", 500.0, 1, True)
+        lease.on_reply(500.0, "a", 500.0, 1, True)
         self.assertEqual(1000.0, lease.expires_at(), "one of the two grants that are needed is from time 0")
-        lease.answered(500.0, "b", 400.0, 1, True)
+        lease.on_reply(500.0, "b", 400.0, 1, True)
         self.assertEqual(1400.0, lease.expires_at())
 
     def test_a_new_term_takes_effect_only_once_the_old_grantors_know(self) -> None:
         lease = self.settled(("a", "b", "c", "d"))
         lease.propose(("e", "f"))
-        lease.answered(100.0, "e", 100.0, 2, True)
-        lease.answered(100.0, "f", 100.0, 2, True)
+        lease.on_reply(100.0, "e", 100.0, 2, True)
+        lease.on_reply(100.0, "f", 100.0, 2, True)
         self.assertEqual(1, lease.term.number, "an inquirer at the old grantors would not be led on")
-        lease.answered(100.0, "a", 100.0, 2, True)
-        lease.answered(100.0, "b", 100.0, 2, True)
+        lease.on_reply(100.0, "a", 100.0, 2, True)
+        lease.on_reply(100.0, "b", 100.0, 2, True)
         self.assertEqual(("e", "f"), lease.term.grantors)
 
     def test_a_lost_lease_needs_the_larger_quorum_to_be_acquired_again(self) -> None:
@@ -90,7 +90,7 @@
         self.assertTrue(lease.holds(999.0))
         self.assertFalse(lease.holds(1000.0))
         for name, held in (("a", False), ("b", False), ("c", True)):
-            lease.answered(1100.0, name, 1090.0, 1, True)
+            lease.on_reply(1100.0, name, 1090.0, 1, True)
             self.assertEqual(held, lease.holds(1100.0), name)
 
     def test_two_starts_of_a_name_never_both_hold_the_lease(self) -> None:
@@ -106,7 +106,7 @@
                 boot, name = chance.choice((7, 8)), chance.choice(names)
                 lease = leases[boot]
                 told = grantors[name].on_request(now, "d", boot, lease.term, lease.proposed)
-                lease.answered(now, name, now, *told)
+                lease.on_reply(now, name, now, *told)
                 self.assertLessEqual(sum(each.holds(now) for each in leases.values()), 1)
 
     def test_a_stop_report_bars_new_grants_while_it_is_valid(self) -> None:
@@ -262,10 +262,12 @@
         for _ in range(300):
             world.run(20.0)
             known = any(fleet.stopped(world.now, "d1") for fleet in rest)
-            early |= known and node.fleet.allowed(world.now).doubtful
+            early |= known and node.fleet.allowed(world.now).at_most_once_or_cold
         self.assertFalse(early)
         self.assertTrue(all(fleet.stopped(world.now, "d1") for fleet in rest))
-        self.assertFalse(node.fleet.allowed(world.now).doubtful, "before any of its timers has run")
+        self.assertFalse(
+            node.fleet.allowed(world.now).at_most_once_or_cold, "before any of its timers has run"
+        )
         self.all_current(world, 6, 9000.0)
 
     def test_a_one_way_partition_costs_the_lease(self) -> None:
@@ -347,7 +349,9 @@
             world.start(twin)
             for _ in range(250):
                 world.run(20.0)
-                both = [world.nodes[name].fleet.allowed(world.now).doubtful for name in ("d7", "twin")]
+                both = [
+                    world.nodes[name].fleet.allowed(world.now).at_most_once_or_cold for name in ("d7", "twin")
+                ]
                 self.assertNotEqual([True, True], both, seed)
 
     def test_a_member_that_invents_versions_affects_nobody(self) -> None:
@@ -365,7 +369,7 @@
     def test_a_list_that_drops_every_engine_needs_more_than_one_witness(self) -> None:
         world = self.world()
         empty = Version(0, 2, list_digest({}))
-        world.nodes["d4"].fleet.in_force(Artifact.LIST, empty, {})
+        world.nodes["d4"].fleet.put_in_force(Artifact.LIST, empty, {})
         world.run(3000.0)
         self.assertTrue(self.events(world, "list_refused"))
         self.assertEqual(
@@ -491,7 +495,7 @@
             0.0,
             0.0,
         )
-        fleet.in_force(Artifact.LIST, Version(0, 1, "a"), {})
+        fleet.put_in_force(Artifact.LIST, Version(0, 1, "a"), {})
         fleet.tick(20.0, 20.0)
         self.assertIs(Standing.CURRENT, fleet.tracker.standing)
 
@@ -503,8 +507,8 @@
             0.0,
             0.0,
         )
-        fleet.in_force(Artifact.LIST, Version(0, 1, "a"), {})
+        fleet.put_in_force(Artifact.LIST, Version(0, 1, "a"), {})
         for at in range(20, 3000, 20):
             fleet.tick(float(at), float(at))
-        self.assertFalse(fleet.allowed(3000.0).doubtful)
+        self.assertFalse(fleet.allowed(3000.0).at_most_once_or_cold)
         self.assertIs(Standing.JOINING, fleet.tracker.standing)
