--- a/spurdeal/fleet/audit.py
+++ b/spurdeal/fleet/audit.py
@@ -115,7 +115,7 @@
     """Where a log continues: the next page's number, the records so far, and the digest before the page."""
 
     next_page: int
-    records: int
+    record_count: int
     digest: bytes
 
 
--- a/spurdeal/fleet/local_versions.py
+++ b/spurdeal/fleet/local_versions.py
@@ -34,8 +34,8 @@
     assert plan.fleet is not None
     settings = dict(json.loads(configuration).get("settings", {}))
     settings.pop("index", None)
-    own = {"listen", "advertise", "keys", "seeds", "audit", "clock_file"}
-    shared = plan.fleet.model_dump(mode="json", exclude=own)
+    not_shared = {"listen", "advertise", "keys", "seeds", "audit", "clock_file"}
+    shared = plan.fleet.model_dump(mode="json", exclude=not_shared)
     return Version(0, plan.fleet.revision, digest_of(json.dumps([settings, shared], sort_keys=True).encode()))
 
 
@@ -51,15 +51,15 @@
     )
 
 
-def shared_settings(part: FleetSection) -> SharedSettings:
+def shared_settings(section: FleetSection) -> SharedSettings:
     """The settings that all members share."""
     return SharedSettings(
-        part.period,
-        part.lease,
-        part.part,
-        part.forget,
-        part.behind_for,
-        part.shut_after,
-        part.most_shut,
-        part.clock_off,
+        section.period,
+        section.lease,
+        section.part,
+        section.forget,
+        section.behind_for,
+        section.shut_after,
+        section.most_shut,
+        section.clock_off,
     )
--- a/spurdeal/fleet/members.py
+++ b/spurdeal/fleet/members.py
@@ -196,8 +196,8 @@
         if suspicion is None or by in suspicion.by or len(suspicion.by) > CONFIRMATIONS:
             return
         names = suspicion.by | {by}
-        part = math.log(len(names)) / math.log(CONFIRMATIONS + 1)
-        left = max(suspicion.least, suspicion.most - (suspicion.most - suspicion.least) * part)
+        fraction = math.log(len(names)) / math.log(CONFIRMATIONS + 1)
+        left = max(suspicion.least, suspicion.most - (suspicion.most - suspicion.least) * fraction)
         self.suspicions[name] = suspicion._replace(by=names, end=suspicion.since + left)
         self.gossip[name] = 0
 
--- a/spurdeal/fleet/station.py
+++ b/spurdeal/fleet/station.py
@@ -92,13 +92,13 @@
         self.service, self.plan, self.reactor = service, plan, reactor
         self.monotonic, self.unix, self.raw, self.log = clocks.monotonic, clocks.unix, clocks.raw, log
         self.adapter, self.counters = service.adapter, service.counters
-        part, site = plan.fleet, service.configuration.site
+        section, site = plan.fleet, service.configuration.site
         self.guarded = at_most_once(site)  # by workload: whether its requests must run at most once
-        self.retry_after, self.share = site.max_retry_after, 1.0 / site.dispatchers
+        self.retry_after, self.equal_share = site.max_retry_after, 1.0 / site.dispatchers
         self.inner: Guard | None = None
-        self.fleet = self.make_fleet(plan.name, part, keys)
+        self.fleet = self.make_fleet(plan.name, section, keys)
         self.datagrams = Datagrams(self)
-        self.journal = self.make_journal(plan.name, part)
+        self.journal = self.make_journal(plan.name, section)
         self.next_seal, self.source_heard_at = self.monotonic(), float("-inf")
         self.next_count = self.monotonic()
         self.has_cold_share = True
@@ -107,21 +107,21 @@
         self.fleet.put_in_force(Artifact.PROGRAM, program_version())
         self.fleet.put_in_force(Artifact.KEYS, keys_version(keys))
 
-    def make_fleet(self, name: str, part: FleetSection, keys: Keys) -> Fleet:
+    def make_fleet(self, name: str, section: FleetSection, keys: Keys) -> Fleet:
         """Create the member that the operator's file describes."""
-        at = part.advertise or part.listen
-        seeds = {seed.name: (str(seed.at[0]), seed.at[1]) for seed in part.seeds if seed.name != name}
+        at = section.advertise or section.listen
+        seeds = {seed.name: (str(seed.at[0]), seed.at[1]) for seed in section.seeds if seed.name != name}
         chance = random.Random(secrets.randbits(64))
         now, unix = self.monotonic(), self.unix()
-        settings = FleetSettings(name, (str(at[0]), at[1]), seeds, shared_settings(part), keys)
+        settings = FleetSettings(name, (str(at[0]), at[1]), seeds, shared_settings(section), keys)
         return Fleet(settings, chance, self.apply_peer_list, now, unix)
 
-    def make_journal(self, name: str, part: FleetSection) -> Journal | None:
+    def make_journal(self, name: str, section: FleetSection) -> Journal | None:
         """Open the audit log; None if the operator's file configures none."""
-        if part.audit is None:
+        if section.audit is None:
             return None
         return Journal(
-            JournalSettings(Path(part.audit.path), name, self.fleet.boot, part.audit.bytes),
+            JournalSettings(Path(section.audit.path), name, self.fleet.boot, section.audit.bytes),
             lambda: self.fleet.hybrid.stamp(self.unix()),
             self.monotonic,
         )
@@ -156,7 +156,7 @@
         if self.journal is not None:
             self.journal.close()
 
-    def read_again(self, configuration: bytes, plan: Installation, keys: Keys) -> None:
+    def reload(self, configuration: bytes, plan: Installation, keys: Keys) -> None:
         """SIGHUP: use the new keys at once, and report the configuration in force to the others."""
         self.fleet.keys = keys
         for session in self.fleet.sessions.values():
@@ -292,8 +292,8 @@
         if self.inner is None or self.plan.vrrp is None:
             self.adapter.enqueue(
                 self.adapter.rules.capacity_shares_changed,
-                self.share if usable else 0.0,
-                self.share,
+                self.equal_share if usable else 0.0,
+                self.equal_share,
             )
 
     # The adapter's Guard.
--- a/spurdeal/vrrp/station.py
+++ b/spurdeal/vrrp/station.py
@@ -135,7 +135,7 @@
             self.advertising.perform(self.groups.stop(self.monotonic()))
             self.send_state()
 
-    def read_again(self, plan: Installation) -> None:
+    def reload(self, plan: Installation) -> None:
         """Apply a file reread on SIGHUP: keys take effect at once, all else at the next start."""
         if self.handover is not None and plan.handover is not None:
             try:
