--- a/spurdeal/fleet/local_versions.py
+++ b/spurdeal/fleet/local_versions.py
@@ -47,7 +47,9 @@
     return Version(
         0,
         keys.signing_key_id,
-        digest_of(*[bytes([ident]) + keys.seal(ident, b"fleet") for ident in sorted(keys.keys)]),
+        digest_of(
+            *[bytes([ident]) + keys.authentication_tag(ident, b"fleet") for ident in sorted(keys.keys)]
+        ),
     )
 
 
--- a/spurdeal/fleet/wire.py
+++ b/spurdeal/fleet/wire.py
@@ -47,7 +47,7 @@
 from math import isfinite
 from typing import Any
 
-from ..vrrp.sealed import HEAD, SEAL, RefusedError
+from ..vrrp.sealed import HEAD, TAG_SIZE, RefusedError
 from .audit import SealedPage
 from .hybrid import Stamp
 from .lease import MAX_GRANTORS, Term
@@ -63,7 +63,7 @@
 
 def name_of(datagram: bytes) -> str:
     """The sender's name in the header. The authentication tag has not been verified yet."""
-    if len(datagram) < HEAD.size + SEAL:
+    if len(datagram) < HEAD.size + TAG_SIZE:
         raise RefusedError("short")
     if len(datagram) > MAX_DATAGRAM_SIZE:
         raise RefusedError("long")
@@ -76,7 +76,7 @@
 
 def room(name: str, body: Mapping[str, Any]) -> int:
     """Bytes left in a datagram that carries this body."""
-    return MAX_DATAGRAM_SIZE - HEAD.size - SEAL - len(name) - len(json.dumps(body, separators=(",", ":")))
+    return MAX_DATAGRAM_SIZE - HEAD.size - TAG_SIZE - len(name) - len(json.dumps(body, separators=(",", ":")))
 
 
 # Parsing: each function raises RefusedError("body") for a malformed value.
--- a/spurdeal/vrrp/sealed.py
+++ b/spurdeal/vrrp/sealed.py
@@ -19,7 +19,7 @@
 HEAD = struct.Struct(
     "!4sBBQQQQ"
 )  # magic, key id, length of the name, boot, number, echoed boot, echoed number
-SEAL = 16  # bytes of the truncated HMAC
+TAG_SIZE = 16  # bytes of the truncated HMAC
 MAX_KEYS, MAX_KEY_ID, MIN_KEY = 2, 255, 16  # number of keys, largest id, least bytes of a key
 MAX_DATAGRAM = 8192  # bytes
 WINDOW = 64  # sequence numbers below the highest that are still accepted, once each
@@ -51,9 +51,9 @@
             raise ValueError("one or two keys of 16 bytes or more, with ids from 0 to 255")
         self.keys, self.signing_key_id = dict(keys), next(iter(keys))
 
-    def seal(self, ident: int, data: bytes) -> bytes:
+    def authentication_tag(self, ident: int, data: bytes) -> bytes:
         """Return the truncated HMAC of the data with that key."""
-        return hmac.digest(self.keys[ident], data, "sha256")[:SEAL]
+        return hmac.digest(self.keys[ident], data, "sha256")[:TAG_SIZE]
 
 
 class Session:
@@ -104,9 +104,9 @@
             + self.own
             + json.dumps(body, separators=(",", ":")).encode()
         )
-        if len(data) + SEAL > MAX_DATAGRAM:
-            raise ValueError(f"datagram of {len(data)} bytes without its seal is too large")
-        return data + self.keys.seal(key, data)
+        if len(data) + TAG_SIZE > MAX_DATAGRAM:
+            raise ValueError(f"datagram of {len(data)} bytes without its authentication tag is too large")
+        return data + self.keys.authentication_tag(key, data)
 
     def read(self, now: float, datagram: bytes) -> tuple[dict[str, Any], float | None]:
         """Verify and decode a datagram received at `now` (ms).
@@ -152,7 +152,7 @@
         return body, asked
 
     def verify(self, datagram: bytes) -> tuple[int, int, int, int, bytes]:
-        """Verify length, magic, key, seal and name, in this order, before anything is parsed.
+        """Verify length, magic, key, authentication tag and name, in this order, before anything is parsed.
 
         Returns:
             The sender's start and number, the echoed start and number, and the body.
@@ -160,7 +160,7 @@
         Raises:
             RefusedError: A check fails.
         """
-        if len(datagram) < HEAD.size + SEAL:
+        if len(datagram) < HEAD.size + TAG_SIZE:
             raise RefusedError("short")
         if len(datagram) > MAX_DATAGRAM:
             raise RefusedError("long")
@@ -169,20 +169,22 @@
             raise RefusedError("magic")
         if key not in self.keys.keys:
             raise RefusedError("key")
-        if not hmac.compare_digest(self.keys.seal(key, datagram[:-SEAL]), datagram[-SEAL:]):
+        if not hmac.compare_digest(
+            self.keys.authentication_tag(key, datagram[:-TAG_SIZE]), datagram[-TAG_SIZE:]
+        ):
             raise RefusedError("seal")
         if datagram[HEAD.size : HEAD.size + size] != self.peer:
             raise RefusedError("name")
-        return boot, number, echo_boot, echo_number, datagram[HEAD.size + size : -SEAL]
+        return boot, number, echo_boot, echo_number, datagram[HEAD.size + size : -TAG_SIZE]
 
     def greet(self, now: float, datagram: bytes) -> bytes:
-        """Return an empty datagram in answer to an unproven one whose seal is valid.
+        """Return an empty datagram in answer to an unproven one whose authentication tag is valid.
 
         It echoes that start, which can then prove itself; nothing else of the datagram is used. A replayed
         datagram only obtains the echo of an old number, which proves nothing.
 
         Raises:
-            RefusedError: The seal or another check fails.
+            RefusedError: The authentication tag or another check fails.
         """
         boot, number, *_ = self.verify(datagram)
         return self.write(now, {}, (boot, number))
