--- a/spurdeal/cli/running.py
+++ b/spurdeal/cli/running.py
@@ -206,7 +206,7 @@
         if self.fleet is not None:
             self.fleet.start()
             if self.station is not None:
-                self.station.shut_out = self.fleet.lowers
+                self.station.fleet_lowers_priority = self.fleet.lowers
         if self.server is not None and self.installation.extproc is not None:
             self.listen_for_callers(self.server, self.installation.extproc)
 
@@ -245,14 +245,14 @@
             for name in ("appended", "torn", "recovered", "failures", "rewritten", "bytes_most"):
                 self.counters.sums["ledger_" + name] = getattr(self.ledger, name)
 
-    def read_again(self) -> None:
+    def reload(self) -> None:
         """Handle SIGHUP: reload keys and certificates; other settings take effect at the next start."""
         try:
             installation = read(self.path)
             if self.context is not None:
                 self.context.load()
             if self.fleet is not None and installation.fleet is not None:
-                self.fleet.read_again(
+                self.fleet.reload(
                     Path(self.configuration).read_bytes(),
                     installation,
                     read_keys(self.path, "fleet", installation.fleet),
@@ -262,7 +262,7 @@
             self.log.error("installation_kept", extra={"figures": {"why": str(error)}})
             return
         if self.station is not None:
-            self.station.read_again(installation)
+            self.station.reload(installation)
         self.counters.add("installations_read")
 
     def stop(self) -> None:
@@ -308,7 +308,7 @@
 
     def reload() -> None:
         service.reload_configuration(lambda: start.load_configuration(configuration))
-        installed.read_again()
+        installed.reload()
 
     start.on_signals(loop, reload, installed.stop)
     globalLogBeginner.beginLoggingTo([cast(Any, service.unhandled)], redirectStandardIO=False)
--- a/spurdeal/extproc/bounds.py
+++ b/spurdeal/extproc/bounds.py
@@ -52,7 +52,7 @@
         return self.exceeds_rate(now, self.controls, self.bounds.controls)
 
 
-class Admission:
+class ConnectionLimits:
     """Admits connections and calls within the limits for all connections together."""
 
     def __init__(self, bounds: Bounds) -> None:
--- a/spurdeal/extproc/calls.py
+++ b/spurdeal/extproc/calls.py
@@ -44,7 +44,7 @@
 
     ident: bytes
     workload: bytes
-    wait: float  # the client's timeout
+    client_timeout: float  # the client's timeout
     cost: float  # estimated; 0: not given
     memory: float  # estimated; 0: not given
     group: int  # of tables; -1: none
@@ -109,13 +109,13 @@
     ident = headers.get(caller_settings.id_header, b"")
     if not IDENT.fullmatch(ident):
         raise BadCallError(400, f"{caller_settings.id_header.decode()} is missing or no id")
-    wait = number_header(headers, b"req-wait-ms")
-    if wait <= 0:
+    client_timeout = number_header(headers, b"req-wait-ms")
+    if client_timeout <= 0:
         raise BadCallError(400, "req-wait-ms cannot be used")
     return CallRequest(
         ident,
         path.partition(b"?")[0].rpartition(b"/")[2],
-        min(wait, longest),
+        min(client_timeout, longest),
         number_header(headers, b"req-cost", 0.0),
         number_header(headers, b"x-est-mb", 0.0),
         int(number_header(headers, b"x-tables-group", -1.0)) if b"x-tables-group" in headers else -1,
@@ -138,20 +138,22 @@
 class AnswerTimes(NamedTuple):
     """Limits for the response, in ms from the call's first message."""
 
-    answer_by: float  # the response must have been sent by then
+    answer_within: float  # the response must have been sent by then
     extended_timeout: float  # requested by override_message_timeout; 0: not requested
 
 
-def answer_times(caller_settings: CallerSettings, wait: float, stream_timeout: float | None) -> AnswerTimes:
+def answer_times(
+    caller_settings: CallerSettings, client_timeout: float, stream_timeout: float | None
+) -> AnswerTimes:
     """Compute when the response must have been sent. Times are ms.
 
     Args:
         caller_settings: The caller's message timeout, its maximum and the margin.
-        wait: The client's timeout.
+        client_timeout: The client's timeout.
         stream_timeout: The stream's own timeout, an upper limit for the message timeout and its
             extension; None if it has none.
     """
-    bound = wait if stream_timeout is None else min(wait, stream_timeout)
+    bound = client_timeout if stream_timeout is None else min(client_timeout, stream_timeout)
     usual = min(bound, caller_settings.message_timeout)
     extended = min(bound, caller_settings.most_timeout)
     if extended > usual:
--- a/spurdeal/extproc/granter.py
+++ b/spurdeal/extproc/granter.py
@@ -17,7 +17,7 @@
     from .stream import Call
 
 
-class Lease:
+class GrantedAttempt:
     """An attempt that a caller carries out; `done` fires with its outcome."""
 
     __slots__ = ("call", "done", "number")
@@ -52,7 +52,7 @@
         )
         self.grants = Grants(max_grants)
         self.calls: dict[bytes, Call] = {}
-        self.leases: dict[int, Lease] = {}
+        self.granted_attempts: dict[int, GrantedAttempt] = {}
 
     def ready(self, engine: int) -> bool:
         """Return whether the engine can be granted."""
@@ -67,15 +67,15 @@
         deadline: float,
         at_most_once: bool,
         at_send: Callable[[], SendTerms | None],
-    ) -> Lease:
+    ) -> GrantedAttempt:
         """Grant the engine to the caller; ends as MOOT (never sent) if caller or engine is gone."""
-        lease = Lease(self.calls.get(ident.lower()))
+        lease = GrantedAttempt(self.calls.get(ident.lower()))
         if not self.send_grant(lease, engine, at_send):
             self.counters.add("grants_not_said")
             lease.done.callback(Outcome(Ending.MOOT))
         return lease
 
-    def send_grant(self, lease: Lease, engine: int, at_send: Callable[[], SendTerms | None]) -> bool:
+    def send_grant(self, lease: GrantedAttempt, engine: int, at_send: Callable[[], SendTerms | None]) -> bool:
         """Send the grant to the caller; False if the call, the engine or the terms are gone by now."""
         call = lease.call
         endpoint = self.engines.engines[engine].endpoint if engine in self.engines.engines else None
@@ -84,15 +84,15 @@
         now, send_terms = self.clock(), at_send()
         if send_terms is None or not self.grants.mark_sent(now, call.number, engine, now + send_terms.wait):
             return False
-        self.leases[lease.number] = lease
+        self.granted_attempts[lease.number] = lease
         self.counters.add("grants")
         call.send_grant(endpoint.host, endpoint.port, send_terms.wait, send_terms.rank)
         return True
 
-    def weigh(self, attempt: Lease, rank: int) -> None:
+    def set_rank(self, attempt: GrantedAttempt, rank: int) -> None:
         """Do nothing: a caller gets its rank once, with the grant."""
 
-    def give_up(self, attempt: Lease, ending: Ending) -> None:
+    def give_up(self, attempt: GrantedAttempt, ending: Ending) -> None:
         """Stop waiting for an attempt's outcome: it timed out, or the rules cancelled it."""
         event = GrantEvent.SILENT if ending == Ending.TIME_OUT else GrantEvent.CALLED_OFF
         if attempt.call is not None:
@@ -101,6 +101,6 @@
 
     def finish(self, number: int, ending: Ending | None) -> None:
         """Fire `done` of an attempt with this ending; None if the attempt was over already."""
-        lease = self.leases.pop(number, None)
+        lease = self.granted_attempts.pop(number, None)
         if lease is not None and ending is not None:
             lease.done.callback(Outcome(ending))
--- a/spurdeal/extproc/server.py
+++ b/spurdeal/extproc/server.py
@@ -12,7 +12,7 @@
 from ..net.counters import Counters
 from ..net.engines import Engines
 from ..net.link import SocketAdapter
-from .bounds import Admission, Bounds
+from .bounds import Bounds, ConnectionLimits
 from .calls import CallerSettings
 from .connection import METHOD, ProcessorConnection
 from .granter import Granter
@@ -79,7 +79,7 @@
         self.reactor, self.clock = runtime.reactor, runtime.clock
         self.counters, self.log = runtime.counters, runtime.log
         self.granter = Granter(engines, self.clock, self.caller_settings, self.bounds.calls, self.counters)
-        self.admission = Admission(self.bounds)
+        self.admission = ConnectionLimits(self.bounds)
         self.connections: dict[ProcessorConnection, None] = {}
         self.queued: dict[Call, None] = {}
         self.last_number = 0
--- a/spurdeal/extproc/stream.py
+++ b/spurdeal/extproc/stream.py
@@ -152,7 +152,7 @@
             request.ident,
             request.workload,
             workload,
-            request.wait,
+            request.client_timeout,
             request.cost,
             request.memory,
             request.group,
@@ -163,9 +163,9 @@
             self.end_grant(GrantEvent.CANCELLED)
             raise BadCallError(409, "a submission with this id is open")
         self.answer = answer
-        limits = answer_times(caller_settings, request.wait, request.caller_timeout)
+        limits = answer_times(caller_settings, request.client_timeout, request.caller_timeout)
         now = server.clock()
-        self.answer_by = now + limits.answer_by
+        self.answer_by = now + limits.answer_within
         if limits.extended_timeout:
             self.extend_at, self.extended_timeout = (
                 now + EXTEND_AFTER * caller_settings.message_timeout,
--- a/spurdeal/fleet/station.py
+++ b/spurdeal/fleet/station.py
@@ -154,7 +154,7 @@
         if self.journal is not None:
             self.journal.close()
 
-    def read_again(self, configuration: bytes, plan: Installation, keys: Keys) -> None:
+    def reload(self, configuration: bytes, plan: Installation, keys: Keys) -> None:
         """SIGHUP: use the new keys at once, and report the configuration in force to the others."""
         self.fleet.keys = keys
         for session in self.fleet.sessions.values():
--- a/spurdeal/lab/handover_walk.py
+++ b/spurdeal/lab/handover_walk.py
@@ -67,7 +67,7 @@
         peer = "b" if name == "a" else "a"
         drawn = self.chance.random()
         if drawn < TELLS:
-            text = self.sides[name].compose(self.now, peer, FACTS, idle=False)
+            text = self.sides[name].compose(self.now, peer, FACTS, lendable=False)
             self.flight.append(Datagram(name, peer, text))
         elif drawn < TELLS_AHEAD:
             self.tell_ahead(name, peer)
--- a/spurdeal/vrrp/address.py
+++ b/spurdeal/vrrp/address.py
@@ -72,7 +72,7 @@
             except OSError:
                 self.counters.add("announce_not_sent")
 
-    def leave(self, group: int, addresses: Sequence[Address]) -> None:
+    def release(self, group: int, addresses: Sequence[Address]) -> None:
         """Stop announcing the addresses of a group."""
         self.cancel(group)
         self.held.pop(group, None)
@@ -139,7 +139,7 @@
             )
             self.reactor.callLater(LISTEN_RETRY_DELAY, self.listen, address)
 
-    def leave(self, group: int, addresses: Sequence[Address]) -> None:
+    def release(self, group: int, addresses: Sequence[Address]) -> None:
         """Stop accepting on these addresses and drain their connections."""
         for address in addresses:
             self.wanted.discard(address)
@@ -186,7 +186,7 @@
         """Queue the `take` command for each address."""
         self.enqueue(True, addresses)
 
-    def leave(self, group: int, addresses: Sequence[Address]) -> None:
+    def release(self, group: int, addresses: Sequence[Address]) -> None:
         """Queue the `leave` command for each address."""
         self.enqueue(False, addresses)
 
--- a/spurdeal/vrrp/advertising.py
+++ b/spurdeal/vrrp/advertising.py
@@ -119,7 +119,7 @@
             elif action is Action.TAKE:
                 self.take(group, machine.why)
             else:
-                self.leave(group, machine.why)
+                self.release(group, machine.why)
 
     def advertise(self, group: int, priority: int) -> None:
         """Send an advertisement of a group to each peer; send errors are counted."""
@@ -144,8 +144,8 @@
         self.counters.add("addresses_taken")
         self.taken(group, why)
 
-    def leave(self, group: int, why: str) -> None:
+    def release(self, group: int, why: str) -> None:
         """Release the addresses of a group."""
-        self.holder.leave(group, self.addresses[group])
+        self.holder.release(group, self.addresses[group])
         self.counters.add("addresses_left")
         self.log.info("address_left", extra={"figures": {"group": group, "why": why}})
--- a/spurdeal/vrrp/exchange.py
+++ b/spurdeal/vrrp/exchange.py
@@ -55,13 +55,13 @@
         self.flush_scheduled = False
         self.greetings_sent, self.greeting_window_start = 0, self.monotonic()
 
-    def send_state(self, state: DispatcherState, idle: bool) -> None:
+    def send_state(self, state: DispatcherState, lendable: bool) -> None:
         """Send the regular state datagram to each peer; with `idle`, our budget share may be lent."""
         if self.handover is None:
             return
         now = self.monotonic()
         for peer in self.peer_addresses:
-            self.send(peer, self.handover.compose(now, peer, state, idle))
+            self.send(peer, self.handover.compose(now, peer, state, lendable))
         self.deliver_verdicts(self.handover.tick(now))
 
     def flush(self) -> None:
--- a/spurdeal/vrrp/guard.py
+++ b/spurdeal/vrrp/guard.py
@@ -59,7 +59,7 @@
         if not self.share or self.handover is None:
             return
         mono = self.monotonic()
-        shares = self.budget_shares.share(mono), self.budget_shares.start_share(mono)
+        shares = self.budget_shares.share(mono), self.budget_shares.initial_limit_share(mono)
         if shares != self.shares:
             self.shares = shares
             self.adapter.rules.capacity_shares_changed(now, *shares)
--- a/spurdeal/vrrp/handover.py
+++ b/spurdeal/vrrp/handover.py
@@ -192,9 +192,9 @@
 
     # Datagrams.
 
-    def compose(self, now: float, peer: str, state: DispatcherState, idle: bool) -> bytes:
+    def compose(self, now: float, peer: str, state: DispatcherState, lendable: bool) -> bytes:
         """Return the regular datagram for a peer. `idle`: our budget share may be lent."""
-        share, wait = self.budget_shares.lend(now, peer, idle)
+        share, wait = self.budget_shares.lend(now, peer, lendable)
         clears, self.pending_clears[peer] = (
             self.pending_clears[peer][:MAX_ANNOUNCED],
             self.pending_clears[peer][MAX_ANNOUNCED:],
--- a/spurdeal/vrrp/marks.py
+++ b/spurdeal/vrrp/marks.py
@@ -24,7 +24,7 @@
 class IdempotencyRecord(NamedTuple):
     """Record of one request that may have run. `until`: deadline, in ms."""
 
-    until: float
+    expires_at: float
     peer: str  # who reported it; "" for our own
     sent: bool  # it was sent, or may have been
     announcement: float  # number of its announcement; a message about an earlier one changes nothing
@@ -89,13 +89,13 @@
         del self.by_id[ident]
         return found.announcement
 
-    def restore(self, ident: bytes, until: float) -> None:
+    def restore(self, ident: bytes, expires_at: float) -> None:
         """Record a request that an earlier start of ours may have sent, as its ledger shows.
 
         Peers that synchronize from us get it too. Without room it is not recorded.
         """
         if ident not in self.by_id and len(self.by_id) < self.capacity:
-            self.store(ident, IdempotencyRecord(until, "", True, 0))
+            self.store(ident, IdempotencyRecord(expires_at, "", True, 0))
 
     # Messages from peers.
 
@@ -116,11 +116,11 @@
         found = self.by_id.get(ident)
         if (found is not None and found.peer != peer) or (found is None and len(self.by_id) >= self.capacity):
             return False
-        until = max(now + left, found.until if found else 0.0)
+        expires_at = max(now + left, found.expires_at if found else 0.0)
         self.store(
             ident,
             IdempotencyRecord(
-                until, peer, True, max(announcement, found.announcement if found else announcement)
+                expires_at, peer, True, max(announcement, found.announcement if found else announcement)
             ),
         )
         return True
@@ -145,7 +145,7 @@
         self.expire(now)
         page: list[tuple[bytes, float]] = []
         for ident, record in list(self.by_id.items()):
-            page.append((ident, record.until - now))
+            page.append((ident, record.expires_at - now))
             if len(page) == size:
                 yield page
                 page = []
@@ -157,11 +157,11 @@
     def store(self, ident: bytes, record: IdempotencyRecord) -> None:
         """Set a record and update the next deadline."""
         self.by_id[ident] = record
-        self.next_expiry = min(self.next_expiry, record.until)
+        self.next_expiry = min(self.next_expiry, record.expires_at)
 
     def expire(self, now: float) -> None:
         """Drop expired records."""
         if now < self.next_expiry:
             return
-        self.by_id = {ident: record for ident, record in self.by_id.items() if record.until > now}
-        self.next_expiry = min((record.until for record in self.by_id.values()), default=float("inf"))
+        self.by_id = {ident: record for ident, record in self.by_id.items() if record.expires_at > now}
+        self.next_expiry = min((record.expires_at for record in self.by_id.values()), default=float("inf"))
--- a/spurdeal/vrrp/sealed.py
+++ b/spurdeal/vrrp/sealed.py
@@ -68,8 +68,8 @@
 
     def __init__(self, own: str, peer: str, boot: int, keys: Keys) -> None:
         self.own, self.peer, self.boot, self.keys = own.encode(), peer.encode(), boot, keys
-        self.number = 0
-        self.sent: OrderedDict[int, float] = (
+        self.sequence_number = 0
+        self.send_times: OrderedDict[int, float] = (
             OrderedDict()
         )  # send times of our last datagrams in ms, by number: loans count from these
         self.peer_boot, self.highest_number, self.replay_window = 0, 0, 0
@@ -87,10 +87,10 @@
         Raises:
             ValueError: The datagram would exceed MAX_DATAGRAM.
         """
-        self.number += 1
-        self.sent[self.number] = now
-        while len(self.sent) > WINDOW * 4:
-            self.sent.popitem(last=False)
+        self.sequence_number += 1
+        self.send_times[self.sequence_number] = now
+        while len(self.send_times) > WINDOW * 4:
+            self.send_times.popitem(last=False)
         key = self.keys.signing_key_id
         data = (
             HEAD.pack(
@@ -98,7 +98,7 @@
                 key,
                 len(self.own),
                 self.boot,
-                self.number,
+                self.sequence_number,
                 *(echo or (self.peer_boot, self.highest_number)),
             )
             + self.own
@@ -117,11 +117,11 @@
         Raises:
             RefusedError: The datagram is invalid, replayed or unproven; nothing has changed then.
         """
-        boot, number, echo_boot, echo_number, text = self.verify(datagram)
-        asked = self.sent.get(echo_number) if echo_boot == self.boot else None
-        fresh = asked is not None and now - asked <= MAX_ECHO_AGE
+        boot, sequence_number, echo_boot, echo_number, text = self.verify(datagram)
+        echoed_sent_at = self.send_times.get(echo_number) if echo_boot == self.boot else None
+        fresh = echoed_sent_at is not None and now - echoed_sent_at <= MAX_ECHO_AGE
         if boot == self.peer_boot:
-            age = self.highest_number - number
+            age = self.highest_number - sequence_number
             if age >= WINDOW or (age >= 0 and self.replay_window >> age & 1):
                 raise RefusedError("replayed")
         elif not fresh or echo_number <= self.proof_number:
@@ -137,19 +137,19 @@
         if boot != self.peer_boot:
             self.peer_boot, self.highest_number, self.replay_window, self.restarts = (
                 boot,
-                number,
+                sequence_number,
                 1,
                 self.restarts + 1,
             )
             self.proof_number = echo_number
-        elif number > self.highest_number:
-            self.replay_window = (self.replay_window << min(WINDOW, number - self.highest_number) | 1) & (
-                1 << WINDOW
-            ) - 1
-            self.highest_number = number
+        elif sequence_number > self.highest_number:
+            self.replay_window = (
+                self.replay_window << min(WINDOW, sequence_number - self.highest_number) | 1
+            ) & (1 << WINDOW) - 1
+            self.highest_number = sequence_number
         else:
-            self.replay_window |= 1 << (self.highest_number - number)
-        return body, asked
+            self.replay_window |= 1 << (self.highest_number - sequence_number)
+        return body, echoed_sent_at
 
     def verify(self, datagram: bytes) -> tuple[int, int, int, int, bytes]:
         """Verify length, magic, key, seal and name, in this order, before anything is parsed.
@@ -164,7 +164,7 @@
             raise RefusedError("short")
         if len(datagram) > MAX_DATAGRAM:
             raise RefusedError("long")
-        magic, key, size, boot, number, echo_boot, echo_number = HEAD.unpack_from(datagram)
+        magic, key, size, boot, sequence_number, echo_boot, echo_number = HEAD.unpack_from(datagram)
         if magic != MAGIC:
             raise RefusedError("magic")
         if key not in self.keys.keys:
@@ -173,7 +173,7 @@
             raise RefusedError("seal")
         if datagram[HEAD.size : HEAD.size + size] != self.peer:
             raise RefusedError("name")
-        return boot, number, echo_boot, echo_number, datagram[HEAD.size + size : -SEAL]
+        return boot, sequence_number, echo_boot, echo_number, datagram[HEAD.size + size : -SEAL]
 
     def greet(self, now: float, datagram: bytes) -> bytes:
         """Return an empty datagram in answer to an unproven one whose seal is valid.
@@ -184,5 +184,5 @@
         Raises:
             RefusedError: The seal or another check fails.
         """
-        boot, number, *_ = self.verify(datagram)
-        return self.write(now, {}, (boot, number))
+        boot, sequence_number, *_ = self.verify(datagram)
+        return self.write(now, {}, (boot, sequence_number))
--- a/spurdeal/vrrp/station.py
+++ b/spurdeal/vrrp/station.py
@@ -61,7 +61,7 @@
         self.counters, self.log = runtime.counters, runtime.log
         now, site = self.monotonic(), service.configuration.site
         self.started_at, self.list_fresh, self.awaiting_sync, self.stopping = now, False, True, False
-        self.shut_out: Callable[[], bool] = lambda: False  # set by the fleet, if there is one
+        self.fleet_lowers_priority: Callable[[], bool] = lambda: False  # set by the fleet, if there is one
         self.groups = make_groups(self.vrrp)
         self.budget_shares = BudgetShares(site.dispatchers, site.cold_window, plan.tenure.lease, now)
         self.handover: Handover | None = make_handover(plan, boot, self.budget_shares, now)
@@ -135,7 +135,7 @@
             self.advertising.perform(self.groups.stop(self.monotonic()))
             self.send_state()
 
-    def read_again(self, plan: Installation) -> None:
+    def reload(self, plan: Installation) -> None:
         """Apply a file reread on SIGHUP: keys take effect at once, all else at the next start."""
         if self.handover is not None and plan.handover is not None:
             try:
@@ -213,7 +213,7 @@
         conditions = ["list_stale"] if stale and now - self.started_at > self.vrrp.stale_after else []
         if not any(engine.ejected_until <= unix for engine in self.adapter.rules.ready):
             conditions.append("no_engine")
-        if self.shut_out():
+        if self.fleet_lowers_priority():
             conditions.append("shut_out")
         return conditions
 
@@ -237,6 +237,6 @@
         if self.handover is None:
             return
         held = self.groups.held()
-        idle = self.plan.tenure.on and (self.stopping or not held)
+        lendable = self.plan.tenure.on and (self.stopping or not held)
         dispatcher_state = self.guard.dispatcher_state(self.monotonic(), self.service.names.number, held)
-        self.exchange.send_state(dispatcher_state, idle)
+        self.exchange.send_state(dispatcher_state, lendable)
--- a/spurdeal/vrrp/tenure.py
+++ b/spurdeal/vrrp/tenure.py
@@ -15,7 +15,7 @@
 
 from typing import NamedTuple
 
-RETAINED_START_SHARE = 0.125  # of its initial concurrency limit that a lender keeps, so that it is never zero
+RETAINED_LIMIT_SHARE = 0.125  # of its initial concurrency limit that a lender keeps, so that it is never zero
 MAX_CLOCK_DRIFT = 0.01  # relative: clock rates differ by less; a lender waits longer by this much
 
 
@@ -55,14 +55,14 @@
         own = self.own if now >= self.own_usable_from and not self.is_lent(now - self.window) else 0.0
         return own + sum(loan.share for loan in self.loans.values() if loan.since <= now < loan.until)
 
-    def start_share(self, now: float) -> float:
+    def initial_limit_share(self, now: float) -> float:
         """Return the usable share of the initial concurrency limit over all dispatchers.
 
         It is no budget over a window, so a share that changes hands does not rest.
         """
-        own = self.own * (RETAINED_START_SHARE if self.is_lent(now) else 1.0)
+        own = self.own * (RETAINED_LIMIT_SHARE if self.is_lent(now) else 1.0)
         return own + sum(
-            loan.share * (1 - RETAINED_START_SHARE)
+            loan.share * (1 - RETAINED_LIMIT_SHARE)
             for loan in self.loans.values()
             if loan.since <= now < loan.until
         )
@@ -77,7 +77,7 @@
 
     # Lending and borrowing, carried in the datagrams between two peers.
 
-    def lend(self, now: float, peer: str, idle: bool) -> tuple[float, float]:
+    def lend(self, now: float, peer: str, lendable: bool) -> tuple[float, float]:
         """Lend our share to a peer if possible.
 
         It is lent to one peer at a time, and only once no earlier start of ours can have lent it elsewhere.
@@ -85,21 +85,21 @@
         Args:
             now: Monotonic clock, in ms.
             peer: Name of the borrower.
-            idle: Whether we hold no address or are shutting down.
+            lendable: Whether we hold no address or are shutting down.
 
         Returns:
             The share lent and the ms until it may be used; (0, 0) if none is lent.
         """
         self.lent_until = {to: until for to, until in self.lent_until.items() if until + self.window > now}
         elsewhere = any(until + self.window > now for to, until in self.lent_until.items() if to != peer)
-        if not idle or elsewhere or now < self.own_usable_from:
+        if not lendable or elsewhere or now < self.own_usable_from:
             return 0.0, 0.0
         self.lent_until[peer] = now + self.lease * (1 + MAX_CLOCK_DRIFT)
         return self.own, max(0.0, self.last_use + self.window - now)
 
-    def borrow(self, now: float, peer: str, share: float, wait: float, asked: float) -> None:
+    def borrow(self, now: float, peer: str, share: float, wait: float, sent_at: float) -> None:
         """Accept a share that a peer lends after `wait` ms, in answer to what we sent at `asked` (ms)."""
-        until = asked + self.lease
+        until = sent_at + self.lease
         before = self.loans.get(peer)
         if share <= 0.0 or until <= now:
             return
--- a/tests/test_extproc.py
+++ b/tests/test_extproc.py
@@ -25,7 +25,7 @@
 from spurdeal.early import SIGNALS
 from spurdeal.extproc import processor_pb2
 from spurdeal.extproc.answers import request_more_time
-from spurdeal.extproc.bounds import Admission, Bounds, ConnectionUsage
+from spurdeal.extproc.bounds import Bounds, ConnectionLimits, ConnectionUsage
 from spurdeal.extproc.calls import (
     BadCallError,
     CallerSettings,
@@ -65,7 +65,9 @@
 
     def test_invalid_calls_are_rejected(self) -> None:
         call = parse_call(self.VALID, CallerSettings(), 1000.0)
-        self.assertEqual((call.workload, call.wait, call.cost, call.group), (b"lookup", 1000.0, 20.5, -1))
+        self.assertEqual(
+            (call.workload, call.client_timeout, call.cost, call.group), (b"lookup", 1000.0, 20.5, -1)
+        )
         for name, value in (
             (b":method", b"GET"),
             (b"req-id", b"xyz"),
@@ -132,7 +134,7 @@
         self.assertEqual((grants.open, grants.late, grants.premature), ({}, 1, 1))
 
     def test_counts_and_rates_are_limited(self) -> None:
-        admission = Admission(Bounds(connections=1, calls=3, calls_each=2, resets=5))
+        admission = ConnectionLimits(Bounds(connections=1, calls=3, calls_each=2, resets=5))
         self.assertEqual([admission.admit_connection(), admission.admit_connection()], [True, False])
         usage, other = ConnectionUsage(admission.bounds), ConnectionUsage(admission.bounds)
         self.assertEqual(
@@ -307,7 +309,7 @@
         self.assertEqual(
             (
                 self.server.granter.calls,
-                self.server.granter.leases,
+                self.server.granter.granted_attempts,
                 self.server.admission.calls,
                 self.world.service.adapter.open_requests,
             ),
--- a/tests/test_holding.py
+++ b/tests/test_holding.py
@@ -67,7 +67,7 @@
             SILENT,
         )
         commands.take(1, [ADDRESS])
-        commands.leave(1, [ADDRESS])
+        commands.release(1, [ADDRESS])
         self.assertEqual([words for _, words in reactor.ran], [["/bin/take", "127.0.7.1; rm"]])
         reactor.ended(reactor.ran[0][0], ProcessDone(0))
         self.assertEqual(reactor.ran[1][1], ["/bin/leave", "127.0.7.1"])
@@ -87,11 +87,11 @@
         listener.take(1, [ADDRESS])
         reactor.pump([0.05, 0.05])
         self.assertEqual((list(listener.ports), counters.sums["address_not_listened"]), ([ADDRESS], 2))
-        listener.leave(1, [ADDRESS])
+        listener.release(1, [ADDRESS])
         self.assertEqual((reactor.closed, drained), (1, ["127.0.7.1"]))
         reactor.busy = 1
         listener.take(1, [ADDRESS])
-        listener.leave(1, [ADDRESS])
+        listener.release(1, [ADDRESS])
         reactor.advance(1)
         self.assertEqual(listener.ports, {})
 
--- a/tests/test_station.py
+++ b/tests/test_station.py
@@ -392,7 +392,7 @@
                 )
                 told = ", ".join(f"{{id: {ident}, hex: {key}}}" for ident, key in keys)
                 text = text.replace(f"[{{id: 1, hex: {KEY}}}]", f"[{told}]")
-                side.station.read_again(read_text("plan", text.encode()))
+                side.station.reload(read_text("plan", text.encode()))
                 pair.go(120)
         taken = [side.count("handover_taken") for side in pair.sides.values()]
         pair.go(500)
--- a/tests/test_vrrp.py
+++ b/tests/test_vrrp.py
@@ -193,8 +193,8 @@
         one, two = (BudgetShares(2, 1500, 1000, 0.0) for _ in range(2))
         self.assertEqual(one.share(0), 0.0)  # an earlier start may have lent it
         self.assertEqual(one.share(2600), 0.5)
-        self.assertEqual(two.lend(3000, "one", idle=True), (0.5, 0.0))
-        one.borrow(3010, "two", 0.5, 0.0, asked=2990)
+        self.assertEqual(two.lend(3000, "one", lendable=True), (0.5, 0.0))
+        one.borrow(3010, "two", 0.5, 0.0, sent_at=2990)
         self.assertEqual((one.share(3010), two.share(3010)), (1.0, 0.0))
         self.assertEqual((one.share(3989), one.share(3990)), (1.0, 0.5))  # counts from its own send
         self.assertEqual((two.share(5509), two.share(5510)), (0.0, 0.5))  # lease, clock drift and a window
@@ -202,17 +202,17 @@
     def test_a_share_just_used_is_lent_for_later_only(self) -> None:
         one = BudgetShares(2, 1500, 1000, 0.0)
         one.record_use(4000)
-        self.assertEqual(one.lend(4100, "two", idle=True), (0.5, 1400.0))
+        self.assertEqual(one.lend(4100, "two", lendable=True), (0.5, 1400.0))
         two = BudgetShares(2, 1500, 1000, 0.0)
-        two.borrow(4100, "one", 0.5, 1400.0, asked=4099)
+        two.borrow(4100, "one", 0.5, 1400.0, sent_at=4099)
         self.assertEqual((two.share(5000), two.share(5600)), (0.5, 0.5))  # the loan ends before it begins
 
     def test_no_loan_to_a_second_peer_nor_while_active_nor_of_what_an_earlier_start_lent(self) -> None:
         one = BudgetShares(3, 1500, 1000, 0.0)
-        self.assertEqual(one.lend(100, "two", idle=True), (0.0, 0.0))
-        self.assertEqual(one.lend(3000, "two", idle=False), (0.0, 0.0))
-        self.assertGreater(one.lend(3000, "two", idle=True)[0], 0)
-        self.assertEqual(one.lend(3100, "three", idle=True), (0.0, 0.0))
+        self.assertEqual(one.lend(100, "two", lendable=True), (0.0, 0.0))
+        self.assertEqual(one.lend(3000, "two", lendable=False), (0.0, 0.0))
+        self.assertGreater(one.lend(3000, "two", lendable=True)[0], 0)
+        self.assertEqual(one.lend(3100, "three", lendable=True), (0.0, 0.0))
 
     def test_a_new_start_uses_its_share_sooner_once_all_peers_have_reported(self) -> None:
         one = BudgetShares(3, 1500, 1000, 10_000.0)
@@ -223,10 +223,10 @@
 
     def test_start_shares_sum_to_one_at_most_and_are_never_zero(self) -> None:
         one, two = (BudgetShares(2, 1500, 1000, -9999.0) for _ in range(2))
-        two.lend(0, "one", idle=True)
-        one.borrow(1, "two", 0.5, 0.0, asked=0)
-        self.assertLessEqual(one.start_share(1) + two.start_share(1), 1.0)
-        self.assertGreater(two.start_share(1), 0.0)
+        two.lend(0, "one", lendable=True)
+        one.borrow(1, "two", 0.5, 0.0, sent_at=0)
+        self.assertLessEqual(one.initial_limit_share(1) + two.initial_limit_share(1), 1.0)
+        self.assertGreater(two.initial_limit_share(1), 0.0)
 
 
 class Sessions(unittest.TestCase):
@@ -271,7 +271,7 @@
     def test_corrupt_forged_and_truncated_datagrams_change_nothing(self) -> None:
         one, two = self.pair()
         good, chance = one.write(60, {"n": 1}), random.Random(6)
-        before = (two.peer_boot, two.highest_number, two.replay_window, two.number)
+        before = (two.peer_boot, two.highest_number, two.replay_window, two.sequence_number)
         for _ in range(5000):
             text = bytearray(good)
             text[chance.randrange(len(text))] ^= 1 << chance.randrange(8)
@@ -281,7 +281,7 @@
         forged = Session("one", "two", 11, Keys({1: b"x" * 16}))
         with self.assertRaisesRegex(RefusedError, "seal"):
             two.read(62, forged.write(62, {}))
-        self.assertEqual(before, (two.peer_boot, two.highest_number, two.replay_window, two.number))
+        self.assertEqual(before, (two.peer_boot, two.highest_number, two.replay_window, two.sequence_number))
         self.assertEqual(two.read(63, good)[0], {"n": 1})
 
 
@@ -306,7 +306,7 @@
         verdicts: list[object] = []
         for _ in range(times):
             for here, there, name, other in ((one, two, "one", "two"), (two, one, "two", "one")):
-                text = here.compose(now, other, self.FACTS, idle=False)
+                text = here.compose(now, other, self.FACTS, lendable=False)
                 try:
                     verdicts += there.receive(now, name, text)
                 except RefusedError as fault:
