--- a/spurdeal/benchlink/frames.py
+++ b/spurdeal/benchlink/frames.py
@@ -5,7 +5,7 @@
 from typing import Any, BinaryIO
 
 HEADER = struct.Struct("<IdI")  # bytes of the frame with its header, time in ms, number of records
-LARGEST = 1 << 28  # bytes of a frame, with its header
+MAX_FRAME_SIZE = 1 << 28  # bytes of a frame, with its header
 
 
 class BadInputError(Exception):
@@ -67,7 +67,7 @@
     if len(head) < HEADER.size:
         raise BadInputError(f"header cut short: {len(head)} bytes of {HEADER.size}")
     size, clock, count = HEADER.unpack(head)
-    if not HEADER.size <= size <= LARGEST:
+    if not HEADER.size <= size <= MAX_FRAME_SIZE:
         raise BadInputError(f"frame length {size} is out of range")
     if not math.isfinite(clock):
         raise BadInputError("the clock in the header is not a number")
--- a/spurdeal/benchlink/records.py
+++ b/spurdeal/benchlink/records.py
@@ -1,22 +1,28 @@
-"""Layouts of the records in frames (little-endian), and two of them decoded."""
+"""Layouts of the records in frames (little-endian), and two of them decoded.
+
+A record is a CODE and one of the layouts that follow; instances and requests are the bench's numbers, an
+address is that of an engine. Host.readers gives the code of each layout.
+"""
 
 import struct
 from typing import NamedTuple
 
-CODE = struct.Struct("<B")
-PROVISION = struct.Struct("<HQI")
-MEMBERSHIP = struct.Struct("<HBQH")
+CODE = struct.Struct("<B")  # which of the records below follows
+PROVISION = struct.Struct("<HQI")  # instance, seed, size of the settings in bytes (JSON, which follows)
+MEMBERSHIP = struct.Struct("<HBQH")  # instance, scope, unused, number of a list
+# Instance, request, workload, tenant, key, deadline (ms), cost, memory (MB), group of tables, flags.
 INBOUND = struct.Struct("<HQHIQddffH")
-HEAD = struct.Struct("<HQB6sd")
+HEAD = struct.Struct("<HQB6sd")  # instance, unused, unused, address, unused
+# Instance, request, the fields of AttemptResult with an address; count of the report's floats, which follow.
 SETTLED = struct.Struct("<HQB6sHdBIB")
-ABORTED = struct.Struct("<HQ")
-WAKEUP = struct.Struct("<HI")
-CHECKED = struct.Struct("<H6sHdB")
-PEER = struct.Struct("<HIH")
-RETIRE = struct.Struct("<H")
-UPDATE = struct.Struct("<HQB6sBf")
-PAGE = struct.Struct("<HI")
-ENTRY = struct.Struct("<6sBHHBfd")
+ABORTED = struct.Struct("<HQ")  # instance, request
+WAKEUP = struct.Struct("<HI")  # instance, token of the timer
+CHECKED = struct.Struct("<H6sHdB")  # instance, address, ending, unused, count of the floats that follow
+PEER = struct.Struct("<HIH")  # instance, unused, size in bytes of the message that follows
+RETIRE = struct.Struct("<H")  # instance
+UPDATE = struct.Struct("<HQB6sBf")  # instance, request, kind, address, attempt, level: see ProgressReport
+PAGE = struct.Struct("<HI")  # number of the list, count of the ENTRY records that follow
+ENTRY = struct.Struct("<6sBHHBfd")  # address, zone, machine type, cell, life, weight, start (ms)
 
 
 class AttemptResult(NamedTuple):
@@ -28,7 +34,7 @@
         ending: Value of an Ending.
         took: Its duration in ms.
         final: Whether the request is over with it; 0 or 1.
-        bill: Work in the bits from BILL_SHIFT up, and below them memory in units of BILL_UNIT MB.
+        usage: Work in the bits from WORK_SHIFT up, and below them memory in units of MEMORY_UNIT MB.
         report: Figures of the engine's state, in the order of the settings' report fields.
     """
 
@@ -37,7 +43,7 @@
     ending: int
     took: float
     final: int
-    bill: int
+    usage: int
     report: tuple[float, ...]
 
 
--- a/spurdeal/cli/main.py
+++ b/spurdeal/cli/main.py
@@ -17,7 +17,10 @@
 
 @click.group(help="A query gateway: decides what runs, on which engine, when, and with how much memory.")
 def spurdeal() -> None:
-    """The top-level group. Without a sub-command `python -m spurdeal` runs a dispatcher and skips it."""
+    """The top-level group.
+
+    Without a sub-command, `python -m spurdeal` runs a dispatcher and does not come here.
+    """
 
 
 def exit_with_error(message: object) -> NoReturn:
@@ -181,7 +184,7 @@
 @fleet.command(help="Prints the entries of the audit logs in these directories, merged in causal order.")
 @click.argument("folders", nargs=-1, required=True, type=click.Path())
 @click.option("--submission", default="", help="only entries about this request id")
-@click.option("--engine", default="", help="only entries about this engine")
+@click.option("--engine", default="", help="only entries about this engine, or whose mode text contains it")
 @click.option("--dispatcher", default="", help="only entries by or about this dispatcher")
 @click.option("--version", default="", help="only entries under this version, such as 0.57")
 @click.option("--between", nargs=2, type=float, default=None, help="start and end, in Unix ms")
@@ -199,19 +202,25 @@
     from ..fleet.asking import AuditQuery, merge_logs, select_entries
 
     since, until = between or (0.0, float("inf"))
-    asked = AuditQuery(submission, engine, dispatcher, version, since, until)
-    for entry in select_entries(merge_logs(read_logs(folders, True)), asked):
+    query = AuditQuery(submission, engine, dispatcher, version, since, until)
+    for entry in select_entries(merge_logs(read_logs(folders, True)), query):
         click.echo(json.dumps(entry.to_json()) if as_json else entry.to_text())
 
 
 @fleet.command(
-    "check", help="Prints violations of the versions in force; the exit code is 1 if there are any."
+    "check",
+    help="Prints decisions against the versions, and damaged, incomplete or contradicting logs; "
+    "the exit code is 1 if there are any.",
 )
 @click.argument("folders", nargs=-1, required=True, type=click.Path())
-@click.option("--grace", default="250ms", help="time from a version's announcement until it must be followed")
+@click.option(
+    "--grace",
+    default="250ms",
+    help="time from when a dispatcher first acts on a list until all must follow it",
+)
 @click.option("--json", "as_json", is_flag=True, help="one JSON object per line")
 def check_logs(folders: tuple[str, ...], grace: str, as_json: bool) -> None:
-    """Print violations of the versions in force."""
+    """Print decisions against the versions, and damaged, incomplete or contradicting logs."""
     from ..fleet.asking import check as check_all
     from ..settings.units import milliseconds
 
@@ -240,7 +249,7 @@
     "extproc": "asking",
     "model": "model",
     "vrrp": "takeover",
-}  # arguments of `spurdeal lab`, and the modules of spurdeal.lab whose figures() they run
+}  # arguments of `spurdeal lab`, and the modules of spurdeal.lab whose figures() runs and returns the results
 
 
 def import_figures(name: str) -> Callable[..., dict[str, Any]]:
@@ -260,7 +269,7 @@
 
 
 def run_capacity(options: CapacityOptions, as_json: bool, quick: bool) -> None:
-    """Measure the capacity, or write a page's tables from measured figures."""
+    """Measure the capacity, or write the tables of a report page from the JSON of an earlier run."""
     from pathlib import Path
 
     from ..lab.capacity.measure import Refused
--- a/spurdeal/cli/running.py
+++ b/spurdeal/cli/running.py
@@ -73,6 +73,8 @@
 class InstalledDispatcher:
     """A dispatcher with the parts that its settings file adds; they start and stop together.
 
+    `installation` holds the parsed settings file, and each of its sections configures one part.
+
     Raises:
         SettingsError: A key, certificate, directory or value of the settings file cannot be used.
     """
@@ -114,7 +116,8 @@
         """Create the fleet station.
 
         Raises:
-            SettingsError: A key, the configuration or the audit log's directory cannot be used.
+            SettingsError: A key, the configuration or the audit log's directory cannot be used. The message
+                names fleet.audit.path even if it is the configuration that cannot be read.
         """
         from ..fleet.station import Clocks, FleetStation, StationSettings
 
@@ -237,7 +240,10 @@
         self.sweep()
 
     def sweep(self) -> None:
-        """Periodically enforce the external processor's timeouts and export the ledger's counters."""
+        """Periodically enforce the external processor's timeouts and export the ledger's counters.
+
+        Runs only if there is an external processor: without one, the ledger's counters are not exported.
+        """
         self.loop.callLater(start.SWEEP_EVERY, self.sweep)
         if self.server is not None:
             self.server.sweep()
--- a/spurdeal/extproc/bounds.py
+++ b/spurdeal/extproc/bounds.py
@@ -7,9 +7,9 @@
 
 
 class Bounds(NamedTuple):
-    """Limits for each connection and for all connections together."""
+    """Limits for each connection and for all connections together. Fields with a setting have its name."""
 
-    connections: int = 64
+    connections: int = 64  # open connections
     calls: int = 2048  # open calls, over all connections
     calls_each: int = 512  # open calls on one connection
     bytes_each: int = 1_048_576  # received and not yet processed, on one connection
--- a/spurdeal/extproc/calls.py
+++ b/spurdeal/extproc/calls.py
@@ -33,7 +33,8 @@
     message_timeout: float = 200.0  # the callers' timeout for each message
     most_timeout: float = 0.0  # their max_message_timeout, the limit of override_message_timeout; 0: none
     margin: float = 20.0  # a response is sent this long before the caller's timeout
-    # A grant that is not used within this time is void; must be below the drain rule's grace period.
+    # The caller must not use a grant later than this. It is sent along and not enforced here; must be below
+    # the drain rule's grace period.
     use_within: float = 150.0
     id_header: bytes = b"req-id"
     proof_header: bytes = b"x-never-ran"  # on a response: its sender asserts that nothing ran
@@ -138,7 +139,7 @@
 class AnswerTimes(NamedTuple):
     """Limits for the response, in ms from the call's first message."""
 
-    answer_within: float  # the response must have been sent by then
+    answer_within: float  # the response must have been sent by the end of this time
     extended_timeout: float  # requested by override_message_timeout; 0: not requested
 
 
--- a/spurdeal/extproc/connection.py
+++ b/spurdeal/extproc/connection.py
@@ -183,45 +183,45 @@
             if each.unsent:
                 self.flush(each)
 
-    def open_stream(self, stream: int, headers: Iterable[tuple[bytes, bytes]]) -> None:
+    def open_stream(self, stream_id: int, headers: Iterable[tuple[bytes, bytes]]) -> None:
         """Open a call on a new stream, or refuse it with a trailers-only response."""
-        self.highest_stream_id = max(self.highest_stream_id, stream)
+        self.highest_stream_id = max(self.highest_stream_id, stream_id)
         request_headers: Mapping[bytes, bytes] = dict(headers)
-        call = Call(self, stream, request_headers.get(b"grpc-timeout"))
+        call = Call(self, stream_id, request_headers.get(b"grpc-timeout"))
         if self.server.stopping:
-            self.reset(stream, ErrorCodes.REFUSED_STREAM)  # RFC 9113: nothing was processed, safe to retry
+            self.reset(stream_id, ErrorCodes.REFUSED_STREAM)  # RFC 9113: nothing was processed, safe to retry
         elif request_headers.get(b":path") != METHOD or not request_headers.get(
             b"content-type", b""
         ).startswith(b"application/grpc"):
-            self.send_headers_only(stream, Status.UNIMPLEMENTED, "no such method")
+            self.send_headers_only(stream_id, Status.UNIMPLEMENTED, "no such method")
         elif not self.server.admission.admit_call(self.usage):
             self.server.counters.add("extproc_refused")
             pushback = (b"grpc-retry-pushback-ms", b"%d" % round(self.server.retry_after))
-            self.send_headers_only(stream, Status.RESOURCE_EXHAUSTED, "too many calls", (pushback,))
+            self.send_headers_only(stream_id, Status.RESOURCE_EXHAUSTED, "too many calls", (pushback,))
         else:
-            self.calls[stream] = call
+            self.calls[stream_id] = call
             self.server.counters.add("extproc_calls")
 
     def send_headers_only(
-        self, stream: int, status: Status, why: str, more: tuple[tuple[bytes, bytes], ...] = ()
+        self, stream_id: int, status: Status, why: str, more: tuple[tuple[bytes, bytes], ...] = ()
     ) -> None:
         """Send a trailers-only response, which ends the stream."""
         fields = (*RESPONSE_HEADERS, *status_headers(status, why), *more)
-        self.h2.send_headers(stream, fields, end_stream=True)
+        self.h2.send_headers(stream_id, fields, end_stream=True)
 
     def end_with_status(self, call: Call, status: Status, why: str) -> None:
         """End a call with trailers; data that waits for flow control window is discarded."""
-        if call.stream not in self.calls:
+        if call.stream_id not in self.calls:
             return
         if call.unsent:
             call.unsent = b""  # the flow control window for it may never come
         fields = status_headers(status, why)
         if not call.headers_sent:
             fields = [*RESPONSE_HEADERS, *fields]
-        self.ignore_closed_stream(lambda: self.h2.send_headers(call.stream, fields, end_stream=True))
+        self.ignore_closed_stream(lambda: self.h2.send_headers(call.stream_id, fields, end_stream=True))
         self.release(call)
         if not call.remote_closed:
-            self.reset(call.stream, ErrorCodes.NO_ERROR)
+            self.reset(call.stream_id, ErrorCodes.NO_ERROR)
         self.write_pending()
 
     def finish(self, call: Call) -> None:
@@ -230,10 +230,12 @@
         If the flow control window is too small, the message is queued until it grows.
         """
         try:
-            if not call.remote_closed and len(call.unsent) <= self.h2.local_flow_control_window(call.stream):
-                self.h2.send_data(call.stream, call.unsent)
+            if not call.remote_closed and len(call.unsent) <= self.h2.local_flow_control_window(
+                call.stream_id
+            ):
+                self.h2.send_data(call.stream_id, call.unsent)
                 call.unsent = b""
-                self.h2.send_headers(call.stream, status_headers(Status.OK), end_stream=True)
+                self.h2.send_headers(call.stream_id, status_headers(Status.OK), end_stream=True)
                 self.release(call)
                 return
         except H2Error:
@@ -241,9 +243,9 @@
             self.server.counters.add("extproc_said_too_late")
         self.flush(call)
 
-    def reset(self, stream: int, code: ErrorCodes) -> None:
+    def reset(self, stream_id: int, code: ErrorCodes) -> None:
         """Reset a stream, unless it is closed already."""
-        self.ignore_closed_stream(lambda: self.h2.reset_stream(stream, code))
+        self.ignore_closed_stream(lambda: self.h2.reset_stream(stream_id, code))
 
     def ignore_closed_stream(self, send: Callable[[], None]) -> None:
         """Call `send`; count and ignore the error if the stream is closed by now."""
@@ -254,17 +256,19 @@
 
     def flush(self, call: Call) -> None:
         """Send as much as the flow control window allows; the rest stays queued."""
-        if self.closing or call.stream not in self.calls:
+        if self.closing or call.stream_id not in self.calls:
             return
         try:
             if not call.headers_sent:
                 call.headers_sent = True
-                self.h2.send_headers(call.stream, RESPONSE_HEADERS)
-            window = min(self.h2.local_flow_control_window(call.stream), self.h2.max_outbound_frame_size)
+                self.h2.send_headers(call.stream_id, RESPONSE_HEADERS)
+            window = min(self.h2.local_flow_control_window(call.stream_id), self.h2.max_outbound_frame_size)
             while call.unsent and window > 0:
                 part, call.unsent = call.unsent[:window], call.unsent[window:]
-                self.h2.send_data(call.stream, part)
-                window = min(self.h2.local_flow_control_window(call.stream), self.h2.max_outbound_frame_size)
+                self.h2.send_data(call.stream_id, part)
+                window = min(
+                    self.h2.local_flow_control_window(call.stream_id), self.h2.max_outbound_frame_size
+                )
         except H2Error:
             call.unsent = b""
             self.server.counters.add("extproc_said_too_late")
@@ -281,7 +285,7 @@
 
     def release(self, call: Call) -> None:
         """Forget a call whose stream is closed, and release its slot."""
-        if self.calls.pop(call.stream, None) is not None:
+        if self.calls.pop(call.stream_id, None) is not None:
             self.server.admission.call_ended(self.usage)
 
     # Closing.
--- a/spurdeal/extproc/granter.py
+++ b/spurdeal/extproc/granter.py
@@ -18,7 +18,7 @@
 
 
 class GrantedAttempt:
-    """An attempt that a caller carries out; `done` fires with its outcome."""
+    """An attempt that a caller carries out; `done` fires with its outcome. `number` is that of its call."""
 
     __slots__ = ("call", "done", "number")
 
@@ -33,7 +33,7 @@
     Attributes:
         grants: The state of all open grants, at most `max_grants`.
         calls: Calls by id, in lower case; used to find the call of an attempt.
-        leases: Attempts whose grant has been sent, by the call's number.
+        granted_attempts: Attempts whose grant has been sent, by the call's number.
     """
 
     def __init__(
@@ -69,22 +69,24 @@
         at_send: Callable[[], SendTerms | None],
     ) -> GrantedAttempt:
         """Grant the engine to the caller; ends as MOOT (never sent) if caller or engine is gone."""
-        lease = GrantedAttempt(self.calls.get(ident.lower()))
-        if not self.send_grant(lease, engine, at_send):
+        attempt = GrantedAttempt(self.calls.get(ident.lower()))
+        if not self.send_grant(attempt, engine, at_send):
             self.counters.add("grants_not_said")
-            lease.done.callback(Outcome(Ending.MOOT))
-        return lease
+            attempt.done.callback(Outcome(Ending.MOOT))
+        return attempt
 
-    def send_grant(self, lease: GrantedAttempt, engine: int, at_send: Callable[[], SendTerms | None]) -> bool:
+    def send_grant(
+        self, attempt: GrantedAttempt, engine: int, at_send: Callable[[], SendTerms | None]
+    ) -> bool:
         """Send the grant to the caller; False if the call, the engine or the terms are gone by now."""
-        call = lease.call
+        call = attempt.call
         endpoint = self.engines.engines[engine].endpoint if engine in self.engines.engines else None
         if call is None or endpoint is None:
             return False
         now, send_terms = self.clock(), at_send()
         if send_terms is None or not self.grants.mark_sent(now, call.number, engine, now + send_terms.wait):
             return False
-        self.granted_attempts[lease.number] = lease
+        self.granted_attempts[attempt.number] = attempt
         self.counters.add("grants")
         call.send_grant(endpoint.host, endpoint.port, send_terms.wait, send_terms.rank)
         return True
@@ -101,6 +103,6 @@
 
     def finish(self, number: int, ending: Ending | None) -> None:
         """Fire `done` of an attempt with this ending; None if the attempt was over already."""
-        lease = self.granted_attempts.pop(number, None)
-        if lease is not None and ending is not None:
-            lease.done.callback(Outcome(ending))
+        attempt = self.granted_attempts.pop(number, None)
+        if attempt is not None and ending is not None:
+            attempt.done.callback(Outcome(ending))
--- a/spurdeal/extproc/grants.py
+++ b/spurdeal/extproc/grants.py
@@ -1,4 +1,4 @@
-"""Grants as leases: the state of attempts that callers carry out. No I/O and no clock; times are ms.
+"""Grants: the state of attempts that callers carry out. No I/O and no clock; times are ms.
 
 A grant is QUEUED when its call arrives, SENT once the response is written to the caller, and over with
 exactly one ending. `ENDINGS` says what each event proves; docs/extproc.md has it as a table.
@@ -21,7 +21,11 @@
 
 
 class GrantEvent(Enum):
-    """An event that ends a grant without an outcome."""
+    """An event that ends a grant without an outcome.
+
+    Nothing raises UNUSED or GONE: a caller reports an unused grant as an outcome, and a grant whose engine
+    leaves stays open until its outcome, its timeout or a cancellation.
+    """
 
     CANCELLED = "the stream was cancelled, or ended, with no outcome"
     CUT = "the connection was lost"
@@ -44,7 +48,11 @@
 
 
 class Grant(NamedTuple):
-    """One grant. Times are ms; engine is -1 until the grant is sent."""
+    """One grant. Times are ms; engine is -1 until the grant is sent.
+
+    `sent_at` and `expires_at` (`sent_at` plus the ms for which the engine may work on the attempt) are kept,
+    but nothing reads them: the adapter's timers end a grant without an outcome.
+    """
 
     number: int
     ident: bytes
@@ -57,7 +65,7 @@
 class Grants:
     """All open grants by number, at most `max_grants`.
 
-    A grant is removed when it ends, its caller disconnects or its engine leaves.
+    A grant is removed when its outcome or an event ends it.
 
     Attributes:
         late: Outcomes for grants that were over already.
--- a/spurdeal/extproc/server.py
+++ b/spurdeal/extproc/server.py
@@ -1,4 +1,14 @@
-"""The external processing service: all callers' connections, next to the HTTP server for clients."""
+"""The external processing service: all callers' connections, next to the HTTP server for clients.
+
+Terms in this package:
+
+* client: sends a request to a caller.
+* caller: a proxy between clients and engines (Envoy's ext_proc filter, for instance), a gRPC client of this
+  service. It sends the request to the engine itself.
+* call: a caller's question about one request, on one gRPC stream.
+* grant: the answer to a call that names the engine; the caller then carries out the attempt.
+* outcome: how the attempt ended, as the caller shows by the headers of the engine's response.
+"""
 
 from __future__ import annotations
 
--- a/spurdeal/extproc/stream.py
+++ b/spurdeal/extproc/stream.py
@@ -44,8 +44,8 @@
         extended_timeout: The message timeout to request then, in ms.
     """
 
-    def __init__(self, connection: ProcessorConnection, stream: int, caller_timeout: bytes | None) -> None:
-        self.connection, self.stream, self.opened_at = connection, stream, connection.now()
+    def __init__(self, connection: ProcessorConnection, stream_id: int, caller_timeout: bytes | None) -> None:
+        self.connection, self.stream_id, self.opened_at = connection, stream_id, connection.now()
         self.server = connection.server
         self.number = self.server.next_number()
         self.caller_timeout = caller_timeout
@@ -135,7 +135,9 @@
             self.reject(503, "TryLater", server.retry_after)
             return
         open_call = server.granter.calls.get(self.ident)
-        if open_call is not None and not open_call.granted:  # a granted one is left to the guard
+        if (
+            open_call is not None and not open_call.granted
+        ):  # one that repeats a granted call goes to the adapter, whose Guard decides whether it may run
             raise BadCallError(409, "a submission with this id is open")
         server.granter.calls[self.ident] = self
         server.granter.grants.add(self.number, self.ident)
@@ -195,7 +197,7 @@
             failure.raiseException()
 
     def send_grant(self, host: str, port: int, wait: float, rank: int | None) -> None:
-        """Send the grant: from now on the request may run. wait: ms."""
+        """Send the grant: from now on the request may run. wait: ms for which the engine may work on it."""
         caller_settings, address = self.server.caller_settings, f"{host}:{port}".encode()
         self.granted = True
         self.server.queued.pop(self, None)
--- a/spurdeal/settings/installation.py
+++ b/spurdeal/settings/installation.py
@@ -44,7 +44,8 @@
 
     condition: Literal["list_stale", "no_engine", "shut_out", "stopping"] = Field(
         description="list_stale: no answer of the name service for stale_after; no_engine: no ready engine; "
-        "shut_out: the fleet's lease is not held; stopping: the graceful shutdown has begun"
+        "shut_out: the fleet's standing is not CURRENT or BEHIND; "
+        "stopping: accepted, but without effect, as a graceful shutdown resigns all groups"
     )
     lowers: int = Field(ge=1, le=254, description="how much the priority is lowered, down to 1 at least")
 
@@ -116,7 +117,11 @@
         description="how an address is held: announce, listen or command"
     )
     stale_after: Duration = Field(3000.0, description="the list of engines is stale after this time")
-    bar: Duration = Field(10_000.0, description="how long a returning dispatcher waits for list and handover")
+    bar: Duration = Field(
+        10_000.0,
+        description="initial sync: how long a dispatcher that starts waits for its list and the peers' "
+        "state before it takes addresses back",
+    )
 
     @model_validator(mode="after")
     def bundles_are_known(self) -> Vrrp:
@@ -133,7 +138,12 @@
 class Key(Section):
     """A shared key that authenticates datagrams between dispatchers."""
 
-    id: int = Field(ge=0, le=255, description="the same at all dispatchers")
+    id: int = Field(
+        ge=0,
+        le=255,
+        description="the same at all dispatchers; in a fleet the signing key's is the keys' version: "
+        "a new key needs a higher one",
+    )
     hex: str | None = Field(None, pattern=r"^([0-9a-fA-F]{2}){16,64}$", description="16 to 64 bytes")
     file: str | None = Field(None, description="a file that holds the hex digits, instead")
 
@@ -156,24 +166,28 @@
     )
     every: Duration = Field(100.0, ge=10, le=10_000, description="between two datagrams to each peer")
     ahead: bool = Field(
-        False, description="non-idempotent requests are announced to the peers before they are sent"
+        False,
+        description="announcement: non-idempotent requests are announced to the peers before they are sent",
     )
     ahead_wait: Duration = Field(50.0, ge=5, le=1000, description="the longest wait for the peers' answers")
     alone: Literal["refuse", "send"] = Field(
-        "refuse", description="non-idempotent requests while a peer is away: shed, or sent after alone_after"
+        "refuse",
+        description="policy without a peer: non-idempotent requests are shed, or sent after alone_after",
+    )
+    alone_after: Duration = Field(
+        3000.0, description="with alone: send, a silent peer need not reply after this time"
     )
-    alone_after: Duration = Field(3000.0, description="with send, a peer is away after this silence")
     marks: int = Field(
         100_000,
         ge=100,
         le=5_000_000,
-        description="most ids kept; at the limit non-idempotent requests are shed",
+        description="idempotency records: most ids kept; at the limit non-idempotent requests are shed",
     )
     keep: Duration = Field(60_000.0, description="how long an id is kept after its request's deadline")
 
 
 class TenureSection(Section):
-    """Tenure: which share of cold engines' budgets each dispatcher uses."""
+    """Loans of budget shares: which share of cold engines' budgets each dispatcher uses."""
 
     on: bool = Field(True, description="off: each always uses 1/N, as without peers; for comparison")
     lease: Duration = Field(1000.0, ge=100, le=60_000, description="how long a lent share may be used")
@@ -219,7 +233,7 @@
         20.0, ge=1, description="a response is sent this long before the callers' timeout"
     )
     use_within: Duration = Field(
-        150.0, ge=10, description="a grant that is not used within this time is void"
+        150.0, ge=10, description="the caller must not use a grant after this time; it is told so"
     )
     id_header: str = Field("req-id", pattern=r"^[a-z0-9-]{1,64}$", description="the header that holds the id")
     proof_header: str = Field(
@@ -281,8 +295,16 @@
     lease: Duration = Field(
         1500.0, ge=300, le=60_000, description="how long a lease grantor's answer is valid"
     )
-    part: float = Field(0.34, gt=0.0, le=1.0, description="fraction of the lease grantors that must answer")
-    forget: Duration = Field(600_000.0, description="how long a member that is gone still counts")
+    part: float = Field(
+        0.34,
+        gt=0.0,
+        le=1.0,
+        description="fraction of the k grantors, rounded up to w, whose grants keep a lease; "
+        "k - w + 1 acquire one",
+    )
+    forget: Duration = Field(
+        600_000.0, description="how long a member that is gone or has left stays in the table"
+    )
     behind_for: Duration = Field(
         2000.0, description="a member lapses after being behind the newest list for this time"
     )
@@ -324,7 +346,7 @@
     fleet: FleetSection | None = Field(None, description="the fleet; absent: none")
     handover: HandoverSection | None = Field(None, description="state shared with the peers; absent: none")
     tenure: TenureSection = Field(
-        TenureSection.model_construct(), description="shares of cold engines' budgets"
+        TenureSection.model_construct(), description="loans of shares of cold engines' budgets"
     )
 
     @model_validator(mode="after")
--- a/spurdeal/vrrp/address.py
+++ b/spurdeal/vrrp/address.py
@@ -1,8 +1,9 @@
 """Ways to hold a virtual address: announce it to a switch, listen on it, or run an operator's command.
 
-Each holder has `take(group, addresses)` and `leave(group, addresses)`. A `Listener` drains the connections of
-an address that it leaves, so that accepted requests are answered. Failures are counted; a failed listen is
-retried while the address is held, announcements are repeated, and a failed command is only logged.
+Each holder has `take(group, addresses)` and `release(group, addresses)`. A `Listener` drains the
+connections of an address that it releases, so that accepted requests are answered. Failures are counted; a
+failed listen is retried while the address is held, announcements are repeated, and a failed command is only
+logged.
 """
 
 from __future__ import annotations
@@ -91,7 +92,7 @@
     Attributes:
         factory: Builds the protocol of each connection.
         port: TCP port.
-        drain: Called with an address that is left; answers its open requests, then closes its connections.
+        drain: Called with a released address; answers its open requests, then closes its connections.
     """
 
     factory: ServerFactory
@@ -102,7 +103,7 @@
 class Listener:
     """Listens on the addresses in this process.
 
-    After an address is left, no connection is accepted there and the open ones are drained.
+    After an address is released, no connection is accepted there and the open ones are drained.
     """
 
     def __init__(
--- a/spurdeal/vrrp/advertising.py
+++ b/spurdeal/vrrp/advertising.py
@@ -54,20 +54,20 @@
 
     def __init__(
         self,
-        plan: Installation,
+        installation: Installation,
         groups: Groups,
         holder: Holder,
         runtime: Runtime,
         callbacks: Callbacks,
     ) -> None:
-        assert plan.vrrp is not None
-        vrrp = plan.vrrp
-        self.peers, self.groups, self.holder = plan.peers, groups, holder
+        assert installation.vrrp is not None
+        vrrp = installation.vrrp
+        self.peers, self.groups, self.holder = installation.peers, groups, holder
         self.reactor, self.monotonic = runtime.reactor, runtime.monotonic
         self.counters, self.log = runtime.counters, runtime.log
         self.taken, self.awaiting_sync = callbacks.taken, callbacks.awaiting_sync
         self.own_address: Address = vrrp.listen[0]
-        self.by_sender = {peer.adverts[0]: peer.name for peer in plan.peers}
+        self.by_sender = {peer.adverts[0]: peer.name for peer in installation.peers}
         self.addresses = {each.group: tuple(each.addresses) for each in vrrp.groups}
         self.accepting = {each.group: each.accept for each in vrrp.groups}
         self.protocol = AdvertProtocol(self)
--- a/spurdeal/vrrp/exchange.py
+++ b/spurdeal/vrrp/exchange.py
@@ -40,13 +40,15 @@
 
     def __init__(
         self,
-        plan: Installation,
+        installation: Installation,
         handover: Handover | None,
         runtime: Runtime,
     ) -> None:
         self.handover, self.reactor, self.counters = handover, runtime.reactor, runtime.counters
         self.monotonic = runtime.monotonic
-        self.peer_addresses = {peer.name: (str(peer.handover[0]), peer.handover[1]) for peer in plan.peers}
+        self.peer_addresses = {
+            peer.name: (str(peer.handover[0]), peer.handover[1]) for peer in installation.peers
+        }
         self.peer_by_address = {address: name for name, address in self.peer_addresses.items()}
         self.protocol = HandoverProtocol(self)
         self.pending_callbacks: dict[
@@ -56,7 +58,7 @@
         self.greetings_sent, self.greeting_window_start = 0, self.monotonic()
 
     def send_state(self, state: DispatcherState, lendable: bool) -> None:
-        """Send the regular state datagram to each peer; with `idle`, our budget share may be lent."""
+        """Send the regular state datagram to each peer; with `lendable`, our budget share may be lent."""
         if self.handover is None:
             return
         now = self.monotonic()
--- a/spurdeal/vrrp/groups.py
+++ b/spurdeal/vrrp/groups.py
@@ -8,7 +8,12 @@
 from .advert import OWNER, Address
 from .machine import NEVER, Action, GroupSettings, State, StateMachine
 
-CONDITIONS = ("list_stale", "no_engine", "shut_out", "stopping")  # that a group may track
+CONDITIONS = (
+    "list_stale",
+    "no_engine",
+    "shut_out",
+    "stopping",
+)  # that a group may track; the station never reports "stopping"
 MIN_PRIORITY = 1  # of a lowered priority: 0 is reserved for a shutdown
 
 
@@ -29,18 +34,18 @@
     clock.
 
     Args:
-        terms: Settings of each group.
+        group_settings: Settings of each group.
         tracked: Tracked conditions by group.
         bundles: Sets of groups that become Active or Backup together.
     """
 
     def __init__(
         self,
-        terms: Sequence[GroupSettings],
+        group_settings: Sequence[GroupSettings],
         tracked: Mapping[int, Sequence[Tracked]],
         bundles: Iterable[Sequence[int]] = (),
     ) -> None:
-        self.machines = {each.group: StateMachine(each) for each in terms}
+        self.machines = {each.group: StateMachine(each) for each in group_settings}
         self.tracked = {group: tuple(tracked.get(group, ())) for group in self.machines}
         self.bundles = {group: tuple(bundle) for bundle in bundles for group in bundle}
         self.conditions_met = frozenset[str]()
--- a/spurdeal/vrrp/guard.py
+++ b/spurdeal/vrrp/guard.py
@@ -18,7 +18,10 @@
 
 
 class ColdSend(NamedTuple):
-    """One send to a cold engine: when, in ms of the monotonic clock, and its work (1.0 each)."""
+    """One send to a cold engine: when, in ms of the monotonic clock, and its work.
+
+    Work counts sends as the budget of a cold engine does: 1.0 for each.
+    """
 
     at: float
     work: float
@@ -31,7 +34,7 @@
         service: The dispatcher's service.
         exchange: Carries the handover's datagrams.
         budget_shares: This dispatcher's shares of cold engines' budgets.
-        share: Whether cold budgets are shared between dispatchers (`tenure.on`).
+        shares_budgets: Whether cold budgets are shared between dispatchers (`tenure.on`).
         assumed_cold: Whether every engine is to count as just started.
     """
 
@@ -40,28 +43,28 @@
         service: Service,
         exchange: Exchange,
         budget_shares: BudgetShares,
-        share: bool,
+        shares_budgets: bool,
         assumed_cold: Callable[[], bool],
     ) -> None:
         self.adapter: SocketAdapter = service.adapter
         self.counters, self.retry_after = service.counters, service.configuration.site.max_retry_after
         self.exchange, self.handover, self.monotonic = exchange, exchange.handover, exchange.monotonic
-        self.budget_shares, self.share = budget_shares, share
+        self.budget_shares, self.shares_budgets = budget_shares, shares_budgets
         self.guarded, self.assumed_cold = at_most_once(service.configuration.site), assumed_cold
         own = 1.0 / service.configuration.site.dispatchers
-        self.shares = own, own
+        self.current_shares = own, own
         self.sent_cold: dict[int, list[ColdSend]] = {}  # by engine, within one cold window
 
     # The Guard protocol of net.requests.
 
     def batch_started(self, now: float) -> None:
         """Pass our budget shares to the rules if they have changed."""
-        if not self.share or self.handover is None:
+        if not self.shares_budgets or self.handover is None:
             return
         mono = self.monotonic()
         shares = self.budget_shares.share(mono), self.budget_shares.initial_limit_share(mono)
-        if shares != self.shares:
-            self.shares = shares
+        if shares != self.current_shares:
+            self.current_shares = shares
             self.adapter.rules.capacity_shares_changed(now, *shares)
             self.counters.add("tenure_changes")
 
@@ -117,11 +120,12 @@
         """Do nothing: the handover needs no notice of it."""
 
     def allow_send(self, request: OpenRequest, attempt: int, engine: int) -> bool:
-        """Return whether an attempt may be sent to this engine now.
+        """Return whether an attempt may be sent to this engine now; if so, count it against a cold budget.
 
-        Our share of a cold engine's budget may have been lent since the rules chose the engine.
+        Our share of a cold engine's budget may have been lent since the rules chose the engine. To be called
+        last, after all other checks, since it counts the send.
         """
-        if not self.share or self.handover is None or not self.is_cold(engine):
+        if not self.shares_budgets or self.handover is None or not self.is_cold(engine):
             return True
         now = self.monotonic()
         if self.budget_shares.share(now) <= 0.0:
--- a/spurdeal/vrrp/handover.py
+++ b/spurdeal/vrrp/handover.py
@@ -1,9 +1,13 @@
 """State replication between the dispatchers of one installation. No I/O, no clocks.
 
+It runs all the time; it is named after the settings' `handover` section, and for what it makes possible: that
+a peer takes over without running a non-idempotent request twice.
+
 At each interval a dispatcher sends each peer: the number of its list, the starts of cold engines and the work
 sent to them, the engines that it has ejected, the groups that it holds, the budget share that it lends, and
-pages of its idempotency records. Between these datagrams it announces non-idempotent requests before they
-are sent, and the peers reply. Times are ms of one monotonic clock; a datagram carries remaining times only.
+pages of its idempotency records. Between these datagrams it announces non-idempotent requests to its peers
+before they are sent, and the peers reply; these are not the announcements of addresses
+in `address`. Times are ms of one monotonic clock; a datagram carries remaining times only.
 A body is JSON with the keys of `compose`; one with any invalid value is refused whole and changes nothing.
 """
 
@@ -40,7 +44,7 @@
 class PendingSend(NamedTuple):
     """A request that is announced and waits for the peers' replies; times in ms."""
 
-    announcement: int  # its number: a reply to an earlier one does not count (found by lab.handover_walk)
+    announcement: int  # its number: a reply to an earlier one of the same id does not count
     ident: bytes
     deadline: float
     until: float
@@ -193,7 +197,7 @@
     # Datagrams.
 
     def compose(self, now: float, peer: str, state: DispatcherState, lendable: bool) -> bytes:
-        """Return the regular datagram for a peer. `idle`: our budget share may be lent."""
+        """Return the regular datagram for a peer. `lendable`: our budget share may be lent."""
         share, wait = self.budget_shares.lend(now, peer, lendable)
         clears, self.pending_clears[peer] = (
             self.pending_clears[peer][:MAX_ANNOUNCED],
@@ -214,10 +218,10 @@
         if peer not in self.synced:
             body["need"] = self.received_pages.get(peer, 0)
         if (pages := self.record_pages.get(peer)) is not None:
-            asked = min(self.requested_pages.get(peer, 0), len(pages))
-            page = pages[asked] if asked < len(pages) else []
+            requested = min(self.requested_pages.get(peer, 0), len(pages))
+            page = pages[requested] if requested < len(pages) else []
             body["marks"] = [[ident.decode(), left] for ident, left in page]
-            body["page"] = [asked, len(pages)]
+            body["page"] = [requested, len(pages)]
         return self.sessions[peer].write(now, body | self.announcements_and_replies(now, peer))
 
     def compose_urgent(self, now: float, peer: str) -> bytes | None:
@@ -254,19 +258,21 @@
         """
         session = self.sessions[peer]
         restarts = session.restarts
-        body, asked = session.read(now, datagram)
+        body, echoed_sent_at = session.read(now, datagram)
         message = read_message(now, body)
         # The body is valid as a whole: from here on it takes effect.
         if session.restarts != restarts:
             self.peer_restarted(peer)
         self.update_peer_state(now, peer, message.peer_state)
-        if asked is not None:
-            self.update_loans(now, peer, message, asked)
+        if echoed_sent_at is not None:
+            self.update_loans(now, peer, message, echoed_sent_at)
         for ident, announcement in message.clears:
             self.records.remove_from_peer(peer, ident, announcement)
         for request in message.announced:
-            marked = self.records.add_from_peer(now, peer, request.ident, request.left, request.announcement)
-            self.replies[peer].append((request.announcement, marked))
+            accepted = self.records.add_from_peer(
+                now, peer, request.ident, request.left, request.announcement
+            )
+            self.replies[peer].append((request.announcement, accepted))
             del self.replies[peer][: -4 * MAX_ANNOUNCED]
         self.page_requested(now, peer, message.need)
         if message.page is not None:
@@ -280,10 +286,10 @@
         elif peer in self.peer_states:
             self.peer_states[peer] = self.peer_states[peer]._replace(heard_at=now)
 
-    def update_loans(self, now: float, peer: str, message: Message, asked: float) -> None:
-        """Apply the peer's loan and the remaining time of ours; `asked`: send time of what it answers."""
+    def update_loans(self, now: float, peer: str, message: Message, echoed_sent_at: float) -> None:
+        """Apply the peer's loan, which answers what we sent at `echoed_sent_at`, and what is left of ours."""
         if message.lend is not None:
-            self.budget_shares.borrow(now, peer, message.lend.share, message.lend.wait, asked)
+            self.budget_shares.borrow(now, peer, message.lend.share, message.lend.wait, echoed_sent_at)
         if message.left is not None:
             self.remaining_loans[peer] = message.left
             self.budget_shares.remaining_reported(now, self.remaining_loans, len(self.sessions))
@@ -314,12 +320,12 @@
     def replies_received(self, peer: str, replies: Iterable[tuple[float, bool]]) -> list[Verdict]:
         """Return the verdicts that follow from a peer's replies."""
         verdicts = []
-        for announcement, ok in replies:
+        for announcement, accepted in replies:
             for token, waiting in list(self.waiting.items()):
                 if waiting.announcement != announcement or peer not in waiting.awaited_peers:
                     continue
                 awaited_peers = waiting.awaited_peers - {peer}
-                if not ok:
+                if not accepted:
                     del self.waiting[token]
                     verdicts.append(Verdict(token, None))
                 elif awaited_peers:
--- a/spurdeal/vrrp/machine.py
+++ b/spurdeal/vrrp/machine.py
@@ -160,7 +160,9 @@
         # else: the sender has a lower priority; Active_Down_Timer runs on, and preemption follows its end
 
     def may_preempt(self, now: float) -> bool:
-        """Return whether preemption is allowed now: Preempt_Mode, and a delay of our own.
+        """Start the preemption delay unless it runs, and return whether it is over.
+
+        False without Preempt_Mode or before the initial sync; then no delay is started.
 
         Departure: the delay runs from the first advertisement of lower priority.
         """
--- a/spurdeal/vrrp/marks.py
+++ b/spurdeal/vrrp/marks.py
@@ -22,9 +22,9 @@
 
 
 class IdempotencyRecord(NamedTuple):
-    """Record of one request that may have run. `until`: deadline, in ms."""
+    """Record of one request that may have run."""
 
-    expires_at: float
+    expires_at: float  # ms: the request's deadline plus the retention
     peer: str  # who reported it; "" for our own
     sent: bool  # it was sent, or may have been
     announcement: float  # number of its announcement; a message about an earlier one changes nothing
@@ -152,10 +152,10 @@
         if page:
             yield page
 
-    # Deadline.
+    # Expiration.
 
     def store(self, ident: bytes, record: IdempotencyRecord) -> None:
-        """Set a record and update the next deadline."""
+        """Set a record and update the time of the next expiration."""
         self.by_id[ident] = record
         self.next_expiry = min(self.next_expiry, record.expires_at)
 
--- a/spurdeal/vrrp/sealed.py
+++ b/spurdeal/vrrp/sealed.py
@@ -4,6 +4,9 @@
 RFC 4868 truncates likewise). The header carries the key id, the sender's start (`boot`, random), its sequence
 number, and the start and sequence number of the last datagram accepted from the receiver (the echo). A replay
 from an earlier start of either side echoes an outdated number and is refused, without comparing clocks.
+
+A start of the peer is proven once a datagram of it echoes a datagram of ours that is no older than
+MAX_ECHO_AGE and newer than the one that proved the start before. Datagrams of other starts are unproven.
 """
 
 from __future__ import annotations
@@ -64,17 +67,24 @@
         peer: Name of the peer.
         boot: Random number of our start.
         keys: Keys of the installation.
+
+    Attributes:
+        sequence_number: That of our last datagram.
+        send_times: When our last datagrams were sent, in ms, by sequence number: loans count from these.
+        peer_boot: The peer's proven start; 0 if there is none yet.
+        highest_number: The highest sequence number accepted from that start.
+        replay_window: Bit n is set if the number n below the highest has been accepted.
+        proof_number: Sequence number of our datagram whose echo proved that start.
+        restarts: How often another start of the peer has been proven, the first included.
     """
 
     def __init__(self, own: str, peer: str, boot: int, keys: Keys) -> None:
         self.own, self.peer, self.boot, self.keys = own.encode(), peer.encode(), boot, keys
         self.sequence_number = 0
-        self.send_times: OrderedDict[int, float] = (
-            OrderedDict()
-        )  # send times of our last datagrams in ms, by number: loans count from these
+        self.send_times: OrderedDict[int, float] = OrderedDict()
         self.peer_boot, self.highest_number, self.replay_window = 0, 0, 0
-        self.proof_number = 0  # our datagram whose echo proved the peer's start to be current
-        self.restarts = 0  # how often the peer has restarted
+        self.proof_number = 0
+        self.restarts = 0
 
     def write(self, now: float, body: dict[str, Any], echo: tuple[int, int] | None = None) -> bytes:
         """Return the next datagram.
--- a/spurdeal/vrrp/setup.py
+++ b/spurdeal/vrrp/setup.py
@@ -1,4 +1,4 @@
-"""Builds the objects of a station from the operator's file: VRRP groups, handover, keys, address holder."""
+"""Builds the objects of a station from the settings file: VRRP groups, handover, keys, address holder."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 if TYPE_CHECKING:
     from ..settings.installation import FleetSection, HandoverSection, Installation, Vrrp
 
-Holder = Announcer | Listener | Commands
+Holder = Announcer | Listener | Commands  # each has take(group, addresses) and release(group, addresses)
 
 
 @dataclass(frozen=True)
@@ -42,7 +42,7 @@
     log: logging.Logger
 
 
-def keys_of(part: HandoverSection | FleetSection) -> Keys:
+def keys_of(section: HandoverSection | FleetSection) -> Keys:
     """Return the keys of a section of the file.
 
     Raises:
@@ -54,7 +54,7 @@
             key.id: bytes.fromhex(
                 key.hex if key.hex is not None else Path(key.file or "").read_text("ascii").strip()
             )
-            for key in part.keys
+            for key in section.keys
         }
     )
 
@@ -62,39 +62,46 @@
 def make_groups(vrrp: Vrrp) -> Groups:
     """Return the VRRP groups, none of them started."""
     own = vrrp.listen[0]
-    terms = [
+    group_settings = [
         GroupSettings(each.group, each.priority, each.interval, own, each.preempt, each.preempt_delay)
         for each in vrrp.groups
     ]
     tracked = {
         each.group: [Tracked(track.condition, track.lowers) for track in each.tracks] for each in vrrp.groups
     }
-    return Groups(terms, tracked, vrrp.bundles)
+    return Groups(group_settings, tracked, vrrp.bundles)
 
 
-def make_handover(plan: Installation, boot: int, budget_shares: BudgetShares, now: float) -> Handover | None:
+def make_handover(
+    installation: Installation, boot: int, budget_shares: BudgetShares, now: float
+) -> Handover | None:
     """Return the handover; None if the file configures none.
 
     Raises:
         OSError: A key file cannot be read.
         ValueError: A key is invalid.
     """
-    part, vrrp = plan.handover, plan.vrrp
-    if part is None or vrrp is None:
+    section, vrrp = installation.handover, installation.vrrp
+    if section is None or vrrp is None:
         return None
     return Handover(
-        Membership(plan.name, tuple(peer.name for peer in plan.peers), boot, keys_of(part)),
+        Membership(
+            installation.name, tuple(peer.name for peer in installation.peers), boot, keys_of(section)
+        ),
         HandoverSettings(
-            part.ahead, part.ahead_wait, part.alone_after if part.alone == "send" else None, vrrp.bar
+            section.ahead,
+            section.ahead_wait,
+            section.alone_after if section.alone == "send" else None,
+            vrrp.bar,
         ),
         budget_shares,
-        IdempotencyTable(part.marks, part.keep),
+        IdempotencyTable(section.marks, section.keep),
         now,
     )
 
 
 def make_holder(vrrp: Vrrp, service: Service, reactor: Reactor, log: logging.Logger) -> Holder:
-    """Return the holder that the file names; it takes and leaves the addresses."""
+    """Return the holder that the file names; it takes and releases the addresses."""
     holder, counters = vrrp.holder, service.counters
     if holder.kind == "announce":
         switch = (str(holder.switch[0]), holder.switch[1])
--- a/spurdeal/vrrp/station.py
+++ b/spurdeal/vrrp/station.py
@@ -32,14 +32,14 @@
 
 
 class Station:
-    """One dispatcher among its VRRP peers.
+    """The I/O side of one dispatcher's VRRP groups, handover and budget shares.
 
     After a start it awaits sync: until the list is fresh and the peers' records are here, or for `vrrp.bar`
     ms at most, it takes no address back by preemption.
 
     Args:
         service: The dispatcher's service.
-        plan: The operator's file; its `vrrp` section must be present.
+        installation: The settings file; its `vrrp` section must be present.
         boot: Random number that distinguishes this start from earlier ones.
         runtime: Event loop, clock, counters and log.
 
@@ -51,27 +51,34 @@
     def __init__(
         self,
         service: Service,
-        plan: Installation,
+        installation: Installation,
         boot: int,
         runtime: Runtime,
     ) -> None:
-        assert plan.vrrp is not None
-        self.service, self.plan, self.adapter, self.vrrp = service, plan, service.adapter, plan.vrrp
+        assert installation.vrrp is not None
+        self.service, self.installation, self.adapter, self.vrrp = (
+            service,
+            installation,
+            service.adapter,
+            installation.vrrp,
+        )
         self.reactor, self.monotonic = runtime.reactor, runtime.monotonic
         self.counters, self.log = runtime.counters, runtime.log
         now, site = self.monotonic(), service.configuration.site
         self.started_at, self.list_fresh, self.awaiting_sync, self.stopping = now, False, True, False
-        self.fleet_lowers_priority: Callable[[], bool] = lambda: False  # set by the fleet, if there is one
+        self.fleet_lowers_priority: Callable[[], bool] = lambda: (
+            False
+        )  # replaced if there is a fleet: any standing but CURRENT or BEHIND
         self.groups = make_groups(self.vrrp)
-        self.budget_shares = BudgetShares(site.dispatchers, site.cold_window, plan.tenure.lease, now)
-        self.handover: Handover | None = make_handover(plan, boot, self.budget_shares, now)
+        self.budget_shares = BudgetShares(site.dispatchers, site.cold_window, installation.tenure.lease, now)
+        self.handover: Handover | None = make_handover(installation, boot, self.budget_shares, now)
         self.holder = make_holder(self.vrrp, service, self.reactor, self.log)
-        self.exchange = Exchange(plan, self.handover, runtime)
+        self.exchange = Exchange(installation, self.handover, runtime)
         self.guard = HandoverGuard(
-            service, self.exchange, self.budget_shares, plan.tenure.on, self.assumed_cold
+            service, self.exchange, self.budget_shares, installation.tenure.on, self.assumed_cold
         )
         self.advertising = Advertising(
-            plan,
+            installation,
             self.groups,
             self.holder,
             runtime,
@@ -114,8 +121,8 @@
         sock = getattr(advert_protocol.transport, "socket", None)
         if sock is not None and isinstance(host, IPv4Address):
             sock.setsockopt(socket.IPPROTO_IP, socket.IP_TTL, advert.TTL)
-        if self.plan.handover is not None:
-            host, port = self.plan.handover.listen
+        if self.installation.handover is not None:
+            host, port = self.installation.handover.listen
             handover_protocol = self.exchange.protocol
             self.ports.append(
                 self.reactor.listenUDP(
@@ -135,17 +142,19 @@
             self.advertising.perform(self.groups.stop(self.monotonic()))
             self.send_state()
 
-    def reload(self, plan: Installation) -> None:
-        """Apply a file reread on SIGHUP: keys take effect at once, all else at the next start."""
-        if self.handover is not None and plan.handover is not None:
+    def reload(self, installation: Installation) -> None:
+        """Apply a settings file reread on SIGHUP: keys take effect at once, all else at the next start."""
+        if self.handover is not None and installation.handover is not None:
             try:
-                keys = keys_of(plan.handover)
+                keys = keys_of(installation.handover)
             except (OSError, ValueError) as fault:
                 self.reject_installation(str(fault))
                 return
             for session in self.handover.sessions.values():
                 session.keys = keys
-        before, after = (each.model_dump(exclude={"handover": {"keys"}}) for each in (self.plan, plan))
+        before, after = (
+            each.model_dump(exclude={"handover": {"keys"}}) for each in (self.installation, installation)
+        )
         self.log.info("installation_read", extra={"figures": {"rest_at_a_start": before != after}})
 
     def reject_installation(self, why: str) -> None:
@@ -153,23 +162,23 @@
         self.counters.add("installations_unusable")
         self.log.error("installation_kept", extra={"figures": {"why": why}})
 
-    def restore_records(self, ends: Mapping[bytes, float]) -> None:
+    def restore_records(self, expirations: Mapping[bytes, float]) -> None:
         """Restore idempotency records from the ledger; peers without them get them from us.
 
         Args:
-            ends: Deadline of each record in Unix ms, by request id.
+            expirations: When each record expires, in Unix ms, by request id.
         """
         if self.handover is not None:
-            apart = self.monotonic() - self.adapter.clock()
-            for ident, until in ends.items():
-                self.handover.records.restore(ident, until + apart)
+            monotonic_minus_unix = self.monotonic() - self.adapter.clock()
+            for ident, expires_at in expirations.items():
+                self.handover.records.restore(ident, expires_at + monotonic_minus_unix)
 
     # Periodic work.
 
     def run_periodic(self) -> None:
         """Check the list, the initial sync and conditions, and inform the peers, at each interval."""
         now = self.monotonic()
-        interval = self.plan.handover.every if self.plan.handover else CHECK_INTERVAL
+        interval = self.installation.handover.every if self.installation.handover else CHECK_INTERVAL
         self.reactor.callLater(interval / 1000, self.run_periodic)
         self.check_list()
         if self.awaiting_sync and self.sync_wait_over(now):
@@ -203,11 +212,14 @@
 
     def assumed_cold(self) -> bool:
         """Return whether each engine may have restarted without our knowledge."""
-        unsure = not self.list_fresh and self.plan.tenure.on
+        unsure = not self.list_fresh and self.installation.tenure.on
         return unsure and self.monotonic() < self.started_at + self.vrrp.bar
 
     def conditions_met(self, now: float) -> list[str]:
-        """Return the tracked conditions that hold now."""
+        """Return the tracked conditions that hold now.
+
+        "stopping" is never among them, although a group may track it: `stop` resigns all groups instead.
+        """
         unix = self.adapter.clock()
         stale = (self.reactor.seconds() - self.service.names.answered_at) * 1000 > self.vrrp.stale_after
         conditions = ["list_stale"] if stale and now - self.started_at > self.vrrp.stale_after else []
@@ -237,6 +249,6 @@
         if self.handover is None:
             return
         held = self.groups.held()
-        lendable = self.plan.tenure.on and (self.stopping or not held)
+        lendable = self.installation.tenure.on and (self.stopping or not held)
         dispatcher_state = self.guard.dispatcher_state(self.monotonic(), self.service.names.number, held)
         self.exchange.send_state(dispatcher_state, lendable)
--- a/spurdeal/vrrp/tenure.py
+++ b/spurdeal/vrrp/tenure.py
@@ -1,4 +1,4 @@
-"""Leases on shares of cold engines' budgets and of the initial concurrency limit. No I/O, no clocks.
+"""Loans of shares of cold engines' budgets and of the initial concurrency limit. No I/O, no clocks.
 
 Each of N dispatchers owns a share of 1/N. An idle one needs none, so a Backup lends its share to the Active
 one for a short time, again and again. Lender and borrower count the end of the loan from their own side of
@@ -33,16 +33,16 @@
     Args:
         dispatchers: Number of dispatchers, 1 or more.
         window: Window of the cold budgets, in ms.
-        lease: Longest duration of a loan, in ms.
+        loan_duration: Longest duration of a loan, in ms (the setting `tenure.lease`).
         now: Time of the start, in ms.
     """
 
-    def __init__(self, dispatchers: int, window: float, lease: float, now: float) -> None:
-        self.own, self.window, self.lease = 1.0 / dispatchers, window, lease
+    def __init__(self, dispatchers: int, window: float, loan_duration: float, now: float) -> None:
+        self.own, self.window, self.loan_duration = 1.0 / dispatchers, window, loan_duration
         # An earlier start of ours may have lent our share, and the borrower may use it for so long.
-        self.own_usable_from = now + lease * (1 + MAX_CLOCK_DRIFT) + window
-        # What an earlier start of ours sent, also from borrowed shares, counts for one more window (found by
-        # the model check).
+        self.own_usable_from = now + loan_duration * (1 + MAX_CLOCK_DRIFT) + window
+        # What an earlier start of ours sent, also from borrowed shares, counts for one more window. Without
+        # this, a restart could borrow the same share again and use it twice within one window.
         self.borrowing_from = now + window
         self.lent_until: dict[str, float] = {}
         self.loans: dict[str, Loan] = {}
@@ -85,7 +85,7 @@
         Args:
             now: Monotonic clock, in ms.
             peer: Name of the borrower.
-            lendable: Whether we hold no address or are shutting down.
+            lendable: Whether our share may be lent: we hold no address or are shutting down.
 
         Returns:
             The share lent and the ms until it may be used; (0, 0) if none is lent.
@@ -94,12 +94,12 @@
         elsewhere = any(until + self.window > now for to, until in self.lent_until.items() if to != peer)
         if not lendable or elsewhere or now < self.own_usable_from:
             return 0.0, 0.0
-        self.lent_until[peer] = now + self.lease * (1 + MAX_CLOCK_DRIFT)
+        self.lent_until[peer] = now + self.loan_duration * (1 + MAX_CLOCK_DRIFT)
         return self.own, max(0.0, self.last_use + self.window - now)
 
     def borrow(self, now: float, peer: str, share: float, wait: float, sent_at: float) -> None:
-        """Accept a share that a peer lends after `wait` ms, in answer to what we sent at `asked` (ms)."""
-        until = sent_at + self.lease
+        """Accept a share that a peer lends after `wait` ms, in answer to what we sent at `sent_at` (ms)."""
+        until = sent_at + self.loan_duration
         before = self.loans.get(peer)
         if share <= 0.0 or until <= now:
             return
