--- a/spurdeal/cli/running.py
+++ b/spurdeal/cli/running.py
@@ -186,11 +186,11 @@
             section.proof_header.encode(),
         )
         bounds = Bounds(
-            connections=section.connections,
-            calls=section.calls,
-            calls_each=section.calls_each,
-            message=section.message,
-            idle=section.idle,
+            max_connections=section.connections,
+            max_calls=section.calls,
+            max_calls_each=section.calls_each,
+            max_message=section.message,
+            idle_after=section.idle,
         )
         longest = max(workload.deadline for workload in site.workloads)
         return Server(
--- a/spurdeal/extproc/bounds.py
+++ b/spurdeal/extproc/bounds.py
@@ -9,17 +9,17 @@
 class Bounds(NamedTuple):
     """Limits for each connection and for all connections together. Fields with a setting have its name."""
 
-    connections: int = 64  # open connections
-    calls: int = 2048  # open calls, over all connections
-    calls_each: int = 512  # open calls on one connection
-    bytes_each: int = 1_048_576  # received and not yet processed, on one connection
-    message: int = 65_536  # bytes of the largest message
+    max_connections: int = 64  # open connections
+    max_calls: int = 2048  # open calls, over all connections
+    max_calls_each: int = 512  # open calls on one connection
+    max_bytes_each: int = 1_048_576  # received and not yet processed, on one connection
+    max_message: int = 65_536  # bytes of the largest message
     # Stream resets per RATE_WINDOW on one connection; a caller that times out resets all its open streams.
-    resets: int = 1000
-    controls: int = 400  # SETTINGS, PING and PRIORITY_UPDATE frames per RATE_WINDOW on one connection
-    idle: float = 60_000.0  # ms after which a connection without a call is closed
-    silent: float = 2000.0  # ms after which a stream without request_headers is ended
-    unread: float = 5000.0  # ms after which a connection that does not read its responses is aborted
+    max_resets: int = 1000
+    max_controls: int = 400  # SETTINGS, PING and PRIORITY_UPDATE frames per RATE_WINDOW on one connection
+    idle_after: float = 60_000.0  # ms after which a connection without a call is closed
+    silent_after: float = 2000.0  # ms after which a stream without request_headers is ended
+    unread_after: float = 5000.0  # ms after which a connection that does not read its responses is aborted
 
 
 RATE_WINDOW = 1000.0  # ms in which resets and controls are counted
@@ -45,11 +45,11 @@
 
     def count_reset(self, now: float) -> bool:
         """Count a stream reset by the caller; True if the connection must be closed (rapid reset attack)."""
-        return self.exceeds_rate(now, self.resets, self.bounds.resets)
+        return self.exceeds_rate(now, self.resets, self.bounds.max_resets)
 
     def count_control(self, now: float) -> bool:
         """Count a control frame; True if the connection must be closed (control frame flood)."""
-        return self.exceeds_rate(now, self.controls, self.bounds.controls)
+        return self.exceeds_rate(now, self.controls, self.bounds.max_controls)
 
 
 class ConnectionLimits:
@@ -61,7 +61,7 @@
 
     def admit_connection(self) -> bool:
         """Count a new connection; False if the limit is reached and it is refused."""
-        if self.connections >= self.bounds.connections:
+        if self.connections >= self.bounds.max_connections:
             self.refused["connections"] += 1
             return False
         self.connections += 1
@@ -75,7 +75,7 @@
 
     def admit_call(self, usage: ConnectionUsage) -> bool:
         """Count a new call; False if a limit is reached and the call is refused."""
-        if usage.calls >= self.bounds.calls_each or self.calls >= self.bounds.calls:
+        if usage.calls >= self.bounds.max_calls_each or self.calls >= self.bounds.max_calls:
             self.refused["calls"] += 1
             return False
         usage.calls += 1
--- a/spurdeal/extproc/connection.py
+++ b/spurdeal/extproc/connection.py
@@ -80,7 +80,7 @@
         self.h2.local_settings = type(self.h2.local_settings)(
             client=False,
             initial_values={
-                SettingCodes.MAX_CONCURRENT_STREAMS: self.server.bounds.calls_each,
+                SettingCodes.MAX_CONCURRENT_STREAMS: self.server.bounds.max_calls_each,
                 SettingCodes.MAX_HEADER_LIST_SIZE: MAX_HEADER_LIST,
             },
         )
@@ -272,7 +272,7 @@
         except H2Error:
             call.unsent = b""
             self.server.counters.add("extproc_said_too_late")
-        if len(call.unsent) > self.server.bounds.message:
+        if len(call.unsent) > self.server.bounds.max_message:
             self.disconnect("answers go unread")
             return
         self.write_pending()
@@ -309,12 +309,12 @@
         """End calls and connections that exceed a timeout of Bounds. now: ms."""
         bounds = self.server.bounds
         if self.write_blocked:
-            if now - self.last_activity > bounds.unread:
+            if now - self.last_activity > bounds.unread_after:
                 self.server.counters.add("extproc_unread")
                 self.transport.abortConnection()
             return
         for call in list(self.calls.values()):
-            if not call.request_received and now - call.opened_at > bounds.silent:
+            if not call.request_received and now - call.opened_at > bounds.silent_after:
                 call.fail(Status.DEADLINE_EXCEEDED, "nothing was said")
-        if not self.calls and now - self.last_activity > bounds.idle:
+        if not self.calls and now - self.last_activity > bounds.idle_after:
             self.transport.loseConnection()
--- a/spurdeal/extproc/server.py
+++ b/spurdeal/extproc/server.py
@@ -88,7 +88,9 @@
         self.bounds, self.longest, self.retry_after = settings.bounds, settings.longest, settings.retry_after
         self.reactor, self.clock = runtime.reactor, runtime.clock
         self.counters, self.log = runtime.counters, runtime.log
-        self.granter = Granter(engines, self.clock, self.caller_settings, self.bounds.calls, self.counters)
+        self.granter = Granter(
+            engines, self.clock, self.caller_settings, self.bounds.max_calls, self.counters
+        )
         self.admission = ConnectionLimits(self.bounds)
         self.connections: dict[ProcessorConnection, None] = {}
         self.queued: dict[Call, None] = {}
--- a/spurdeal/extproc/stream.py
+++ b/spurdeal/extproc/stream.py
@@ -49,7 +49,7 @@
         self.server = connection.server
         self.number = self.server.next_number()
         self.caller_timeout = caller_timeout
-        self.reader, self.unsent = MessageReader(self.server.bounds.message), b""
+        self.reader, self.unsent = MessageReader(self.server.bounds.max_message), b""
         self.request_received = self.granted = self.outcome_received = self.finished = self.remote_closed = (
             self.headers_sent
         ) = False
--- a/tests/test_extproc.py
+++ b/tests/test_extproc.py
@@ -134,7 +134,7 @@
         self.assertEqual((grants.open, grants.late, grants.premature), ({}, 1, 1))
 
     def test_counts_and_rates_are_limited(self) -> None:
-        admission = ConnectionLimits(Bounds(connections=1, calls=3, calls_each=2, resets=5))
+        admission = ConnectionLimits(Bounds(max_connections=1, max_calls=3, max_calls_each=2, max_resets=5))
         self.assertEqual([admission.admit_connection(), admission.admit_connection()], [True, False])
         usage, other = ConnectionUsage(admission.bounds), ConnectionUsage(admission.bounds)
         self.assertEqual(
@@ -255,7 +255,7 @@
 
     def setUp(self) -> None:
         self.world = World(self, engines=2)
-        self.bounds = Bounds(silent=2000, resets=20, controls=40, calls_each=50)
+        self.bounds = Bounds(silent_after=2000, max_resets=20, max_controls=40, max_calls_each=50)
         self.make(CallerSettings(message_timeout=200, most_timeout=0, use_within=150))
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -497,7 +497,7 @@
         )
         proxy.flush()
         self.assertEqual(proxy.status[stream], "12")
-        self.server.admission.calls = self.bounds.calls
+        self.server.admission.calls = self.bounds.max_calls
         late = proxy.open()
         proxy.flush()
         self.assertEqual(proxy.status[late], "8")
