--- a/spurdeal/extproc/bounds.py
+++ b/spurdeal/extproc/bounds.py
@@ -7,12 +7,12 @@
 
 
 class Bounds(NamedTuple):
-    """Limits for each connection and for all connections together. Fields with a setting have its name."""
+    """Limits for each connection and for all connections together."""
 
-    max_connections: int = 64  # open connections
+    max_connections: int = 64  # over all callers
     max_calls: int = 2048  # open calls, over all connections
     max_calls_each: int = 512  # open calls on one connection
-    max_bytes_each: int = 1_048_576  # received and not yet processed, on one connection
+    max_bytes_each: int = 1_048_576  # received and not yet processed, on one connection; not enforced
     max_message: int = 65_536  # bytes of the largest message
     # Stream resets per RATE_WINDOW on one connection; a caller that times out resets all its open streams.
     max_resets: int = 1000
