--- a/spurdeal/extproc/granter.py
+++ b/spurdeal/extproc/granter.py
@@ -91,7 +91,7 @@
         call.send_grant(endpoint.host, endpoint.port, send_terms.wait, send_terms.rank)
         return True
 
-    def set_rank(self, attempt: GrantedAttempt, rank: int) -> None:
+    def set_priority(self, attempt: GrantedAttempt, rank: int) -> None:
         """Do nothing: a caller gets its rank once, with the grant."""
 
     def give_up(self, attempt: GrantedAttempt, ending: Ending) -> None:
--- a/spurdeal/net/engines.py
+++ b/spurdeal/net/engines.py
@@ -230,7 +230,7 @@
         finally:  # also after an exception at one of them
             self.deferred += waiting
 
-    def set_rank(self, attempt: Attempt, rank: int) -> None:
+    def set_priority(self, attempt: Attempt, rank: int) -> None:
         """Tell the engine the new priority of an attempt that it has not answered."""
         if attempt.connection is not None and attempt.written and not attempt.page_count:
             attempt.connection.write(b"weigh", attempt.ident, b"%d" % rank)
--- a/spurdeal/net/link.py
+++ b/spurdeal/net/link.py
@@ -285,7 +285,7 @@
 
     def terms(self, number: int, memory: float, priority: int) -> None:
         """Queue a change of a request's priority."""
-        self.actions.append((self.set_rank, (self.open_requests[number], priority)))
+        self.actions.append((self.set_priority, (self.open_requests[number], priority)))
 
     def shed(self, number: int, retry_after: float, reason: EndReason) -> None:
         """Queue the rejection of a request."""
@@ -444,11 +444,11 @@
                 "attempts_late_after_client_left", self.clock() - checked_at > LATE_AFTER_LEAVING
             )
 
-    def set_rank(self, request: OpenRequest, priority: int) -> None:
+    def set_priority(self, request: OpenRequest, priority: int) -> None:
         """Set a request's priority, also on its running attempts."""
         request.rank = priority
         for attempt in request.attempts.values():
-            request.sender.set_rank(attempt, priority)
+            request.sender.set_priority(attempt, priority)
 
     def cancel(self, number: int, attempt: int) -> None:
         """Cancel an attempt that is out or waits for the guard's verdict."""
--- a/spurdeal/net/requests.py
+++ b/spurdeal/net/requests.py
@@ -59,7 +59,7 @@
                 If it returns None, nothing is sent and the attempt ends as MOOT.
         """
 
-    def set_rank(self, attempt: Any, rank: int) -> None:
+    def set_priority(self, attempt: Any, rank: int) -> None:
         """Change the priority of an attempt that is out."""
 
     def give_up(self, attempt: Any, ending: Ending) -> None:
