--- a/spurdeal/cli/running.py
+++ b/spurdeal/cli/running.py
@@ -73,6 +73,8 @@
 class InstalledDispatcher:
     """A dispatcher with the parts that its settings file adds; they start and stop together.
 
+    `installation` holds the parsed settings file, and each of its sections configures one part.
+
     Raises:
         SettingsError: A key, certificate, directory or value of the settings file cannot be used.
     """
@@ -114,7 +116,8 @@
         """Create the fleet station.
 
         Raises:
-            SettingsError: A key, the configuration or the audit log's directory cannot be used.
+            SettingsError: A key, the configuration or the audit log's directory cannot be used. The message
+                names fleet.audit.path even if it is the configuration that cannot be read.
         """
         from ..fleet.station import Clocks, FleetStation, StationSettings
 
@@ -183,11 +186,11 @@
             section.proof_header.encode(),
         )
         bounds = Bounds(
-            connections=section.connections,
-            calls=section.calls,
-            calls_each=section.calls_each,
-            message=section.message,
-            idle=section.idle,
+            max_connections=section.connections,
+            max_calls=section.calls,
+            max_calls_each=section.calls_each,
+            max_message=section.message,
+            idle_after=section.idle,
         )
         longest = max(workload.deadline for workload in site.workloads)
         return Server(
@@ -206,7 +209,7 @@
         if self.fleet is not None:
             self.fleet.start()
             if self.station is not None:
-                self.station.shut_out = self.fleet.lowers
+                self.station.fleet_lowers_priority = self.fleet.lowers_vrrp_priority
         if self.server is not None and self.installation.extproc is not None:
             self.listen_for_callers(self.server, self.installation.extproc)
 
@@ -237,7 +240,10 @@
         self.sweep()
 
     def sweep(self) -> None:
-        """Periodically enforce the external processor's timeouts and export the ledger's counters."""
+        """Periodically enforce the external processor's timeouts and export the ledger's counters.
+
+        Runs only if there is an external processor: without one, the ledger's counters are not exported.
+        """
         self.loop.callLater(start.SWEEP_EVERY, self.sweep)
         if self.server is not None:
             self.server.sweep()
@@ -245,14 +251,14 @@
             for name in ("appended", "torn", "recovered", "failures", "rewritten", "bytes_most"):
                 self.counters.sums["ledger_" + name] = getattr(self.ledger, name)
 
-    def read_again(self) -> None:
+    def reload(self) -> None:
         """Handle SIGHUP: reload keys and certificates; other settings take effect at the next start."""
         try:
             installation = read(self.path)
             if self.context is not None:
                 self.context.load()
             if self.fleet is not None and installation.fleet is not None:
-                self.fleet.read_again(
+                self.fleet.reload(
                     Path(self.configuration).read_bytes(),
                     installation,
                     read_keys(self.path, "fleet", installation.fleet),
@@ -262,7 +268,7 @@
             self.log.error("installation_kept", extra={"figures": {"why": str(error)}})
             return
         if self.station is not None:
-            self.station.read_again(installation)
+            self.station.reload(installation)
         self.counters.add("installations_read")
 
     def stop(self) -> None:
@@ -308,7 +314,7 @@
 
     def reload() -> None:
         service.reload_configuration(lambda: start.load_configuration(configuration))
-        installed.read_again()
+        installed.reload()
 
     start.on_signals(loop, reload, installed.stop)
     globalLogBeginner.beginLoggingTo([cast(Any, service.unhandled)], redirectStandardIO=False)
--- a/spurdeal/extproc/server.py
+++ b/spurdeal/extproc/server.py
@@ -1,4 +1,14 @@
-"""The external processing service: all callers' connections, next to the HTTP server for clients."""
+"""The external processing service: all callers' connections, next to the HTTP server for clients.
+
+Terms in this package:
+
+* client: sends a request to a caller.
+* caller: a proxy between clients and engines (Envoy's ext_proc filter, for instance), a gRPC client of this
+  service. It sends the request to the engine itself.
+* call: a caller's question about one request, on one gRPC stream.
+* grant: the answer to a call that names the engine; the caller then carries out the attempt.
+* outcome: how the attempt ended, as the caller shows by the headers of the engine's response.
+"""
 
 from __future__ import annotations
 
@@ -12,7 +22,7 @@
 from ..net.counters import Counters
 from ..net.engines import Engines
 from ..net.link import SocketAdapter
-from .bounds import Admission, Bounds
+from .bounds import Bounds, ConnectionLimits
 from .calls import CallerSettings
 from .connection import METHOD, ProcessorConnection
 from .granter import Granter
@@ -78,8 +88,10 @@
         self.bounds, self.longest, self.retry_after = settings.bounds, settings.longest, settings.retry_after
         self.reactor, self.clock = runtime.reactor, runtime.clock
         self.counters, self.log = runtime.counters, runtime.log
-        self.granter = Granter(engines, self.clock, self.caller_settings, self.bounds.calls, self.counters)
-        self.admission = Admission(self.bounds)
+        self.granter = Granter(
+            engines, self.clock, self.caller_settings, self.bounds.max_calls, self.counters
+        )
+        self.admission = ConnectionLimits(self.bounds)
         self.connections: dict[ProcessorConnection, None] = {}
         self.queued: dict[Call, None] = {}
         self.last_number = 0
--- a/spurdeal/extproc/stream.py
+++ b/spurdeal/extproc/stream.py
@@ -44,12 +44,12 @@
         extended_timeout: The message timeout to request then, in ms.
     """
 
-    def __init__(self, connection: ProcessorConnection, stream: int, caller_timeout: bytes | None) -> None:
-        self.connection, self.stream, self.opened_at = connection, stream, connection.now()
+    def __init__(self, connection: ProcessorConnection, stream_id: int, caller_timeout: bytes | None) -> None:
+        self.connection, self.stream_id, self.opened_at = connection, stream_id, connection.now()
         self.server = connection.server
         self.number = self.server.next_number()
         self.caller_timeout = caller_timeout
-        self.reader, self.unsent = MessageReader(self.server.bounds.message), b""
+        self.reader, self.unsent = MessageReader(self.server.bounds.max_message), b""
         self.request_received = self.granted = self.outcome_received = self.finished = self.remote_closed = (
             self.headers_sent
         ) = False
@@ -135,7 +135,9 @@
             self.reject(503, "TryLater", server.retry_after)
             return
         open_call = server.granter.calls.get(self.ident)
-        if open_call is not None and not open_call.granted:  # a granted one is left to the guard
+        if (
+            open_call is not None and not open_call.granted
+        ):  # one that repeats a granted call goes to the adapter, whose Guard decides whether it may run
             raise BadCallError(409, "a submission with this id is open")
         server.granter.calls[self.ident] = self
         server.granter.grants.add(self.number, self.ident)
@@ -152,7 +154,7 @@
             request.ident,
             request.workload,
             workload,
-            request.wait,
+            request.client_timeout,
             request.cost,
             request.memory,
             request.group,
@@ -163,9 +165,9 @@
             self.end_grant(GrantEvent.CANCELLED)
             raise BadCallError(409, "a submission with this id is open")
         self.answer = answer
-        limits = answer_times(caller_settings, request.wait, request.caller_timeout)
+        limits = answer_times(caller_settings, request.client_timeout, request.caller_timeout)
         now = server.clock()
-        self.answer_by = now + limits.answer_by
+        self.answer_by = now + limits.answer_within
         if limits.extended_timeout:
             self.extend_at, self.extended_timeout = (
                 now + EXTEND_AFTER * caller_settings.message_timeout,
@@ -195,7 +197,7 @@
             failure.raiseException()
 
     def send_grant(self, host: str, port: int, wait: float, rank: int | None) -> None:
-        """Send the grant: from now on the request may run. wait: ms."""
+        """Send the grant: from now on the request may run. wait: ms for which the engine may work on it."""
         caller_settings, address = self.server.caller_settings, f"{host}:{port}".encode()
         self.granted = True
         self.server.queued.pop(self, None)
--- a/spurdeal/lab/capacity/storms.py
+++ b/spurdeal/lab/capacity/storms.py
@@ -57,7 +57,7 @@
     """Return whether all live members see each other alive, have the newest list and hold their leases."""
     living = {name for name, node in world.nodes.items() if node.life}
     return (
-        all(world.nodes[name].fleet.members.living == living - {name} for name in living)
+        all(world.nodes[name].fleet.members.live_names == living - {name} for name in living)
         and world.all_have(world.newest)
         and world.standings() == {"CURRENT": len(living)}
     )
--- a/spurdeal/lab/fleet_world.py
+++ b/spurdeal/lab/fleet_world.py
@@ -128,7 +128,7 @@
         """Start a dispatcher: it reads the list and schedules its timers at random offsets."""
         node.life = self.next()
         version = node.stale_source or self.newest
-        node.fleet.in_force(Artifact.LIST, version, self.lists[version])
+        node.fleet.put_in_force(Artifact.LIST, version, self.lists[version])
         node.in_force_since[version] = self.now
         self.at(self.now + self.chance.uniform(0.0, TICK), self.tick, node, node.life)
         self.at(self.now + self.chance.uniform(0.0, SOURCE_INTERVAL), self.ask_source, node, node.life)
@@ -136,7 +136,7 @@
     def unix(self, node: Node | None) -> float:
         """The Unix time in ms; also passes the clock offset on to the dispatcher's fleet object."""
         if node is not None:
-            node.fleet.skew = node.clock_offset
+            node.fleet.system_time_offset = node.clock_offset
         return UNIX_START + self.now
 
     # Virtual time.
@@ -186,7 +186,7 @@
         if node.source_answers and self.now >= node.paused_until:
             node.fleet.source_answered(self.now)
             version = node.stale_source or self.newest
-            if node.fleet.in_force(Artifact.LIST, version, self.lists[version]):
+            if node.fleet.put_in_force(Artifact.LIST, version, self.lists[version]):
                 node.in_force_since[version] = self.now
 
     def record_bring_up(self, name: str, version: Version) -> None:
@@ -200,7 +200,7 @@
         """Log a dispatcher's events, and put its datagrams on the links."""
         out, node.fleet.out = node.fleet.out, []
         for event in node.fleet.events:
-            self.log.append((self.now, node.name, event.what, event.figures))
+            self.log.append((self.now, node.name, event.what, event.fields))
             self.trace.update(f"{self.now:.6f} {node.name} {event}\n".encode())
         node.fleet.events.clear()
         for address, datagram in out:
--- a/spurdeal/lab/handover_walk.py
+++ b/spurdeal/lab/handover_walk.py
@@ -69,7 +69,7 @@
         peer = "b" if name == "a" else "a"
         draw = self.chance.random()
         if draw < SENDS:
-            payload = self.sides[name].compose(self.now, peer, DISPATCHER_STATE, idle=False)
+            payload = self.sides[name].compose(self.now, peer, DISPATCHER_STATE, lendable=False)
             self.flight.append(Datagram(name, peer, payload))
         elif draw < ANNOUNCES:
             self.announce(name, peer)
--- a/spurdeal/lab/lease_faults.py
+++ b/spurdeal/lab/lease_faults.py
@@ -9,19 +9,19 @@
 class CountsFromTheAnswer(Lease):
     """The lease counts from the arrival of the answer instead of from the request."""
 
-    def answered(self, now: float, name: str, asked: float, heard_of: int, granted: bool) -> None:
+    def on_reply(self, now: float, name: str, asked: float, highest_known_term: int, granted: bool) -> None:
         """See the base class."""
-        super().answered(now, name, max(asked, now), heard_of, granted)
+        super().on_reply(now, name, max(asked, now), highest_known_term, granted)
 
 
 class TellsNobody(Lease):
     """A new term counts although the grantors of the old one do not know of it."""
 
-    def answered(self, now: float, name: str, asked: float, heard_of: int, granted: bool) -> None:
+    def on_reply(self, now: float, name: str, asked: float, highest_known_term: int, granted: bool) -> None:
         """See the base class."""
-        if self.proposed is not None and heard_of >= self.proposed.number:
+        if self.proposed is not None and highest_known_term >= self.proposed.number:
             self.proposal_acked_by |= set(self.term.grantors)
-        super().answered(now, name, asked, heard_of, granted)
+        super().on_reply(now, name, asked, highest_known_term, granted)
 
 
 class AnswersThoughBarred(Grantor):
@@ -39,7 +39,7 @@
 
     def on_request(self, now: float, name: str, boot: int, term: Term, proposed: Term | None) -> Reply:
         """See the base class."""
-        self.silent_until = NEVER
+        self.refuses_until = NEVER
         return super().on_request(now, name, boot, term, proposed)
 
 
@@ -65,7 +65,7 @@
         if name in self.grants:
             known = self.grants[name]
             heard, _ = super().on_request(now, name, boot, term, proposed)
-            self.grants[name] = known._replace(valid_until=now + self.lease)
+            self.grants[name] = known._replace(valid_until=now + self.grant_duration)
             return Reply(heard, True)
         return super().on_request(now, name, boot, term, proposed)
 
--- a/spurdeal/lab/lease_model.py
+++ b/spurdeal/lab/lease_model.py
@@ -77,7 +77,7 @@
 class GrantorState(NamedTuple):
     """A snapshot of a grantor, with times relative to now."""
 
-    silent_until: float
+    refuses_until: float
     grant: GrantState | None
 
 
@@ -153,7 +153,7 @@
         relative_times(lease.proposed_grants),
         tuple(sorted(lease.proposal_acked_by)),
         tuple(sorted(lease.refused_by)),
-        lease.held,
+        lease.acquired,
     )
 
 
@@ -164,12 +164,12 @@
 
 def capture_grantor(grantor: Grantor) -> GrantorState:
     """Take a snapshot of a grantor at time 0."""
-    silent_until, found = relative(grantor.silent_until, 0.0), grantor.grants.get(SUBJECT)
+    refuses_until, found = relative(grantor.refuses_until, 0.0), grantor.grants.get(SUBJECT)
     if found is None:
-        return GrantorState(silent_until, None)
+        return GrantorState(refuses_until, None)
     valid_until, barred_until = relative(found.valid_until, 0.0), relative(found.barred_until, 0.0)
     return GrantorState(
-        silent_until, GrantState(found.term, found.proposed, valid_until, found.refused_term, barred_until)
+        refuses_until, GrantState(found.term, found.proposed, valid_until, found.refused_term, barred_until)
     )
 
 
@@ -204,7 +204,7 @@
         grantors = {name: self.kinds.grantor(LEASE, -10 * LEASE) for name in self.names}
         for name in GRANTOR_SETS[0]:
             heard, granted = grantors[name].on_request(0.0, SUBJECT, BOOT, lease.term, lease.proposed)
-            lease.answered(0.0, name, 0.0, heard, granted)
+            lease.on_reply(0.0, name, 0.0, heard, granted)
         inquiry = self.kinds.inquiry(SUBJECT, BOOT, QUORUM_PART, LEASE)
         inquiry.note_terms(lease.term)
         return self.capture(Components(lease, grantors, inquiry), (), self.faults)
@@ -234,7 +234,7 @@
     def restore_lease(self, state: LeaseState, shift: float) -> Lease:
         """Create the subject's lease from its snapshot, `shift` ms later."""
         lease = self.kinds.lease(LEASE, QUORUM_PART)
-        lease.sole_member, lease.held = False, state.held
+        lease.sole_member, lease.acquired = False, state.held
         lease.term, lease.proposed = state.term, state.proposed
         lease.grants = {name: at - shift for name, at in state.grants}
         lease.proposed_grants = {name: at - shift for name, at in state.proposed_grants}
@@ -244,7 +244,7 @@
     def restore_grantor(self, state: GrantorState, shift: float) -> Grantor:
         """Create a grantor from its snapshot, `shift` ms later."""
         grantor = self.kinds.grantor(LEASE, 0.0)
-        grantor.silent_until = state.silent_until - shift
+        grantor.refuses_until = state.refuses_until - shift
         if state.grant is not None:
             term, proposed, valid_until, refused_term, barred_until = state.grant
             grantor.grants[SUBJECT] = Grant(
@@ -324,7 +324,7 @@
     def deliver(components: Components, answer: Answer) -> None:
         """Hand an answer to the lease or to the inquiry that asked for it."""
         if answer.kind is MoveKind.ASK:
-            components.lease.answered(0.0, answer.grantor, answer.asked, *answer.content)
+            components.lease.on_reply(0.0, answer.grantor, answer.asked, *answer.content)
         else:
             components.inquiry.add_report(0.0, answer.asked, answer.grantor, StopReport(*answer.content))
 
--- a/spurdeal/vrrp/exchange.py
+++ b/spurdeal/vrrp/exchange.py
@@ -40,13 +40,15 @@
 
     def __init__(
         self,
-        plan: Installation,
+        installation: Installation,
         handover: Handover | None,
         runtime: Runtime,
     ) -> None:
         self.handover, self.reactor, self.counters = handover, runtime.reactor, runtime.counters
         self.monotonic = runtime.monotonic
-        self.peer_addresses = {peer.name: (str(peer.handover[0]), peer.handover[1]) for peer in plan.peers}
+        self.peer_addresses = {
+            peer.name: (str(peer.handover[0]), peer.handover[1]) for peer in installation.peers
+        }
         self.peer_by_address = {address: name for name, address in self.peer_addresses.items()}
         self.protocol = HandoverProtocol(self)
         self.pending_callbacks: dict[
@@ -55,13 +57,13 @@
         self.flush_scheduled = False
         self.greetings_sent, self.greeting_window_start = 0, self.monotonic()
 
-    def send_state(self, state: DispatcherState, idle: bool) -> None:
-        """Send the regular state datagram to each peer; with `idle`, our budget share may be lent."""
+    def send_state(self, state: DispatcherState, lendable: bool) -> None:
+        """Send the regular state datagram to each peer; with `lendable`, our budget share may be lent."""
         if self.handover is None:
             return
         now = self.monotonic()
         for peer in self.peer_addresses:
-            self.send(peer, self.handover.compose(now, peer, state, idle))
+            self.send(peer, self.handover.compose(now, peer, state, lendable))
         self.deliver_verdicts(self.handover.tick(now))
 
     def flush(self) -> None:
--- a/spurdeal/vrrp/tenure.py
+++ b/spurdeal/vrrp/tenure.py
@@ -1,4 +1,4 @@
-"""Leases on shares of cold engines' budgets and of the initial concurrency limit. No I/O, no clocks.
+"""Loans of shares of cold engines' budgets and of the initial concurrency limit. No I/O, no clocks.
 
 Each of N dispatchers owns a share of 1/N. An idle one needs none, so a Backup lends its share to the Active
 one for a short time, again and again. Lender and borrower count the end of the loan from their own side of
@@ -15,7 +15,7 @@
 
 from typing import NamedTuple
 
-RETAINED_START_SHARE = 0.125  # of its initial concurrency limit that a lender keeps, so that it is never zero
+RETAINED_LIMIT_SHARE = 0.125  # of its initial concurrency limit that a lender keeps, so that it is never zero
 MAX_CLOCK_DRIFT = 0.01  # relative: clock rates differ by less; a lender waits longer by this much
 
 
@@ -33,16 +33,16 @@
     Args:
         dispatchers: Number of dispatchers, 1 or more.
         window: Window of the cold budgets, in ms.
-        lease: Longest duration of a loan, in ms.
+        loan_duration: Longest duration of a loan, in ms (the setting `tenure.lease`).
         now: Time of the start, in ms.
     """
 
-    def __init__(self, dispatchers: int, window: float, lease: float, now: float) -> None:
-        self.own, self.window, self.lease = 1.0 / dispatchers, window, lease
+    def __init__(self, dispatchers: int, window: float, loan_duration: float, now: float) -> None:
+        self.own, self.window, self.loan_duration = 1.0 / dispatchers, window, loan_duration
         # An earlier start of ours may have lent our share, and the borrower may use it for so long.
-        self.own_usable_from = now + lease * (1 + MAX_CLOCK_DRIFT) + window
-        # What an earlier start of ours sent, also from borrowed shares, counts for one more window (found by
-        # the model check).
+        self.own_usable_from = now + loan_duration * (1 + MAX_CLOCK_DRIFT) + window
+        # What an earlier start of ours sent, also from borrowed shares, counts for one more window. Without
+        # this, a restart could borrow the same share again and use it twice within one window.
         self.borrowing_from = now + window
         self.lent_until: dict[str, float] = {}
         self.loans: dict[str, Loan] = {}
@@ -55,14 +55,14 @@
         own = self.own if now >= self.own_usable_from and not self.is_lent(now - self.window) else 0.0
         return own + sum(loan.share for loan in self.loans.values() if loan.since <= now < loan.until)
 
-    def start_share(self, now: float) -> float:
+    def initial_limit_share(self, now: float) -> float:
         """Return the usable share of the initial concurrency limit over all dispatchers.
 
         It is no budget over a window, so a share that changes hands does not rest.
         """
-        own = self.own * (RETAINED_START_SHARE if self.is_lent(now) else 1.0)
+        own = self.own * (RETAINED_LIMIT_SHARE if self.is_lent(now) else 1.0)
         return own + sum(
-            loan.share * (1 - RETAINED_START_SHARE)
+            loan.share * (1 - RETAINED_LIMIT_SHARE)
             for loan in self.loans.values()
             if loan.since <= now < loan.until
         )
@@ -77,7 +77,7 @@
 
     # Lending and borrowing, carried in the datagrams between two peers.
 
-    def lend(self, now: float, peer: str, idle: bool) -> tuple[float, float]:
+    def lend(self, now: float, peer: str, lendable: bool) -> tuple[float, float]:
         """Lend our share to a peer if possible.
 
         It is lent to one peer at a time, and only once no earlier start of ours can have lent it elsewhere.
@@ -85,21 +85,21 @@
         Args:
             now: Monotonic clock, in ms.
             peer: Name of the borrower.
-            idle: Whether we hold no address or are shutting down.
+            lendable: Whether our share may be lent: we hold no address or are shutting down.
 
         Returns:
             The share lent and the ms until it may be used; (0, 0) if none is lent.
         """
         self.lent_until = {to: until for to, until in self.lent_until.items() if until + self.window > now}
         elsewhere = any(until + self.window > now for to, until in self.lent_until.items() if to != peer)
-        if not idle or elsewhere or now < self.own_usable_from:
+        if not lendable or elsewhere or now < self.own_usable_from:
             return 0.0, 0.0
-        self.lent_until[peer] = now + self.lease * (1 + MAX_CLOCK_DRIFT)
+        self.lent_until[peer] = now + self.loan_duration * (1 + MAX_CLOCK_DRIFT)
         return self.own, max(0.0, self.last_use + self.window - now)
 
-    def borrow(self, now: float, peer: str, share: float, wait: float, asked: float) -> None:
-        """Accept a share that a peer lends after `wait` ms, in answer to what we sent at `asked` (ms)."""
-        until = asked + self.lease
+    def borrow(self, now: float, peer: str, share: float, wait: float, sent_at: float) -> None:
+        """Accept a share that a peer lends after `wait` ms, in answer to what we sent at `sent_at` (ms)."""
+        until = sent_at + self.loan_duration
         before = self.loans.get(peer)
         if share <= 0.0 or until <= now:
             return
--- a/tests/test_station.py
+++ b/tests/test_station.py
@@ -392,7 +392,7 @@
                 )
                 key_list = ", ".join(f"{{id: {ident}, hex: {key}}}" for ident, key in keys)
                 text = text.replace(f"[{{id: 1, hex: {KEY}}}]", f"[{key_list}]")
-                node.station.read_again(read_text("plan", text.encode()))
+                node.station.reload(read_text("plan", text.encode()))
                 pair.go(120)
         taken = [node.count("handover_taken") for node in pair.nodes.values()]
         pair.go(500)
