--- a/spurdeal/__main__.py
+++ b/spurdeal/__main__.py
@@ -3,7 +3,7 @@
 import os
 import sys
 
-from .early import SIGNALS
+from .early_signals import SIGNALS
 
 SERVING: tuple[list[str], ...] = (
     [],
--- a/spurdeal/cli/main.py
+++ b/spurdeal/cli/main.py
@@ -164,7 +164,7 @@
     if as_json:
         click.echo(json.dumps(found))
         return
-    from ..fleet.words import status_lines
+    from ..fleet.status_text import status_lines
 
     click.echo("\n".join(status_lines(found)))
 
@@ -173,7 +173,7 @@
     """Read audit logs; if one is unreadable, print the error and exit with code 2."""
     from pathlib import Path
 
-    from ..fleet.asking import UnreadableLogError, read_log
+    from ..fleet.audit_query import UnreadableLogError, read_log
 
     try:
         return [read_log(Path(folder), strict) for folder in folders]
@@ -199,7 +199,7 @@
     as_json: bool,
 ) -> None:
     """Print entries of audit logs."""
-    from ..fleet.asking import AuditQuery, merge_logs, select_entries
+    from ..fleet.audit_query import AuditQuery, merge_logs, select_entries
 
     since, until = between or (0.0, float("inf"))
     query = AuditQuery(submission, engine, dispatcher, version, since, until)
@@ -221,7 +221,7 @@
 @click.option("--json", "as_json", is_flag=True, help="one JSON object per line")
 def check_logs(folders: tuple[str, ...], grace: str, as_json: bool) -> None:
     """Print decisions against the versions, and damaged, incomplete or contradicting logs."""
-    from ..fleet.asking import check as check_all
+    from ..fleet.audit_query import check as check_all
     from ..settings.units import milliseconds
 
     try:
@@ -246,7 +246,7 @@
     "capacity": "capacity",
     "cold": "cold_ramp",
     "emulate": "emulate",
-    "extproc": "asking",
+    "extproc": "extproc_experiment",
     "model": "model",
     "vrrp": "takeover",
 }  # arguments of `spurdeal lab`, and the modules of spurdeal.lab whose figures() runs and returns the results
--- a/spurdeal/cli/running.py
+++ b/spurdeal/cli/running.py
@@ -13,7 +13,7 @@
 from twisted.logger import globalLogBeginner
 
 from ..clocks import SteadyClock, monotonic_ms, unix_ms
-from ..early import SIGNALS
+from ..early_signals import SIGNALS
 from ..net import start
 from ..net.descriptors import ProcessDescriptors
 from ..net.monotonic_reactor import install_monotonic_reactor
--- a/spurdeal/fleet/fleet.py
+++ b/spurdeal/fleet/fleet.py
@@ -18,20 +18,20 @@
 from ..vrrp.sealed import Keys, Session
 from . import wire
 from .audit import SealedPage
-from .bringing import ListStore, Rows
 from .hybrid import HybridClock
 from .lease import MAX_GRANTORS, Grantor, Lease
 from .list_sync import READY, ListSync
+from .list_transfer import ListStore, Rows
 from .members import Address, Change, Life, Members, Record
 from .messenger import Messenger
 from .name_conflict import NameConflict
 from .receiver import PeerReport, Receiver
 from .renewal import LeaseRenewal
+from .shared_settings import TICK, FleetEvent, SharedSettings
 from .standing import Allowed, Limits, Observations, Standing, StandingTracker
 from .status import fleet_status
 from .stop_inquiries import StopInquiries
 from .table_sync import TableSync
-from .terms import TICK, FleetEvent, SharedSettings
 from .versions import Artifact, Clash, Version, VersionRegistry
 
 __all__ = ["READY", "TICK", "Fleet", "FleetEvent", "FleetSettings", "SharedSettings"]
--- a/spurdeal/fleet/handlers.py
+++ b/spurdeal/fleet/handlers.py
@@ -12,8 +12,8 @@
 from typing import TYPE_CHECKING, Any, NamedTuple
 
 from . import wire
-from .bringing import ReceivedPiece
 from .lease import StopReport, Term
+from .list_transfer import ReceivedPiece
 from .members import Address, Life
 from .messenger import Relay, Request, RequestKind
 from .table_sync import TablePage
--- a/spurdeal/fleet/list_sync.py
+++ b/spurdeal/fleet/list_sync.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from ..interface import Life as EngineLife
-from .bringing import (
+from .list_transfer import (
     MAX_SINGLE_CLAIMANT_DROP,
     Fetch,
     ListStore,
@@ -18,7 +18,7 @@
     unpack,
 )
 from .messenger import RequestKind
-from .terms import FleetEvent
+from .shared_settings import FleetEvent
 from .versions import MIN_CLAIMANTS, ROW_LENGTH, Artifact, Offer, Version, list_digest
 
 if TYPE_CHECKING:
--- a/spurdeal/fleet/name_conflict.py
+++ b/spurdeal/fleet/name_conflict.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING
 
 from .members import Record
+from .shared_settings import FleetEvent
 from .standing import Standing
-from .terms import FleetEvent
 
 if TYPE_CHECKING:
     from .fleet import Fleet
--- a/spurdeal/fleet/receiver.py
+++ b/spurdeal/fleet/receiver.py
@@ -11,8 +11,8 @@
 from .handlers import HANDLERS, Message
 from .hybrid import Stamp
 from .members import MAX_MEMBERS, Address, Life, Record
+from .shared_settings import FleetEvent
 from .standing import Standing
-from .terms import FleetEvent
 from .versions import Artifact, Version
 
 if TYPE_CHECKING:
--- a/spurdeal/fleet/stop_inquiries.py
+++ b/spurdeal/fleet/stop_inquiries.py
@@ -11,7 +11,7 @@
 from .lease import MAX_GRANTORS, Inquiry
 from .members import Life, rendezvous
 from .messenger import RequestKind
-from .terms import FleetEvent
+from .shared_settings import FleetEvent
 
 if TYPE_CHECKING:
     from .fleet import Fleet
--- a/spurdeal/lab/front.py
+++ b/spurdeal/lab/address_load.py
@@ -11,7 +11,7 @@
 from twisted.internet.protocol import ClientFactory, Protocol, connectionDone
 from twisted.python.failure import Failure
 
-from .cables import HostPort, Switch
+from .emulated_links import HostPort, Switch
 
 RETRY_DELAY = 20.0  # ms until a request without a connection is tried again
 MAX_SENDS = 400
--- a/spurdeal/lab/audited/judging.py
+++ b/spurdeal/lab/audited/judging.py
@@ -9,11 +9,11 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from ...fleet.asking import Entry, check, merge_logs, read_log
 from ...fleet.audit import Kind
+from ...fleet.audit_query import Entry, check, merge_logs, read_log
+from ..percentiles import spread
 from ..rig import GRACE, Rig
 from ..rig_process import Process
-from ..spread import spread
 from .faults import Faults
 from .run import Run
 from .shut_out import shut_out_figures
--- a/spurdeal/lab/audited/run.py
+++ b/spurdeal/lab/audited/run.py
@@ -8,7 +8,7 @@
 from typing import NamedTuple
 from urllib.request import urlopen
 
-from ..crowd import FleetLoad
+from ..fleet_load import FleetLoad
 from ..rig import Rig
 from ..rig_process import PORT, WAIT
 from .faults import KINDS, QUICK, Faults
--- a/spurdeal/lab/audited/tampering.py
+++ b/spurdeal/lab/audited/tampering.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from ...fleet.asking import DispatcherLog, check, read_log
 from ...fleet.audit import FRAME, FRAME_STAMP, MAGIC, SEAL_RECORD, Kind, digest_after, frame_at
+from ...fleet.audit_query import DispatcherLog, check, read_log
 from ..rig import GRACE, Rig
 
 LOGS = "audit-*.log"
--- a/spurdeal/lab/audited/virtual.py
+++ b/spurdeal/lab/audited/virtual.py
@@ -17,7 +17,7 @@
 from ...fleet.messenger import RequestKind
 from ...vrrp.sealed import Session
 from ..fleet_world import KEYS, World
-from ..spread import spread
+from ..percentiles import spread
 
 LARGE = 100  # dispatchers above which all members know each other from the start
 MAX_JOIN_TIME, MAX_SPREAD_TIME = 20_000.0, 10_000.0  # ms
--- a/spurdeal/lab/budget_model.py
+++ b/spurdeal/lab/budget_model.py
@@ -6,7 +6,7 @@
 from itertools import product
 from typing import Any, NamedTuple
 
-from ..vrrp.tenure import BudgetShares, Loan
+from ..vrrp.budget_shares import BudgetShares, Loan
 from .model_check import CheckResult, check, replace_at
 
 STEP, WINDOW, LEASE = 100.0, 300.0, 200.0  # ms
--- a/spurdeal/lab/capacity/dispatcher.py
+++ b/spurdeal/lab/capacity/dispatcher.py
@@ -12,7 +12,7 @@
 
 from ..engines import EngineFleet
 from ..loopback import Network
-from ..names import Endpoint, NameServer
+from ..name_server import Endpoint, NameServer
 from . import design
 from .request_path import CORES, SETTINGS
 
--- a/spurdeal/lab/capacity/engine_list.py
+++ b/spurdeal/lab/capacity/engine_list.py
@@ -7,7 +7,7 @@
 from ...net import dns
 from ...net.engine_list import endpoints_from_dns
 from ...net.names import QUERY_INTERVAL, SERVICE
-from ..names import Endpoint, answer
+from ..name_server import Endpoint, answer
 from . import design
 from .fit import Form
 from .measure import REPETITIONS, MeasurementRefused, cpu_us, sample
--- a/spurdeal/lab/demo_cluster.py
+++ b/spurdeal/lab/demo_cluster.py
@@ -18,7 +18,7 @@
 from .demo_load import RequestClass
 from .demo_reactor import Reactor
 from .engines import Engine, EngineFleet
-from .names import Endpoint, NameServer
+from .name_server import Endpoint, NameServer
 
 CORES = 2
 ENGINES = 8
--- a/spurdeal/lab/emulate.py
+++ b/spurdeal/lab/emulate.py
@@ -7,7 +7,7 @@
 from concurrent.futures import ProcessPoolExecutor
 from typing import Any
 
-from .forms import forms
+from .closed_forms import forms
 from .planted import build_world, count_violations
 
 LARGE = (100, 40)  # dispatchers, engines
--- a/spurdeal/lab/asking.py
+++ b/spurdeal/lab/extproc_experiment.py
@@ -26,11 +26,11 @@
 
 from .engines import EngineFleet
 from .loopback import Network
-from .names import Endpoint, NameServer
+from .name_server import Endpoint, NameServer
+from .percentiles import spread
 from .platform_settings import Platform
 from .processes import Outages, cpu_seconds, run_module, start_dispatcher
 from .proxy import ClientRequest, Proxy
-from .spread import spread
 
 PORT, EXTPROC_PORT, NAMES_PORT = 7001, 7443, 5300
 DISPATCHER_SUBNET, ENGINES_SUBNET = 28, 29
@@ -208,7 +208,13 @@
         self.size, self.say, self.chance = size, say, random.Random(11)
         self.addresses = Addresses(Network.of_this_process())
         self.engines = subprocess.Popen(
-            [sys.executable, "-m", "spurdeal.lab.asking", "engines", str(self.addresses.network.number)],
+            [
+                sys.executable,
+                "-m",
+                "spurdeal.lab.extproc_experiment",
+                "engines",
+                str(self.addresses.network.number),
+            ],
             stdout=subprocess.PIPE,
         )
         assert self.engines.stdout is not None
@@ -397,7 +403,7 @@
 
 def figures(quick: bool, say: Callable[[str], None]) -> dict[str, Any]:
     """The figures of `spurdeal lab extproc --json`."""
-    return run_module("spurdeal.lab.asking", ["quick" if quick else "full"], RUN_TIMEOUT, say)
+    return run_module("spurdeal.lab.extproc_experiment", ["quick" if quick else "full"], RUN_TIMEOUT, say)
 
 
 if __name__ == "__main__":
--- a/spurdeal/lab/crowd.py
+++ b/spurdeal/lab/fleet_load.py
@@ -5,8 +5,8 @@
 import time
 from typing import TYPE_CHECKING
 
-from .cables import HostPort, Switch
-from .front import RETRY_DELAY, ClientRequest, ConnectionFactory, OpenLoopLoad
+from .address_load import RETRY_DELAY, ClientRequest, ConnectionFactory, OpenLoopLoad
+from .emulated_links import HostPort, Switch
 from .rig_process import WAIT
 
 if TYPE_CHECKING:
--- a/spurdeal/lab/handover_walk.py
+++ b/spurdeal/lab/handover_walk.py
@@ -8,11 +8,11 @@
 import random
 from typing import Any, NamedTuple
 
+from ..vrrp.budget_shares import BudgetShares
 from ..vrrp.handover import DispatcherState, Handover, HandoverSettings, Membership, Verdict
+from ..vrrp.idempotency_table import Admission, IdempotencyTable
 from ..vrrp.machine import NEVER
-from ..vrrp.marks import Admission, IdempotencyTable
 from ..vrrp.sealed import Keys, RefusedError
-from ..vrrp.tenure import BudgetShares
 from .model_check import CheckResult
 
 KEYS = Keys({1: b"model model model"})
--- a/spurdeal/lab/mesh.py
+++ b/spurdeal/lab/link_mesh.py
@@ -9,7 +9,7 @@
 
 from twisted.internet.protocol import DatagramProtocol
 
-from .cables import HostPort
+from .emulated_links import HostPort
 
 FLEET_PORT, RELAY_PORT = 7114, 7214  # ports of the dispatchers, and of their relay ports
 MAX_DATAGRAM = 65_535
--- a/spurdeal/lab/model.py
+++ b/spurdeal/lab/model.py
@@ -12,9 +12,9 @@
 from concurrent.futures import ProcessPoolExecutor
 from typing import Any, NamedTuple
 
+from ..vrrp.budget_shares import BudgetShares
 from ..vrrp.handover import Handover
 from ..vrrp.machine import StateMachine
-from ..vrrp.tenure import BudgetShares
 from .address_model import (
     AnyAdvertResetsTimer,
     IgnoresHigherPriority,
--- a/spurdeal/lab/rig.py
+++ b/spurdeal/lab/rig.py
@@ -17,12 +17,12 @@
 from pathlib import Path
 from typing import Any
 
-from .cables import HostPort
+from .address_load import ClientRequest
+from .emulated_links import HostPort
 from .engines import Engine, EngineFleet
-from .front import ClientRequest
+from .link_mesh import FLEET_PORT, RELAY_PORT, LinkMesh
 from .loopback import Network
-from .mesh import FLEET_PORT, RELAY_PORT, LinkMesh
-from .names import Endpoint, NameServer
+from .name_server import Endpoint, NameServer
 from .platform_settings import Platform
 from .rig_process import AFTER, PORT, WAIT, Process
 
--- a/spurdeal/lab/rig_process.py
+++ b/spurdeal/lab/rig_process.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from .cables import HostPort
+from .emulated_links import HostPort
 from .processes import Outages, cpu_seconds, start_dispatcher
 
 PORT = 7001
--- a/spurdeal/lab/takeover.py
+++ b/spurdeal/lab/takeover.py
@@ -24,15 +24,15 @@
 from ..vrrp import advert
 from ..vrrp.machine import active_down_interval, skew_time
 from ..vrrp.sealed import Keys, Session
-from .cables import LossyLink, Switch
+from .address_load import ClientRequest, OpenLoopLoad
+from .emulated_links import LossyLink, Switch
 from .engines import EngineFleet
-from .front import ClientRequest, OpenLoopLoad
 from .loopback import Network
 from .model import figures as models
-from .names import Endpoint, NameServer
+from .name_server import Endpoint, NameServer
+from .percentiles import spread
 from .processes import run_module
 from .scripted import ScriptRunner
-from .spread import spread
 from .takeover_process import (
     ADVERTS,
     COLD_FOR,
--- a/spurdeal/net/arrival_times.py
+++ b/spurdeal/net/arrival_times.py
@@ -4,7 +4,7 @@
 
 from collections import deque
 
-from .watch import LoopWatch, Unpolled
+from .poll_watch import LoopWatch, Unpolled
 
 MAX_ARRIVALS = 32  # kept per connection
 
--- a/spurdeal/net/batches.py
+++ b/spurdeal/net/batches.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from .counters import Counters
-from .watch import LoopWatch
+from .poll_watch import LoopWatch
 
 LATE_TIMER = 50.0  # ms; a timer that fires later than this is counted
 MAX_EVENTS = 128  # per batch; the rest waits for the next, and sockets are polled in between
--- a/spurdeal/net/client.py
+++ b/spurdeal/net/client.py
@@ -13,14 +13,14 @@
 from twisted.python.failure import Failure
 from zope.interface import implementer
 
-from . import immediate
+from . import immediate_io
 from .arrival_times import ArrivalTimes
 from .fields import IDEMPOTENCY_KEY, IDENT, key_hash, last_segment, number_field, result_rows
 from .http import BadRequest, RequestParser, response
 from .link import Answer, Delivered, Failed, Shed
-from .patient_socket import wrap_socket
-from .pending import may_have_input
+from .socket_inspection import may_have_input
 from .statement import table_group
+from .tolerant_socket import wrap_socket
 
 if TYPE_CHECKING:
     from .clients import Clients
@@ -101,7 +101,7 @@
         for _ in range(MAX_READS_PER_REQUEST):
             if self.pending_answer is not None or not self.has_partial_request():
                 return
-            if not (more := immediate.receive(self.transport)):
+            if not (more := immediate_io.receive(self.transport)):
                 return  # no input, or end of stream, which the transport detects itself
             self.take_data(more)
 
@@ -161,7 +161,7 @@
         Reads all pipelined input up to the read-ahead limit, since an end of stream may follow it.
         """
         while not self.closing:
-            data = immediate.receive(self.transport)
+            data = immediate_io.receive(self.transport)
             if data is None:
                 return True
             if data:
--- a/spurdeal/net/clients.py
+++ b/spurdeal/net/clients.py
@@ -13,9 +13,9 @@
 from .counters import Counters
 from .eviction import MIN_AGE, evict
 from .link import SocketAdapter
-from .patient_socket import ACCEPT_RETRY_DELAY, TolerantListener
-from .pending import count_waiting_connections, has_waiting_connections
-from .watch import AcceptWatch, Unpolled
+from .poll_watch import AcceptWatch, Unpolled
+from .socket_inspection import count_waiting_connections, has_waiting_connections
+from .tolerant_socket import ACCEPT_RETRY_DELAY, TolerantListener
 
 # Length of the accept queue. Beyond it the system drops SYNs, which clients send again only after 1 s.
 BACKLOG = 4096
--- a/spurdeal/net/connection.py
+++ b/spurdeal/net/connection.py
@@ -17,11 +17,11 @@
 from zope.interface import implementer
 
 from ..interface import Ending
-from . import engine_answers, immediate
+from . import engine_answers, immediate_io
 from .attempts import Outcome, OutgoingAttempt, SendTerms
-from .patient_socket import wrap_socket
-from .pending import peek
 from .resp import ArrayParser, BadAnswer, command
+from .socket_inspection import peek
+from .tolerant_socket import wrap_socket
 
 if TYPE_CHECKING:
     from .engines import EnginePool
@@ -183,7 +183,7 @@
             Whether the system has accepted all of it.
         """
         if self.being_written is not None:
-            sent = immediate.send(self.transport, message_bytes)
+            sent = immediate_io.send(self.transport, message_bytes)
             if sent <= len(self.bytes_ahead):
                 self.requeue(self.being_written, self.bytes_ahead[sent:])
                 return False
--- a/spurdeal/net/engines.py
+++ b/spurdeal/net/engines.py
@@ -14,8 +14,8 @@
 from .counters import Counters
 from .dial import Dial
 from .engine_list import Endpoint
+from .poll_watch import LoopWatch
 from .resp import BadAnswer
-from .watch import LoopWatch
 
 __all__ = ["Connection", "EnginePool", "Engines", "Outcome", "OutgoingAttempt", "SendTerms"]
 
--- a/spurdeal/net/eviction.py
+++ b/spurdeal/net/eviction.py
@@ -6,7 +6,7 @@
 from enum import IntEnum
 from typing import TYPE_CHECKING
 
-from .pending import may_have_input
+from .socket_inspection import may_have_input
 
 if TYPE_CHECKING:
     from .client import Client
--- a/spurdeal/net/http.py
+++ b/spurdeal/net/http.py
@@ -2,7 +2,7 @@
 
 import re
 
-from .unread import ReadBuffer
+from .read_buffer import ReadBuffer
 
 MAX_HEAD_SIZE = 8192
 MAX_BODY_SIZE = 65536
--- a/spurdeal/net/link.py
+++ b/spurdeal/net/link.py
@@ -20,7 +20,7 @@
 from .engine_list import Endpoint
 from .engines import Engines
 from .names import SentQuery
-from .ordered import OrderedArrivals
+from .ordered_arrivals import OrderedArrivals
 from .request_log import RequestLog
 from .requests import EarlyWithdrawals, Guard, OpenRequest, Sender, at_most_once
 
--- a/spurdeal/net/resp.py
+++ b/spurdeal/net/resp.py
@@ -1,6 +1,6 @@
 """Parser and encoder for the subset of RESP that engines use: arrays of bulk strings."""
 
-from .unread import ReadBuffer
+from .read_buffer import ReadBuffer
 
 MAX_PARTS = 16
 MAX_PART_BYTES = 65536
--- a/spurdeal/net/start.py
+++ b/spurdeal/net/start.py
@@ -14,7 +14,7 @@
 from twisted.logger import globalLogBeginner
 
 from ..clocks import SteadyClock
-from ..early import SIGNALS
+from ..early_signals import SIGNALS
 from .configuration import Configuration, Unreadable, Unusable, load_configuration, read_configuration
 from .descriptors import ProcessDescriptors
 from .logs import logger
--- a/spurdeal/net/patient_socket.py
+++ b/spurdeal/net/tolerant_socket.py
@@ -14,8 +14,8 @@
 from typing import Any
 
 from .counters import Counters
+from .poll_watch import LoopWatch
 from .transient_errors import TRANSIENT
-from .watch import LoopWatch
 
 ACCEPT_RETRY_DELAY = 0.01  # seconds after a failed accept
 
--- a/spurdeal/vrrp/__init__.py
+++ b/spurdeal/vrrp/__init__.py
@@ -2,5 +2,5 @@
 
 Peers replicate which non-idempotent requests may have run, so that none runs twice across a failover
 (`handover`), and lend each other their shares of cold engines' budgets, so that no budget is overused
-(`tenure`).
+(`budget_shares`).
 """
--- a/spurdeal/vrrp/guard.py
+++ b/spurdeal/vrrp/guard.py
@@ -1,6 +1,6 @@
 """The adapter's Guard with VRRP peers: applies the handover's verdicts and this dispatcher's budget shares.
 
-The decisions are made in `handover` and `tenure`.
+The decisions are made in `handover` and `budget_shares`.
 """
 
 from __future__ import annotations
@@ -11,10 +11,10 @@
 from ..net.engine_list import Endpoint
 from ..net.link import Answer, Failed, OpenRequest, Shed, SocketAdapter, at_most_once
 from ..net.start import Service
+from .budget_shares import BudgetShares
 from .exchange import Exchange
 from .handover import DispatcherState
-from .marks import Admission
-from .tenure import BudgetShares
+from .idempotency_table import Admission
 
 
 class ColdSend(NamedTuple):
--- a/spurdeal/vrrp/handover.py
+++ b/spurdeal/vrrp/handover.py
@@ -17,10 +17,10 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple
 
-from .marks import Admission, IdempotencyTable
+from .budget_shares import BudgetShares
+from .idempotency_table import Admission, IdempotencyTable
 from .message import MAX_ANNOUNCED, MAX_ENGINES, PAGE_SIZE, Message, Page, PeerState, read_message
 from .sealed import Keys, Session
-from .tenure import BudgetShares
 
 CLEAR_REPEATS = 3  # consecutive datagrams that carry a withdrawal: one or two may be lost
 
--- a/spurdeal/vrrp/setup.py
+++ b/spurdeal/vrrp/setup.py
@@ -12,12 +12,12 @@
 from ..net.counters import Counters
 from ..net.start import Service
 from .address import Announcer, Commands, CommandSettings, Listener, ServedPort
+from .budget_shares import BudgetShares
 from .groups import Groups, Tracked
 from .handover import Handover, HandoverSettings, Membership
+from .idempotency_table import IdempotencyTable
 from .machine import GroupSettings
-from .marks import IdempotencyTable
 from .sealed import Keys
-from .tenure import BudgetShares
 
 if TYPE_CHECKING:
     from ..settings.installation import FleetSection, HandoverSection, Installation, Vrrp
--- a/spurdeal/vrrp/station.py
+++ b/spurdeal/vrrp/station.py
@@ -1,6 +1,6 @@
 """VRRP, handover and budget shares of one dispatcher: start, stop, tracked conditions, initial sync.
 
-The decisions are made in `groups`, `handover` and `tenure`.
+The decisions are made in `groups`, `handover` and `budget_shares`.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from . import advert
 from .address import Announcer
 from .advertising import Advertising, Callbacks
+from .budget_shares import BudgetShares
 from .exchange import Exchange
 from .guard import HandoverGuard
 from .handover import Handover
 from .setup import Runtime, keys_of, make_groups, make_handover, make_holder
-from .tenure import BudgetShares
 
 if TYPE_CHECKING:
     from ..settings.installation import Installation
--- a/tests/faulty_names.py
+++ b/tests/faulty_names.py
@@ -5,7 +5,7 @@
 from contextlib import suppress
 from enum import Enum
 
-from spurdeal.lab import names
+from spurdeal.lab import name_server
 from tests.stepped_clock import NameService
 
 SERVER_FAILURE = 0x8402  # flags of a response: SERVFAIL
@@ -33,7 +33,7 @@
     fault, times, delay = Fault.SILENT, 0, 0.0
     then: Fault | None = None
 
-    def __init__(self, host: str, port: int, endpoints: list[names.Endpoint]) -> None:
+    def __init__(self, host: str, port: int, endpoints: list[name_server.Endpoint]) -> None:
         self.sent = dict[int, float]()
         super().__init__(host, port, endpoints)
 
@@ -60,7 +60,7 @@
         if fault is Fault.LOST:
             return
         flags = SERVER_FAILURE if fault is Fault.UNUSABLE else 0x8400
-        response = names.answer(
+        response = name_server.answer(
             query, self.serial, *(endpoint.record() for endpoint in self.endpoints), flags=flags
         )
         if self.delay:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -15,7 +15,7 @@
 from twisted.python.failure import Failure
 
 from spurdeal.interface import Life
-from spurdeal.lab import names
+from spurdeal.lab import name_server
 from spurdeal.net.logs import logger
 from spurdeal.net.names import NameService
 from spurdeal.net.resp import ArrayParser, command
@@ -349,7 +349,7 @@
     def confirm(self, query: bytes, source: Any) -> None:
         """Answer that the list is unchanged."""
         service = self.service.names
-        service.datagramReceived(names.answer(query, service.number, *listed_records(service)), source)
+        service.datagramReceived(name_server.answer(query, service.number, *listed_records(service)), source)
 
     sendto = write  # the method of the socket, which is its own handle
 
@@ -376,6 +376,6 @@
         **more: Any,
     ) -> None:
         """Answer the last query as the name service."""
-        answer = names.answer(self.names[-1], serial, *endpoints, **more)
+        answer = name_server.answer(self.names[-1], serial, *endpoints, **more)
         self.service.names.datagramReceived(answer, source)
         self.go()
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -23,7 +23,7 @@
 import sys
 from twisted.internet import reactor
 from spurdeal.lab.engines import EngineFleet
-from spurdeal.lab.names import NameServer, Endpoint
+from spurdeal.lab.name_server import NameServer, Endpoint
 engine_host, names_host, first_port, engines, names_port = sys.argv[1:]
 endpoints = [Endpoint(f"s-{n}", engine_host, int(first_port) + n) for n in range(int(engines))]
 fleet = EngineFleet(reactor, 8, 1000.0, 0.3, 2.0, 1500.0)
--- a/tests/scripted_names.py
+++ b/tests/scripted_names.py
@@ -8,7 +8,7 @@
 from enum import Enum
 from typing import NamedTuple
 
-from spurdeal.lab import names
+from spurdeal.lab import name_server
 from tests.stepped_clock import NameService
 
 SERVER_FAILURE = 0x8182  # flags of a response: SERVFAIL
@@ -68,7 +68,7 @@
         unanswered: Ids of the queries that the dispatcher still has open.
     """
 
-    def __init__(self, host: str, port: int, endpoints: list[names.Endpoint]) -> None:
+    def __init__(self, host: str, port: int, endpoints: list[name_server.Endpoint]) -> None:
         self.steps, self.step_since, self.step_used = deque[Step](), 0.0, 0
         self.script_lock = threading.Lock()
         self.drain_announced_at: float | None = None
@@ -151,7 +151,7 @@
         """Encodes a response."""
         if delivery is Delivery.SERVER_FAILURE:
             return query[:2] + struct.pack("!5H", SERVER_FAILURE, 1, 0, 0, 0) + query[12:]
-        response = names.answer(query, serial, *(endpoint.record() for endpoint in self.lists[serial]))
+        response = name_server.answer(query, serial, *(endpoint.record() for endpoint in self.lists[serial]))
         if delivery in (Delivery.WRONG_ID, Delivery.OPEN_ID):
             return response[:1] + bytes([response[1] ^ WRONG_ID_BITS]) + response[2:]
         return response[:TRUNCATED_SIZE] if delivery is Delivery.TRUNCATED else response
--- a/tests/soak/name_service.py
+++ b/tests/soak/name_service.py
@@ -14,7 +14,7 @@
 from time import monotonic
 from typing import Any, NamedTuple
 
-from spurdeal.lab import names
+from spurdeal.lab import name_server
 from tests.soak.judge import Change, Datagram, Outage, Records
 
 SERVFAIL = 0x8182  # flags of a SERVFAIL answer
@@ -67,7 +67,7 @@
     """One list, and from when on each dispatcher's answers hold it."""
 
     number: int
-    endpoints: list[names.Endpoint]
+    endpoints: list[name_server.Endpoint]
     visible_from: dict[int, float]
 
 
@@ -114,7 +114,7 @@
         self.known_at_start = dict.fromkeys(dispatchers.values(), 1)
 
     @property
-    def endpoints(self) -> list[names.Endpoint]:
+    def endpoints(self) -> list[name_server.Endpoint]:
         """The newest list."""
         return self.versions[-1].endpoints
 
@@ -128,7 +128,7 @@
         self.starts[dispatcher] += 1
         self.known_at_start[dispatcher] = self.number
 
-    def change(self, endpoints: list[names.Endpoint], ended: str | None = None) -> None:
+    def change(self, endpoints: list[name_server.Endpoint], ended: str | None = None) -> None:
         """Publish a newer list, in which the engine `ended` drains or is gone."""
         visible_from = {
             dispatcher: max(before, monotonic() + self.random_lag(dispatcher))
@@ -229,7 +229,7 @@
         """The answer as it is sent; only faults of its bytes change it."""
         flags = SERVFAIL if fault == "servfail" else 0x8400
         endpoints = (endpoint.record() for endpoint in version.endpoints)
-        answer = names.answer(query.datagram, version.number, *endpoints, flags=flags)
+        answer = name_server.answer(query.datagram, version.number, *endpoints, flags=flags)
         if fault == "cut":
             return answer[: self.rng.randrange(len(answer) // 4, len(answer))]
         if fault == "wrong_id":
--- a/tests/soak/sides.py
+++ b/tests/soak/sides.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from time import monotonic
 
-from spurdeal.lab import names
+from spurdeal.lab import name_server
 from spurdeal.net.resp import ArrayParser, command
 from tests.soak.judge import Attempt, End, Records, Request
 
@@ -24,7 +24,7 @@
 class Engine:
     """A stand-in engine: answers requests, hangs, resets its connections, drains and leaves."""
 
-    def __init__(self, endpoint: names.Endpoint, records: Records, rng: random.Random) -> None:
+    def __init__(self, endpoint: name_server.Endpoint, records: Records, rng: random.Random) -> None:
         self.endpoint, self.records, self.rng = endpoint, records, rng
         self.hung_until = 0.0
         self.writers = set[asyncio.StreamWriter]()
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -12,7 +12,7 @@
 from pathlib import Path
 from time import monotonic
 
-from spurdeal.lab import names
+from spurdeal.lab import name_server
 from spurdeal.lab.loopback import FIRST_NETWORK, NETWORKS, Network
 from tests.soak import engine_troubles, name_troubles, process_troubles, system_calls
 from tests.soak.judge import STOP_TIMEOUT, Judge, Records
@@ -165,7 +165,9 @@
         """Start another engine, and add it to the list."""
         number = next(self.engine_numbers)
         started = int((monotonic() + self.unix_origin()) * 1000) if cold else 0
-        endpoint = names.Endpoint(f"s-{number}", self.engines_host, ENGINE_PORT + number, started=started)
+        endpoint = name_server.Endpoint(
+            f"s-{number}", self.engines_host, ENGINE_PORT + number, started=started
+        )
         engine = Engine(endpoint, self.records, random.Random(self.seed * 1000 + number))
         self.engines[endpoint.ident] = engine
         await engine.start()
--- a/tests/stations.py
+++ b/tests/stations.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any, cast
 
-from spurdeal.lab.names import Endpoint, NameServer
+from spurdeal.lab.name_server import Endpoint, NameServer
 from spurdeal.net.link import Answer
 from spurdeal.net.logs import logger
 from spurdeal.net.start import Service, read_configuration
--- a/tests/stepped_clock.py
+++ b/tests/stepped_clock.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from spurdeal.lab import names
+from spurdeal.lab import name_server
 from spurdeal.net.resp import ArrayParser, command
 from tests.stepped_process import OFFSET_FILE
 
@@ -112,7 +112,7 @@
 class NameService:
     """Answers each query with the list that the test has set."""
 
-    def __init__(self, host: str, port: int, endpoints: list[names.Endpoint]) -> None:
+    def __init__(self, host: str, port: int, endpoints: list[name_server.Endpoint]) -> None:
         self.endpoints, self.serial, self.query_times = endpoints, 1, list[float]()
         self.socket = socket.socket(type=socket.SOCK_DGRAM)
         self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -133,11 +133,13 @@
             with suppress(TimeoutError):
                 query, client_address = self.socket.recvfrom(512)
                 self.query_times.append(time.monotonic())
-                answer = names.answer(query, self.serial, *(endpoint.record() for endpoint in self.endpoints))
+                answer = name_server.answer(
+                    query, self.serial, *(endpoint.record() for endpoint in self.endpoints)
+                )
                 self.socket.sendto(answer, client_address)
         self.socket.close()
 
-    def change(self, change: Callable[[names.Endpoint], names.Endpoint]) -> None:
+    def change(self, change: Callable[[name_server.Endpoint], name_server.Endpoint]) -> None:
         """Publishes a newer list, with this change to each entry."""
         self.endpoints = [change(endpoint) for endpoint in self.endpoints]
         self.serial += 1
--- a/tests/steps.py
+++ b/tests/steps.py
@@ -15,7 +15,7 @@
 
 from twisted.internet.epollreactor import EPollReactor
 
-from spurdeal.lab import names
+from spurdeal.lab import name_server
 from spurdeal.lab.loopback import Network
 from spurdeal.net.logs import logger
 from spurdeal.net.resp import ArrayParser, command
@@ -177,7 +177,7 @@
             while True:
                 query, source = self.names.recvfrom(9000)
                 service = self.service.names
-                answer = names.answer(query, service.number, *listed_records(service))
+                answer = name_server.answer(query, service.number, *listed_records(service))
                 self.names.sendto(answer, source)
 
     def go(self, ms: float = 0.0, rounds: int = 12) -> None:
@@ -234,7 +234,7 @@
             )
             for number, engine in enumerate(self.engines)
         ]
-        self.names.sendto(names.answer(query, serial, *endpoints), source)
+        self.names.sendto(name_server.answer(query, serial, *endpoints), source)
         self.names_silent = False
         self.go()
 
--- a/tests/test_answer_orders.py
+++ b/tests/test_answer_orders.py
@@ -7,7 +7,7 @@
 import unittest
 from typing import Any
 
-from spurdeal.lab import names
+from spurdeal.lab import name_server
 from tests.processes import NAMES_PORT, Addresses
 from tests.scripted_names import Delivery, ScriptedNameService, Step
 from tests.test_clock_steps import SteppedCase
@@ -34,7 +34,7 @@
     return for_seconds(Delivery.SILENT, seconds)
 
 
-def in_force(serial: int, endpoints: list[names.Endpoint]) -> dict[str, Any]:
+def in_force(serial: int, endpoints: list[name_server.Endpoint]) -> dict[str, Any]:
     """Encodes a list as in the configuration."""
     roster = {
         "generation": 1,
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -9,13 +9,20 @@
 from pathlib import Path
 from typing import Any
 
-from spurdeal.fleet.asking import AuditQuery, UnreadableLogError, check, merge_logs, read_log, select_entries
 from spurdeal.fleet.audit import BrokenLogError, Kind, PageBuilder, read
+from spurdeal.fleet.audit_query import (
+    AuditQuery,
+    UnreadableLogError,
+    check,
+    merge_logs,
+    read_log,
+    select_entries,
+)
 from spurdeal.fleet.hybrid import Stamp
 from spurdeal.fleet.journal import Journal, JournalSettings
 from spurdeal.fleet.station import Clocks, FleetStation, StationSettings
-from spurdeal.fleet.words import status_lines
-from spurdeal.lab.names import Endpoint
+from spurdeal.fleet.status_text import status_lines
+from spurdeal.lab.name_server import Endpoint
 from spurdeal.net.engine_list import NumberedList
 from spurdeal.net.start import Service
 from spurdeal.settings.reading import read_text
--- a/tests/test_turns.py
+++ b/tests/test_batches.py
@@ -10,8 +10,8 @@
 
 from spurdeal.net.counters import Counters
 from spurdeal.net.logs import logger
-from spurdeal.net.pending import count_waiting_connections
-from spurdeal.net.watch import AcceptWatch, LoopWatch
+from spurdeal.net.poll_watch import AcceptWatch, LoopWatch
+from spurdeal.net.socket_inspection import count_waiting_connections
 from tests.helpers import Caller, World
 from tests.steps import PeerSocket, Steps, settings
 
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from spurdeal.lab import names
+from spurdeal.lab import name_server
 from tests.helpers import SETTINGS, Caller, World
 from tests.processes import FIRST_ENGINE_PORT, NAMES_PORT, ROOT, Addresses, ProcessCase, counters_at_exit
 from tests.stepped_clock import OFFSET_FILE, Arrival, NameService, Server, SteppedClock
@@ -68,7 +68,8 @@
         where = self.addresses
         self.servers = [Server(where.engines, FIRST_ENGINE_PORT + number) for number in range(2)]
         endpoints = [
-            names.Endpoint(f"s-{number}", each.host, each.port) for number, each in enumerate(self.servers)
+            name_server.Endpoint(f"s-{number}", each.host, each.port)
+            for number, each in enumerate(self.servers)
         ]
         self.names = self.name_service(where.names, NAMES_PORT, endpoints)
         for server in self.servers:
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -11,7 +11,7 @@
 
 from twisted.internet.error import TimeoutError as ConnectTimeout
 
-from spurdeal.lab import names
+from spurdeal.lab import name_server
 from spurdeal.lab.loopback import Network
 from spurdeal.net.start import Configuration, Unusable, read_configuration
 from tests.helpers import LIST_CONFIRMED_MS, SETTINGS, Caller, World, configuration
@@ -776,7 +776,7 @@
         self.assertEqual(set(world.service.adapter.endpoints), {"s-7"})
         world.go(7000)
         foreign = world.count("names_foreign")
-        world.service.names.datagramReceived(names.answer(old, 3, endpoint), ("127.0.8.9", 5300))
+        world.service.names.datagramReceived(name_server.answer(old, 3, endpoint), ("127.0.8.9", 5300))
         self.assertEqual((world.count("names_foreign"), world.service.names.number), (foreign + 1, 2))
 
     def test_a_bad_record_changes_nothing(self) -> None:
--- a/tests/test_extproc.py
+++ b/tests/test_extproc.py
@@ -22,7 +22,7 @@
 
 from spurdeal.__main__ import main
 from spurdeal.cli.main import serve
-from spurdeal.early import SIGNALS
+from spurdeal.early_signals import SIGNALS
 from spurdeal.extproc import processor_pb2
 from spurdeal.extproc.answers import request_more_time
 from spurdeal.extproc.bounds import Bounds, ConnectionLimits, ConnectionUsage
--- a/tests/test_asking.py
+++ b/tests/test_extproc_experiment.py
@@ -63,7 +63,10 @@
 class Processes(unittest.TestCase):
     def test_a_short_lab_run(self) -> None:
         done = subprocess.run(
-            [sys.executable, "-m", "spurdeal.lab.asking", "tiny"], capture_output=True, text=True, timeout=120
+            [sys.executable, "-m", "spurdeal.lab.extproc_experiment", "tiny"],
+            capture_output=True,
+            text=True,
+            timeout=120,
         )
         self.assertEqual(done.returncode, 0, done.stderr)
         found = json.loads(done.stdout.splitlines()[-1])
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -3,10 +3,10 @@
 import random
 import unittest
 
-from spurdeal.fleet.bringing import ListStore, UnusableListError, apply_changes, pack, unpack
 from spurdeal.fleet.fleet import Fleet, FleetSettings, SharedSettings
 from spurdeal.fleet.hybrid import MAX_AHEAD, HybridClock, Stamp
 from spurdeal.fleet.lease import Grantor, Inquiry, Lease, StopReport, Term
+from spurdeal.fleet.list_transfer import ListStore, UnusableListError, apply_changes, pack, unpack
 from spurdeal.fleet.members import Life, rendezvous
 from spurdeal.fleet.standing import Limits, Observations, Standing, StandingTracker
 from spurdeal.fleet.versions import Artifact, Version, VersionRegistry, list_digest
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -3,7 +3,7 @@
 import unittest
 
 from spurdeal.interface import Ending, Life, ListedEngine
-from spurdeal.lab.forms import check, erlang_c
+from spurdeal.lab.closed_forms import check, erlang_c
 from spurdeal.lab.model_engine import Engine, EngineModel, Job
 from spurdeal.lab.observer import Observer
 from spurdeal.lab.planted import KIND, build_world, count_violations, sample_deployment
--- a/tests/test_list_freshness.py
+++ b/tests/test_list_freshness.py
@@ -5,7 +5,7 @@
 
 from spurdeal.answer_times import BACKOFF, INITIAL_RETRANSMIT, MAX_BACKOFF, MAX_RETRANSMIT, MIN_RETRANSMIT
 from spurdeal.interface import Verdict
-from spurdeal.lab import names
+from spurdeal.lab import name_server
 from spurdeal.list_freshness import (
     INITIAL_LEASE,
     MAX_OPEN_QUERY_TIMES,
@@ -288,7 +288,7 @@
     def test_a_response_to_a_query_of_a_predecessor_is_foreign(self) -> None:
         with patch("spurdeal.net.names.secrets.randbelow", side_effect=(7, 4000)):
             before, world = World(self), World(self)
-        world.service.names.datagramReceived(names.answer(before.names[-1], 9), ("127.0.8.9", 5300))
+        world.service.names.datagramReceived(name_server.answer(before.names[-1], 9), ("127.0.8.9", 5300))
         self.assertEqual((world.count("names_foreign"), world.service.names.number), (1, 1))
 
     def test_after_a_response_the_next_query_follows_at_the_usual_interval(self) -> None:
--- a/tests/test_list_numbers.py
+++ b/tests/test_list_numbers.py
@@ -3,7 +3,7 @@
 import time
 import unittest
 
-from spurdeal.lab import names
+from spurdeal.lab import name_server
 from tests.faulty_names import FaultyNameService
 from tests.processes import Addresses
 from tests.test_unheard_drains import UnheardCase
@@ -16,8 +16,8 @@
 class NumberedNameService(FaultyNameService):
     """Answers the next queries with another serial number and the list as it was at that time."""
 
-    def __init__(self, host: str, port: int, endpoints: list[names.Endpoint]) -> None:
-        self.renumbered = list[tuple[int, list[names.Endpoint]]]()
+    def __init__(self, host: str, port: int, endpoints: list[name_server.Endpoint]) -> None:
+        self.renumbered = list[tuple[int, list[name_server.Endpoint]]]()
         super().__init__(host, port, endpoints)
 
     def renumber(self, number: int, times: int = 1) -> None:
@@ -30,7 +30,9 @@
             super().answer(query, client_address)
             return
         number, endpoints = self.renumbered.pop()
-        response = names.answer(query, number, *(endpoint.record() for endpoint in endpoints), flags=0x8400)
+        response = name_server.answer(
+            query, number, *(endpoint.record() for endpoint in endpoints), flags=0x8400
+        )
         self.socket.sendto(response, client_address)
 
 
--- a/tests/test_new_days.py
+++ b/tests/test_new_days.py
@@ -12,7 +12,7 @@
 from typing import Any
 from unittest.mock import Mock
 
-from spurdeal.lab import names
+from spurdeal.lab import name_server
 from spurdeal.net.link import Failed
 from spurdeal.net.start import read_configuration
 from tests.helpers import LIST_SETTLED_MS, REINSTATED_MS, Caller, Peer, World, configuration, started_process
@@ -67,7 +67,7 @@
 
     def answer(self, world: World, query: bytes, serial: int, *draining: int) -> None:
         endpoints = [record(number, number in draining) for number in range(2)]
-        world.service.names.datagramReceived(names.answer(query, serial, *endpoints), OLD)
+        world.service.names.datagramReceived(name_server.answer(query, serial, *endpoints), OLD)
 
     def test_of_late_answers_in_one_round_the_newest_applies(self) -> None:
         for order in ((2, 4, 3), (4, 2, 3), (3, 2, 4)):
@@ -174,7 +174,7 @@
         world.go(200)
         query = world.names[-1]
         self.reload(world, self.changed_configuration())
-        answer = names.answer(query, 5, record(0, draining=True), record(1))
+        answer = name_server.answer(query, 5, record(0, draining=True), record(1))
         world.service.names.datagramReceived(answer, NEW)
         world.go()
         self.check(world, draining=False)
@@ -213,7 +213,7 @@
         world = World(self, engines=2)
         world.go(90)
         self.reload(world, self.changed_configuration())
-        answer = names.answer(world.names[-1], 5, record(0, draining=True), record(1))
+        answer = name_server.answer(world.names[-1], 5, record(0, draining=True), record(1))
         world.service.names.datagramReceived(answer, NEW)
         self.check(world)
 
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -3,7 +3,7 @@
 import struct
 import unittest
 
-from spurdeal.lab.names import answer as name_answer
+from spurdeal.lab.name_server import answer as name_answer
 from spurdeal.net import dns
 from spurdeal.net.http import MAX_BODY_SIZE, MAX_HEAD_SIZE, BadRequest, RequestParser
 from spurdeal.net.resp import MAX_PART_BYTES, MAX_PARTS, ArrayParser, BadAnswer, command
--- a/tests/test_port_renewal.py
+++ b/tests/test_port_renewal.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from spurdeal.lab import names
+from spurdeal.lab import name_server
 from spurdeal.net.port_renewal import (
     INITIAL_RENEWAL_INTERVAL,
     MAX_RENEWAL_INTERVAL,
@@ -40,7 +40,7 @@
         others: What happens to responses to the other ports.
     """
 
-    def __init__(self, host: str, port: int, endpoints: list[names.Endpoint]) -> None:
+    def __init__(self, host: str, port: int, endpoints: list[name_server.Endpoint]) -> None:
         self.ports = list[int]()
         self.others = Step(Delivery.SENT)
         super().__init__(host, port, endpoints)
--- a/tests/test_review_findings.py
+++ b/tests/test_review_findings.py
@@ -4,7 +4,7 @@
 from unittest.mock import patch
 
 from spurdeal.interface import Life, Verdict
-from spurdeal.lab import names
+from spurdeal.lab import name_server
 from spurdeal.list_agreement import RENUMBERED_AFTER, ListState, assess, same_process_and_state
 from spurdeal.list_freshness import PROPAGATION_LIMIT, SETTLING_RESPONSES, ListFreshness
 from spurdeal.net.engine_list import Endpoint
@@ -37,7 +37,7 @@
     def answer_queries(self, serial: int, records: tuple[Record, ...], *queries: int) -> None:
         """Answer each of these queries now."""
         for number in queries:
-            answer = names.answer(self.world.names[number], serial, *records)
+            answer = name_server.answer(self.world.names[number], serial, *records)
             self.world.service.names.datagramReceived(answer, NAMES_AT)
         self.world.go()
 
--- a/tests/test_soak_names.py
+++ b/tests/test_soak_names.py
@@ -5,14 +5,14 @@
 import unittest
 from typing import Any
 
-from spurdeal.lab import names
+from spurdeal.lab import name_server
 from spurdeal.net import dns
 from spurdeal.net.names import SERVICE
 from tests.soak.judge import Outage, Records
 from tests.soak.name_service import Condition, NameService
 
 IDENT, HOSTS = 0x1234, ("127.0.0.1", "127.0.0.2")
-DRAINING = [names.Endpoint("s-0", "127.0.0.9", 7001, draining=True)]
+DRAINING = [name_server.Endpoint("s-0", "127.0.0.9", 7001, draining=True)]
 
 
 class Transport:
--- a/tests/test_station.py
+++ b/tests/test_station.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from spurdeal.lab.model import figures
-from spurdeal.lab.names import Endpoint
+from spurdeal.lab.name_server import Endpoint
 from spurdeal.net.link import Delivered, Failed, Shed
 from spurdeal.settings.reading import read_text
 from spurdeal.vrrp import advert
--- a/tests/test_system_faults.py
+++ b/tests/test_system_faults.py
@@ -12,20 +12,20 @@
 
 from spurdeal.fleet.station import Clocks, FleetStation, StationSettings
 from spurdeal.interface import Life
-from spurdeal.net import immediate
+from spurdeal.net import immediate_io
 from spurdeal.net.configuration import Unreadable
 from spurdeal.net.counters import Counters
 from spurdeal.net.datagram_reading import TolerantReading
 from spurdeal.net.engines import Engines
+from spurdeal.net.poll_watch import LoopWatch
 from spurdeal.net.start import read_configuration
-from spurdeal.net.watch import LoopWatch
 from spurdeal.settings.reading import read_text
 from spurdeal.vrrp.sealed import Keys
 from tests.helpers import LIST_SETTLED_MS, REINSTATED_MS, Caller, DatagramPort, World, configuration, instance
 from tests.stations import Pair
 from tests.steps import Steps
+from tests.test_batches import ANSWER_RETURN_TIME, ROUND, OverloadedQueue
 from tests.test_new_days import served
-from tests.test_turns import ANSWER_RETURN_TIME, ROUND, OverloadedQueue
 
 DRAINED = {"lifecycle": "DRAINING"}
 FLEET_PLAN = b"""
@@ -423,9 +423,9 @@
     def test_an_attempt_that_was_sent_late_has_the_time_left_at_that_moment(self) -> None:
         steps = Steps(self)
         client = steps.client()
-        sending = immediate.send
-        self.addCleanup(setattr, immediate, "send", sending)
-        immediate.send = lambda transport, message: 0
+        sending = immediate_io.send
+        self.addCleanup(setattr, immediate_io, "send", sending)
+        immediate_io.send = lambda transport, message: 0
         client.post(1)
         peer = steps.until(steps.engines[0].accept)
         (connection,) = steps.service.engines.engines[0].connections
@@ -433,7 +433,7 @@
         tolerant.real = failing = FailingSocket(tolerant.real, "send", errno.ENOBUFS, times=1_000_000)
         steps.go(300)
         failing.times = 0
-        immediate.send = sending
+        immediate_io.send = sending
         steps.go(20)
         (message,) = steps.until(peer.received)
         self.assertLessEqual(int(message[2].split("wait=")[1].split(",")[0]), 5000 - 300 + 150)
--- a/tests/test_vrrp.py
+++ b/tests/test_vrrp.py
@@ -8,8 +8,10 @@
 
 from spurdeal.vrrp import advert
 from spurdeal.vrrp.advert import Advert, DroppedError
+from spurdeal.vrrp.budget_shares import BudgetShares
 from spurdeal.vrrp.groups import Groups, Tracked
 from spurdeal.vrrp.handover import DispatcherState, Handover, HandoverSettings, Membership
+from spurdeal.vrrp.idempotency_table import Admission, IdempotencyTable
 from spurdeal.vrrp.machine import (
     NEVER,
     Action,
@@ -19,9 +21,7 @@
     active_down_interval,
     skew_time,
 )
-from spurdeal.vrrp.marks import Admission, IdempotencyTable
 from spurdeal.vrrp.sealed import Keys, RefusedError, Session
-from spurdeal.vrrp.tenure import BudgetShares
 
 ONE, TWO = ip_address("127.0.8.1"), ip_address("127.0.8.2")
 SIX, SEVEN = ip_address("::1"), ip_address("fe80::7")
