--- a/tests/test_system_faults.py
+++ b/tests/test_system_faults.py
@@ -711,10 +711,10 @@
             Caller(world).post(number, "load", wait=15000)
         failures = [ZeroDivisionError("by the test")]
 
-        def choose_or_fail(request: Any, fewest: bool) -> Any:
+        def choose_or_fail(request: Any, prefer_fewest_in_flight: bool) -> Any:
             if request.number == 1 and failures:
                 raise failures.pop()
-            return choose(request, fewest)
+            return choose(request, prefer_fewest_in_flight)
 
         rules.choose = choose_or_fail
         world.go(300)
@@ -732,7 +732,7 @@
         caller = Caller(world)
         caller.post(0, "load", wait=2000)
 
-        def fail_once(request: Any, fewest: bool) -> Any:
+        def fail_once(request: Any, prefer_fewest_in_flight: bool) -> Any:
             rules.choose = choose
             raise ZeroDivisionError("by the test")
 
