--- a/spurdeal/cli/main.py
+++ b/spurdeal/cli/main.py
@@ -17,7 +17,10 @@
 
 @click.group(help="A query gateway: decides what runs, on which engine, when, and with how much memory.")
 def spurdeal() -> None:
-    """The top-level group. Without a sub-command `python -m spurdeal` runs a dispatcher and skips it."""
+    """The top-level group.
+
+    Without a sub-command, `python -m spurdeal` runs a dispatcher and does not come here.
+    """
 
 
 def exit_with_error(message: object) -> NoReturn:
@@ -161,16 +164,16 @@
     if as_json:
         click.echo(json.dumps(found))
         return
-    from ..fleet.words import status_words
+    from ..fleet.status_text import status_lines
 
-    click.echo("\n".join(status_words(found)))
+    click.echo("\n".join(status_lines(found)))
 
 
 def read_logs(folders: tuple[str, ...], strict: bool) -> list[Any]:
     """Read audit logs; if one is unreadable, print the error and exit with code 2."""
     from pathlib import Path
 
-    from ..fleet.asking import UnreadableLogError, read_log
+    from ..fleet.audit_query import UnreadableLogError, read_log
 
     try:
         return [read_log(Path(folder), strict) for folder in folders]
@@ -181,7 +184,7 @@
 @fleet.command(help="Prints the entries of the audit logs in these directories, merged in causal order.")
 @click.argument("folders", nargs=-1, required=True, type=click.Path())
 @click.option("--submission", default="", help="only entries about this request id")
-@click.option("--engine", default="", help="only entries about this engine")
+@click.option("--engine", default="", help="only entries about this engine, or whose mode text contains it")
 @click.option("--dispatcher", default="", help="only entries by or about this dispatcher")
 @click.option("--version", default="", help="only entries under this version, such as 0.57")
 @click.option("--between", nargs=2, type=float, default=None, help="start and end, in Unix ms")
@@ -196,23 +199,29 @@
     as_json: bool,
 ) -> None:
     """Print entries of audit logs."""
-    from ..fleet.asking import AuditQuery, merge_logs, select_entries
+    from ..fleet.audit_query import AuditQuery, merge_logs, select_entries
 
     since, until = between or (0.0, float("inf"))
-    asked = AuditQuery(submission, engine, dispatcher, version, since, until)
-    for entry in select_entries(merge_logs(read_logs(folders, True)), asked):
+    query = AuditQuery(submission, engine, dispatcher, version, since, until)
+    for entry in select_entries(merge_logs(read_logs(folders, True)), query):
         click.echo(json.dumps(entry.to_json()) if as_json else entry.to_text())
 
 
 @fleet.command(
-    "check", help="Prints violations of the versions in force; the exit code is 1 if there are any."
+    "check",
+    help="Prints decisions against the versions, and damaged, incomplete or contradicting logs; "
+    "the exit code is 1 if there are any.",
 )
 @click.argument("folders", nargs=-1, required=True, type=click.Path())
-@click.option("--grace", default="250ms", help="time from a version's announcement until it must be followed")
+@click.option(
+    "--grace",
+    default="250ms",
+    help="time from when a dispatcher first acts on a list until all must follow it",
+)
 @click.option("--json", "as_json", is_flag=True, help="one JSON object per line")
 def check_logs(folders: tuple[str, ...], grace: str, as_json: bool) -> None:
-    """Print violations of the versions in force."""
-    from ..fleet.asking import check as check_all
+    """Print decisions against the versions, and damaged, incomplete or contradicting logs."""
+    from ..fleet.audit_query import check as check_all
     from ..settings.units import milliseconds
 
     try:
@@ -237,10 +246,10 @@
     "capacity": "capacity",
     "cold": "cold_ramp",
     "emulate": "emulate",
-    "extproc": "asking",
+    "extproc": "extproc_experiment",
     "model": "model",
     "vrrp": "takeover",
-}  # arguments of `spurdeal lab`, and the modules of spurdeal.lab whose figures() they run
+}  # arguments of `spurdeal lab`, and the modules of spurdeal.lab whose figures() runs and returns the results
 
 
 def import_figures(name: str) -> Callable[..., dict[str, Any]]:
@@ -260,10 +269,10 @@
 
 
 def run_capacity(options: CapacityOptions, as_json: bool, quick: bool) -> None:
-    """Measure the capacity, or write a page's tables from measured figures."""
+    """Measure the capacity, or write the tables of a report page from the JSON of an earlier run."""
     from pathlib import Path
 
-    from ..lab.capacity.measure import Refused
+    from ..lab.capacity.measure import MeasurementRefused
     from ..lab.capacity.report import UnusablePage, write_page
 
     if (options.page is None) != (options.source is None):
@@ -276,7 +285,7 @@
         found = import_figures("capacity")(
             quick, lambda line: click.echo(line, err=True), options.sections, sizes
         )
-    except (Refused, UnusablePage, OSError, ValueError) as error:
+    except (MeasurementRefused, UnusablePage, OSError, ValueError) as error:
         exit_with_error(f"lab capacity: {error}")
     click.echo(json.dumps(found) if as_json else json.dumps(found, indent=2))
 
--- a/spurdeal/net/answers.py
+++ b/spurdeal/net/answers.py
@@ -6,13 +6,13 @@
 
 
 class Delivered(NamedTuple):
-    """The result of the query, as the pages of an engine's answer."""
+    """The result of the statement, as the pages of an engine's answer."""
 
     pages: tuple[bytes, ...]
 
 
 class Shed(NamedTuple):
-    """Rejected to limit load; the client may retry after so many ms (0: not told)."""
+    """Rejected to limit load; the client may retry after so many ms (0: no time is given)."""
 
     retry_after: float
 
@@ -22,7 +22,7 @@
 
 
 class Granted(NamedTuple):
-    """The caller sends the query itself; the outcome of its attempt is reported later, or never."""
+    """The caller sends the statement itself; the outcome of its attempt is reported later, or never."""
 
 
 Answer = Delivered | Shed | Failed | Granted
--- a/spurdeal/vrrp/advertising.py
+++ b/spurdeal/vrrp/advertising.py
@@ -54,20 +54,20 @@
 
     def __init__(
         self,
-        plan: Installation,
+        installation: Installation,
         groups: Groups,
         holder: Holder,
         runtime: Runtime,
         callbacks: Callbacks,
     ) -> None:
-        assert plan.vrrp is not None
-        vrrp = plan.vrrp
-        self.peers, self.groups, self.holder = plan.peers, groups, holder
+        assert installation.vrrp is not None
+        vrrp = installation.vrrp
+        self.peers, self.groups, self.holder = installation.peers, groups, holder
         self.reactor, self.monotonic = runtime.reactor, runtime.monotonic
         self.counters, self.log = runtime.counters, runtime.log
         self.taken, self.awaiting_sync = callbacks.taken, callbacks.awaiting_sync
         self.own_address: Address = vrrp.listen[0]
-        self.by_sender = {peer.adverts[0]: peer.name for peer in plan.peers}
+        self.by_sender = {peer.adverts[0]: peer.name for peer in installation.peers}
         self.addresses = {each.group: tuple(each.addresses) for each in vrrp.groups}
         self.accepting = {each.group: each.accept for each in vrrp.groups}
         self.protocol = AdvertProtocol(self)
@@ -119,7 +119,7 @@
             elif action is Action.TAKE:
                 self.take(group, machine.why)
             else:
-                self.leave(group, machine.why)
+                self.release(group, machine.why)
 
     def advertise(self, group: int, priority: int) -> None:
         """Send an advertisement of a group to each peer; send errors are counted."""
@@ -144,8 +144,8 @@
         self.counters.add("addresses_taken")
         self.taken(group, why)
 
-    def leave(self, group: int, why: str) -> None:
+    def release(self, group: int, why: str) -> None:
         """Release the addresses of a group."""
-        self.holder.leave(group, self.addresses[group])
+        self.holder.release(group, self.addresses[group])
         self.counters.add("addresses_left")
         self.log.info("address_left", extra={"figures": {"group": group, "why": why}})
--- a/spurdeal/vrrp/sealed.py
+++ b/spurdeal/vrrp/sealed.py
@@ -4,6 +4,9 @@
 RFC 4868 truncates likewise). The header carries the key id, the sender's start (`boot`, random), its sequence
 number, and the start and sequence number of the last datagram accepted from the receiver (the echo). A replay
 from an earlier start of either side echoes an outdated number and is refused, without comparing clocks.
+
+A start of the peer is proven once a datagram of it echoes a datagram of ours that is no older than
+MAX_ECHO_AGE and newer than the one that proved the start before. Datagrams of other starts are unproven.
 """
 
 from __future__ import annotations
@@ -19,7 +22,7 @@
 HEAD = struct.Struct(
     "!4sBBQQQQ"
 )  # magic, key id, length of the name, boot, number, echoed boot, echoed number
-SEAL = 16  # bytes of the truncated HMAC
+TAG_SIZE = 16  # bytes of the truncated HMAC
 MAX_KEYS, MAX_KEY_ID, MIN_KEY = 2, 255, 16  # number of keys, largest id, least bytes of a key
 MAX_DATAGRAM = 8192  # bytes
 WINDOW = 64  # sequence numbers below the highest that are still accepted, once each
@@ -51,9 +54,9 @@
             raise ValueError("one or two keys of 16 bytes or more, with ids from 0 to 255")
         self.keys, self.signing_key_id = dict(keys), next(iter(keys))
 
-    def seal(self, ident: int, data: bytes) -> bytes:
+    def authentication_tag(self, ident: int, data: bytes) -> bytes:
         """Return the truncated HMAC of the data with that key."""
-        return hmac.digest(self.keys[ident], data, "sha256")[:SEAL]
+        return hmac.digest(self.keys[ident], data, "sha256")[:TAG_SIZE]
 
 
 class Session:
@@ -64,17 +67,24 @@
         peer: Name of the peer.
         boot: Random number of our start.
         keys: Keys of the installation.
+
+    Attributes:
+        sequence_number: That of our last datagram.
+        send_times: When our last datagrams were sent, in ms, by sequence number: loans count from these.
+        peer_boot: The peer's proven start; 0 if there is none yet.
+        highest_number: The highest sequence number accepted from that start.
+        replay_window: Bit n is set if the number n below the highest has been accepted.
+        proof_number: Sequence number of our datagram whose echo proved that start.
+        restarts: How often another start of the peer has been proven, the first included.
     """
 
     def __init__(self, own: str, peer: str, boot: int, keys: Keys) -> None:
         self.own, self.peer, self.boot, self.keys = own.encode(), peer.encode(), boot, keys
-        self.number = 0
-        self.sent: OrderedDict[int, float] = (
-            OrderedDict()
-        )  # send times of our last datagrams in ms, by number: loans count from these
+        self.sequence_number = 0
+        self.send_times: OrderedDict[int, float] = OrderedDict()
         self.peer_boot, self.highest_number, self.replay_window = 0, 0, 0
-        self.proof_number = 0  # our datagram whose echo proved the peer's start to be current
-        self.restarts = 0  # how often the peer has restarted
+        self.proof_number = 0
+        self.restarts = 0
 
     def write(self, now: float, body: dict[str, Any], echo: tuple[int, int] | None = None) -> bytes:
         """Return the next datagram.
@@ -87,10 +97,10 @@
         Raises:
             ValueError: The datagram would exceed MAX_DATAGRAM.
         """
-        self.number += 1
-        self.sent[self.number] = now
-        while len(self.sent) > WINDOW * 4:
-            self.sent.popitem(last=False)
+        self.sequence_number += 1
+        self.send_times[self.sequence_number] = now
+        while len(self.send_times) > WINDOW * 4:
+            self.send_times.popitem(last=False)
         key = self.keys.signing_key_id
         data = (
             HEAD.pack(
@@ -98,15 +108,15 @@
                 key,
                 len(self.own),
                 self.boot,
-                self.number,
+                self.sequence_number,
                 *(echo or (self.peer_boot, self.highest_number)),
             )
             + self.own
             + json.dumps(body, separators=(",", ":")).encode()
         )
-        if len(data) + SEAL > MAX_DATAGRAM:
-            raise ValueError(f"datagram of {len(data)} bytes without its seal is too large")
-        return data + self.keys.seal(key, data)
+        if len(data) + TAG_SIZE > MAX_DATAGRAM:
+            raise ValueError(f"datagram of {len(data)} bytes without its authentication tag is too large")
+        return data + self.keys.authentication_tag(key, data)
 
     def read(self, now: float, datagram: bytes) -> tuple[dict[str, Any], float | None]:
         """Verify and decode a datagram received at `now` (ms).
@@ -117,11 +127,11 @@
         Raises:
             RefusedError: The datagram is invalid, replayed or unproven; nothing has changed then.
         """
-        boot, number, echo_boot, echo_number, text = self.verify(datagram)
-        asked = self.sent.get(echo_number) if echo_boot == self.boot else None
-        fresh = asked is not None and now - asked <= MAX_ECHO_AGE
+        boot, sequence_number, echo_boot, echo_number, text = self.verify(datagram)
+        echoed_sent_at = self.send_times.get(echo_number) if echo_boot == self.boot else None
+        fresh = echoed_sent_at is not None and now - echoed_sent_at <= MAX_ECHO_AGE
         if boot == self.peer_boot:
-            age = self.highest_number - number
+            age = self.highest_number - sequence_number
             if age >= WINDOW or (age >= 0 and self.replay_window >> age & 1):
                 raise RefusedError("replayed")
         elif not fresh or echo_number <= self.proof_number:
@@ -137,22 +147,22 @@
         if boot != self.peer_boot:
             self.peer_boot, self.highest_number, self.replay_window, self.restarts = (
                 boot,
-                number,
+                sequence_number,
                 1,
                 self.restarts + 1,
             )
             self.proof_number = echo_number
-        elif number > self.highest_number:
-            self.replay_window = (self.replay_window << min(WINDOW, number - self.highest_number) | 1) & (
-                1 << WINDOW
-            ) - 1
-            self.highest_number = number
+        elif sequence_number > self.highest_number:
+            self.replay_window = (
+                self.replay_window << min(WINDOW, sequence_number - self.highest_number) | 1
+            ) & (1 << WINDOW) - 1
+            self.highest_number = sequence_number
         else:
-            self.replay_window |= 1 << (self.highest_number - number)
-        return body, asked
+            self.replay_window |= 1 << (self.highest_number - sequence_number)
+        return body, echoed_sent_at
 
     def verify(self, datagram: bytes) -> tuple[int, int, int, int, bytes]:
-        """Verify length, magic, key, seal and name, in this order, before anything is parsed.
+        """Verify length, magic, key, authentication tag and name, in this order, before anything is parsed.
 
         Returns:
             The sender's start and number, the echoed start and number, and the body.
@@ -160,29 +170,31 @@
         Raises:
             RefusedError: A check fails.
         """
-        if len(datagram) < HEAD.size + SEAL:
+        if len(datagram) < HEAD.size + TAG_SIZE:
             raise RefusedError("short")
         if len(datagram) > MAX_DATAGRAM:
             raise RefusedError("long")
-        magic, key, size, boot, number, echo_boot, echo_number = HEAD.unpack_from(datagram)
+        magic, key, size, boot, sequence_number, echo_boot, echo_number = HEAD.unpack_from(datagram)
         if magic != MAGIC:
             raise RefusedError("magic")
         if key not in self.keys.keys:
             raise RefusedError("key")
-        if not hmac.compare_digest(self.keys.seal(key, datagram[:-SEAL]), datagram[-SEAL:]):
+        if not hmac.compare_digest(
+            self.keys.authentication_tag(key, datagram[:-TAG_SIZE]), datagram[-TAG_SIZE:]
+        ):
             raise RefusedError("seal")
         if datagram[HEAD.size : HEAD.size + size] != self.peer:
             raise RefusedError("name")
-        return boot, number, echo_boot, echo_number, datagram[HEAD.size + size : -SEAL]
+        return boot, sequence_number, echo_boot, echo_number, datagram[HEAD.size + size : -TAG_SIZE]
 
     def greet(self, now: float, datagram: bytes) -> bytes:
-        """Return an empty datagram in answer to an unproven one whose seal is valid.
+        """Return an empty datagram in answer to an unproven one whose authentication tag is valid.
 
         It echoes that start, which can then prove itself; nothing else of the datagram is used. A replayed
         datagram only obtains the echo of an old number, which proves nothing.
 
         Raises:
-            RefusedError: The seal or another check fails.
+            RefusedError: The authentication tag or another check fails.
         """
-        boot, number, *_ = self.verify(datagram)
-        return self.write(now, {}, (boot, number))
+        boot, sequence_number, *_ = self.verify(datagram)
+        return self.write(now, {}, (boot, sequence_number))
--- a/tests/test_answer_orders.py
+++ b/tests/test_answer_orders.py
@@ -7,7 +7,7 @@
 import unittest
 from typing import Any
 
-from spurdeal.lab import names
+from spurdeal.lab import name_server
 from tests.processes import NAMES_PORT, Addresses
 from tests.scripted_names import Delivery, ScriptedNameService, Step
 from tests.test_clock_steps import SteppedCase
@@ -34,9 +34,13 @@
     return for_seconds(Delivery.SILENT, seconds)
 
 
-def in_force(serial: int, endpoints: list[names.Endpoint]) -> dict[str, Any]:
+def in_force(serial: int, endpoints: list[name_server.Endpoint]) -> dict[str, Any]:
     """Encodes a list as in the configuration."""
-    roster = {"generation": 1, "reset": True, "instances": [endpoint.told() for endpoint in endpoints]}
+    roster = {
+        "generation": 1,
+        "reset": True,
+        "instances": [endpoint.instance_entry() for endpoint in endpoints],
+    }
     return {"no": serial, "items": [{"no": serial, "roster": roster}]}
 
 
@@ -182,7 +186,7 @@
         """Starts a dispatcher whose next query ids can be matched by a corrupted id of later queries."""
         while True:
             child = super().dispatcher()
-            if self.names.played[-1].ident % 0x80 not in NEVER_MATCHED:
+            if self.names.handled_queries[-1].ident % 0x80 not in NEVER_MATCHED:
                 return child
             child.kill()
             child.wait()
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -9,14 +9,21 @@
 from pathlib import Path
 from typing import Any
 
-from spurdeal.fleet.asking import AuditQuery, UnreadableLogError, check, merge_logs, read_log, select_entries
 from spurdeal.fleet.audit import BrokenLogError, Kind, PageBuilder, read
+from spurdeal.fleet.audit_query import (
+    AuditQuery,
+    UnreadableLogError,
+    check,
+    merge_logs,
+    read_log,
+    select_entries,
+)
 from spurdeal.fleet.hybrid import Stamp
 from spurdeal.fleet.journal import Journal, JournalSettings
 from spurdeal.fleet.station import Clocks, FleetStation, StationSettings
-from spurdeal.fleet.words import status_words
-from spurdeal.lab.names import Endpoint
-from spurdeal.net.engine_list import KnownList
+from spurdeal.fleet.status_text import status_lines
+from spurdeal.lab.name_server import Endpoint
+from spurdeal.net.engine_list import NumberedList
 from spurdeal.net.start import Service
 from spurdeal.settings.reading import read_text
 from spurdeal.vrrp.sealed import Keys
@@ -71,7 +78,7 @@
     def send(self, journal: Journal, ident: str, engine: str = "s-0", attempt: int = 0) -> None:
         self.now += 1
         journal.pages.add_attempt(ident.encode(), attempt, engine, 0)
-        journal.flush()
+        journal.write_pending()
 
     def sealed_journal(self, name: str = "d1") -> Journal:
         """Thirty sends in six sealed pages."""
@@ -87,7 +94,7 @@
         journal = self.sealed_journal()
         journal.pages.add_event(Kind.SHED, b"00ff")
         journal.pages.add_json(Kind.MODE, {"says": "engine 3 aside"})
-        journal.flush()
+        journal.write_pending()
         log = read_log(self.root / "d1")
         kinds = [entry.record.kind for entry in log.entries]
         self.assertEqual(30, kinds.count(Kind.SENT))
@@ -252,12 +259,12 @@
 
     def test_a_log_cut_short_is_found_by_the_seal_that_another_recorded(self) -> None:
         journal, other = self.sealed_journal(), self.journal("d2")
-        page, digest, count = journal.pages.page - 1, journal.pages.digest.hex(), journal.pages.count
+        page, digest, count = journal.pages.page - 1, journal.pages.digest.hex(), journal.pages.record_count
         other.pages.add_json(
             Kind.WITNESS,
             {"name": "d1", "boot": f"{1:016x}", "page": page, "digest": digest, "records": count},
         )
-        other.flush()
+        other.write_pending()
         self.assertEqual([], self.findings("d1", "d2"))
         file = next((self.root / "d1").glob("*.log"))
         whole = file.read_bytes()
@@ -346,7 +353,7 @@
 
         peer.pipe.write = written  # type: ignore[method-assign]
         peer.up()
-        self.assertEqual(["serve"], [each[0] for each in peer.heard()])
+        self.assertEqual(["serve"], [each[0] for each in peer.received()])
         self.assertEqual([f"{7:016x}"], [record.ident for record in self.entries(Kind.SENT)])
 
     def test_a_withdrawn_request_is_in_the_log(self) -> None:
@@ -388,13 +395,13 @@
             call.addErrback(lambda _: None)
             # Queued behind the request: the list is in force before the request's batch carries anything out.
             kept = {ident: endpoint for ident, endpoint in adapter.endpoints.items() if ident == stays}
-            self.station.service.names.take_known(KnownList(2, kept))
+            self.station.service.names.adopt_list(NumberedList(2, kept))
             self.station.list_received(kept)
             world.go(100)
             heard = [
                 peer.host
                 for peer in map(world.peer, range(len(world.reactor.tcpClients)))
-                if peer.up().heard()
+                if peer.up().received()
             ]
             self.assertEqual([f"127.0.9.{stays[-1]}"], heard)
             world.go(200)
@@ -407,7 +414,7 @@
         caller.say(b"GET /fleet HTTP/1.1\r\nHost: x\r\n\r\n")
         ((status, _, found),) = caller.answers()
         self.assertEqual((200, "n1", "joining"), (status, found["name"], found["standing"]))
-        self.assertIn("lease not held", next(status_words(found)))
+        self.assertIn("lease not held", next(status_lines(found)))
 
     def test_without_a_fleet_the_view_is_not_found(self) -> None:
         caller = world_caller(World(self))
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -13,7 +13,7 @@
 from pathlib import Path
 from typing import Any
 
-from spurdeal.lab import names
+from spurdeal.lab import name_server
 from tests.helpers import SETTINGS, Caller, World
 from tests.processes import FIRST_ENGINE_PORT, NAMES_PORT, ROOT, Addresses, ProcessCase, counters_at_exit
 from tests.stepped_clock import OFFSET_FILE, Arrival, NameService, Server, SteppedClock
@@ -68,7 +68,8 @@
         where = self.addresses
         self.servers = [Server(where.engines, FIRST_ENGINE_PORT + number) for number in range(2)]
         endpoints = [
-            names.Endpoint(f"s-{number}", each.host, each.port) for number, each in enumerate(self.servers)
+            name_server.Endpoint(f"s-{number}", each.host, each.port)
+            for number, each in enumerate(self.servers)
         ]
         self.names = self.name_service(where.names, NAMES_PORT, endpoints)
         for server in self.servers:
@@ -189,7 +190,7 @@
         self.names.change(
             lambda endpoint: endpoint._replace(started=unix_ms if endpoint.ident == ident else 0)
         )
-        instances = [endpoint.told() for endpoint in self.names.endpoints]
+        instances = [endpoint.instance_entry() for endpoint in self.names.endpoints]
         roster = {"generation": 1, "reset": True, "instances": instances}
         known = {"no": self.names.serial, "items": [{"no": self.names.serial, "roster": roster}]}
         rules = SETTINGS["rules"] | {"tip_after": WINDOW * 1000}
@@ -269,7 +270,7 @@
         del rules.choose, rules.check_wait_queue
         world.go(300)
         peers = [world.peer(place).up() for place in range(len(world.reactor.tcpClients))]
-        served = [sent[1] for peer in peers for sent in peer.heard() if sent[0] == "serve"]
+        served = [sent[1] for peer in peers for sent in peer.received() if sent[0] == "serve"]
         self.assertEqual(sorted(served), [f"{0:016x}", f"{2:016x}"])
 
 
--- a/tests/test_extproc.py
+++ b/tests/test_extproc.py
@@ -22,10 +22,10 @@
 
 from spurdeal.__main__ import main
 from spurdeal.cli.main import serve
-from spurdeal.early import SIGNALS
+from spurdeal.early_signals import SIGNALS
 from spurdeal.extproc import processor_pb2
 from spurdeal.extproc.answers import request_more_time
-from spurdeal.extproc.bounds import Admission, Bounds, ConnectionUsage
+from spurdeal.extproc.bounds import Bounds, ConnectionLimits, ConnectionUsage
 from spurdeal.extproc.calls import (
     BadCallError,
     CallerSettings,
@@ -38,7 +38,7 @@
 from spurdeal.extproc.grants import ENDINGS, GrantEvent, Grants, GrantStage
 from spurdeal.extproc.server import METHOD, Runtime, Server, ServerSettings
 from spurdeal.interface import NEVER_RAN, Ending, Life
-from spurdeal.lab.proxy import Asked, request, response
+from spurdeal.lab.proxy import ClientRequest, request, response
 from spurdeal.net.link import at_most_once
 from spurdeal.store.guard import GuardRuntime, GuardSettings, LedgerGuard
 from spurdeal.store.ledger import Ledger, LedgerSettings
@@ -65,7 +65,9 @@
 
     def test_invalid_calls_are_rejected(self) -> None:
         call = parse_call(self.VALID, CallerSettings(), 1000.0)
-        self.assertEqual((call.workload, call.wait, call.cost, call.group), (b"lookup", 1000.0, 20.5, -1))
+        self.assertEqual(
+            (call.workload, call.client_timeout, call.cost, call.group), (b"lookup", 1000.0, 20.5, -1)
+        )
         for name, value in (
             (b":method", b"GET"),
             (b"req-id", b"xyz"),
@@ -132,7 +134,7 @@
         self.assertEqual((grants.open, grants.late, grants.premature), ({}, 1, 1))
 
     def test_counts_and_rates_are_limited(self) -> None:
-        admission = Admission(Bounds(connections=1, calls=3, calls_each=2, resets=5))
+        admission = ConnectionLimits(Bounds(max_connections=1, max_calls=3, max_calls_each=2, max_resets=5))
         self.assertEqual([admission.admit_connection(), admission.admit_connection()], [True, False])
         usage, other = ConnectionUsage(admission.bounds), ConnectionUsage(admission.bounds)
         self.assertEqual(
@@ -221,7 +223,8 @@
     ) -> int:
         stream = self.open(more)
         self.send(
-            stream, request(Asked(f"{number:016x}", workload == "load", 20.0), wait).SerializeToString()
+            stream,
+            request(ClientRequest(f"{number:016x}", workload == "load", 20.0), wait).SerializeToString(),
         )
         self.flush()
         return stream
@@ -253,7 +256,7 @@
 
     def setUp(self) -> None:
         self.world = World(self, engines=2)
-        self.bounds = Bounds(silent=2000, resets=20, controls=40, calls_each=50)
+        self.bounds = Bounds(silent_after=2000, max_resets=20, max_controls=40, max_calls_each=50)
         self.make(CallerSettings(message_timeout=200, most_timeout=0, use_within=150))
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -307,7 +310,7 @@
         self.assertEqual(
             (
                 self.server.granter.calls,
-                self.server.granter.leases,
+                self.server.granter.granted_attempts,
                 self.server.admission.calls,
                 self.world.service.adapter.open_requests,
             ),
@@ -375,7 +378,9 @@
         proxy = Proxy(self)
         streams = [proxy.open(), proxy.open()]
         for stream in streams:
-            proxy.send(stream, request(Asked("00000000000000aa", True, 20.0), 2000).SerializeToString())
+            proxy.send(
+                stream, request(ClientRequest("00000000000000aa", True, 20.0), 2000).SerializeToString()
+            )
         proxy.flush()
         answers = [proxy.answer(stream) for stream in streams]
         self.assertEqual(sum(isinstance(answer, str) for answer in answers), 1)
@@ -480,7 +485,9 @@
         proxy.flush()
         self.assertEqual(proxy.status[truncated], "3")
         unknown = proxy.open()
-        extra = request(Asked(f"{9:016x}", False, 20.0), 2000).SerializeToString() + b"\xa2\x06\x03abc"
+        extra = (
+            request(ClientRequest(f"{9:016x}", False, 20.0), 2000).SerializeToString() + b"\xa2\x06\x03abc"
+        )
         proxy.send(unknown, extra)
         proxy.flush()
         self.assertIsInstance(proxy.answer(unknown), str)
@@ -495,7 +502,7 @@
         )
         proxy.flush()
         self.assertEqual(proxy.status[stream], "12")
-        self.server.admission.calls = self.bounds.calls
+        self.server.admission.calls = self.bounds.max_calls
         late = proxy.open()
         proxy.flush()
         self.assertEqual(proxy.status[late], "8")
